--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -237,7 +237,7 @@
         }
         Verdict::NotRun => {
             let culprit = D::culprit(&head.headers)
-                .and_then(|name| job.process.board.lock().unwrap().find(name));
+                .and_then(|name| job.process.cluster.lock().unwrap().find(name));
             let suspect = culprit.as_ref().unwrap_or(upstream);
             note(job, suspect, Cause::Full);
             let why = format!("it refused with {status}; at fault is {suspect}");
--- a/daemon/src/fleet/beats.rs
+++ b/daemon/src/fleet/beats.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use foldlock_base::prelude::*;
-use foldlock_request::board::Start;
+use foldlock_request::cluster::Start;
 use foldlock_request::dialect::Dialect;
 use foldlock_request::directory::Directory;
 use foldlock_request::message::{self, Beat, Message, State};
@@ -167,18 +167,18 @@
     for limit in &state.rate_limits {
         rate_limits::merge(process, *limit, &state.vm);
     }
-    let mut board = process.board.lock().unwrap();
+    let mut cluster = process.cluster.lock().unwrap();
     if news == News::Renewed {
-        board.peer_lost(&state.vm, now);
+        cluster.peer_lost(&state.vm, now);
     }
     let Some(work) = &state.work else { return };
-    board.hear_outcomes(&state.vm, &work.outcomes, now);
-    board.hear_reports(&work.reports, now);
-    board.quarantine.hear(&work.suspects, now);
-    board.merge_dispatches(&state.vm, &work.dispatches, now);
+    cluster.hear_outcomes(&state.vm, &work.outcomes, now);
+    cluster.hear_reports(&work.reports, now);
+    cluster.quarantine.hear(&work.suspects, now);
+    cluster.merge_dispatches(&state.vm, &work.dispatches, now);
     let granted = if of_this_start { beat.granted } else { 0 };
-    let room = board.hear(&state.vm, &work.flights, granted, now);
-    drop(board);
+    let room = cluster.hear(&state.vm, &work.flights, granted, now);
+    drop(cluster);
     if room || !work.suspects.is_empty() {
         process.room.notify_one();
     }
@@ -213,7 +213,7 @@
 
 fn drop_silent<D: Dialect>(process: &Process<D>, now: Instant) {
     for vm in process.peers.drop_silent(now) {
-        process.board.lock().unwrap().peer_lost(&vm, now);
+        process.cluster.lock().unwrap().peer_lost(&vm, now);
         log::event(&process.log, Event::MemberDown, vm);
     }
 }
--- a/daemon/src/fleet/catch_up.rs
+++ b/daemon/src/fleet/catch_up.rs
@@ -64,7 +64,7 @@
         return None;
     }
     let at = process.at();
-    let digest = process.board.lock().unwrap().digest();
+    let digest = process.cluster.lock().unwrap().digest();
     let compared = *process.compared.lock().unwrap() == Some((at, digest));
     process.peers.other_listings(at, digest, compared, now).map(Source::Listing)
 }
@@ -146,7 +146,7 @@
             peer_sync::listing(process, listing);
             // What still differs then is for a later revision to settle: two VMs would else read each other's
             // listings without an end.
-            let digest = process.board.lock().unwrap().digest();
+            let digest = process.cluster.lock().unwrap().digest();
             *process.compared.lock().unwrap() = Some((process.at(), digest));
         }
     }
--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use foldlock_base::prelude::*;
-use foldlock_request::board::{Hall, Halls, Listed};
+use foldlock_request::cluster::{Hall, Halls, Listed};
 use foldlock_request::dialect::Dialect;
 use foldlock_request::directory::{Change, Quarantined};
 use foldlock_request::fingerprint::Fingerprint;
@@ -109,7 +109,7 @@
         })
         .collect();
     let known: Vec<id::Upstream> =
-        process.board.lock().unwrap().ids().filter(|id| !listed.contains(id)).cloned().collect();
+        process.cluster.lock().unwrap().ids().filter(|id| !listed.contains(id)).cloned().collect();
     known.iter().for_each(|id| listing_ended(process, id, revision, provenance, change_log));
     if provenance == Provenance::Copy {
         hold_again(process, changes);
@@ -142,7 +142,7 @@
             _ => None,
         })
         .collect();
-    let taken_back = process.board.lock().unwrap().read_halls(&drained, revision);
+    let taken_back = process.cluster.lock().unwrap().read_halls(&drained, revision);
     for name in taken_back {
         hall_changed(process, &Hall { name, drained: false, revision }, change_log);
     }
@@ -150,12 +150,12 @@
 
 /// Takes what a peer knows of halls.
 pub fn halls_told<D: Dialect>(process: &Process<D>, halls: &Halls, change_log: &mut ChangeLog) {
-    let changed = process.board.lock().unwrap().hear_halls(halls);
+    let changed = process.cluster.lock().unwrap().hear_halls(halls);
     changed.iter().for_each(|hall| hall_changed(process, hall, change_log));
 }
 
 fn hall_noted<D: Dialect>(process: &Process<D>, hall: Hall, change_log: &mut ChangeLog) {
-    if process.board.lock().unwrap().note_hall(hall.clone()) {
+    if process.cluster.lock().unwrap().note_hall(hall.clone()) {
         hall_changed(process, &hall, change_log);
     }
 }
@@ -163,7 +163,7 @@
 fn hall_changed<D: Dialect>(process: &Process<D>, hall: &Hall, change_log: &mut ChangeLog) {
     let event = if hall.drained { Event::HallDrained } else { Event::HallTakenBack };
     change_log.add(event, format!("{}, by revision {}", hall.name, hall.revision));
-    let drained = process.board.lock().unwrap().halls().drained().count();
+    let drained = process.cluster.lock().unwrap().halls().drained().count();
     process.metrics.drained_halls.set(drained as i64);
     process.room.notify_one();
 }
@@ -176,13 +176,13 @@
             .iter()
             .any(|change| matches!(change, Change::Quarantined(listed) if listed == entry))
     };
-    let board = process.board.lock().unwrap();
-    let own = board.held().filter(|entry| entry.vm == process.member.vm && !is_listed(entry));
+    let cluster = process.cluster.lock().unwrap();
+    let own = cluster.held().filter(|entry| entry.vm == process.member.vm && !is_listed(entry));
     own.for_each(|entry| process.register.order(Order::Hold(entry.clone())));
 }
 
 fn is_released<D: Dialect>(process: &Process<D>, entry: &Quarantined) -> bool {
-    process.board.lock().unwrap().is_released(entry.fingerprint)
+    process.cluster.lock().unwrap().is_released(entry.fingerprint)
 }
 
 /// A copy of the directory lists a request that was let go since it was made: one VM removes it again.
@@ -205,7 +205,7 @@
         })
         .collect();
     let known: Vec<Fingerprint> =
-        process.board.lock().unwrap().held().map(|entry| entry.fingerprint).collect();
+        process.cluster.lock().unwrap().held().map(|entry| entry.fingerprint).collect();
     let gone = known.into_iter().filter(|fingerprint| !listed.contains(fingerprint));
     gone.for_each(|fingerprint| released(process, fingerprint, change_log));
 }
@@ -273,16 +273,16 @@
     let cold = Duration::from_millis(u64::from(listed.cold_ms));
     let what = format!("{} of {} at {}", listed.id, listed.service, listed.address);
     let id = listed.id.clone();
-    let mut board = process.board.lock().unwrap();
-    let before = board.tag_of(&id);
-    let known = board.get(&id).is_some();
+    let mut cluster = process.cluster.lock().unwrap();
+    let before = cluster.tag_of(&id);
+    let known = cluster.get(&id).is_some();
     let changed = match provenance {
-        Provenance::Sound | Provenance::Lapsed => board.list(listed),
-        Provenance::Copy => board.list_copy(listed),
+        Provenance::Sound | Provenance::Lapsed => cluster.list(listed),
+        Provenance::Copy => cluster.list_copy(listed),
     };
-    board.note_cold(&id, cold, process.now());
-    let restarted = known && board.tag_of(&id) != before;
-    drop(board);
+    cluster.note_cold(&id, cold, process.now());
+    let restarted = known && cluster.tag_of(&id) != before;
+    drop(cluster);
     process.unreadable.forget(id.as_str());
     if !changed {
         return;
@@ -302,7 +302,7 @@
 fn quarantined<D: Dialect>(process: &Process<D>, entry: Quarantined, change_log: &mut ChangeLog) {
     let what = format!("{entry:?}");
     let wall_ms = process.clock.wall_millis();
-    if process.board.lock().unwrap().list_held(entry, process.now(), wall_ms) {
+    if process.cluster.lock().unwrap().list_held(entry, process.now(), wall_ms) {
         change_log.add(Event::Quarantined, what);
         process.room.notify_one();
     }
@@ -313,7 +313,7 @@
     fingerprint: Fingerprint,
     change_log: &mut ChangeLog,
 ) {
-    if process.board.lock().unwrap().unlist_held(fingerprint, process.now()) {
+    if process.cluster.lock().unwrap().unlist_held(fingerprint, process.now()) {
         change_log.add(Event::Released, fingerprint.to_string());
     }
 }
@@ -334,10 +334,10 @@
     change_log: &mut ChangeLog,
 ) {
     if provenance.may_live() {
-        process.board.lock().unwrap().unlist(id, process.now());
+        process.cluster.lock().unwrap().unlist(id, process.now());
         return;
     }
-    if process.board.lock().unwrap().remove(id, revision) {
+    if process.cluster.lock().unwrap().remove(id, revision) {
         ended(process, id, "its listing ended", change_log);
     }
 }
--- a/daemon/src/fleet/ending.rs
+++ b/daemon/src/fleet/ending.rs
@@ -26,14 +26,14 @@
 const KEPT: Duration = Duration::from_secs(2);
 
 /// The connection to the upstream of an attempt broke: finds out whether the upstream has ended, and notes
-/// it against the request if so. The attempt has to be on the board still: so no second copy is placed
+/// it against the request if so. The attempt has to be in the cluster state still: so no second copy is placed
 /// before this one's end is known.
 pub async fn examine<D: Dialect>(job: &Job<D>, flight: &Flight, start: Tag) {
     let upstream = &flight.upstream;
     let known = {
-        let board = job.process.board.lock().unwrap();
+        let cluster = job.process.cluster.lock().unwrap();
         // One that leaves ends by itself.
-        let known = board.get(upstream).filter(|u| u.is_open() && u.unlisted.is_none());
+        let known = cluster.get(upstream).filter(|u| u.is_open() && u.unlisted.is_none());
         known.map(|known| (known.listed.address.clone(), known.tag))
     };
     let Some((address, tag)) = known else { return };
@@ -58,13 +58,13 @@
     let upstream = flight.upstream.clone();
     let alone = flight.alone.is_some();
     let ending = Ending { upstream: start, alone };
-    let mut board = job.process.board.lock().unwrap();
-    if board.tag_of(&upstream) == start {
-        board.note(&upstream, Outcome::Failed(Cause::Silent), now);
+    let mut cluster = job.process.cluster.lock().unwrap();
+    if cluster.tag_of(&upstream) == start {
+        cluster.note(&upstream, Outcome::Failed(Cause::Silent), now);
     }
-    let held = board.quarantine.ended(job.fingerprint, ending, now);
-    let known = board.quarantine.ended_under(job.fingerprint) as u32;
-    drop(board);
+    let held = cluster.quarantine.ended(job.fingerprint, ending, now);
+    let known = cluster.quarantine.ended_under(job.fingerprint) as u32;
+    drop(cluster);
     tell::tell_placer(&job.process);
     job.process.pool.forget(&upstream);
     job.process.metrics.ended_under.inc();
@@ -98,12 +98,12 @@
 /// The request was answered whole: it is not the cause of what ended under it.
 pub fn answered<D: Dialect>(job: &Arc<Job<D>>) {
     let fingerprint = job.fingerprint;
-    let mut board = job.process.board.lock().unwrap();
-    if !board.quarantine.answered(fingerprint, job.process.now()) {
+    let mut cluster = job.process.cluster.lock().unwrap();
+    if !cluster.quarantine.answered(fingerprint, job.process.now()) {
         return;
     }
-    let listed = board.held().any(|entry| entry.fingerprint == fingerprint);
-    drop(board);
+    let listed = cluster.held().any(|entry| entry.fingerprint == fingerprint);
+    drop(cluster);
     job.record(Decision::Cleared);
     if listed {
         job.process.register.order(Order::Release(fingerprint));
--- a/daemon/src/fleet/follow.rs
+++ b/daemon/src/fleet/follow.rs
@@ -216,7 +216,7 @@
     changes
         .into_iter()
         .for_each(|change| changes::apply(process, change, provenance, &mut change_log));
-    let gone = process.board.lock().unwrap().expire(RELIST_TIMEOUT, at, now);
+    let gone = process.cluster.lock().unwrap().expire(RELIST_TIMEOUT, at, now);
     gone.iter().for_each(|id| changes::ended(process, id, "not listed again", &mut change_log));
     step.extend(gone.into_iter().map(|id| step::Change::UpstreamGone(id, at)));
     note_step(process, from, at, step);
--- a/daemon/src/fleet/gate.rs
+++ b/daemon/src/fleet/gate.rs
@@ -5,8 +5,8 @@
 use foldlock_base::clock::millis;
 use foldlock_base::error::Unsent;
 use foldlock_base::prelude::*;
-use foldlock_request::board::Load;
 use foldlock_request::budget::Charge;
+use foldlock_request::cluster::Load;
 use foldlock_request::decision::{Cause, Decision, Seen};
 use foldlock_request::dialect::Dialect;
 use foldlock_request::forecast;
@@ -71,7 +71,8 @@
     begun: bool,
 ) -> Result<Grant, Rejection> {
     let started = job.process.now();
-    let known = placement::runs_alone(&job.process.board.lock().unwrap(), job.fingerprint, started);
+    let known =
+        placement::runs_alone(&job.process.cluster.lock().unwrap(), job.fingerprint, started);
     if let Err(held @ Rejection::Quarantined { .. }) = known {
         return Err(held);
     }
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use foldlock_base::prelude::*;
-use foldlock_request::board::Board;
 use foldlock_request::budget::Charge;
+use foldlock_request::cluster::Cluster;
 use foldlock_request::dialect::Dialect;
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::flight::{Flight, Helping};
@@ -69,7 +69,7 @@
     {
         rate_limits::merge(process, Entry { upstream: placed.upstream, limit }, &peer.vm);
     }
-    let answer = decode(&process.board.lock().unwrap(), answered.answer);
+    let answer = decode(&process.cluster.lock().unwrap(), answered.answer);
     // A place at an upstream that is not known here is of no use: another VM is asked.
     if let Some(answer) = answer {
         process.questions.deliver(number, answer);
@@ -84,13 +84,13 @@
     }
 }
 
-fn decode(board: &Board, answer: message::Answer) -> Option<Answer> {
+fn decode(cluster: &Cluster, answer: message::Answer) -> Option<Answer> {
     let placed = match answer {
         message::Answer::Placed(placed) => placed,
         message::Answer::Waits => return Some(Answer::Waits),
         message::Answer::Rejected(rejection) => return Some(Answer::Rejected(rejection)),
     };
-    let id = |tag: Tag| board.by_tag(tag).map(|upstream| upstream.listed.id.clone());
+    let id = |tag: Tag| cluster.by_tag(tag).map(|upstream| upstream.listed.id.clone());
     let helping = |(tag, held): &(Tag, u64)| Some(Helping { upstream: id(*tag)?, held: *held });
     let slowest = placed.slowest.into_iter().filter_map(|(tag, load)| Some((id(tag)?, load)));
     let place = Place {
@@ -125,9 +125,9 @@
         Some(Exclusion::Resting { .. }) => Err(Ended::Resting),
         Some(Exclusion::RateLimited) => Err(Ended::Superseded),
         None => {
-            let board = process.board.lock().unwrap();
-            let known = board.get(id).map(|upstream| upstream.listed.address.clone());
-            known.ok_or_else(|| Ended::Gone(board.tag_of(id)))
+            let cluster = process.cluster.lock().unwrap();
+            let known = cluster.get(id).map(|upstream| upstream.listed.address.clone());
+            known.ok_or_else(|| Ended::Gone(cluster.tag_of(id)))
         }
     };
     let helpers = flight.helpers.iter().map(|helping| address(&helping.upstream));
@@ -198,7 +198,7 @@
 fn note_held<D: Dialect>(process: &Process<D>, fingerprint: Fingerprint, rejection: Rejection) {
     if let Rejection::Quarantined { left_ms } = rejection {
         let left = Duration::from_millis(left_ms);
-        process.board.lock().unwrap().quarantine.hold(fingerprint, 1, left, process.now());
+        process.cluster.lock().unwrap().quarantine.hold(fingerprint, 1, left, process.now());
     }
 }
 
@@ -236,7 +236,7 @@
         ask: &'a Ask,
         until: Until,
     ) -> Open<'a, D> {
-        let number = process.board.lock().unwrap().number();
+        let number = process.cluster.lock().unwrap().number();
         let answers = process.questions.open(number);
         Open { process, service, ask, until, number, answers, asked: None }
     }
--- a/daemon/src/fleet/hold.rs
+++ b/daemon/src/fleet/hold.rs
@@ -152,7 +152,7 @@
 /// Counts an order that is about to be sent.
 fn note_order<D: Dialect>(process: &Process<D>, reservation: &Reservation) {
     process.metrics.sent(Sent::Order, 1);
-    process.board.lock().unwrap().record_unscheduled(&reservation.upstream, process.now());
+    process.cluster.lock().unwrap().record_unscheduled(&reservation.upstream, process.now());
 }
 
 async fn release_all<D: Dialect>(process: Arc<Process<D>>, reservations: Arc<Vec<Reservation>>) {
--- a/daemon/src/fleet/job.rs
+++ b/daemon/src/fleet/job.rs
@@ -99,9 +99,9 @@
             return Vec::new();
         }
         let kept = self.process.pool.kept(self.most_rest(), self.process.now());
-        let board = self.process.board.lock().unwrap();
+        let cluster = self.process.cluster.lock().unwrap();
         let of_service = |id: &id::Upstream| {
-            let known = board.get(id).filter(|u| u.listed.service == self.service.name)?;
+            let known = cluster.get(id).filter(|u| u.listed.service == self.service.name)?;
             Some(known.tag)
         };
         kept.iter().filter_map(of_service).take(MOST_CONNECTED).collect()
@@ -109,9 +109,9 @@
 
     /// What is asked of the upstreams, those left out that failed it.
     pub fn ask(&self, avoid: &[id::Upstream], charge: Charge) -> Ask {
-        let board = self.process.board.lock().unwrap();
-        let avoid = avoid.iter().map(|id| board.tag_of(id)).collect();
-        drop(board);
+        let cluster = self.process.cluster.lock().unwrap();
+        let avoid = avoid.iter().map(|id| cluster.tag_of(id)).collect();
+        drop(cluster);
         Ask {
             prompt: self.terms.prompt,
             memory: self.memory(),
--- a/daemon/src/fleet/notices.rs
+++ b/daemon/src/fleet/notices.rs
@@ -17,7 +17,7 @@
 
 /// The start of an upstream that something is sent to now: what the answer says concerns this one alone.
 pub fn start<D: Dialect>(process: &Process<D>, upstream: &id::Upstream) -> Tag {
-    process.board.lock().unwrap().tag_of(upstream)
+    process.cluster.lock().unwrap().tag_of(upstream)
 }
 
 /// Applies what an upstream said of itself in an answer to a message sent at `sent`.
@@ -54,7 +54,7 @@
 /// directory away for 12 s, six VMs sent it 36 requests after its first word, by the upstream's own count.
 pub fn leaves<D: Dialect>(process: &Process<D>, start: Tag, heard_by: &id::Vm) {
     // Unknown here, or known to leave.
-    let Some(upstream) = process.board.lock().unwrap().depart(start) else { return };
+    let Some(upstream) = process.cluster.lock().unwrap().depart(start) else { return };
     process.pool.forget(&upstream);
     let what = format!("{upstream}, by its answer to {heard_by}");
     log::event(&process.log, Event::UpstreamLeaving, what);
@@ -73,15 +73,15 @@
 
 /// Why this VM may send an upstream nothing new, by what that said itself.
 pub fn exclusion<D: Dialect>(process: &Process<D>, upstream: &id::Upstream) -> Option<Exclusion> {
-    let board = process.board.lock().unwrap();
-    match board.get(upstream) {
+    let cluster = process.cluster.lock().unwrap();
+    match cluster.get(upstream) {
         Some(known) if known.is_leaving() => return Some(Exclusion::Closed),
         Some(known) if known.drained => return Some(Exclusion::Drained),
         Some(_) => {}
         None => return Some(Exclusion::Closed),
     }
-    let start = board.tag_of(upstream);
-    drop(board);
+    let start = cluster.tag_of(upstream);
+    drop(cluster);
     let left = process.rests.lock().unwrap().left(start, process.moment());
     left.map(|left| Exclusion::Resting { left })
 }
@@ -123,7 +123,7 @@
 /// How long it is until the first of a service's upstreams may be sent work, where all of them rest.
 pub fn all_rest<D: Dialect>(process: &Process<D>, service: &str) -> Option<Duration> {
     let moment = process.moment();
-    let board = process.board.lock().unwrap();
+    let cluster = process.cluster.lock().unwrap();
     let rests = process.rests.lock().unwrap();
-    rests.all_left(board.open(service).map(|upstream| upstream.tag), moment)
+    rests.all_left(cluster.open(service).map(|upstream| upstream.tag), moment)
 }
--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use foldlock_base::prelude::*;
-use foldlock_request::board::{Board, Upstream};
+use foldlock_request::cluster::{Cluster, Upstream};
 use foldlock_request::dialect::Dialect;
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::quarantine::Verdict;
@@ -152,12 +152,12 @@
     let metrics = &process.metrics;
     let age = process.fresh.age(process.moment()).map_or(-1, |age| age.as_millis() as i64);
     metrics.age_ms.set(age);
-    let board = process.board.lock().unwrap();
-    metrics.flights.set(board.own().count() as i64);
+    let cluster = process.cluster.lock().unwrap();
+    metrics.flights.set(cluster.own().count() as i64);
     metrics.unread.set(process.unread.bytes() as i64);
-    metrics.limited_upstreams.set(board.limited_count() as i64);
-    metrics.suspects.set(board.quarantine.suspects(now).count() as i64);
-    drop(board);
+    metrics.limited_upstreams.set(cluster.limited_count() as i64);
+    metrics.suspects.set(cluster.quarantine.suspects(now).count() as i64);
+    drop(cluster);
     metrics.line.set(process.scheduler.lock().unwrap().waiting() as i64);
     metrics.peers.set(process.peers.heard(now).len() as i64);
 }
@@ -182,7 +182,7 @@
         return answer::text(StatusCode::BAD_REQUEST, TEXT, "that is no fingerprint\n");
     };
     let now = process.now();
-    if !process.board.lock().unwrap().quarantine.release(fingerprint, now) {
+    if !process.cluster.lock().unwrap().quarantine.release(fingerprint, now) {
         return answer::text(StatusCode::NOT_FOUND, TEXT, "nothing is held against it here\n");
     }
     process.register.order(Order::Release(fingerprint));
@@ -194,12 +194,12 @@
     let now = process.now();
     let waiting = process.scheduler.lock().unwrap().waiting();
     let moment = process.moment();
-    let board = process.board.lock().unwrap();
+    let cluster = process.cluster.lock().unwrap();
     let rests = process.rests.lock().unwrap();
-    let loads = board.loads(None, now);
-    let upstreams: Vec<_> = board
+    let loads = cluster.loads(None, now);
+    let upstreams: Vec<_> = cluster
         .ids()
-        .filter_map(|id| board.get(id))
+        .filter_map(|id| cluster.get(id))
         .map(|u| {
             let load = loads.get(&u.listed.id).cloned().unwrap_or_default();
             json!({
@@ -207,14 +207,14 @@
                 "leaving": u.is_leaving(), "drained": u.drained,
                 "cold_ms": u.cold_until.map(|at| at.saturating_duration_since(now).as_millis() as u64),
                 "rests_ms": rests.left(u.tag, moment).map(|left| left.as_millis() as u64),
-                "rate_limit": rate_limit(&board, u, now),
+                "rate_limit": rate_limit(&cluster, u, now),
                 "suspicion": u.suspicion.weight(now), "requests": load.requests,
                 "writers": load.writers, "memory": load.memory, "backlog_ms": load.backlog_ms,
                 "pace": u.pace(now), "silent": u.silent(now),
             })
         })
         .collect();
-    let suspects: Vec<_> = board
+    let suspects: Vec<_> = cluster
         .quarantine
         .suspects(now)
         .map(|(fingerprint, held, verdict)| {
@@ -224,8 +224,8 @@
             })
         })
         .collect();
-    let held: Vec<_> = board.held().collect();
-    let drained: Vec<_> = board.halls().drained().collect();
+    let held: Vec<_> = cluster.held().collect();
+    let drained: Vec<_> = cluster.halls().drained().collect();
     json!({
         "drained_halls": drained,
         "suspects": suspects,
@@ -234,7 +234,7 @@
         "config": process.config,
         "ready": process.ready(),
         "stopping": process.stopping.is_cancelled(),
-        "requests": board.own().count(),
+        "requests": cluster.own().count(),
         "directory": process.at(),
         "version": process.version(),
         "settings_age_ms": process.fresh.age(process.moment()).map(|age| age.as_millis() as u64),
@@ -248,14 +248,14 @@
 }
 
 /// The rate limit of an upstream, with its age, source and recent use.
-fn rate_limit(board: &Board, upstream: &Upstream, now: Instant) -> Option<serde_json::Value> {
+fn rate_limit(cluster: &Cluster, upstream: &Upstream, now: Instant) -> Option<serde_json::Value> {
     let known = upstream.rate_limit.as_ref()?;
     let rate = known.limit.rate?;
     let second = Duration::from_secs(1);
     Some(json!({
         "rate": rate, "version": known.limit.version, "source": known.source,
         "since_ms": now.saturating_duration_since(known.limited_since).as_millis() as u64,
-        "sent_last_second": board.sent_within(&upstream.listed.id, second, now),
+        "sent_last_second": cluster.sent_within(&upstream.listed.id, second, now),
     }))
 }
 
--- a/daemon/src/fleet/peer_sync.rs
+++ b/daemon/src/fleet/peer_sync.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 
 use foldlock_base::prelude::*;
-use foldlock_request::board::Listed;
+use foldlock_request::cluster::Listed;
 use foldlock_request::dialect::Dialect;
 use foldlock_request::directory::{Change, Listing};
 use foldlock_request::step::{self, Step};
@@ -30,8 +30,8 @@
     let provenance = if restored { Provenance::Lapsed } else { Provenance::Sound };
     process.known_to(revision);
     let upstreams: Vec<Listed> = {
-        let board = process.board.lock().unwrap();
-        listing.upstreams.into_iter().filter(|listed| board.accepts(listed)).collect()
+        let cluster = process.cluster.lock().unwrap();
+        listing.upstreams.into_iter().filter(|listed| cluster.accepts(listed)).collect()
     };
     let members = listing.members.into_iter().map(Change::Member);
     let upstreams = upstreams.into_iter().map(Change::Upstream);
@@ -67,13 +67,13 @@
 
 /// A change that a peer told, unless something newer is known here.
 fn accepted<D: Dialect>(process: &Process<D>, change: step::Change) -> Option<Change> {
-    let board = process.board.lock().unwrap();
+    let cluster = process.cluster.lock().unwrap();
     Some(match change {
         step::Change::Upstream(listed) => {
-            board.accepts(&listed).then_some(Change::Upstream(listed))?
+            cluster.accepts(&listed).then_some(Change::Upstream(listed))?
         }
         step::Change::UpstreamGone(id, revision) => {
-            let is_newer = board.get(&id).is_some_and(|known| known.listed.revision > revision);
+            let is_newer = cluster.get(&id).is_some_and(|known| known.listed.revision > revision);
             (!is_newer).then_some(Change::UpstreamGone(id, revision))?
         }
         step::Change::Member(member) => Change::Member(member),
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -7,8 +7,8 @@
 use foldlock_base::clock::{Moment, Sleep, System};
 use foldlock_base::prelude::*;
 use foldlock_connection::channel::Pool;
-use foldlock_request::board::Board;
 use foldlock_request::budget::Affiliation;
+use foldlock_request::cluster::Cluster;
 use foldlock_request::dialect::Dialect;
 use foldlock_request::directory::{Listing, Member, Settings};
 use foldlock_request::flight::Flight;
@@ -80,14 +80,14 @@
     /// Where peers are told and heard.
     pub socket: UdpSocket,
     /// The upstreams and what is under way there.
-    pub board: Mutex<Board>,
-    /// What places the requests of the VMs that ask this one; locked before the board.
+    pub cluster: Mutex<Cluster>,
+    /// What places the requests of the VMs that ask this one; locked before the cluster state.
     pub scheduler: Mutex<Scheduler>,
     /// The scheduler that holds this VM's share of the fleet's retry budget.
     pub affiliation: Mutex<Affiliation>,
     /// The requests of this VM that ask for a place.
     pub questions: Questions,
-    /// Told when something on the board ends or begins, so that what waits may have a place.
+    /// Told when something in the cluster state ends or begins, so that what waits may have a place.
     pub room: Notify,
     /// Told when peers are to hear of it.
     pub tell: Notify,
@@ -141,7 +141,7 @@
     next_request: AtomicU64,
 }
 
-/// An attempt's entry on the board; it is taken off when this is dropped, however the attempt ends.
+/// An attempt's entry in the cluster state; it is removed when this is dropped, however the attempt ends.
 pub struct Entered<D: Dialect> {
     process: Arc<Process<D>>,
     number: u64,
@@ -172,7 +172,7 @@
             metrics: Metrics::default(),
             ring: Ring::new(RECORDS),
             fresh: Fresh::new(config.fleet.settings_age()),
-            board: Mutex::default(),
+            cluster: Mutex::default(),
             scheduler: Mutex::new(Scheduler::new(config.fleet.budget())),
             affiliation: Mutex::default(),
             questions: Questions::default(),
@@ -324,11 +324,11 @@
 
     /// What this VM knows of the directory.
     pub fn listing(&self) -> Listing {
-        let board = self.board.lock().unwrap();
-        let upstreams = board.relayed(self.now()).collect();
-        let held = board.held().cloned().collect();
-        let halls = board.halls().clone();
-        drop(board);
+        let cluster = self.cluster.lock().unwrap();
+        let upstreams = cluster.relayed(self.now()).collect();
+        let held = cluster.held().cloned().collect();
+        let halls = cluster.halls().clone();
+        drop(cluster);
         let members = self.peers.members();
         Listing { at: self.at(), upstreams, members, held, halls }
     }
@@ -364,10 +364,10 @@
         log::event(&self.log, Event::Reloaded, what);
     }
 
-    /// Enters an attempt on the board. The VM that gave its place knows of it, the others hear with
+    /// Enters an attempt in the cluster state. The VM that gave its place knows of it, the others hear with
     /// the next beat.
     pub fn enter(self: &Arc<Self>, number: u64, flight: Flight) -> Entered<D> {
-        self.board.lock().unwrap().enter(number, flight, self.now());
+        self.cluster.lock().unwrap().enter(number, flight, self.now());
         self.tell.notify_one();
         Entered { process: self.clone(), number }
     }
@@ -382,14 +382,14 @@
 impl<D: Dialect> Entered<D> {
     /// The first event has come.
     pub fn began(&self) {
-        self.process.board.lock().unwrap().began(self.number, self.process.now());
+        self.process.cluster.lock().unwrap().began(self.number, self.process.now());
         self.process.moved();
     }
 }
 
 impl<D: Dialect> Drop for Entered<D> {
     fn drop(&mut self) {
-        self.process.board.lock().unwrap().leave(self.number, self.process.now());
+        self.process.cluster.lock().unwrap().leave(self.number, self.process.now());
         self.process.moved();
     }
 }
--- a/daemon/src/fleet/rate_limits.rs
+++ b/daemon/src/fleet/rate_limits.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 use foldlock_base::prelude::*;
-use foldlock_request::board::Board;
+use foldlock_request::cluster::Cluster;
 use foldlock_request::dialect::Dialect;
 use foldlock_request::flight::Flight;
 use foldlock_request::message::Message;
@@ -23,10 +23,10 @@
 pub fn observe<D: Dialect>(process: &Process<D>, start: Tag, rate: Option<Rate>, sent: Instant) {
     let now = process.now();
     let own = &process.member.vm;
-    let mut board = process.board.lock().unwrap();
-    let Some(upstream) = board.observe_limit(start, rate, sent, own, now) else { return };
-    let entry = entry(&board, &upstream);
-    drop(board);
+    let mut cluster = process.cluster.lock().unwrap();
+    let Some(upstream) = cluster.observe_limit(start, rate, sent, own, now) else { return };
+    let entry = entry(&cluster, &upstream);
+    drop(cluster);
     log_change(process, &upstream, rate, own);
     let scheduler = process.peers.placer(process.stopping.is_cancelled(), now);
     if let Some(address) = scheduler.and_then(|placer| placer.address()) {
@@ -50,10 +50,10 @@
 
 /// Merges a limit announced by a peer. Returns the known one if the peer's is older.
 pub fn merge<D: Dialect>(process: &Process<D>, announced: Entry, from: &id::Vm) -> Option<Entry> {
-    let mut board = process.board.lock().unwrap();
-    let (merged, upstream) = board.merge_limit(announced, from, process.now())?;
-    let own = entry(&board, &upstream);
-    drop(board);
+    let mut cluster = process.cluster.lock().unwrap();
+    let (merged, upstream) = cluster.merge_limit(announced, from, process.now())?;
+    let own = entry(&cluster, &upstream);
+    drop(cluster);
     match merged {
         Merge::Adopted => {
             log_change(process, &upstream, announced.limit.rate, from);
@@ -67,17 +67,17 @@
 
 /// Limits that forbid the use of a place, since its scheduler did not know them.
 pub fn unknown_to_scheduler<D: Dialect>(process: &Process<D>, place: &Place) -> Vec<Entry> {
-    let board = process.board.lock().unwrap();
+    let cluster = process.cluster.lock().unwrap();
     let Flight { upstream, helpers, .. } = &place.flight;
     let helpers = helpers.iter().map(|helping| &helping.upstream);
-    let limited = helpers.filter(|id| board.get(id).is_some_and(|helper| helper.is_limited()));
-    let own = (!board.may_send(upstream, place.limit)).then_some(upstream);
-    own.into_iter().chain(limited).filter_map(|id| entry(&board, id)).collect()
+    let limited = helpers.filter(|id| cluster.get(id).is_some_and(|helper| helper.is_limited()));
+    let own = (!cluster.may_send(upstream, place.limit)).then_some(upstream);
+    own.into_iter().chain(limited).filter_map(|id| entry(&cluster, id)).collect()
 }
 
 /// Whether an upstream has a rate limit.
 pub fn is_limited<D: Dialect>(process: &Process<D>, upstream: &id::Upstream) -> bool {
-    process.board.lock().unwrap().get(upstream).is_some_and(|known| known.is_limited())
+    process.cluster.lock().unwrap().get(upstream).is_some_and(|known| known.is_limited())
 }
 
 /// Sends limits to a VM.
@@ -85,8 +85,8 @@
     tell::send(process, &Message::RateLimits(limits), to);
 }
 
-fn entry(board: &Board, upstream: &id::Upstream) -> Option<Entry> {
-    let known = board.get(upstream)?;
+fn entry(cluster: &Cluster, upstream: &id::Upstream) -> Option<Entry> {
+    let known = cluster.get(upstream)?;
     let limit: Limit = known.rate_limit.as_ref()?.limit;
     Some(Entry { upstream: known.tag, limit })
 }
--- a/daemon/src/fleet/reports.rs
+++ b/daemon/src/fleet/reports.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use foldlock_base::prelude::*;
-use foldlock_request::board::Listed;
+use foldlock_request::cluster::Listed;
 use foldlock_request::dialect::Dialect;
 use foldlock_request::directory::Member;
 use foldlock_request::message::Message;
@@ -58,12 +58,12 @@
 
 /// The VM that places wants the report of an engine.
 pub fn polled<D: Dialect>(process: &Arc<Process<D>>, upstream: Tag) {
-    let board = process.board.lock().unwrap();
+    let cluster = process.cluster.lock().unwrap();
     // An upstream that is not known here is asked by another VM next time, or has ended.
-    let Some(listed) = board.by_tag(upstream).map(|upstream| upstream.listed.clone()) else {
+    let Some(listed) = cluster.by_tag(upstream).map(|upstream| upstream.listed.clone()) else {
         return;
     };
-    drop(board);
+    drop(cluster);
     tokio::spawn(ask(process.clone(), listed));
 }
 
@@ -71,10 +71,10 @@
     let Some(settings) = process.settings() else { return Vec::new() };
     let is_engine =
         |l: &&Listed| settings.table.service(&l.service).is_some_and(|s| s.engine.is_some());
-    let board = process.board.lock().unwrap();
+    let cluster = process.cluster.lock().unwrap();
     // Reports may count against the rate limit.
-    let is_limited = |l: &&Listed| board.get(&l.id).is_some_and(|engine| engine.is_limited());
-    board.listings().filter(is_engine).filter(|l| !is_limited(l)).cloned().collect()
+    let is_limited = |l: &&Listed| cluster.get(&l.id).is_some_and(|engine| engine.is_limited());
+    cluster.listings().filter(is_engine).filter(|l| !is_limited(l)).cloned().collect()
 }
 
 async fn ask<D: Dialect>(process: Arc<Process<D>>, listed: Listed) {
@@ -101,14 +101,14 @@
     let born = answer.as_ref().ok().and_then(|report| report.born);
     if let Some(born) = born {
         renewed(&process, &listed.id, born, &process.member.vm);
-        let board = process.board.lock().unwrap();
-        if board.get(&listed.id).is_some_and(|known| known.listed.born > Some(born)) {
+        let cluster = process.cluster.lock().unwrap();
+        if cluster.get(&listed.id).is_some_and(|known| known.listed.born > Some(born)) {
             // An answer of the start before, which came late.
             return;
         }
     }
     let observed = Observed { report: answer.as_ref().ok().copied(), at };
-    let before = process.board.lock().unwrap().observe(&listed.id, observed);
+    let before = process.cluster.lock().unwrap().observe(&listed.id, observed);
     log_change(&process, &listed.id, before, &answer);
     process.tell.notify_one();
 }
@@ -120,7 +120,7 @@
     born: u64,
     from: &id::Vm,
 ) {
-    if !process.board.lock().unwrap().renew(upstream, born, process.now()) {
+    if !process.cluster.lock().unwrap().renew(upstream, born, process.now()) {
         return;
     }
     process.pool.forget(upstream);
--- a/daemon/src/fleet/scheduler.rs
+++ b/daemon/src/fleet/scheduler.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use foldlock_base::prelude::*;
-use foldlock_request::board::{Board, Holder};
+use foldlock_request::cluster::{Cluster, Holder};
 use foldlock_request::dialect::Dialect;
 use foldlock_request::message::{self, Answered, Asked, Message, Number};
 use foldlock_request::placement::{self, Ask, Place, Rejection};
@@ -54,9 +54,9 @@
     let Some(settings) = process.settings() else { return Answer::Rejected(Rejection::Closed) };
     let vms = process.peers.running_count();
     let mut scheduler = process.scheduler.lock().unwrap();
-    let mut board = process.board.lock().unwrap();
+    let mut cluster = process.cluster.lock().unwrap();
     scheduler.budget.record_contact(&key.holder, is_client, vms, now);
-    let answer = scheduler.ask(&mut board, &settings.table, key, service, ask, now);
+    let answer = scheduler.ask(&mut cluster, &settings.table, key, service, ask, now);
     if matches!(answer, Answer::Waits) {
         process.room.notify_one();
     }
@@ -77,7 +77,7 @@
     let mut scheduler = process.scheduler.lock().unwrap();
     scheduler.budget.record_contact(&Holder::Own, is_client, vms, now);
     scheduler.budget.check(tag, ask.charge, now).map_err(Rejection::OverBudget)?;
-    let place = placement::place(&process.board.lock().unwrap(), service, ask, now)?;
+    let place = placement::place(&process.cluster.lock().unwrap(), service, ask, now)?;
     scheduler.budget.charge(tag, ask.charge, now).map_err(Rejection::OverBudget)?;
     Ok(place)
 }
@@ -107,7 +107,7 @@
 
 fn cancel<D: Dialect>(process: &Process<D>, key: &Key) {
     let mut scheduler = process.scheduler.lock().unwrap();
-    scheduler.cancel(&mut process.board.lock().unwrap(), key, process.now());
+    scheduler.cancel(&mut process.cluster.lock().unwrap(), key, process.now());
     process.room.notify_one();
 }
 
@@ -126,9 +126,9 @@
     let Some(settings) = process.settings() else { return };
     let now = process.now();
     let mut scheduler = process.scheduler.lock().unwrap();
-    let mut board = process.board.lock().unwrap();
-    let answers = scheduler.look(&mut board, &settings.table, now);
-    drop((scheduler, board));
+    let mut cluster = process.cluster.lock().unwrap();
+    let answers = scheduler.look(&mut cluster, &settings.table, now);
+    drop((scheduler, cluster));
     for (Key { holder, incarnation, number }, answer) in answers {
         match holder {
             Holder::Own => process.questions.deliver(number, answer),
@@ -145,18 +145,18 @@
 }
 
 fn answered<D: Dialect>(process: &Process<D>, request: Number, to: SocketAddr, answer: Answer) {
-    let answer = encode(&process.board.lock().unwrap(), answer);
+    let answer = encode(&process.cluster.lock().unwrap(), answer);
     let message = Message::Answered(Answered { request, answer });
     tell::send(process, &message, to);
 }
 
-fn encode(board: &Board, answer: Answer) -> message::Answer {
+fn encode(cluster: &Cluster, answer: Answer) -> message::Answer {
     let (place, grant) = match answer {
         Answer::Placed(place, grant) => (place, grant),
         Answer::Waits => return message::Answer::Waits,
         Answer::Rejected(rejection) => return message::Answer::Rejected(rejection),
     };
-    let tag = |id: &id::Upstream| board.tag_of(id);
+    let tag = |id: &id::Upstream| cluster.tag_of(id);
     let flight = &place.flight;
     message::Answer::Placed(message::Placed {
         grant,
--- a/daemon/src/fleet/tell.rs
+++ b/daemon/src/fleet/tell.rs
@@ -111,12 +111,12 @@
 fn state<D: Dialect>(process: &Process<D>, round: Round, now: Instant) -> State {
     let steps = if round == Round::All { steps(process, now) } else { Bytes::new() };
     let (digest, starts, departures, rate_limits) = {
-        let mut board = process.board.lock().unwrap();
+        let mut cluster = process.cluster.lock().unwrap();
         let (departures, rate_limits) = match round {
-            Round::All => (board.departures(), board.announced_limits(now)),
+            Round::All => (cluster.departures(), cluster.announced_limits(now)),
             _ => (Vec::new(), Vec::new()),
         };
-        (board.digest(), board.told_starts(now), departures, rate_limits)
+        (cluster.digest(), cluster.told_starts(now), departures, rate_limits)
     };
     State {
         stamp: process.peers.stamp(process.moment()),
@@ -144,12 +144,12 @@
 }
 
 fn work<D: Dialect>(process: &Process<D>, round: Round, now: Instant) -> Work {
-    let mut board = process.board.lock().unwrap();
+    let mut cluster = process.cluster.lock().unwrap();
     Work {
-        flights: board.told(now),
-        outcomes: board.told_outcomes(now),
-        reports: board.told_reports(now),
-        suspects: board.quarantine.told(round == Round::All, now),
-        dispatches: board.announced_dispatches(now),
+        flights: cluster.told(now),
+        outcomes: cluster.told_outcomes(now),
+        reports: cluster.told_reports(now),
+        suspects: cluster.quarantine.told(round == Round::All, now),
+        dispatches: cluster.announced_dispatches(now),
     }
 }
--- a/daemon/src/fleet/unread.rs
+++ b/daemon/src/fleet/unread.rs
@@ -14,7 +14,7 @@
 use serde_json::json;
 use tokio::sync::Notify;
 
-/// The part of a VM's memory that such answers may take: connections, settings and the board take the rest.
+/// The part of a VM's memory that such answers may take: connections, settings and the cluster state take the rest.
 const PART: f64 = 0.25;
 
 /// Answers that may each take their share before one has to be given up.
--- a/daemon/src/fleet/writer.rs
+++ b/daemon/src/fleet/writer.rs
@@ -78,15 +78,15 @@
 
 /// Whether an order needs no writing any more.
 fn is_moot<D: Dialect>(process: &Process<D>, order: &Order) -> bool {
-    let board = process.board.lock().unwrap();
+    let cluster = process.cluster.lock().unwrap();
     match order {
         Order::Hold(entry) => {
-            let listed = board.held().count();
-            let known = board.held().any(|held| held.fingerprint == entry.fingerprint);
+            let listed = cluster.held().count();
+            let known = cluster.held().any(|held| held.fingerprint == entry.fingerprint);
             entry.until_ms <= process.clock.wall_millis() || listed >= MOST_LISTED && !known
         }
-        Order::Release(fingerprint) => !board.held().any(|held| held.fingerprint == *fingerprint),
-        Order::Remove(fingerprint) => !board.is_released(*fingerprint),
+        Order::Release(fingerprint) => !cluster.held().any(|held| held.fingerprint == *fingerprint),
+        Order::Remove(fingerprint) => !cluster.is_released(*fingerprint),
         Order::Announce => false,
     }
 }
@@ -98,7 +98,7 @@
     }
     let now_ms = process.clock.wall_millis();
     let kept_ms = KEPT.as_millis() as u64;
-    let board = process.board.lock().unwrap();
-    let over = board.held().filter(|entry| entry.until_ms + kept_ms <= now_ms);
+    let cluster = process.cluster.lock().unwrap();
+    let over = cluster.held().filter(|entry| entry.until_ms + kept_ms <= now_ms);
     over.for_each(|entry| process.register.order(Order::Release(entry.fingerprint)));
 }
--- a/request/src/budget.rs
+++ b/request/src/budget.rs
@@ -15,7 +15,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::board::Holder;
+use crate::cluster::Holder;
 use crate::rank::TRIED;
 use crate::tag::Tag;
 
--- a/request/src/budget/clients.rs
+++ b/request/src/budget/clients.rs
@@ -5,7 +5,7 @@
 
 use foldlock_base::id;
 
-use crate::board::Holder;
+use crate::cluster::Holder;
 
 /// How long a scheduler counts a VM after its last message, as a share of the budget's window.
 const CLIENT_TIMEOUT: f64 = 0.4;
--- a/request/src/board.rs
+++ b/request/src/cluster.rs
@@ -1,4 +1,4 @@
-//! The board: every upstream that is known, and every attempt that is under way at one, of this VM
+//! The cluster state: every upstream that is known, and every attempt that is under way at one, of this VM
 //! and of the VMs that tell it theirs.
 //!
 //! What a VM tells is the whole of its attempts each time, so a lost message costs accuracy for one
@@ -43,9 +43,9 @@
 /// to end.
 const ENDED: usize = 1_024;
 
-/// The board.
+/// The cluster state.
 #[derive(Debug, Default)]
-pub struct Board {
+pub struct Cluster {
     upstreams: BTreeMap<id::Upstream, Upstream>,
     halls: Halls,
     /// Those that are gone, with the revision up to which that is known.
@@ -69,7 +69,7 @@
     digest: Cell<Option<u64>>,
 }
 
-impl Board {
+impl Cluster {
     /// Takes a listing. Answers whether it is new or says something new. A later start ends all that was
     /// believed of the one before it.
     pub fn list(&mut self, listed: Listed) -> bool {
@@ -209,7 +209,7 @@
     }
 
     /// The listing of an upstream ended while the directory was away: it may still live, and is
-    /// kept until [`Board::expire`].
+    /// kept until [`Cluster::expire`].
     pub fn unlist(&mut self, id: &id::Upstream, now: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.unlisted.get_or_insert(now);
@@ -263,7 +263,7 @@
         self.upstreams.values().filter(move |u| u.listed.service == service && u.is_open())
     }
 
-    /// A digest of all listings: two boards with the same have the same.
+    /// A digest of all listings: two cluster states with the same have the same.
     pub fn digest(&self) -> u64 {
         if let Some(digest) = self.digest.get() {
             return digest;
--- a/request/src/board/flights.rs
+++ b/request/src/cluster/flights.rs
@@ -7,7 +7,7 @@
 use foldlock_version::routes::Engine;
 
 use super::load::{Load, Serial, Work};
-use super::{Board, Upstream};
+use super::{Cluster, Upstream};
 use crate::fingerprint::Fingerprint;
 use crate::flight::{Flight, Told, Tracked};
 use crate::pace::Pace;
@@ -176,7 +176,7 @@
     }
 }
 
-impl Board {
+impl Cluster {
     /// Enters an attempt of this VM.
     pub fn enter(&mut self, number: u64, flight: Flight, now: Instant) {
         let tracked = self.tracked(flight, now);
--- a/request/src/board/halls.rs
+++ b/request/src/cluster/halls.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Board, Upstream};
+use super::{Cluster, Upstream};
 use crate::revision::Revision;
 
 /// Halls that are remembered at most. A name that nobody has is kept like any other.
@@ -99,7 +99,7 @@
     }
 }
 
-impl Board {
+impl Cluster {
     /// The directory says that a hall is drained, or taken back. Answers whether that is news.
     pub fn note_hall(&mut self, hall: Hall) -> bool {
         let news = self.halls.note(hall);
--- a/request/src/board/held.rs
+++ b/request/src/cluster/held.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::Board;
+use super::Cluster;
 use crate::fingerprint::Fingerprint;
 use crate::held::Quarantined;
 
@@ -10,7 +10,7 @@
 /// of an operator's work.
 const RELEASED: usize = 256;
 
-impl Board {
+impl Cluster {
     /// The directory lists a request that is held. Answers whether that says something new.
     pub fn list_held(&mut self, entry: Quarantined, now: Instant, wall_ms: u64) -> bool {
         let time = Duration::from_millis(entry.until_ms.saturating_sub(wall_ms));
--- a/request/src/board/limits.rs
+++ b/request/src/cluster/limits.rs
@@ -6,7 +6,7 @@
 use foldlock_base::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use super::{Board, Holder, Upstream};
+use super::{Cluster, Holder, Upstream};
 use crate::pace::Bound;
 use crate::rate_limit::{self, Entry, Limit, Merge, State};
 use crate::tag::Tag;
@@ -54,7 +54,7 @@
     }
 }
 
-impl Board {
+impl Cluster {
     /// Applies the limit named in an answer to a request that this VM sent at `sent`. Returns the upstream if its limit
     /// has changed.
     pub fn observe_limit(
--- a/request/src/board/load.rs
+++ b/request/src/cluster/load.rs
@@ -39,7 +39,7 @@
     pub waited_ms: f64,
 }
 
-/// The number of a flight on this board.
+/// The number of a flight in this cluster state.
 pub(super) type Serial = u64;
 
 /// A request that the upstream answers, or a part that it reads for another one.
--- a/request/src/board/outcomes.rs
+++ b/request/src/cluster/outcomes.rs
@@ -5,7 +5,7 @@
 use foldlock_base::id;
 use serde::{Deserialize, Serialize};
 
-use super::Board;
+use super::Cluster;
 use crate::suspicion::Outcome;
 use crate::tag::Tag;
 
@@ -23,7 +23,7 @@
     outcome: Outcome,
 }
 
-impl Board {
+impl Cluster {
     /// An attempt of this VM at an upstream has ended in this way.
     pub fn note(&mut self, id: &id::Upstream, outcome: Outcome, now: Instant) {
         let Some(upstream) = self.upstreams.get_mut(id) else { return };
--- a/request/src/board/reports.rs
+++ b/request/src/cluster/reports.rs
@@ -4,11 +4,11 @@
 
 use foldlock_base::id;
 
-use super::Board;
+use super::Cluster;
 use super::upstream::REPORT_LASTS;
 use crate::report::{self, Observed};
 
-impl Board {
+impl Cluster {
     /// This VM asked an engine for its report. Answers what was known before.
     pub fn observe(&mut self, id: &id::Upstream, observed: Observed) -> Option<Observed> {
         let upstream = self.upstreams.get_mut(id)?;
--- a/request/src/board/starts.rs
+++ b/request/src/cluster/starts.rs
@@ -4,7 +4,7 @@
 
 use foldlock_base::prelude::*;
 
-use super::{Board, Listed, Start};
+use super::{Cluster, Listed, Start};
 use crate::tag::Tag;
 
 /// How long a new start of an upstream is told that was not learnt from the directory: by then the
@@ -18,7 +18,7 @@
 /// New starts that are told at most.
 const MOST_STARTS: usize = 64;
 
-impl Board {
+impl Cluster {
     /// An upstream says itself that it has started at this moment. Answers whether that is a later start
     /// than the one that is known; an earlier one is an answer that came late.
     ///
--- a/request/src/board/upstream.rs
+++ b/request/src/cluster/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream, as the board knows it.
+//! One upstream, as the cluster state has it.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
 /// How long a report counts: an engine that is asked no more is taken for sound again.
 pub(super) const REPORT_LASTS: Duration = Duration::from_millis(2_500);
 
-/// An upstream, as the board knows it.
+/// An upstream, as the cluster state has it.
 #[derive(Debug, Clone)]
 pub struct Upstream {
     /// How it is listed.
--- a/request/src/directory.rs
+++ b/request/src/directory.rs
@@ -11,7 +11,7 @@
 use foldlock_version::routes::Table;
 use serde::{Deserialize, Serialize};
 
-use crate::board::{Hall, Halls, Listed};
+use crate::cluster::{Hall, Halls, Listed};
 use crate::fingerprint::Fingerprint;
 pub use crate::held::Quarantined;
 use crate::revision::Revision;
--- a/request/src/lib.rs
+++ b/request/src/lib.rs
@@ -2,9 +2,9 @@
 //! limits, claims and cursors that it meets.
 
 pub mod affinity;
-pub mod board;
 pub mod budget;
 pub mod claim;
+pub mod cluster;
 pub mod cursor;
 pub mod decision;
 pub mod dialect;
--- a/request/src/message.rs
+++ b/request/src/message.rs
@@ -9,8 +9,8 @@
 use foldlock_base::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::board::{Dispatch, Ended, Load, Start};
 use crate::budget::Charge;
+use crate::cluster::{Dispatch, Ended, Load, Start};
 use crate::fingerprint::Fingerprint;
 use crate::placement::{Ask, Rejection};
 use crate::rate_limit::Limit;
--- a/request/src/pace.rs
+++ b/request/src/pace.rs
@@ -8,7 +8,7 @@
 
 use foldlock_base::prelude::*;
 
-use crate::board::Holder;
+use crate::cluster::Holder;
 
 /// The time over which a cold upstream's requests are counted: a second, and what the way of one may differ
 /// from that of the next.
--- a/request/src/placement.rs
+++ b/request/src/placement.rs
@@ -18,8 +18,8 @@
 use foldlock_version::routes::{Engine, Route, Service, Shape};
 use serde::{Deserialize, Serialize};
 
-use crate::board::{BRISK_MS, Board, Load};
 use crate::budget::{Charge, Exhausted};
+use crate::cluster::{BRISK_MS, Cluster, Load};
 use crate::fingerprint::Fingerprint;
 use crate::flight::{Flight, Helping};
 use crate::forecast;
@@ -118,7 +118,7 @@
 /// A place.
 #[derive(Debug, Clone)]
 pub struct Place {
-    /// How it counts on the board.
+    /// How it counts in the cluster state.
     pub flight: Flight,
     /// The predicted time to the first event, milliseconds; 0 where there is no model.
     pub predicted_ms: f64,
@@ -191,15 +191,15 @@
 
 /// Finds a place for a request that does not wait in a line of others.
 pub fn place(
-    board: &Board,
+    cluster: &Cluster,
     service: &Service,
     ask: &Ask,
     now: Instant,
 ) -> Result<Place, Rejection> {
-    let alone = runs_alone(board, ask.fingerprint, now)?;
-    let (candidates, limited) = candidates(board, service, ask, now);
+    let alone = runs_alone(cluster, ask.fingerprint, now)?;
+    let (candidates, limited) = candidates(cluster, service, ask, now);
     if candidates.is_empty() {
-        return Err(rejection(board, service, ask, now));
+        return Err(rejection(cluster, service, ask, now));
     }
     let engine = service.engine.as_ref();
     let Some(engine) = engine.filter(|engine| ask.long_read_ms(engine).is_some()) else {
@@ -212,7 +212,7 @@
     };
     let turns = [Turn { ask, index: 0 }];
     let line = Line { turns: &turns, demand: 0.0, offset: ask.offset, kept: 0 };
-    let placed = group::line(board, service, engine, line, now).pop();
+    let placed = group::line(cluster, service, engine, line, now).pop();
     let (_, mut place) = placed.ok_or(Rejection::Full)?;
     place.flight.alone = alone.then_some(ask.fingerprint);
     Ok(place)
@@ -221,14 +221,14 @@
 /// Finds a place for a long prompt on a single rate-limited upstream, if all are limited or one is due for a probe. Limited
 /// upstreams take no parts of a split prompt.
 pub fn place_whole(
-    board: &Board,
+    cluster: &Cluster,
     service: &Service,
     ask: &Ask,
     now: Instant,
 ) -> Result<Place, Rejection> {
-    let alone = runs_alone(board, ask.fingerprint, now)?;
-    let all = board.limited_rate(&service.name).is_some();
-    let (mut candidates, _) = candidates(board, service, ask, now);
+    let alone = runs_alone(cluster, ask.fingerprint, now)?;
+    let all = cluster.limited_rate(&service.name).is_some();
+    let (mut candidates, _) = candidates(cluster, service, ask, now);
     candidates.retain(|c| c.upstream.is_limited() && (all || c.is_due));
     let mut place = apart(ask, service.engine.as_ref(), candidates)?;
     if !all && place.predicted_ms > ask.left_ms(now) {
@@ -240,13 +240,13 @@
 
 /// Whether a request is to run alone, if it may run now at all: one copy at a time does.
 pub fn runs_alone(
-    board: &Board,
+    cluster: &Cluster,
     fingerprint: Fingerprint,
     now: Instant,
 ) -> Result<bool, Rejection> {
-    match board.quarantine.verdict(fingerprint, now) {
+    match cluster.quarantine.verdict(fingerprint, now) {
         Verdict::Beside => Ok(false),
-        Verdict::Alone if board.runs_alone(fingerprint) => Err(Rejection::Full),
+        Verdict::Alone if cluster.runs_alone(fingerprint) => Err(Rejection::Full),
         Verdict::Alone => Ok(true),
         Verdict::Held(left) => Err(Rejection::Quarantined { left_ms: left.as_millis() as u64 }),
     }
--- a/request/src/placement/candidate.rs
+++ b/request/src/placement/candidate.rs
@@ -5,7 +5,7 @@
 use foldlock_version::routes::{Engine, Service};
 
 use super::{Ask, Rejection};
-use crate::board::{BRISK_MS, Board, Load, Upstream};
+use crate::cluster::{BRISK_MS, Cluster, Load, Upstream};
 use crate::forecast;
 use crate::pace::Bound;
 
@@ -32,13 +32,18 @@
 
 impl<'a> Candidate<'a> {
     pub(super) fn new(
-        board: &Board,
+        cluster: &Cluster,
         upstream: &'a Upstream,
         engine: Option<&Engine>,
         now: Instant,
     ) -> Candidate<'a> {
-        let load = board.load(upstream, engine, now);
-        Candidate { upstream, load, pace: upstream.pace(now), is_due: is_due(board, upstream, now) }
+        let load = cluster.load(upstream, engine, now);
+        Candidate {
+            upstream,
+            load,
+            pace: upstream.pace(now),
+            is_due: is_due(cluster, upstream, now),
+        }
     }
 
     /// When the first event of a prompt comes that is sent now: at the end of the pass that reads it,
@@ -92,35 +97,40 @@
 }
 
 /// Why no upstream is a candidate.
-pub(super) fn rejection(board: &Board, service: &Service, ask: &Ask, now: Instant) -> Rejection {
-    if board.is_drained(&service.name) {
+pub(super) fn rejection(
+    cluster: &Cluster,
+    service: &Service,
+    ask: &Ask,
+    now: Instant,
+) -> Rejection {
+    if cluster.is_drained(&service.name) {
         return Rejection::Drained;
     }
     let is_paced = |u: &Upstream| u.is_cold(now) || u.is_limited();
     let left = |u: &Upstream| is_paced(u) && !ask.avoid.contains(&u.tag);
-    if board.open(&service.name).any(left) { Rejection::Full } else { Rejection::Closed }
+    if cluster.open(&service.name).any(left) { Rejection::Full } else { Rejection::Closed }
 }
 
 /// The upstreams that take new work, those that are to be trusted alone if there are any, the asker's
 /// hall first; and the number of those at their rate limits.
 pub(super) fn candidates<'a>(
-    board: &'a Board,
+    cluster: &'a Cluster,
     service: &'a Service,
     ask: &Ask,
     now: Instant,
 ) -> (Vec<Candidate<'a>>, usize) {
-    let open = board.open(&service.name).filter(|u| !ask.avoid.contains(&u.tag));
+    let open = cluster.open(&service.name).filter(|u| !ask.avoid.contains(&u.tag));
     let (open, spent): (Vec<&Upstream>, Vec<&Upstream>) =
-        open.partition(|u| bears_more(board, service, u, ask.placers, now));
+        open.partition(|u| bears_more(cluster, service, u, ask.placers, now));
     let limited = spent.into_iter().filter(|u| u.is_limited()).count();
-    let mut candidates = trusted(board, open, now);
+    let mut candidates = trusted(cluster, open, now);
     if !candidates.is_empty() {
         let offset = ask.offset % candidates.len();
         candidates.rotate_left(offset);
     }
     candidates.sort_by_key(|u| (rank(u, now), u.listed.hall != ask.hall));
     let engine = service.engine.as_ref();
-    let candidate = |upstream| Candidate::new(board, upstream, engine, now);
+    let candidate = |upstream| Candidate::new(cluster, upstream, engine, now);
     (candidates.into_iter().map(candidate).collect(), limited)
 }
 
@@ -129,14 +139,14 @@
     (upstream.is_limited(), upstream.is_cold(now))
 }
 
-fn is_due(board: &Board, upstream: &Upstream, now: Instant) -> bool {
-    upstream.is_limited() && board.sent_within(&upstream.listed.id, PROBE_INTERVAL, now) == 0
+fn is_due(cluster: &Cluster, upstream: &Upstream, now: Instant) -> bool {
+    upstream.is_limited() && cluster.sent_within(&upstream.listed.id, PROBE_INTERVAL, now) == 0
 }
 
 /// Whether an upstream takes one more request, by its rate limit or while it is cold. Without a scheduler the requests
 /// of other VMs are unknown, so a limited upstream takes none.
 pub(super) fn bears_more(
-    board: &Board,
+    cluster: &Cluster,
     service: &Service,
     upstream: &Upstream,
     placers: usize,
@@ -146,13 +156,13 @@
         return false;
     }
     let cold = service.cold_per_s.map(|per_s| Bound::cold(per_s, placers));
-    board.takes_more(upstream, cold, now)
+    cluster.takes_more(upstream, cold, now)
 }
 
 /// Those that did not fail of late and are not left to a request that runs alone, or all where there are
 /// no others.
 pub(super) fn trusted<'a>(
-    board: &Board,
+    cluster: &Cluster,
     open: Vec<&'a Upstream>,
     now: Instant,
 ) -> Vec<&'a Upstream> {
@@ -160,7 +170,7 @@
         u.unlisted.is_none()
             && !u.suspicion.avoided(now)
             && !u.silent(now)
-            && !board.is_left_alone(&u.listed.id)
+            && !cluster.is_left_alone(&u.listed.id)
     };
     let trusted: Vec<&Upstream> = open.iter().copied().filter(sound).collect();
     if trusted.is_empty() { open } else { trusted }
--- a/request/src/placement/group.rs
+++ b/request/src/placement/group.rs
@@ -12,7 +12,7 @@
 use super::candidate::{Candidate, bears_more, trusted};
 use super::share::{MOST_ENGINES, Prompt, Reader, Readers, Share};
 use super::{Ask, Place, placed};
-use crate::board::{Board, Upstream};
+use crate::cluster::{Cluster, Upstream};
 use crate::forecast;
 use crate::line::{self, Capacity, Waiting};
 
@@ -72,16 +72,16 @@
 /// Places those prompts of a line whose engines are free now, each by the index of its turn. The
 /// others are planned, so that nobody takes the engines that one before it needs.
 pub fn line(
-    board: &Board,
+    cluster: &Cluster,
     service: &Service,
     engine: &Engine,
     line: Line<'_>,
     now: Instant,
 ) -> Vec<(usize, Place)> {
     // Parts of split prompts would count against the rate limit.
-    let unlimited = board.open(&service.name).filter(|upstream| !upstream.is_limited());
-    let open = trusted(board, unlimited.collect(), now);
-    let candidate = |upstream| Candidate::new(board, upstream, Some(engine), now);
+    let unlimited = cluster.open(&service.name).filter(|upstream| !upstream.is_limited());
+    let open = trusted(cluster, unlimited.collect(), now);
+    let candidate = |upstream| Candidate::new(cluster, upstream, Some(engine), now);
     let mut candidates: Vec<Candidate<'_>> = open.into_iter().map(candidate).collect();
     candidates.reverse();
     let offset = line.offset % candidates.len().max(1);
@@ -93,7 +93,7 @@
     for waiting in in_order(line.turns, engine, &readers, now).into_iter().take(MOST_PLANNED) {
         let turn = &line.turns[waiting.index];
         let prompt = Prompt { read_ms: waiting.read_ms, left_ms: turn.ask.left_ms(now) };
-        let bears = |u: &Upstream| bears_more(board, service, u, turn.ask.placers, now);
+        let bears = |u: &Upstream| bears_more(cluster, service, u, turn.ask.placers, now);
         let demand = demand_of_others(&line, prompt, turn.ask, now);
         let most_ms = |share: &Share| longest_part_ms(&readers, demand, prompt, share);
         match turn_now(turn.ask, engine, &readers, prompt, most_ms, bears) {
@@ -138,12 +138,12 @@
 
 /// Whether a prompt is too long for a service's engines even if all of them were idle: its parts would be longer
 /// than any that are placed, or than memory may be held for it.
-pub fn is_too_long(board: &Board, service: &Service, engine: &Engine, ask: &Ask) -> bool {
+pub fn is_too_long(cluster: &Cluster, service: &Service, engine: &Engine, ask: &Ask) -> bool {
     let Some(read_ms) = ask.long_read_ms(engine) else { return false };
-    if board.limited_rate(&service.name).is_some() && ask.memory > engine.memory {
+    if cluster.limited_rate(&service.name).is_some() && ask.memory > engine.memory {
         return true;
     }
-    let unlimited = board.open(&service.name).filter(|upstream| !upstream.is_limited());
+    let unlimited = cluster.open(&service.name).filter(|upstream| !upstream.is_limited());
     let engines = unlimited.count().clamp(1, MOST_ENGINES);
     let most_ms = if ask.memory > engine.memory {
         ask.hold_limit.as_secs_f64() * 1e3 * HOLD_MARGIN
--- a/request/src/scheduler.rs
+++ b/request/src/scheduler.rs
@@ -11,8 +11,8 @@
 
 use foldlock_version::routes::{Service, Table};
 
-use crate::board::{Board, Holder};
 use crate::budget::{Budget, Charge, Figures};
+use crate::cluster::{Cluster, Holder};
 use crate::fingerprint::Fingerprint;
 use crate::placement::{self, Ask, DEMAND_WINDOW, Place, Rejection, runs_alone};
 use crate::pressure::Pressure;
@@ -101,7 +101,7 @@
     /// A VM asks for a place, for the first time or again.
     pub fn ask(
         &mut self,
-        board: &mut Board,
+        cluster: &mut Cluster,
         table: &Table,
         key: Key,
         service: Tag,
@@ -118,20 +118,21 @@
             return Answer::Waits;
         }
         let Some(found) = find(table, service) else { return Answer::Rejected(Rejection::Closed) };
-        if let Err(held @ Rejection::Quarantined { .. }) = runs_alone(board, ask.fingerprint, now) {
+        if let Err(held @ Rejection::Quarantined { .. }) = runs_alone(cluster, ask.fingerprint, now)
+        {
             return Answer::Rejected(held);
         }
-        if board.is_drained(&found.name) {
+        if cluster.is_drained(&found.name) {
             return Answer::Rejected(Rejection::Drained);
         }
         if let Err(exhausted) = self.budget.check(service, ask.charge, now) {
             return Answer::Rejected(Rejection::OverBudget(exhausted));
         }
         let read_ms = found.engine.as_ref().and_then(|engine| ask.long_read_ms(engine));
-        if found.engine.as_ref().is_some_and(|e| placement::is_too_long(board, found, e, &ask)) {
+        if found.engine.as_ref().is_some_and(|e| placement::is_too_long(cluster, found, e, &ask)) {
             return Answer::Rejected(Rejection::TooLarge);
         }
-        let limited_rate = board.limited_rate(&found.name);
+        let limited_rate = cluster.limited_rate(&found.name);
         if let Some(read_ms) = read_ms {
             self.asked.push_back(Asked { at: now, service, read_ms });
         } else {
@@ -140,14 +141,14 @@
             let placed = if must_queue {
                 Err(Rejection::Full)
             } else {
-                placement::place(board, found, &ask, now)
+                placement::place(cluster, found, &ask, now)
             };
             match placed {
                 Ok(place) => {
                     let objective_ms = ask.objective.as_secs_f64() * 1e3;
                     self.pressure.placed(place.predicted_ms / objective_ms, now);
                     let charged = Charged { key, service, charge: ask.charge };
-                    return self.give(board, charged, place, now);
+                    return self.give(cluster, charged, place, now);
                 }
                 Err(Rejection::Full) => self.pressure.waits(now),
                 Err(rejection) => return Answer::Rejected(rejection),
@@ -165,10 +166,10 @@
     }
 
     /// A VM asks no more for this place.
-    pub fn cancel(&mut self, board: &mut Board, key: &Key, now: Instant) {
+    pub fn cancel(&mut self, cluster: &mut Cluster, key: &Key, now: Instant) {
         self.waiters.retain(|waiter| waiter.key != *key);
         if self.placed.remove(key).is_some() {
-            board.take_back(&key.holder, key.number, now);
+            cluster.take_back(&key.holder, key.number, now);
         }
     }
 
@@ -187,24 +188,29 @@
     }
 
     /// Places what waits and has a place now.
-    pub fn look(&mut self, board: &mut Board, table: &Table, now: Instant) -> Vec<(Key, Answer)> {
-        self.forget(board, now);
+    pub fn look(
+        &mut self,
+        cluster: &mut Cluster,
+        table: &Table,
+        now: Instant,
+    ) -> Vec<(Key, Answer)> {
+        self.forget(cluster, now);
         let mut answers = Vec::new();
         let mut services: Vec<Tag> = self.waiters.iter().map(|waiter| waiter.service).collect();
         services.sort_unstable();
         services.dedup();
-        self.turn_away(board, now, &mut answers);
+        self.turn_away(cluster, now, &mut answers);
         for tag in services {
             let Some(service) = find(table, tag) else { continue };
-            if board.is_drained(&service.name) {
+            if cluster.is_drained(&service.name) {
                 self.turn_away_all(tag, &mut answers);
                 continue;
             }
-            self.place_short(board, service, tag, now, &mut answers);
-            self.place_long(board, service, tag, now, &mut answers);
-            if board.limited_count() > 0 {
-                self.place_whole(board, service, tag, now, &mut answers);
-                self.turn_away_late(board, service, tag, now, &mut answers);
+            self.place_short(cluster, service, tag, now, &mut answers);
+            self.place_long(cluster, service, tag, now, &mut answers);
+            if cluster.limited_count() > 0 {
+                self.place_whole(cluster, service, tag, now, &mut answers);
+                self.turn_away_late(cluster, service, tag, now, &mut answers);
             }
         }
         answers
@@ -213,7 +219,7 @@
     /// Places long prompts on single rate-limited upstreams.
     fn place_whole(
         &mut self,
-        board: &mut Board,
+        cluster: &mut Cluster,
         service: &Service,
         tag: Tag,
         now: Instant,
@@ -223,9 +229,9 @@
             let Some(waiter) = self.waiters.iter().find(|waiter| waiter.key == key) else {
                 continue;
             };
-            if let Ok(place) = placement::place_whole(board, service, &waiter.ask, now) {
+            if let Ok(place) = placement::place_whole(cluster, service, &waiter.ask, now) {
                 let charged = waiter.charged();
-                let answer = self.give(board, charged, place, now);
+                let answer = self.give(cluster, charged, place, now);
                 answers.push((key, answer));
             }
         }
@@ -234,13 +240,13 @@
     /// Rejects queued requests that would wait too long, where all upstreams are rate-limited.
     fn turn_away_late(
         &mut self,
-        board: &Board,
+        cluster: &Cluster,
         service: &Service,
         tag: Tag,
         now: Instant,
         answers: &mut Vec<(Key, Answer)>,
     ) {
-        let Some(rate) = board.limited_rate(&service.name) else { return };
+        let Some(rate) = cluster.limited_rate(&service.name) else { return };
         let mut ahead = 0;
         for key in self.due(tag, |_| true) {
             let Some(waiter) = self.waiters.iter().find(|waiter| waiter.key == key) else {
@@ -267,8 +273,8 @@
     }
 
     /// Tells those that wait and are kept from all upstreams by now.
-    fn turn_away(&mut self, board: &Board, now: Instant, answers: &mut Vec<(Key, Answer)>) {
-        self.waiters.retain(|waiter| match runs_alone(board, waiter.ask.fingerprint, now) {
+    fn turn_away(&mut self, cluster: &Cluster, now: Instant, answers: &mut Vec<(Key, Answer)>) {
+        self.waiters.retain(|waiter| match runs_alone(cluster, waiter.ask.fingerprint, now) {
             Err(held @ Rejection::Quarantined { .. }) => {
                 answers.push((waiter.key.clone(), Answer::Rejected(held)));
                 false
@@ -290,7 +296,7 @@
     /// Short requests, the one that is due first before the others.
     fn place_short(
         &mut self,
-        board: &mut Board,
+        cluster: &mut Cluster,
         service: &Service,
         tag: Tag,
         now: Instant,
@@ -300,9 +306,9 @@
             let Some(waiter) = self.waiters.iter().find(|waiter| waiter.key == key) else {
                 continue;
             };
-            if let Ok(place) = placement::place(board, service, &waiter.ask, now) {
+            if let Ok(place) = placement::place(cluster, service, &waiter.ask, now) {
                 let charged = waiter.charged();
-                let answer = self.give(board, charged, place, now);
+                let answer = self.give(cluster, charged, place, now);
                 answers.push((key, answer));
             }
         }
@@ -311,7 +317,7 @@
     /// Long prompts, by their line.
     fn place_long(
         &mut self,
-        board: &mut Board,
+        cluster: &mut Cluster,
         service: &Service,
         tag: Tag,
         now: Instant,
@@ -321,7 +327,7 @@
         let waiters = self.waiters.iter().enumerate();
         let turns: Vec<placement::Turn<'_>> = waiters
             .filter(|(_, waiter)| waiter.service == tag && waiter.is_long(service))
-            .filter(|(_, waiter)| runs_alone(board, waiter.ask.fingerprint, now).is_ok())
+            .filter(|(_, waiter)| runs_alone(cluster, waiter.ask.fingerprint, now).is_ok())
             .map(|(index, waiter)| placement::Turn { ask: &waiter.ask, index })
             .collect();
         if turns.is_empty() {
@@ -333,7 +339,7 @@
             offset: 0,
             kept: self.pressure.engines(),
         };
-        let placed = placement::line(board, service, engine, line, now);
+        let placed = placement::line(cluster, service, engine, line, now);
         let placed: Vec<(Charged, Fingerprint, Place)> = placed
             .into_iter()
             .map(|(index, place)| (&self.waiters[index], place))
@@ -341,10 +347,10 @@
             .collect();
         for (charged, fingerprint, mut place) in placed {
             // Of two copies in one line the first runs alone, and the other waits for it.
-            let Ok(alone) = runs_alone(board, fingerprint, now) else { continue };
+            let Ok(alone) = runs_alone(cluster, fingerprint, now) else { continue };
             place.flight.alone = alone.then_some(fingerprint);
             let key = charged.key.clone();
-            let answer = self.give(board, charged, place, now);
+            let answer = self.give(cluster, charged, place, now);
             answers.push((key, answer));
         }
     }
@@ -356,7 +362,13 @@
     }
 
     /// Gives a place, unless the budget has no token left for it.
-    fn give(&mut self, board: &mut Board, charged: Charged, place: Place, now: Instant) -> Answer {
+    fn give(
+        &mut self,
+        cluster: &mut Cluster,
+        charged: Charged,
+        place: Place,
+        now: Instant,
+    ) -> Answer {
         let Charged { key, service, charge } = charged;
         self.waiters.retain(|waiter| waiter.key != key);
         if let Err(exhausted) = self.budget.charge(service, charge, now) {
@@ -365,13 +377,13 @@
         let grant = self.grants.entry(key.holder.clone()).or_default();
         *grant += 1;
         let grant = *grant;
-        board.grant(&key.holder, key.number, place.flight.clone(), grant, now);
+        cluster.grant(&key.holder, key.number, place.flight.clone(), grant, now);
         self.placed.insert(key, Placed { place: place.clone(), grant, at: now });
         Answer::Placed(Box::new(place), grant)
     }
 
     /// Forgets what is asked for no more.
-    fn forget(&mut self, board: &mut Board, now: Instant) {
+    fn forget(&mut self, cluster: &mut Cluster, now: Instant) {
         let age = |at: Instant| now.saturating_duration_since(at);
         self.waiters
             .retain(|waiter| waiter.key.holder == Holder::Own || age(waiter.heard) < ASK_LASTS);
@@ -380,7 +392,7 @@
         while self.asked.front().is_some_and(|asked| age(asked.at) > DEMAND_WINDOW) {
             self.asked.pop_front();
         }
-        board.forget_grants(now);
+        cluster.forget_grants(now);
     }
 }
 
--- a/request/src/step.rs
+++ b/request/src/step.rs
@@ -8,7 +8,7 @@
 use foldlock_base::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::board::{Hall, Listed};
+use crate::cluster::{Hall, Listed};
 use crate::directory::Member;
 use crate::fingerprint::Fingerprint;
 use crate::held::Quarantined;
--- a/request/tests/board/starts.rs
+++ b/request/tests/board/starts.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-use foldlock_request::board::{Board, Listed, Load};
+use foldlock_request::cluster::{Cluster, Listed, Load};
 use foldlock_request::revision::Revision;
 use foldlock_request::suspicion::{Failure, Outcome};
 use proptest::prelude::*;
@@ -17,91 +17,91 @@
 
 #[test]
 fn a_later_start_ends_all_that_was_believed_of_the_one_before() {
-    let (mut board, now) = (Board::default(), Instant::now());
-    board.list(started(1, 100, 1));
-    let number = enter(&mut board, flight(1, 80.0, 200_000), now);
-    board.note(&upstream(1), Outcome::Failed(Failure::Silent), now);
-    board.depart(board.tag_of(&upstream(1)));
-    let told = board.told(now);
-    let before = board.tag_of(&upstream(1));
-    assert!(board.list(started(1, 200, 2)));
-    let known = board.get(&upstream(1)).unwrap();
+    let (mut cluster, now) = (Cluster::default(), Instant::now());
+    cluster.list(started(1, 100, 1));
+    let number = enter(&mut cluster, flight(1, 80.0, 200_000), now);
+    cluster.note(&upstream(1), Outcome::Failed(Failure::Silent), now);
+    cluster.depart(cluster.tag_of(&upstream(1)));
+    let told = cluster.told(now);
+    let before = cluster.tag_of(&upstream(1));
+    assert!(cluster.list(started(1, 200, 2)));
+    let known = cluster.get(&upstream(1)).unwrap();
     assert!(known.is_open() && known.suspicion.weight(now) == 0.0);
-    assert_eq!(board.load(known, None, now), Load::default());
+    assert_eq!(cluster.load(known, None, now), Load::default());
     assert_ne!(known.tag, before, "what is told of the start before says nothing of this one");
-    let mut other = Board::default();
+    let mut other = Cluster::default();
     other.list(started(1, 200, 2));
     other.hear(&"vm-2".parse().unwrap(), &told, 0, now);
     assert_eq!(other.under_way(), 0);
     // The end of the attempt at the start before changes nothing at this one.
-    enter(&mut board, flight(1, 10.0, 9_000), now);
-    board.leave(number, now);
-    assert_eq!(board.load(board.get(&upstream(1)).unwrap(), None, now).requests, 1);
+    enter(&mut cluster, flight(1, 10.0, 9_000), now);
+    cluster.leave(number, now);
+    assert_eq!(cluster.load(cluster.get(&upstream(1)).unwrap(), None, now).requests, 1);
 }
 
 #[test]
 fn an_earlier_start_that_is_heard_late_and_the_same_one_change_nothing() {
-    let (mut board, now) = (Board::default(), Instant::now());
-    board.list(started(1, 100, 1));
-    assert!(board.renew(&upstream(1), 200, now), "by its own word, before its entry");
-    assert!(!board.renew(&upstream(1), 200, now));
-    assert!(!board.renew(&upstream(1), 150, now));
-    assert!(!board.list(started(1, 100, 1)), "the entry of before, read again");
-    assert_eq!(board.get(&upstream(1)).unwrap().listed.born, Some(200));
-    assert!(!board.list(started(1, 200, 2)), "its entry says what is known");
-    assert_eq!(board.told_starts(now).len(), 1);
+    let (mut cluster, now) = (Cluster::default(), Instant::now());
+    cluster.list(started(1, 100, 1));
+    assert!(cluster.renew(&upstream(1), 200, now), "by its own word, before its entry");
+    assert!(!cluster.renew(&upstream(1), 200, now));
+    assert!(!cluster.renew(&upstream(1), 150, now));
+    assert!(!cluster.list(started(1, 100, 1)), "the entry of before, read again");
+    assert_eq!(cluster.get(&upstream(1)).unwrap().listed.born, Some(200));
+    assert!(!cluster.list(started(1, 200, 2)), "its entry says what is known");
+    assert_eq!(cluster.told_starts(now).len(), 1);
 }
 
 #[test]
 fn an_upstream_whose_clock_went_back_is_renewed_by_its_entry() {
-    let (mut board, now) = (Board::default(), Instant::now());
-    board.list(started(1, 200, 1));
-    let before = board.tag_of(&upstream(1));
-    assert!(!board.renew(&upstream(1), 100, now));
-    assert!(board.list(started(1, 100, 2)));
-    assert_ne!(board.tag_of(&upstream(1)), before);
+    let (mut cluster, now) = (Cluster::default(), Instant::now());
+    cluster.list(started(1, 200, 1));
+    let before = cluster.tag_of(&upstream(1));
+    assert!(!cluster.renew(&upstream(1), 100, now));
+    assert!(cluster.list(started(1, 100, 2)));
+    assert_ne!(cluster.tag_of(&upstream(1)), before);
 }
 
 #[test]
 fn an_upstream_whose_entry_was_bad_comes_back_by_a_newer_one_alone() {
-    let mut board = Board::default();
-    board.list(Listed { revision: 1.into(), ..listed(1) });
-    board.remove(&upstream(1), 2.into());
-    assert!(!board.accepts(&Listed { revision: 1.into(), ..listed(1) }));
-    assert!(!board.accepts(&Listed { revision: 2.into(), ..listed(1) }));
-    assert!(board.accepts(&Listed { revision: 3.into(), ..listed(1) }));
+    let mut cluster = Cluster::default();
+    cluster.list(Listed { revision: 1.into(), ..listed(1) });
+    cluster.remove(&upstream(1), 2.into());
+    assert!(!cluster.accepts(&Listed { revision: 1.into(), ..listed(1) }));
+    assert!(!cluster.accepts(&Listed { revision: 2.into(), ..listed(1) }));
+    assert!(cluster.accepts(&Listed { revision: 3.into(), ..listed(1) }));
 }
 
 proptest! {
     /// The words of three starts come in any order, doubled, from the directory of other VMs: in the end
-    /// the newest holds, and all boards agree.
+    /// the newest holds, and all cluster states agree.
     #[test]
-    fn boards_agree_on_the_newest_start(words in prop::collection::vec(0..3_usize, 0..20)) {
+    fn clusters_agree_on_the_newest_start(words in prop::collection::vec(0..3_usize, 0..20)) {
         let starts = [started(1, 100, 1), started(1, 300, 4), started(1, 200, 6)];
-        let mut board = Board::default();
+        let mut cluster = Cluster::default();
         for word in words.into_iter().chain(0..3) {
-            if board.accepts(&starts[word]) {
-                board.list(starts[word].clone());
+            if cluster.accepts(&starts[word]) {
+                cluster.list(starts[word].clone());
             }
         }
-        prop_assert_eq!(&board.get(&upstream(1)).unwrap().listed, &starts[2]);
+        prop_assert_eq!(&cluster.get(&upstream(1)).unwrap().listed, &starts[2]);
     }
 }
 
 #[test]
 fn peers_are_told_a_revision_only_of_what_came_back() {
-    let mut board = Board::default();
-    board.list(Listed { revision: 5.into(), ..listed(1) });
-    board.list(Listed { revision: 6.into(), ..listed(2) });
-    board.remove(&upstream(2), 7.into());
-    board.list(Listed { revision: 8.into(), ..listed(2) });
+    let mut cluster = Cluster::default();
+    cluster.list(Listed { revision: 5.into(), ..listed(1) });
+    cluster.list(Listed { revision: 6.into(), ..listed(2) });
+    cluster.remove(&upstream(2), 7.into());
+    cluster.list(Listed { revision: 8.into(), ..listed(2) });
     let told: Vec<u64> =
-        board.relayed(Instant::now()).map(|listed| listed.revision.number).collect();
+        cluster.relayed(Instant::now()).map(|listed| listed.revision.number).collect();
     assert_eq!(told, [0, 8]);
-    let mut peer = Board::default();
+    let mut peer = Cluster::default();
     peer.list(listed(2));
     peer.remove(&upstream(2), 7.into());
-    assert!(board.relayed(Instant::now()).all(|listed| peer.accepts(&listed)));
+    assert!(cluster.relayed(Instant::now()).all(|listed| peer.accepts(&listed)));
     let gone = Listed { leaving: true, ..listed(1) };
     peer.list(Listed { revision: 5.into(), ..listed(1) });
     assert!(peer.accepts(&gone), "that an upstream leaves is taken without a revision, too");
@@ -141,23 +141,23 @@
     entries
 }
 
-/// A board that has heard each of these turns from the directory.
-fn heard(turns: &[(usize, Turn)]) -> Board {
-    let mut board = Board::default();
+/// A cluster state that has heard each of these turns from the directory.
+fn heard(turns: &[(usize, Turn)]) -> Cluster {
+    let mut cluster = Cluster::default();
     for through in 1..=turns.len() {
         let entries = entries(&turns[..through]);
         for i in 1..4 {
             match entries.get(&i) {
                 Some(entry) => {
-                    board.list(entry.clone());
+                    cluster.list(entry.clone());
                 }
                 None => {
-                    board.remove(&upstream(i), (through as u64).into());
+                    cluster.remove(&upstream(i), (through as u64).into());
                 }
             }
         }
     }
-    board
+    cluster
 }
 
 proptest! {
@@ -168,7 +168,7 @@
         turns in prop::collection::vec(turn(), 1..24),
         ages in prop::collection::vec(0..24_usize, 1..3),
     ) {
-        let mut board = heard(&turns);
+        let mut cluster = heard(&turns);
         let now = entries(&turns);
         for (era, age) in (1..).zip(ages) {
             let copy = entries(&turns[..turns.len().saturating_sub(age)]);
@@ -177,10 +177,10 @@
                 Listed { revision, ..entry.clone() }
             };
             copy.values().for_each(|entry| {
-                board.list_copy(restored(entry));
+                cluster.list_copy(restored(entry));
             });
             for i in 1..4 {
-                let (known, so) = (board.get(&upstream(i)), now.get(&i));
+                let (known, so) = (cluster.get(&upstream(i)), now.get(&i));
                 prop_assert_eq!(known.is_some(), so.is_some(), "upstream {}", i);
                 let Some((known, so)) = known.zip(so) else { continue };
                 prop_assert_eq!(known.listed.born, so.born);
@@ -190,8 +190,8 @@
         let era = 3;
         for (number, (i, entry)) in (1..).zip(&now) {
             let written = Listed { revision: Revision { era, number }, ..entry.clone() };
-            board.list(written.clone());
-            prop_assert_eq!(&board.get(&upstream(*i)).unwrap().listed, &written);
+            cluster.list(written.clone());
+            prop_assert_eq!(&cluster.get(&upstream(*i)).unwrap().listed, &written);
         }
     }
 }
--- a/request/tests/budget.rs
+++ b/request/tests/budget.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant};
 
-use foldlock_request::board::Holder;
 use foldlock_request::budget::{Budget, Charge, Exhausted, Figures};
+use foldlock_request::cluster::Holder;
 use foldlock_request::tag::Tag;
 use proptest::prelude::*;
 
--- a/request/tests/budget_restarts.rs
+++ b/request/tests/budget_restarts.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use foldlock_base::id;
-use foldlock_request::board::Holder;
 use foldlock_request::budget::{Affiliation, Budget, Charge, Figures, Process};
+use foldlock_request::cluster::Holder;
 use foldlock_request::rank::TRIED;
 use foldlock_request::tag::Tag;
 use proptest::prelude::*;
--- a/request/tests/cold.rs
+++ b/request/tests/cold.rs
@@ -6,8 +6,8 @@
 
 use foldlock_base::id;
 use foldlock_base::size::Tokens;
-use foldlock_request::board::{Board, Holder, Listed};
 use foldlock_request::budget::Charge;
+use foldlock_request::cluster::{Cluster, Holder, Listed};
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::placement::{self, Ask, Rejection};
 use foldlock_request::scheduler::{Answer, Key, Scheduler};
@@ -36,11 +36,11 @@
     format!("i-{i:02}").parse().unwrap()
 }
 
-/// A board of upstreams, of which the first ones are cold.
-fn board(upstreams: usize, cold: usize, now: Instant) -> Board {
-    let mut board = Board::default();
+/// A cluster state of upstreams, of which the first ones are cold.
+fn cluster(upstreams: usize, cold: usize, now: Instant) -> Cluster {
+    let mut cluster = Cluster::default();
     for i in 0..upstreams {
-        board.list(Listed {
+        cluster.list(Listed {
             id: upstream(i),
             born: None,
             revision: 0.into(),
@@ -52,8 +52,8 @@
             cold_ms: 0,
         });
     }
-    (0..cold).for_each(|i| board.note_cold(&upstream(i), COLD, now));
-    board
+    (0..cold).for_each(|i| cluster.note_cold(&upstream(i), COLD, now));
+    cluster
 }
 
 fn ask(now: Instant, placers: usize) -> Ask {
@@ -78,7 +78,7 @@
 /// Asks for places at this pace for two seconds; each answer takes 50 ms. Gives when each upstream was sent
 /// requests.
 fn played(
-    board: &mut Board,
+    cluster: &mut Cluster,
     start: Instant,
     every: Duration,
 ) -> HashMap<id::Upstream, Vec<Instant>> {
@@ -88,9 +88,10 @@
         let now = start + every * number as u32;
         let key = |number| Key { holder: Holder::Own, incarnation: 1, number };
         if let Some(ended) = number.checked_sub(50 / every.as_millis() as u64) {
-            scheduler.cancel(board, &key(ended), now);
+            scheduler.cancel(cluster, &key(ended), now);
         }
-        let answer = scheduler.ask(board, &table, key(number), Tag::of("plain"), ask(now, 1), now);
+        let answer =
+            scheduler.ask(cluster, &table, key(number), Tag::of("plain"), ask(now, 1), now);
         if let Answer::Placed(place, _) = answer {
             sent.entry(place.flight.upstream).or_default().push(now);
         }
@@ -109,8 +110,8 @@
 #[test]
 fn a_cold_upstream_gets_no_more_than_it_bears_however_many_ask() {
     let now = Instant::now();
-    let mut board = board(4, 4, now);
-    let sent = played(&mut board, now, Duration::from_millis(2));
+    let mut cluster = cluster(4, 4, now);
+    let sent = played(&mut cluster, now, Duration::from_millis(2));
     for i in 0..4 {
         let most = most_in_a_second(&sent[&upstream(i)]);
         assert!(most <= PER_S as usize && most > PER_S as usize / 2, "{most}");
@@ -120,8 +121,8 @@
 #[test]
 fn those_that_are_warm_take_the_load_while_they_have_room() {
     let now = Instant::now();
-    let mut board = board(4, 2, now);
-    let sent = played(&mut board, now, Duration::from_millis(10));
+    let mut cluster = cluster(4, 2, now);
+    let sent = played(&mut cluster, now, Duration::from_millis(10));
     assert_eq!(sent.values().map(Vec::len).sum::<usize>(), 200, "none waits");
     let cold: usize = (0..2).filter_map(|i| sent.get(&upstream(i))).map(Vec::len).sum();
     assert!(cold <= 2 * 2 * PER_S as usize, "{cold}");
@@ -130,18 +131,18 @@
 #[test]
 fn it_is_used_like_any_other_once_it_is_warm() {
     let now = Instant::now();
-    let mut board = board(1, 1, now);
-    let sent = played(&mut board, now + COLD, Duration::from_millis(2));
+    let mut cluster = cluster(1, 1, now);
+    let sent = played(&mut cluster, now + COLD, Duration::from_millis(2));
     assert_eq!(sent[&upstream(0)].len(), 1_000);
 }
 
 #[test]
 fn a_request_waits_where_all_bear_no_more() {
     let now = Instant::now();
-    let mut board = board(1, 1, now);
-    played(&mut board, now, Duration::from_millis(2));
+    let mut cluster = cluster(1, 1, now);
+    played(&mut cluster, now, Duration::from_millis(2));
     let later = now + Duration::from_millis(1_999);
-    let placed = placement::place(&board, &service(), &ask(later, 1), later);
+    let placed = placement::place(&cluster, &service(), &ask(later, 1), later);
     assert!(matches!(placed, Err(Rejection::Full)), "{placed:?}");
 }
 
@@ -152,13 +153,13 @@
     let vms = 91;
     let mut sent: HashMap<id::Upstream, Vec<Instant>> = HashMap::new();
     for vm in 0..vms {
-        let mut board = board(60, 20, now);
+        let mut cluster = cluster(60, 20, now);
         for number in 0..4_u64 {
             // Some 200 requests a second of all, each at the VM that its caller found.
             let at = now + Duration::from_millis(250 * number + vm as u64);
             let ask = Ask { offset: vm * 7 + number as usize, ..ask(at, vms) };
-            let place = placement::place(&board, &service(), &ask, at).unwrap();
-            board.enter(number, place.flight.clone(), at);
+            let place = placement::place(&cluster, &service(), &ask, at).unwrap();
+            cluster.enter(number, place.flight.clone(), at);
             sent.entry(place.flight.upstream).or_default().push(at);
         }
     }
@@ -172,8 +173,8 @@
 #[test]
 fn requests_that_a_peer_tells_of_count() {
     let now = Instant::now();
-    let mut there = board(1, 1, now);
-    let mut here = board(1, 1, now);
+    let mut there = cluster(1, 1, now);
+    let mut here = cluster(1, 1, now);
     for number in 0..14 {
         let place = placement::place(&there, &service(), &ask(now, 1), now).unwrap();
         there.enter(number, place.flight.clone(), now);
--- a/request/tests/halls.rs
+++ b/request/tests/halls.rs
@@ -1,6 +1,6 @@
 //! Halls that an operator drains: the newest word counts, in whatever order words are heard.
 
-use foldlock_request::board::{Hall, Halls};
+use foldlock_request::cluster::{Hall, Halls};
 use foldlock_request::revision::Revision;
 use proptest::prelude::*;
 
--- a/request/tests/line.rs
+++ b/request/tests/line.rs
@@ -4,8 +4,8 @@
 
 use foldlock_base::id;
 use foldlock_base::size::Tokens;
-use foldlock_request::board::{Board, Listed};
 use foldlock_request::budget::Charge;
+use foldlock_request::cluster::{Cluster, Listed};
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::line::{Capacity, Waiting, order};
 use foldlock_request::placement::{self, Ask, Line, Place, Turn};
@@ -76,10 +76,10 @@
     format!("i-{i:02}").parse().unwrap()
 }
 
-fn board(engines: usize) -> Board {
-    let mut board = Board::default();
+fn cluster(engines: usize) -> Cluster {
+    let mut cluster = Cluster::default();
     for i in 0..engines {
-        board.list(Listed {
+        cluster.list(Listed {
             id: upstream(i),
             born: None,
             revision: 0.into(),
@@ -91,7 +91,7 @@
             cold_ms: 0,
         });
     }
-    board
+    cluster
 }
 
 /// A prompt that arrived at that moment.
@@ -115,14 +115,14 @@
 }
 
 /// Places what has a place now, and enters it as under way.
-fn place(board: &mut Board, asks: &[Ask], now: Instant) -> Vec<(usize, Place)> {
+fn place(cluster: &mut Cluster, asks: &[Ask], now: Instant) -> Vec<(usize, Place)> {
     let turns: Vec<Turn<'_>> =
         asks.iter().enumerate().map(|(index, ask)| Turn { ask, index }).collect();
     let line = Line { turns: &turns, demand: 0.0, offset: 0, kept: 0 };
-    let placed = placement::line(board, &service(), &ENGINE, line, now);
+    let placed = placement::line(cluster, &service(), &ENGINE, line, now);
     for (_, place) in &placed {
-        let number = board.number();
-        board.enter(number, place.flight.clone(), now);
+        let number = cluster.number();
+        cluster.enter(number, place.flight.clone(), now);
     }
     placed
 }
@@ -134,21 +134,21 @@
 
 #[test]
 fn a_prompt_leaves_the_engines_to_one_that_waits_longer() {
-    let (mut board, now) = (board(6), Instant::now());
+    let (mut cluster, now) = (cluster(6), Instant::now());
     let first = ask(182_000, now.checked_sub(Duration::from_millis(900)).unwrap());
     let second = ask(182_000, now.checked_sub(Duration::from_millis(100)).unwrap());
-    let placed = place(&mut board, &[second.clone(), first], now);
+    let placed = place(&mut cluster, &[second.clone(), first], now);
     assert_eq!(placed.iter().map(|(index, _)| *index).collect::<Vec<_>>(), [1]);
-    assert!(place(&mut board, std::slice::from_ref(&second), now).is_empty(), "all are reading");
+    assert!(place(&mut cluster, std::slice::from_ref(&second), now).is_empty(), "all are reading");
     let read = now + Duration::from_millis(800);
-    assert_eq!(place(&mut board, &[second], read).len(), 1);
+    assert_eq!(place(&mut cluster, &[second], read).len(), 1);
 }
 
 #[test]
 fn prompts_that_find_different_engines_are_placed_together() {
-    let (mut board, now) = (board(6), Instant::now());
+    let (mut cluster, now) = (cluster(6), Instant::now());
     let small = ask(12_000, now);
-    let placed = place(&mut board, &[small.clone(), small], now);
+    let placed = place(&mut cluster, &[small.clone(), small], now);
     let [(_, one), (_, two)] = placed.as_slice() else { panic!("{placed:?}") };
     assert!(engines(one).iter().all(|engine| !engines(two).contains(engine)));
 }
@@ -157,7 +157,7 @@
 fn has_place(engines: usize, demand: f64, prompt: &Ask, now: Instant) -> bool {
     let turns = [Turn { ask: prompt, index: 0 }];
     let line = Line { turns: &turns, demand, offset: 0, kept: 0 };
-    let placed = placement::line(&board(engines), &service(), &ENGINE, line, now);
+    let placed = placement::line(&cluster(engines), &service(), &ENGINE, line, now);
     placed.iter().all(|(_, place)| place.predicted_ms < 4_000.0) && !placed.is_empty()
 }
 
@@ -184,7 +184,7 @@
     let full = [upstream(23), upstream(20), upstream(17)];
     let mut prompt = ask(182_000, now);
     for refusals in 0..=3 {
-        let placed = place(&mut board(24), std::slice::from_ref(&prompt), now);
+        let placed = place(&mut cluster(24), std::slice::from_ref(&prompt), now);
         let flight = &placed[0].1.flight;
         let helps = |engine: &&id::Upstream| engines(&placed[0].1).contains(engine);
         let Some(suspect) = full.iter().find(helps) else {
@@ -196,25 +196,25 @@
     panic!("three refusals named three engines, and the next group holds one of them");
 }
 
-fn observe(board: &mut Board, i: usize, report: Option<Report>, at: Instant) {
-    board.observe(&upstream(i), Observed { report, at });
+fn observe(cluster: &mut Cluster, i: usize, report: Option<Report>, at: Instant) {
+    cluster.observe(&upstream(i), Observed { report, at });
 }
 
 #[test]
 fn a_slow_engine_is_left_out_of_a_group() {
-    let (mut board, now) = (board(6), Instant::now());
+    let (mut cluster, now) = (cluster(6), Instant::now());
     let slow = Report { pace: 5.0, running: 0, waiting: 0, memory: Tokens(0), born: None };
-    observe(&mut board, 4, Some(slow), now);
-    let placed = place(&mut board, &[ask(182_000, now)], now);
+    observe(&mut cluster, 4, Some(slow), now);
+    let placed = place(&mut cluster, &[ask(182_000, now)], now);
     assert!(!engines(&placed[0].1).contains(&upstream(4)), "{placed:?}");
     let later = now + Duration::from_secs(5);
-    let placed = place(&mut board, &[ask(182_000, later)], later);
+    let placed = place(&mut cluster, &[ask(182_000, later)], later);
     assert!(engines(&placed[0].1).contains(&upstream(4)), "an old report counts no more");
 }
 
 #[test]
 fn an_engine_that_gives_no_report_is_passed_over_by_the_vm_that_places_too() {
-    let (mut here, mut there) = (board(6), board(6));
+    let (mut here, mut there) = (cluster(6), cluster(6));
     let now = Instant::now();
     observe(&mut here, 5, None, now);
     there.hear_reports(&here.told_reports(now), now);
@@ -224,7 +224,7 @@
 
 #[test]
 fn the_newest_report_counts_whoever_has_it() {
-    let (mut here, mut there) = (board(2), board(2));
+    let (mut here, mut there) = (cluster(2), cluster(2));
     let now = Instant::now();
     let report =
         |pace| Some(Report { pace, running: 1, waiting: 0, memory: Tokens(9), born: None });
@@ -279,11 +279,11 @@
     fn someone_is_always_served_and_no_part_lies_on_another(
         tokens in prop::collection::vec(30_000_u64..300_000, 1..12),
     ) {
-        let (mut board, now) = (board(12), Instant::now());
+        let (mut cluster, now) = (cluster(12), Instant::now());
         let asks: Vec<Ask> = tokens.iter().enumerate().map(|(i, tokens)| {
             ask(*tokens, now.checked_sub(Duration::from_millis(10 * i as u64)).unwrap())
         }).collect();
-        let placed = place(&mut board, &asks, now);
+        let placed = place(&mut cluster, &asks, now);
         prop_assert!(!placed.is_empty());
         let mut used: Vec<id::Upstream> = Vec::new();
         for (_, place) in &placed {
--- a/request/tests/patterns/crash.rs
+++ b/request/tests/patterns/crash.rs
@@ -8,8 +8,8 @@
 
 use foldlock_base::id;
 use foldlock_base::size::Tokens;
-use foldlock_request::board::{Board, Listed};
 use foldlock_request::budget::Charge;
+use foldlock_request::cluster::{Cluster, Listed};
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::placement::{self, Ask, Rejection};
 use foldlock_request::quarantine::Ending;
@@ -57,7 +57,7 @@
 }
 
 struct Fleet {
-    board: Board,
+    cluster: Cluster,
     service: Service,
     starts: [usize; ENGINES],
     back: [Option<Instant>; ENGINES],
@@ -75,7 +75,7 @@
             cold_per_s: None,
         };
         let mut fleet = Fleet {
-            board: Board::default(),
+            cluster: Cluster::default(),
             service,
             starts: [0; ENGINES],
             back: [None; ENGINES],
@@ -94,7 +94,7 @@
     fn start(&mut self, engine: usize) {
         self.starts[engine] += 1;
         self.back[engine] = None;
-        self.board.list(Listed {
+        self.cluster.list(Listed {
             id: self.id(engine),
             born: None,
             revision: 0.into(),
@@ -136,12 +136,12 @@
             placers: 1,
             charge: Charge::Free,
         };
-        let place = placement::place(&self.board, &self.service, &ask, self.now)?;
-        let number = self.board.number();
+        let place = placement::place(&self.cluster, &self.service, &ask, self.now)?;
+        let number = self.cluster.number();
         let name = place.flight.upstream.as_str();
         let engine = name[2..4].parse().unwrap();
         let alone = place.flight.alone.is_some();
-        self.board.enter(number, place.flight, self.now);
+        self.cluster.enter(number, place.flight, self.now);
         request.state = State::Runs { engine, number, since: self.now, alone };
         Ok(())
     }
@@ -162,8 +162,8 @@
                 Err(_) => true,
             },
             State::Runs { number, since, .. } if !request.deadly && self.now - since >= ANSWER => {
-                self.board.leave(number, self.now);
-                self.board.quarantine.answered(request.fingerprint, self.now);
+                self.cluster.leave(number, self.now);
+                self.cluster.quarantine.answered(request.fingerprint, self.now);
                 self.score.served += 1;
                 false
             }
@@ -174,15 +174,15 @@
     /// An engine ends, and all that runs there is cut.
     fn end(&mut self, ended: usize, requests: &mut Vec<Request>) {
         self.score.ended += 1;
-        let upstream = self.board.tag_of(&self.id(ended));
-        let (board, score, now) = (&mut self.board, &mut self.score, self.now);
+        let upstream = self.cluster.tag_of(&self.id(ended));
+        let (cluster, score, now) = (&mut self.cluster, &mut self.score, self.now);
         requests.retain_mut(|request| {
             let State::Runs { engine, number, alone, .. } = request.state else { return true };
             if engine != ended {
                 return true;
             }
-            board.leave(number, now);
-            board.quarantine.ended(request.fingerprint, Ending { upstream, alone }, now);
+            cluster.leave(number, now);
+            cluster.quarantine.ended(request.fingerprint, Ending { upstream, alone }, now);
             score.cut += usize::from(!request.deadly);
             request.attempts += 1;
             request.state = State::Waits;
@@ -195,7 +195,7 @@
             !gives_up
         });
         let id = self.id(ended);
-        self.board.remove(&id, 0.into());
+        self.cluster.remove(&id, 0.into());
         self.back[ended] = Some(self.now + DOWN);
     }
 
--- a/request/tests/patterns/play.rs
+++ b/request/tests/patterns/play.rs
@@ -6,8 +6,8 @@
 
 use foldlock_base::id;
 use foldlock_base::size::Tokens;
-use foldlock_request::board::{Board, Holder, Listed};
 use foldlock_request::budget::Charge;
+use foldlock_request::cluster::{Cluster, Holder, Listed};
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::forecast;
 use foldlock_request::placement::{Ask, Place};
@@ -84,7 +84,7 @@
     figures: Figures,
     service: Tag,
     table: Table,
-    board: Board,
+    cluster: Cluster,
     scheduler: Scheduler,
     engines: BTreeMap<id::Upstream, Engine>,
     requests: Vec<Request>,
@@ -104,10 +104,10 @@
         };
         let time = Duration::from_secs(9);
         let bounds = Bounds { header_bytes: 9, body_bytes: 9, header_time: time, idle_time: time };
-        let mut board = Board::default();
+        let mut cluster = Cluster::default();
         let id = |i: usize| -> id::Upstream { format!("i-{i:03}").parse().unwrap() };
         for i in 0..engines {
-            board.list(Listed {
+            cluster.list(Listed {
                 born: None,
                 revision: 0.into(),
                 id: id(i),
@@ -123,7 +123,7 @@
             figures,
             service: Tag::of(&service.name),
             table: Table::builder(1, bounds).service(service).build(),
-            board,
+            cluster,
             scheduler: Scheduler::default(),
             engines: (0..engines).map(|i| (id(i), Engine::default())).collect(),
             requests: Vec::new(),
@@ -138,7 +138,7 @@
         let dark: Vec<id::Upstream> = self.engines.keys().rev().take(engines).cloned().collect();
         for id in dark {
             self.engines.get_mut(&id).unwrap().dark = true;
-            self.board.observe(&id, Observed { report: None, at: self.start });
+            self.cluster.observe(&id, Observed { report: None, at: self.start });
         }
     }
 
@@ -222,15 +222,15 @@
     }
 
     fn ask(&mut self, index: usize, now: Instant) {
-        let number = self.board.number();
+        let number = self.cluster.number();
         self.by_number.insert(number, index);
         self.ask_as(number, index, now);
     }
 
     fn ask_as(&mut self, number: u64, index: usize, now: Instant) {
         let ask = self.ask_for(index);
-        let (board, table) = (&mut self.board, &self.table);
-        let answer = self.scheduler.ask(board, table, Play::key(number), self.service, ask, now);
+        let (cluster, table) = (&mut self.cluster, &self.table);
+        let answer = self.scheduler.ask(cluster, table, Play::key(number), self.service, ask, now);
         if let Answer::Placed(place, _) = answer {
             self.placed(number, *place, now);
         }
@@ -246,13 +246,13 @@
         let over: Vec<u64> =
             self.by_number.iter().filter(over).map(|(number, _)| *number).collect();
         for number in over {
-            self.scheduler.cancel(&mut self.board, &Play::key(number), now);
+            self.scheduler.cancel(&mut self.cluster, &Play::key(number), now);
             self.by_number.remove(&number);
         }
     }
 
     fn look(&mut self, now: Instant) {
-        for (key, answer) in self.scheduler.look(&mut self.board, &self.table, now) {
+        for (key, answer) in self.scheduler.look(&mut self.cluster, &self.table, now) {
             if let Answer::Placed(place, _) = answer {
                 self.placed(key.number, *place, now);
             }
@@ -265,7 +265,7 @@
             return;
         }
         let flight = place.flight.clone();
-        self.board.enter(number, flight.clone(), now);
+        self.cluster.enter(number, flight.clone(), now);
         let helpers = flight.helpers.iter().map(|helping| &helping.upstream);
         let all: Vec<&id::Upstream> = helpers.chain([&flight.upstream]).collect();
         self.requests[index].parts = all.len();
@@ -324,11 +324,11 @@
         }
         if request.first.is_none() {
             request.first = Some(now);
-            self.board.began(number, now);
+            self.cluster.began(number, now);
         }
         request.left = request.left.saturating_sub(1);
         if request.left == 0 {
-            self.board.leave(number, now);
+            self.cluster.leave(number, now);
         }
         request.left > 0
     }
--- a/request/tests/rate_limits/fleet.rs
+++ b/request/tests/rate_limits/fleet.rs
@@ -5,8 +5,8 @@
 
 use foldlock_base::id;
 use foldlock_base::size::{Rate, Tokens};
-use foldlock_request::board::{Board, Holder, Listed};
 use foldlock_request::budget::Charge;
+use foldlock_request::cluster::{Cluster, Holder, Listed};
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::flight::Flight;
 use foldlock_request::placement::{Ask, Place, Rejection};
@@ -58,10 +58,10 @@
     Table::builder(1, bounds).service(service()).build()
 }
 
-pub(crate) fn board() -> Board {
-    let mut board = Board::default();
+pub(crate) fn cluster() -> Cluster {
+    let mut cluster = Cluster::default();
     for index in 0..UPSTREAMS {
-        board.list(Listed {
+        cluster.list(Listed {
             id: upstream(index),
             born: None,
             revision: 0.into(),
@@ -73,7 +73,7 @@
             cold_ms: 0,
         });
     }
-    board
+    cluster
 }
 
 pub(crate) fn ask(now: Instant, number: u64) -> Ask {
@@ -96,7 +96,7 @@
 }
 
 pub(crate) struct Vm {
-    pub(crate) board: Board,
+    pub(crate) cluster: Cluster,
     pub(crate) scheduler: Scheduler,
     pub(crate) incarnation: u64,
     /// Requests of this process.
@@ -171,7 +171,7 @@
     pub(crate) fn start(&mut self) -> Vm {
         self.starts += 1;
         Vm {
-            board: board(),
+            cluster: cluster(),
             scheduler: Scheduler::default(),
             incarnation: self.starts,
             numbers: 0,
@@ -242,15 +242,15 @@
         for _ in 0..2 {
             let Some(scheduler) = self.scheduler_of(vm) else { break };
             let key = self.key(vm, scheduler, number);
-            let Vm { board, scheduler: of, .. } = &mut self.vms[scheduler];
+            let Vm { cluster, scheduler: of, .. } = &mut self.vms[scheduler];
             let answer =
-                of.ask(board, &self.table, key.clone(), Tag::of("plain"), ask.clone(), self.now);
+                of.ask(cluster, &self.table, key.clone(), Tag::of("plain"), ask.clone(), self.now);
             match answer {
                 Answer::Placed(place, _) if self.send(vm, scheduler, number, &place) => return,
                 Answer::Placed(..) => {
                     let now = self.now;
-                    let Vm { board, scheduler: of, .. } = &mut self.vms[scheduler];
-                    of.cancel(board, &key, now);
+                    let Vm { cluster, scheduler: of, .. } = &mut self.vms[scheduler];
+                    of.cancel(cluster, &key, now);
                 }
                 Answer::Waits => return,
                 Answer::Rejected(rejection) => {
@@ -270,7 +270,7 @@
     /// Sends on a grant, unless its scheduler knew less of the limit, which it is told then.
     fn send(&mut self, vm: usize, scheduler: usize, number: u64, place: &Place) -> bool {
         let id = &place.flight.upstream;
-        if !self.vms[vm].board.may_send(id, place.limit) {
+        if !self.vms[vm].cluster.may_send(id, place.limit) {
             self.tell_limit(vm, scheduler, id);
             return false;
         }
@@ -280,7 +280,7 @@
         let upstream = (0..UPSTREAMS).find(|index| upstream(*index) == *id).unwrap();
         let now = self.now;
         let of = &mut self.vms[vm];
-        of.board.enter(number, flight(id), now);
+        of.cluster.enter(number, flight(id), now);
         let was_told = of.told[upstream].is_some_and(|told| told + TOLD <= now);
         let is_calm = !of.cut && of.disturbed.is_none_or(|at| at + EXCUSED < now);
         self.arrivals[upstream].push(Arrival { at: now, counts: was_told && is_calm });
@@ -299,13 +299,13 @@
     }
 
     fn tell_limit(&mut self, vm: usize, scheduler: usize, id: &id::Upstream) {
-        let limit = self.vms[vm].board.limit_of(id).unwrap().limit;
+        let limit = self.vms[vm].cluster.limit_of(id).unwrap().limit;
         self.merge_limit(scheduler, vm, Entry { upstream: Tag::of(id.as_str()), limit });
     }
 
     fn merge_limit(&mut self, vm: usize, from: usize, entry: Entry) {
         let now = self.now;
-        self.vms[vm].board.merge_limit(entry, &vm_name(from), now);
+        self.vms[vm].cluster.merge_limit(entry, &vm_name(from), now);
     }
 
     /// Answers that begin now. Half of them say what held when they were asked for, as if another had overtaken them.
@@ -321,9 +321,9 @@
             }
             let limit = if number.is_multiple_of(2) { limit } else { self.limits[index] };
             let of = &mut self.vms[vm];
-            of.board.leave(number, now);
+            of.cluster.leave(number, now);
             let tag = Tag::of(upstream(index).as_str());
-            let news = of.board.observe_limit(tag, limit, sent, &vm_name(vm), now);
+            let news = of.cluster.observe_limit(tag, limit, sent, &vm_name(vm), now);
             if limit.is_some() {
                 of.told[index].get_or_insert(now);
             }
@@ -341,24 +341,24 @@
                 continue;
             }
             let now = self.now;
-            let of = &mut self.vms[vm].board;
+            let of = &mut self.vms[vm].cluster;
             let (limits, sent, flights) =
                 (of.announced_limits(now), of.announced_dispatches(now), of.told(now));
             for scheduler in (0..SCHEDULERS.min(self.vms.len())).filter(|index| *index != vm) {
                 if !self.reaches(vm, scheduler) {
                     continue;
                 }
-                let board = &mut self.vms[scheduler].board;
+                let cluster = &mut self.vms[scheduler].cluster;
                 limits.iter().for_each(|told| {
-                    board.merge_limit(*told, &vm_name(vm), now);
+                    cluster.merge_limit(*told, &vm_name(vm), now);
                 });
-                board.merge_dispatches(&vm_name(vm), &sent, now);
-                board.hear(&vm_name(vm), &flights, u64::MAX, now);
+                cluster.merge_dispatches(&vm_name(vm), &sent, now);
+                cluster.hear(&vm_name(vm), &flights, u64::MAX, now);
             }
         }
         // Schedulers tell all others what limits they know.
         for scheduler in 0..SCHEDULERS.min(self.vms.len()) {
-            let limits = self.vms[scheduler].board.announced_limits(self.now);
+            let limits = self.vms[scheduler].cluster.announced_limits(self.now);
             for vm in (0..self.vms.len()).filter(|vm| *vm != scheduler) {
                 if !self.is_frozen(scheduler) && self.reaches(scheduler, vm) {
                     limits.iter().for_each(|told| self.merge_limit(vm, scheduler, *told));
@@ -373,8 +373,8 @@
             if self.is_frozen(scheduler) {
                 continue;
             }
-            let Vm { board, scheduler: of, .. } = &mut self.vms[scheduler];
-            for (key, answer) in of.look(board, &self.table, self.now) {
+            let Vm { cluster, scheduler: of, .. } = &mut self.vms[scheduler];
+            for (key, answer) in of.look(cluster, &self.table, self.now) {
                 let vm = match &key.holder {
                     Holder::Own => scheduler,
                     Holder::Peer(vm) => vm.as_str()[3..].parse().unwrap(),
--- a/request/tests/rate_limits/main.rs
+++ b/request/tests/rate_limits/main.rs
@@ -10,8 +10,10 @@
 
 use std::time::{Duration, Instant};
 
-use fleet::{Fleet, SCHEDULERS, SPAN, STEP, UPSTREAMS, ask, board, rate, table, upstream, vm_name};
-use foldlock_request::board::Holder;
+use fleet::{
+    Fleet, SCHEDULERS, SPAN, STEP, UPSTREAMS, ask, cluster, rate, table, upstream, vm_name,
+};
+use foldlock_request::cluster::Holder;
 use foldlock_request::placement::Rejection;
 use foldlock_request::rate_limit::Limit;
 use foldlock_request::scheduler::{Answer, Key, Scheduler};
@@ -117,48 +119,48 @@
 /// A limit is ordered by who knew of it, not by when it was heard.
 #[test]
 fn vms_come_to_the_same_limit_in_whatever_order_they_hear() {
-    let mut boards = [board(), board(), board()];
+    let mut clusters = [cluster(), cluster(), cluster()];
     let tag = Tag::of("i-0");
     let now = Instant::now();
     let later = now + Duration::from_secs(1);
     let vm = vm_name(0);
-    boards[0].observe_limit(tag, Some(rate(5.0)), now, &vm, now).unwrap();
+    clusters[0].observe_limit(tag, Some(rate(5.0)), now, &vm, now).unwrap();
     // Sent before the limit was known: the stricter holds, and no limit at all says nothing.
-    assert!(boards[0].observe_limit(tag, None, now - STEP, &vm, now + STEP).is_none());
-    assert!(boards[0].observe_limit(tag, Some(rate(8.0)), now - STEP, &vm, now + STEP).is_none());
-    let first = boards[0].announced_limits(now + STEP)[0];
-    boards[0].observe_limit(tag, Some(rate(3.0)), now - STEP, &vm, now + STEP).unwrap();
-    let second = boards[0].announced_limits(now + STEP)[0];
+    assert!(clusters[0].observe_limit(tag, None, now - STEP, &vm, now + STEP).is_none());
+    assert!(clusters[0].observe_limit(tag, Some(rate(8.0)), now - STEP, &vm, now + STEP).is_none());
+    let first = clusters[0].announced_limits(now + STEP)[0];
+    clusters[0].observe_limit(tag, Some(rate(3.0)), now - STEP, &vm, now + STEP).unwrap();
+    let second = clusters[0].announced_limits(now + STEP)[0];
     // Sent after it.
-    boards[0].observe_limit(tag, None, later, &vm, later).unwrap();
-    let third = boards[0].announced_limits(later)[0];
+    clusters[0].observe_limit(tag, None, later, &vm, later).unwrap();
+    let third = clusters[0].announced_limits(later)[0];
     assert_eq!(third.limit, Limit { version: 2, rate: None });
-    for (board, order) in
-        boards[1..].iter_mut().zip([[second, first, third], [third, first, second]])
+    for (cluster, order) in
+        clusters[1..].iter_mut().zip([[second, first, third], [third, first, second]])
     {
         order.iter().for_each(|told| {
-            board.merge_limit(*told, &vm, later);
+            cluster.merge_limit(*told, &vm, later);
         });
     }
-    for board in &boards {
-        assert_eq!(board.limit_of(&upstream(0)).unwrap().limit, third.limit);
+    for cluster in &clusters {
+        assert_eq!(cluster.limit_of(&upstream(0)).unwrap().limit, third.limit);
     }
 }
 
 /// Guards against rejected callers that all come back in the same second.
 #[test]
 fn rejected_callers_come_back_one_after_the_other() {
-    let (mut board, now) = (board(), Instant::now());
+    let (mut cluster, now) = (cluster(), Instant::now());
     for index in 0..UPSTREAMS {
         let tag = Tag::of(upstream(index).as_str());
-        board.observe_limit(tag, Some(rate(2.0)), now, &vm_name(0), now).unwrap();
+        cluster.observe_limit(tag, Some(rate(2.0)), now, &vm_name(0), now).unwrap();
     }
     let (table, mut scheduler) = (table(), Scheduler::default());
     let mut after_ms = Vec::new();
     for number in 0..20 {
         let key = Key { holder: Holder::Own, incarnation: 1, number };
         let ask = ask(now, number);
-        match scheduler.ask(&mut board, &table, key, Tag::of("plain"), ask, now) {
+        match scheduler.ask(&mut cluster, &table, key, Tag::of("plain"), ask, now) {
             Answer::Rejected(Rejection::Limited { after_ms: after }) => after_ms.push(after),
             answer => assert!(matches!(answer, Answer::Waits), "{answer:?}"),
         }
--- a/request/tests/scheduler.rs
+++ b/request/tests/scheduler.rs
@@ -4,8 +4,8 @@
 
 use foldlock_base::id;
 use foldlock_base::size::Tokens;
-use foldlock_request::board::{Board, Holder, Listed};
 use foldlock_request::budget::Charge;
+use foldlock_request::cluster::{Cluster, Holder, Listed};
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::placement::{Ask, Place, Rejection};
 use foldlock_request::quarantine::Ending;
@@ -48,10 +48,10 @@
         .build()
 }
 
-fn board(engines: usize) -> Board {
-    let mut board = Board::default();
+fn cluster(engines: usize) -> Cluster {
+    let mut cluster = Cluster::default();
     for i in 0..engines {
-        board.list(Listed {
+        cluster.list(Listed {
             id: format!("i-{i:03}").parse().unwrap(),
             born: None,
             revision: 0.into(),
@@ -63,7 +63,7 @@
             cold_ms: 0,
         });
     }
-    board
+    cluster
 }
 
 fn vm(i: usize) -> id::Vm {
@@ -105,7 +105,7 @@
 }
 
 struct Fleet {
-    board: Board,
+    cluster: Cluster,
     table: Table,
     scheduler: Scheduler,
     now: Instant,
@@ -114,16 +114,16 @@
 impl Fleet {
     fn new(engines: usize) -> Fleet {
         let scheduler = Scheduler::default();
-        Fleet { board: board(engines), table: table(), scheduler, now: Instant::now() }
+        Fleet { cluster: cluster(engines), table: table(), scheduler, now: Instant::now() }
     }
 
     fn ask(&mut self, key: Key, ask: Ask) -> Answer {
         let model = Tag::of("model");
-        self.scheduler.ask(&mut self.board, &self.table, key, model, ask, self.now)
+        self.scheduler.ask(&mut self.cluster, &self.table, key, model, ask, self.now)
     }
 
     fn look(&mut self) -> Vec<(Key, Place)> {
-        let answers = self.scheduler.look(&mut self.board, &self.table, self.now);
+        let answers = self.scheduler.look(&mut self.cluster, &self.table, self.now);
         let place = |(key, answer)| match answer {
             Answer::Placed(place, _) => (key, *place),
             answer => panic!("{key:?}: {answer:?}"),
@@ -132,7 +132,7 @@
     }
 
     fn cancel(&mut self, key: &Key) {
-        self.scheduler.cancel(&mut self.board, key, self.now);
+        self.scheduler.cancel(&mut self.cluster, key, self.now);
     }
 
     fn after(&mut self, ms: u64) {
@@ -155,7 +155,7 @@
     fleet.after(25);
     let (again, grant_again) = placed(fleet.ask(key(1, 1), ask.clone()));
     assert_eq!((place.flight, grant), (again.flight, grant_again));
-    assert_eq!(fleet.board.under_way(), 1);
+    assert_eq!(fleet.cluster.under_way(), 1);
     let (_, next) = placed(fleet.ask(key(1, 2), ask));
     assert!(next > grant, "each place has a higher number");
 }
@@ -201,7 +201,7 @@
 #[test]
 fn who_waits_is_not_placed_where_it_may_not_be_sent_by_now() {
     let mut fleet = Fleet::new(2);
-    let engines: Vec<Tag> = fleet.board.ids().map(|id| fleet.board.tag_of(id)).collect();
+    let engines: Vec<Tag> = fleet.cluster.ids().map(|id| fleet.cluster.tag_of(id)).collect();
     let ask = long(60_000, fleet.now);
     for barred in engines {
         assert!(matches!(fleet.ask(key(1, 1), ask.clone()), Answer::Waits));
@@ -211,7 +211,7 @@
         let [(_, place)] = placed.as_slice() else { panic!("{placed:?}") };
         let used = std::iter::once(&place.flight.upstream)
             .chain(place.flight.helpers.iter().map(|helping| &helping.upstream));
-        assert!(used.map(|id| fleet.board.tag_of(id)).all(|tag| tag != barred));
+        assert!(used.map(|id| fleet.cluster.tag_of(id)).all(|tag| tag != barred));
         fleet.cancel(&key(1, 1));
     }
 }
@@ -226,7 +226,7 @@
     let placed = fleet.look();
     assert_eq!(placed.iter().map(|(key, _)| key.clone()).collect::<Vec<_>>(), [key(2, 1)]);
     fleet.cancel(&key(2, 1));
-    assert_eq!(fleet.board.under_way(), 0, "its engines are free again");
+    assert_eq!(fleet.cluster.under_way(), 0, "its engines are free again");
 }
 
 #[test]
@@ -265,9 +265,9 @@
         pause: Some(Duration::from_secs(1)),
         ..short(now)
     };
-    let (mut board, mut scheduler) = (board(40), Scheduler::default());
+    let (mut cluster, mut scheduler) = (cluster(40), Scheduler::default());
     let mut ask = |number, tokens| {
-        scheduler.ask(&mut board, &table(), key(1, number), Tag::of("model"), long(tokens), now)
+        scheduler.ask(&mut cluster, &table(), key(1, number), Tag::of("model"), long(tokens), now)
     };
     assert!(matches!(ask(1, 600_000), Answer::Waits), "its parts take 1.6 s");
     assert!(matches!(ask(2, 800_000), Answer::Rejected(Rejection::TooLarge)), "and these 2.8 s");
@@ -277,10 +277,10 @@
 fn a_service_that_is_not_known_has_no_place() {
     let mut fleet = Fleet::new(1);
     let ask = short(fleet.now);
-    let Fleet { scheduler, board, table, now } = &mut fleet;
-    let answer = scheduler.ask(board, table, key(1, 1), Tag::of("other"), ask.clone(), *now);
+    let Fleet { scheduler, cluster, table, now } = &mut fleet;
+    let answer = scheduler.ask(cluster, table, key(1, 1), Tag::of("other"), ask.clone(), *now);
     assert!(matches!(answer, Answer::Rejected(Rejection::Closed)), "{answer:?}");
-    let answer = scheduler.ask(board, table, key(1, 2), Tag::of("plain"), ask, *now);
+    let answer = scheduler.ask(cluster, table, key(1, 2), Tag::of("plain"), ask, *now);
     assert!(matches!(answer, Answer::Rejected(Rejection::Closed)), "no upstream of it is listed");
 }
 
@@ -304,7 +304,7 @@
                     fleet.look();
                 }
             }
-            for (id, load) in fleet.board.loads(Some(&ENGINE), fleet.now) {
+            for (id, load) in fleet.cluster.loads(Some(&ENGINE), fleet.now) {
                 prop_assert!(load.requests <= SLOTS, "{} has {:?}", id, load);
                 prop_assert!(load.memory <= ENGINE.memory.0, "{} has {:?}", id, load);
             }
@@ -314,7 +314,7 @@
         fleet.after(2_000);
         fleet.look();
         prop_assert_eq!(fleet.scheduler.waiting(), 0);
-        prop_assert_eq!(fleet.board.under_way(), 0);
+        prop_assert_eq!(fleet.cluster.under_way(), 0);
     }
 }
 
@@ -322,7 +322,7 @@
 fn suspect(fleet: &mut Fleet, ask: &Ask) {
     for upstream in ["i-900", "i-901"] {
         let ending = Ending { upstream: Tag::of(upstream), alone: false };
-        fleet.board.quarantine.ended(ask.fingerprint, ending, fleet.now);
+        fleet.cluster.quarantine.ended(ask.fingerprint, ending, fleet.now);
     }
 }
 
@@ -359,12 +359,12 @@
         fleet.ask(key(0, 1), ask.clone());
         fleet.ask(key(1, 1), ask.clone());
         fleet.look();
-        assert_eq!(fleet.board.under_way(), 1);
+        assert_eq!(fleet.cluster.under_way(), 1);
         assert!(matches!(fleet.ask(key(1, 1), ask.clone()), Answer::Waits));
         // The first ends its upstream: the second is told so, and so is the next that comes.
         let ending = Ending { upstream: Tag::of("i-000"), alone: true };
-        fleet.board.quarantine.ended(ask.fingerprint, ending, fleet.now);
-        let answers = fleet.scheduler.look(&mut fleet.board, &fleet.table, fleet.now);
+        fleet.cluster.quarantine.ended(ask.fingerprint, ending, fleet.now);
+        let answers = fleet.scheduler.look(&mut fleet.cluster, &fleet.table, fleet.now);
         let held =
             |answer: &Answer| matches!(answer, Answer::Rejected(Rejection::Quarantined { .. }));
         assert!(answers.iter().any(|(waiting, answer)| *waiting == key(1, 1) && held(answer)));
@@ -379,7 +379,7 @@
     suspect(&mut fleet, &ask);
     placed(fleet.ask(key(0, 1), ask.clone()));
     assert!(matches!(fleet.ask(key(1, 1), ask.clone()), Answer::Waits));
-    fleet.board.peer_lost(&vm(0), fleet.now);
+    fleet.cluster.peer_lost(&vm(0), fleet.now);
     let again = fleet.look();
     assert_eq!(again.len(), 1);
     assert_eq!(again[0].0, key(1, 1));
--- a/request/tests/step.rs
+++ b/request/tests/step.rs
@@ -1,6 +1,6 @@
 //! Steps of the listings: what a change costs to tell in a large fleet, and who may take it.
 
-use foldlock_request::board::{Board, Listed};
+use foldlock_request::cluster::{Cluster, Listed};
 use foldlock_request::directory::Member;
 use foldlock_request::revision::Revision;
 use foldlock_request::step::{Change, Step, Steps, decode, encode};
@@ -55,11 +55,11 @@
 #[test]
 fn a_change_is_told_in_bytes_that_do_not_grow_with_the_fleet() {
     let sizes = [(10, 30), (1_000, 3_000)].map(|(vms, upstreams)| {
-        let mut board = Board::default();
+        let mut cluster = Cluster::default();
         (0..upstreams).for_each(|i| {
-            board.list(listed(i));
+            cluster.list(listed(i));
         });
-        let all: Vec<Listed> = board.listings().cloned().collect();
+        let all: Vec<Listed> = cluster.listings().cloned().collect();
         let members: Vec<Member> = (0..vms).map(member).collect();
         let whole = serde_json::to_vec(&(all, members)).unwrap().len();
         let leaving = Listed { leaving: true, ..listed(upstreams / 2) };
