--- a/daemon/src/engines.rs
+++ b/daemon/src/engines.rs
@@ -16,7 +16,7 @@
 use foldlock_request::affinity::Table;
 use foldlock_request::decision::{Cause, Seen};
 use foldlock_request::health::Health;
-use foldlock_request::route::{Ask, Candidate, Routes};
+use foldlock_request::route::{Candidate, Requirements, Routes};
 use foldlock_request::speed::Model;
 use foldlock_version::policy::{Class, Policy};
 use foldlock_version::schema;
@@ -44,7 +44,7 @@
     /// The model.
     pub model: &'a id::Model,
     /// The sizes.
-    pub ask: Ask,
+    pub requirements: Requirements,
     /// The hashes of the prompt's leading blocks.
     pub blocks: &'a [u64],
     /// The settings.
@@ -225,9 +225,10 @@
             return Chosen::None;
         }
         let route = wanted.policy.route;
-        let ask = &wanted.ask;
-        let Some(choice) = inner.routes.choose(route, ask, &candidates, &mut rand::rng()) else {
-            return wait(&candidates, ask);
+        let requirements = &wanted.requirements;
+        let Some(choice) = inner.routes.choose(route, requirements, &candidates, &mut rand::rng())
+        else {
+            return wait(&candidates, requirements);
         };
         let candidate = &candidates[choice.index];
         let flight = self.begin(inner, wanted, candidate, choice.seen, now);
@@ -248,7 +249,9 @@
     pub fn better(&self, wanted: &Wanted<'_>, than: &id::Upstream, seconds: f64) -> bool {
         let candidates = self.candidates(wanted);
         let others = candidates.iter().filter(|c| c.engine != *than);
-        others.filter(|c| c.closed(&wanted.ask).is_none()).any(|c| c.predict(&wanted.ask) < seconds)
+        others
+            .filter(|c| c.closed(&wanted.requirements).is_none())
+            .any(|c| c.predict(&wanted.requirements) < seconds)
     }
 
     /// Takes an engine that another VM chose.
@@ -258,7 +261,7 @@
         let inner = &mut *guard;
         let candidates = inner.candidates(wanted, now);
         let candidate = candidates.iter().find(|c| c.engine == *engine)?;
-        let seen = vec![candidate.seen(&wanted.ask, 0.0)];
+        let seen = vec![candidate.seen(&wanted.requirements, 0.0)];
         Some(self.begin(inner, wanted, candidate, seen, now))
     }
 
@@ -275,15 +278,15 @@
         seen: Vec<Seen>,
         now: Instant,
     ) -> Flight<C> {
-        let ask = &wanted.ask;
-        let uncached = ask.prompt - candidate.cached;
-        let load = Load::of(ask.class, uncached, ask.memory);
-        let predicted = candidate.predict(ask);
+        let requirements = &wanted.requirements;
+        let uncached = requirements.prompt - candidate.cached;
+        let load = Load::of(requirements.class, uncached, requirements.memory);
+        let predicted = candidate.predict(requirements);
         inner.next += 1;
         let slot = inner.next;
         let local = inner.engines.get_mut(&candidate.engine).expect("candidates are engines");
         local.own = local.own.plus(load);
-        local.flights.insert(slot, Pending { sent: now, predicted, class: ask.class });
+        local.flights.insert(slot, Pending { sent: now, predicted, class: requirements.class });
         local.health.sent();
         Flight {
             client: local.client.clone(),
@@ -291,7 +294,7 @@
             engine: candidate.engine.clone(),
             slot,
             load,
-            work: candidate.work(ask),
+            work: candidate.work(requirements),
             blocks: wanted.blocks.to_vec(),
             predicted,
             seen,
@@ -323,12 +326,12 @@
 }
 
 /// Why the best of the candidates, none of which is open, is closed.
-fn wait<C: Clock>(candidates: &[Candidate], ask: &Ask) -> Chosen<C> {
-    let predicted = |c: &&Candidate| c.predict(ask);
+fn wait<C: Clock>(candidates: &[Candidate], requirements: &Requirements) -> Chosen<C> {
+    let predicted = |c: &&Candidate| c.predict(requirements);
     let best = candidates.iter().min_by(|a, b| predicted(a).total_cmp(&predicted(b)));
     Chosen::Wait {
-        cause: best.and_then(|c| c.closed(ask)).unwrap_or(Cause::Engines),
-        predicted: best.map_or(0.0, |c| c.predict(ask)),
+        cause: best.and_then(|c| c.closed(requirements)).unwrap_or(Cause::Engines),
+        predicted: best.map_or(0.0, |c| c.predict(requirements)),
     }
 }
 
@@ -352,7 +355,7 @@
             .engines
             .iter()
             .filter(|(_, l)| l.entry.models.contains(wanted.model))
-            .filter(|(_, l)| wanted.ask.memory.0 <= l.entry.memory_tokens)
+            .filter(|(_, l)| wanted.requirements.memory.0 <= l.entry.memory_tokens)
             .filter(|(_, l)| !l.is_leaving(now))
             .collect();
         let rank =
@@ -378,7 +381,7 @@
         now: Instant,
     ) -> Candidate {
         let cached = self.affinity.cached(wanted.blocks, now, bytes_per_token);
-        let most = wanted.ask.prompt.saturating_sub(Tokens(1));
+        let most = wanted.requirements.prompt.saturating_sub(Tokens(1));
         Candidate {
             engine: id.clone(),
             own: self.own,
@@ -387,7 +390,7 @@
             cached: cached.min(most),
             memory: Tokens(self.entry.memory_tokens),
             speed: self.speed.clone(),
-            overdue: self.overdue(wanted.ask.class, now),
+            overdue: self.overdue(wanted.requirements.class, now),
             long_rank,
         }
     }
--- a/daemon/src/fleet/gate.rs
+++ b/daemon/src/fleet/gate.rs
@@ -10,7 +10,7 @@
 use foldlock_request::decision::{Cause, Decision, Seen};
 use foldlock_request::dialect::Dialect;
 use foldlock_request::forecast;
-use foldlock_request::placement::{self, Ask, Rejection};
+use foldlock_request::placement::{self, Rejection, Requirements};
 use foldlock_request::retry_after;
 use foldlock_version::routes::Engine;
 
@@ -77,12 +77,13 @@
         return Err(held);
     }
     let closed = started + MAX_WAIT_CLOSED;
-    let mut ask = job.ask(&tries.avoid, tries.charge());
-    let limit = match read_ms(job, &ask) {
+    let mut requirements = job.requirements(&tries.avoid, tries.charge());
+    let limit = match read_ms(job, &requirements) {
         Some((engine, read_ms)) => {
             let held = (job.deadline - job.arrived).mul_f64(MAX_QUEUE_SHARE_LONG);
-            ask.limit = ask.limit.saturating_sub(last_start(job, engine, read_ms)).min(held);
-            job.arrived + ask.limit
+            requirements.limit =
+                requirements.limit.saturating_sub(last_start(job, engine, read_ms)).min(held);
+            job.arrived + requirements.limit
         }
         None => started + patience(job),
     };
@@ -90,9 +91,9 @@
     loop {
         if rested(job, begun).await? {
             // Those that refused it have had their rest.
-            ask.avoid.clear();
+            requirements.avoid.clear();
         }
-        match grant_requests::place(&job.process, &job.service, ask.clone(), until).await {
+        match grant_requests::place(&job.process, &job.service, requirements.clone(), until).await {
             Ok(grant) => {
                 tries.placed(job);
                 placed(job, &grant, started);
@@ -123,9 +124,12 @@
 }
 
 /// Milliseconds of reading on one engine, if this is a long prompt.
-fn read_ms<'a, D: Dialect>(job: &'a Job<D>, ask: &Ask) -> Option<(&'a Engine, f64)> {
+fn read_ms<'a, D: Dialect>(
+    job: &'a Job<D>,
+    requirements: &Requirements,
+) -> Option<(&'a Engine, f64)> {
     let engine = job.service.engine.as_ref()?;
-    Some((engine, ask.long_read_ms(engine)?))
+    Some((engine, requirements.long_read_ms(engine)?))
 }
 
 /// The time that a long prompt needs from its place to the end of its answer, if that is no longer than usual. A
@@ -190,7 +194,7 @@
         Rejection::Closed | Rejection::Drained | Rejection::OverBudget(_) => Kind::NoUpstream,
         Rejection::Full | Rejection::TooLarge => Kind::Overloaded,
     };
-    let long = read_ms(job, &job.ask(&[], Charge::Free)).is_some();
+    let long = read_ms(job, &job.requirements(&[], Charge::Free)).is_some();
     let cause = if long { retry_after::Cause::FullForLong } else { retry_after::Cause::Full };
     let after = cause.retry_after(job.left());
     Error::unsent(kind, format!("{}: {rejection}", job.service.name), proof).retry_after(after)
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -12,7 +12,7 @@
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::flight::{Flight, Helping};
 use foldlock_request::message::{self, Answered, Asked, Message, Number};
-use foldlock_request::placement::{Ask, Place, Rejection};
+use foldlock_request::placement::{Place, Rejection, Requirements};
 use foldlock_request::rate_limit::Entry;
 use foldlock_request::scheduler::Answer;
 use foldlock_request::tag::Tag;
@@ -154,11 +154,11 @@
 pub async fn place<D: Dialect>(
     process: &Arc<Process<D>>,
     service: &Arc<Service>,
-    mut ask: Ask,
+    mut requirements: Requirements,
     until: Until,
 ) -> Result<Grant, Rejection> {
     loop {
-        let mut open = Open::new(process, service, &ask, until);
+        let mut open = Open::new(process, service, &requirements, until);
         let placer = process.peers.placer(process.stopping.is_cancelled(), process.now());
         note(process, placer.as_ref());
         let ended = match placer {
@@ -169,7 +169,7 @@
         match ended {
             Ended::Placed(grant) => return Ok(*grant),
             Ended::Rejected(rejection) => {
-                note_held(process, ask.fingerprint, rejection);
+                note_held(process, requirements.fingerprint, rejection);
                 return Err(rejection);
             }
             Ended::Silent(vm) => {
@@ -177,16 +177,16 @@
                 process.peers.missed(&vm, process.now());
             }
             Ended::Gone(upstream) => {
-                ask.avoid.push(upstream);
-                ask.charge = Charge::Free;
+                requirements.avoid.push(upstream);
+                requirements.charge = Charge::Free;
             }
             // The next request names it, or the scheduler has received the limit by then.
-            Ended::Resting | Ended::Superseded => ask.charge = Charge::Free,
+            Ended::Resting | Ended::Superseded => requirements.charge = Charge::Free,
             Ended::Later => {}
         }
         // It may count already where it was asked for.
-        if ask.charge == Charge::Deposit {
-            ask.charge = Charge::Free;
+        if requirements.charge == Charge::Deposit {
+            requirements.charge = Charge::Free;
         }
         if until.is_over(process) {
             return Err(Rejection::Full);
@@ -222,7 +222,7 @@
 struct Open<'a, D: Dialect> {
     process: &'a Arc<Process<D>>,
     service: &'a Service,
-    ask: &'a Ask,
+    requirements: &'a Requirements,
     until: Until,
     number: u64,
     answers: mpsc::UnboundedReceiver<Answer>,
@@ -233,12 +233,12 @@
     fn new(
         process: &'a Arc<Process<D>>,
         service: &'a Service,
-        ask: &'a Ask,
+        requirements: &'a Requirements,
         until: Until,
     ) -> Open<'a, D> {
         let number = process.cluster.lock().unwrap().number();
         let answers = process.questions.open(number);
-        Open { process, service, ask, until, number, answers, asked: None }
+        Open { process, service, requirements, until, number, answers, asked: None }
     }
 
     /// Asks a VM until it has placed the request, or does not answer.
@@ -268,14 +268,14 @@
     }
 
     fn send(&self, placer: &Placer) {
-        let ask = self.without_resting();
+        let requirements = self.without_resting();
         match placer {
-            Placer::Own => scheduler::own(self.process, self.number, self.service, &ask),
+            Placer::Own => scheduler::own(self.process, self.number, self.service, &requirements),
             Placer::Peer(vm, address) => {
                 let service = Tag::of(&self.service.name);
                 let is_client = affiliation::contact_peer(self.process, vm);
                 let now = self.process.now();
-                let asked = Asked::new(self.request(), service, &ask, is_client, now);
+                let asked = Asked::new(self.request(), service, &requirements, is_client, now);
                 tell::send(self.process, &Message::Asked(asked), *address);
             }
         }
@@ -283,10 +283,10 @@
 
     /// What is asked for, the upstreams left out that rest for this VM. They go with the question, so that
     /// the VM that places need not know who was told to leave whom alone.
-    fn without_resting(&self) -> Ask {
-        let mut ask = self.ask.clone();
-        ask.avoid.extend(notices::resting(self.process));
-        ask
+    fn without_resting(&self) -> Requirements {
+        let mut requirements = self.requirements.clone();
+        requirements.avoid.extend(notices::resting(self.process));
+        requirements
     }
 
     fn request(&self) -> Number {
@@ -340,9 +340,9 @@
     async fn alone(&self) -> Ended {
         let offset = rand::random_range(0..u16::MAX).into();
         let placers = self.process.peers.running_count();
-        let ask = Ask { offset, placers, ..self.without_resting() };
+        let requirements = Requirements { offset, placers, ..self.without_resting() };
         let now = self.process.now();
-        let placed = scheduler::place_alone(self.process, self.service, &ask, now);
+        let placed = scheduler::place_alone(self.process, self.service, &requirements, now);
         match placed {
             Ok(place) => self.grant(place, None),
             Err(Rejection::Full) => {
--- a/daemon/src/fleet/job.rs
+++ b/daemon/src/fleet/job.rs
@@ -9,7 +9,7 @@
 use foldlock_request::budget::Charge;
 use foldlock_request::dialect::Dialect;
 use foldlock_request::fingerprint::Fingerprint;
-use foldlock_request::placement::{self, Ask};
+use foldlock_request::placement::{self, Requirements};
 use foldlock_request::ring::Entry;
 use foldlock_request::tag::Tag;
 use foldlock_request::terms::Terms;
@@ -108,11 +108,11 @@
     }
 
     /// What is asked of the upstreams, those left out that failed it.
-    pub fn ask(&self, avoid: &[id::Upstream], charge: Charge) -> Ask {
+    pub fn requirements(&self, avoid: &[id::Upstream], charge: Charge) -> Requirements {
         let cluster = self.process.cluster.lock().unwrap();
         let avoid = avoid.iter().map(|id| cluster.tag_of(id)).collect();
         drop(cluster);
-        Ask {
+        Requirements {
             prompt: self.terms.prompt,
             memory: self.memory(),
             objective: self.route.objective,
--- a/daemon/src/fleet/scheduler.rs
+++ b/daemon/src/fleet/scheduler.rs
@@ -8,7 +8,7 @@
 use foldlock_request::cluster::{Cluster, Holder};
 use foldlock_request::dialect::Dialect;
 use foldlock_request::message::{self, Answered, Asked, Message, Number};
-use foldlock_request::placement::{self, Ask, Place, Rejection};
+use foldlock_request::placement::{self, Place, Rejection, Requirements};
 use foldlock_request::scheduler::{Answer, Key};
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::Service;
@@ -29,17 +29,23 @@
 pub fn asked<D: Dialect>(process: &Process<D>, asked: &Asked, from: SocketAddr) {
     let Some(peer) = process.peers.at(from) else { return };
     let now = process.now();
-    let ask = asked.ask(peer.hall, now);
+    let requirements = asked.requirements(peer.hall, now);
     let key = key(Holder::Peer(peer.vm), asked.request);
-    let answer = schedule(process, key, asked.service, ask, asked.is_client, now);
+    let answer = schedule(process, key, asked.service, requirements, asked.is_client, now);
     answered(process, asked.request, from, answer);
 }
 
 /// A request of this VM asks for a place.
-pub fn own<D: Dialect>(process: &Process<D>, number: u64, service: &Service, ask: &Ask) {
+pub fn own<D: Dialect>(
+    process: &Process<D>,
+    number: u64,
+    service: &Service,
+    requirements: &Requirements,
+) {
     let key = key(Holder::Own, process.numbered(number));
     let (now, is_client) = (process.now(), affiliation::contact_own(process));
-    let answer = schedule(process, key, Tag::of(&service.name), ask.clone(), is_client, now);
+    let answer =
+        schedule(process, key, Tag::of(&service.name), requirements.clone(), is_client, now);
     process.questions.deliver(number, answer);
 }
 
@@ -47,7 +53,7 @@
     process: &Process<D>,
     key: Key,
     service: Tag,
-    ask: Ask,
+    requirements: Requirements,
     is_client: bool,
     now: Instant,
 ) -> Answer {
@@ -56,7 +62,7 @@
     let mut scheduler = process.scheduler.lock().unwrap();
     let mut cluster = process.cluster.lock().unwrap();
     scheduler.budget.record_contact(&key.holder, is_client, vms, now);
-    let answer = scheduler.ask(&mut cluster, &settings.table, key, service, ask, now);
+    let answer = scheduler.ask(&mut cluster, &settings.table, key, service, requirements, now);
     if matches!(answer, Answer::Waits) {
         process.room.notify_one();
     }
@@ -68,7 +74,7 @@
 pub fn place_alone<D: Dialect>(
     process: &Process<D>,
     service: &Service,
-    ask: &Ask,
+    requirements: &Requirements,
     now: Instant,
 ) -> Result<Place, Rejection> {
     let vms = process.peers.running_count();
@@ -76,9 +82,9 @@
     let is_client = affiliation::contact_own(process);
     let mut scheduler = process.scheduler.lock().unwrap();
     scheduler.budget.record_contact(&Holder::Own, is_client, vms, now);
-    scheduler.budget.check(tag, ask.charge, now).map_err(Rejection::OverBudget)?;
-    let place = placement::place(&process.cluster.lock().unwrap(), service, ask, now)?;
-    scheduler.budget.charge(tag, ask.charge, now).map_err(Rejection::OverBudget)?;
+    scheduler.budget.check(tag, requirements.charge, now).map_err(Rejection::OverBudget)?;
+    let place = placement::place(&process.cluster.lock().unwrap(), service, requirements, now)?;
+    scheduler.budget.charge(tag, requirements.charge, now).map_err(Rejection::OverBudget)?;
     Ok(place)
 }
 
--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -98,20 +98,20 @@
 }
 
 async fn wait_for_place(job: &Job, progress: &Progress) -> Result<Place, Refused> {
-    let ask = job.ask(progress);
+    let requirements = job.requirements(progress);
     let (largest, all) = job.process.engines.memory(&job.prompt.model);
-    if ask.memory > all {
-        return Err(too_long(ask.memory, all));
+    if requirements.memory > all {
+        return Err(too_long(requirements.memory, all));
     }
     let started = job.process.clock.now();
-    if ask.memory > largest {
+    if requirements.memory > largest {
         // Groups wait at the home of a shard, in order, and hold up nothing here.
-        let place = group::place(job, &ask).await?;
+        let place = group::place(job, &requirements).await?;
         routed(job, &place);
         return Ok(place);
     }
-    let queue = job.process.queue(&job.prompt.model, ask.class);
-    let ticket = queue.enter(&job.organisation, job.policy.weight, ask.prompt.0);
+    let queue = job.process.queue(&job.prompt.model, requirements.class);
+    let ticket = queue.enter(&job.organisation, job.policy.weight, requirements.prompt.0);
     if !ticket.is_next() {
         admit_behind(job, queue.tokens(), progress)?;
         ticket.next().await;
@@ -175,7 +175,7 @@
 pub fn wanted<'a>(job: &'a Job, progress: &'a Progress) -> Wanted<'a> {
     Wanted {
         model: &job.prompt.model,
-        ask: job.ask(progress),
+        requirements: job.requirements(progress),
         blocks: &job.blocks,
         policy: &job.policy,
         avoid: &progress.avoid,
@@ -226,8 +226,8 @@
     progress: &Progress,
     flight: Box<Flight<System>>,
 ) -> Option<Box<Flight<System>>> {
-    let ask = job.ask(progress);
-    if !ask.class.is_long() || job.policy.route != Route::LengthAware {
+    let requirements = job.requirements(progress);
+    if !requirements.class.is_long() || job.policy.route != Route::LengthAware {
         return Some(flight);
     }
     let chosen = flight.engine.clone();
@@ -238,15 +238,15 @@
 }
 
 async fn granted(job: &Job, progress: &Progress, chosen: &id::Upstream) -> Option<id::Upstream> {
-    let ask = job.ask(progress);
+    let requirements = job.requirements(progress);
     let shards = job.process.shards();
     let shard = shards.iter().find(|s| s.engines.contains(chosen))?;
     let ask = wire::Ask {
         vm: job.process.config.vm.clone(),
         request: job.request.clone(),
         model: job.prompt.model.clone(),
-        prompt: ask.prompt,
-        memory: ask.memory,
+        prompt: requirements.prompt,
+        memory: requirements.memory,
         avoid: progress.avoid.clone(),
     };
     match ask_home(job, shard, ask, GRANT_TIMEOUT).await {
--- a/daemon/src/group.rs
+++ b/daemon/src/group.rs
@@ -15,7 +15,7 @@
 };
 use foldlock_connection::wire::{self, Grant, Load, Segment};
 use foldlock_request::decision::Decision;
-use foldlock_request::route::{Ask, Candidate, Routes};
+use foldlock_request::route::{Candidate, Requirements, Routes};
 use foldlock_version::policy::{Policy, Route};
 
 use crate::engines::{Flight, Wanted};
@@ -78,23 +78,23 @@
 }
 
 /// Waits for a group.
-pub async fn place(job: &Job, ask: &Ask) -> Result<Place, Refused> {
+pub async fn place(job: &Job, requirements: &Requirements) -> Result<Place, Refused> {
     let started = job.process.clock.now();
     loop {
         let shards = job.process.shards();
-        let fitting = |s: &&Shard| shard_memory(job, s) >= ask.memory;
+        let fitting = |s: &&Shard| shard_memory(job, s) >= requirements.memory;
         let mut of: Vec<&Shard> =
             shards.iter().filter(|s| s.model == job.prompt.model).filter(fitting).collect();
         of.sort_by_key(|s| foldlock_base::hash::weight(job.request.as_str(), &s.name));
         if of.is_empty() {
             return Err(Refused {
                 kind: Kind::PromptTooLong,
-                why: format!("no group of engines holds {} tokens", ask.memory),
+                why: format!("no group of engines holds {} tokens", requirements.memory),
                 retry_after: None,
             });
         }
         for shard in of {
-            if let Some(group) = try_shard(job, ask, shard).await {
+            if let Some(group) = try_shard(job, requirements, shard).await {
                 let waited_ms = millis(job.process.clock.now() - started);
                 let engines = group.segments.iter().map(|s| s.engine.clone()).collect();
                 job.record(Decision::Held { engines, waited_ms });
@@ -110,13 +110,13 @@
     shard.engines.iter().filter_map(|e| fleet.engines.get(e)).map(|e| Tokens(e.memory_tokens)).sum()
 }
 
-async fn try_shard(job: &Job, ask: &Ask, shard: &Shard) -> Option<Group> {
+async fn try_shard(job: &Job, requirements: &Requirements, shard: &Shard) -> Option<Group> {
     let asked = wire::Ask {
         vm: job.process.config.vm.clone(),
         request: job.request.clone(),
         model: job.prompt.model.clone(),
-        prompt: ask.prompt,
-        memory: ask.memory,
+        prompt: requirements.prompt,
+        memory: requirements.memory,
         avoid: Vec::new(),
     };
     let grant = ask_home(job, shard, asked, SEARCH * 2).await?;
@@ -131,9 +131,14 @@
 
 fn flight(job: &Job, segment: &Segment) -> Option<Flight<System>> {
     let class = job.policy.class(job.tokens);
-    let ask = Ask { prompt: segment.tokens, memory: segment.tokens, class };
-    let wanted =
-        Wanted { model: &job.prompt.model, ask, blocks: &[], policy: &job.policy, avoid: &[] };
+    let requirements = Requirements { prompt: segment.tokens, memory: segment.tokens, class };
+    let wanted = Wanted {
+        model: &job.prompt.model,
+        requirements,
+        blocks: &[],
+        policy: &job.policy,
+        avoid: &[],
+    };
     job.process.engines.take(&wanted, &segment.engine)
 }
 
@@ -205,9 +210,10 @@
 
 async fn find(process: &Arc<Process>, shard: &Shard, ask: &wire::Ask) -> Option<Vec<Segment>> {
     let policy = Policy { route: Route::LengthAware, ..Policy::default() };
-    let want = Ask { prompt: ask.prompt, memory: Tokens(0), class: policy.class(ask.prompt) };
+    let requirements =
+        Requirements { prompt: ask.prompt, memory: Tokens(0), class: policy.class(ask.prompt) };
     let wanted =
-        Wanted { model: &ask.model, ask: want, blocks: &[], policy: &policy, avoid: &ask.avoid };
+        Wanted { model: &ask.model, requirements, blocks: &[], policy: &policy, avoid: &ask.avoid };
     process.engines.told(&process.home.states(&shard.engines, &process.config.vm));
     let mut candidates = process.engines.candidates(&wanted);
     candidates.retain(|c| shard.engines.contains(&c.engine));
@@ -215,11 +221,15 @@
     if ask.memory > largest {
         return hold(process, ask, candidates).await;
     }
-    let want = Ask { memory: ask.memory, ..want };
-    let choice =
-        Routes::default().choose(Route::LengthAware, &want, &candidates, &mut rand::rng())?;
+    let requirements = Requirements { memory: ask.memory, ..requirements };
+    let choice = Routes::default().choose(
+        Route::LengthAware,
+        &requirements,
+        &candidates,
+        &mut rand::rng(),
+    )?;
     let chosen = &candidates[choice.index];
-    let load = Load::of(want.class, ask.prompt, ask.memory);
+    let load = Load::of(requirements.class, ask.prompt, ask.memory);
     process.home.granted(&chosen.engine, &ask.vm, load);
     Some(vec![Segment { engine: chosen.engine.clone(), tokens: ask.prompt, hold: None }])
 }
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -12,7 +12,7 @@
 use foldlock_request::decision::{Decision, Step};
 use foldlock_request::prompt::Prompt;
 use foldlock_request::ring::Entry;
-use foldlock_request::route::Ask;
+use foldlock_request::route::Requirements;
 use foldlock_version::policy::{Class, Policy};
 
 use crate::attempt::{self, End};
@@ -103,11 +103,11 @@
     }
 
     /// What is asked of engines, with the answer so far as part of the prompt.
-    pub fn ask(&self, progress: &Progress) -> Ask {
+    pub fn requirements(&self, progress: &Progress) -> Requirements {
         let done = Tokens(progress.tokens);
         let prompt = self.tokens + done;
         let memory = self.tokens + Tokens(self.max_tokens);
-        Ask { prompt, memory, class: self.policy.class(prompt) }
+        Requirements { prompt, memory, class: self.policy.class(prompt) }
     }
 
     /// The order to an engine.
@@ -122,7 +122,7 @@
             model: self.prompt.model.clone(),
             prompt,
             max_tokens: self.max_tokens - progress.tokens,
-            priority: self.priority(self.ask(progress).class),
+            priority: self.priority(self.requirements(progress).class),
             first_index: progress.tokens,
             deadline: self.left(),
             linger: Duration::from_millis(self.policy.resume_window_ms),
--- a/daemon/tests/route.rs
+++ b/daemon/tests/route.rs
@@ -6,7 +6,7 @@
 use foldlock_connection::wire::Load;
 use foldlock_request::affinity::Table;
 use foldlock_request::cursor::{Cursor, Key};
-use foldlock_request::route::{Ask, Candidate, Routes};
+use foldlock_request::route::{Candidate, Requirements, Routes};
 use foldlock_request::speed::Model;
 use foldlock_version::policy::{Policy, Route};
 use proptest::prelude::*;
@@ -33,9 +33,9 @@
     )
 }
 
-fn ask(tokens: u64) -> Ask {
+fn requirements(tokens: u64) -> Requirements {
     let class = Policy::default().class(Tokens(tokens));
-    Ask { prompt: Tokens(tokens), memory: Tokens(tokens + 100), class }
+    Requirements { prompt: Tokens(tokens), memory: Tokens(tokens + 100), class }
 }
 
 proptest! {
@@ -46,14 +46,14 @@
         tokens in 1u64..399_000,
         seed: u64,
     ) {
-        let ask = ask(tokens);
+        let requirements = requirements(tokens);
         let mut rng = StdRng::seed_from_u64(seed);
-        let choice = Routes::default().choose(Route::LengthAware, &ask, &candidates, &mut rng);
+        let choice = Routes::default().choose(Route::LengthAware, &requirements, &candidates, &mut rng);
         if let Some(choice) = choice {
-            prop_assert!(candidates[choice.index].fits(&ask));
-            prop_assert!(candidates[choice.index].closed(&ask).is_none());
+            prop_assert!(candidates[choice.index].fits(&requirements));
+            prop_assert!(candidates[choice.index].closed(&requirements).is_none());
         } else {
-            prop_assert!(candidates.iter().all(|c| c.closed(&ask).is_some()));
+            prop_assert!(candidates.iter().all(|c| c.closed(&requirements).is_some()));
         }
     }
 
@@ -67,7 +67,7 @@
         for route in Route::ALL {
             let choose = || {
                 let mut rng = StdRng::seed_from_u64(seed);
-                let choice = Routes::default().choose(*route, &ask(tokens), &candidates, &mut rng);
+                let choice = Routes::default().choose(*route, &requirements(tokens), &candidates, &mut rng);
                 choice.map(|c| c.index)
             };
             prop_assert_eq!(choose(), choose());
--- a/request/src/message.rs
+++ b/request/src/message.rs
@@ -12,7 +12,7 @@
 use crate::budget::Charge;
 use crate::cluster::{Dispatch, Ended, Load, Start};
 use crate::fingerprint::Fingerprint;
-use crate::placement::{Ask, Rejection};
+use crate::placement::{Rejection, Requirements};
 use crate::rate_limit::Limit;
 use crate::revision::Revision;
 use crate::tag::Tag;
@@ -174,29 +174,35 @@
 
 impl Asked {
     /// What is sent.
-    pub fn new(request: Number, service: Tag, ask: &Ask, is_client: bool, now: Instant) -> Asked {
+    pub fn new(
+        request: Number,
+        service: Tag,
+        requirements: &Requirements,
+        is_client: bool,
+        now: Instant,
+    ) -> Asked {
         Asked {
             request,
             service,
-            prompt: ask.prompt.0,
-            memory: ask.memory.0,
-            objective_ms: ask.objective.as_millis() as u32,
-            pause_ms: ask.pause.map(|pause| pause.as_millis() as u32),
-            waited_ms: now.saturating_duration_since(ask.arrived).as_millis() as u32,
-            limit_ms: ask.limit.as_millis() as u32,
-            hold_limit_ms: ask.hold_limit.as_millis() as u32,
-            avoid: ask.avoid.clone(),
-            fingerprint: ask.fingerprint,
-            connected: ask.connected.clone(),
-            charge: ask.charge,
+            prompt: requirements.prompt.0,
+            memory: requirements.memory.0,
+            objective_ms: requirements.objective.as_millis() as u32,
+            pause_ms: requirements.pause.map(|pause| pause.as_millis() as u32),
+            waited_ms: now.saturating_duration_since(requirements.arrived).as_millis() as u32,
+            limit_ms: requirements.limit.as_millis() as u32,
+            hold_limit_ms: requirements.hold_limit.as_millis() as u32,
+            avoid: requirements.avoid.clone(),
+            fingerprint: requirements.fingerprint,
+            connected: requirements.connected.clone(),
+            charge: requirements.charge,
             is_client,
         }
     }
 
     /// What is asked for, by this process's clock, by a VM of that hall.
-    pub fn ask(&self, hall: String, now: Instant) -> Ask {
+    pub fn requirements(&self, hall: String, now: Instant) -> Requirements {
         let millis = |ms: u32| Duration::from_millis(u64::from(ms));
-        Ask {
+        Requirements {
             prompt: Tokens(self.prompt),
             memory: Tokens(self.memory),
             objective: millis(self.objective_ms),
--- a/request/src/placement.rs
+++ b/request/src/placement.rs
@@ -48,7 +48,7 @@
 
 /// What is to be placed.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ask {
+pub struct Requirements {
     /// The prompt.
     pub prompt: Tokens,
     /// Memory for prompt and answer.
@@ -81,7 +81,7 @@
     pub charge: Charge,
 }
 
-impl Ask {
+impl Requirements {
     /// The longest pause, milliseconds.
     fn pause_ms(&self) -> u32 {
         self.pause.map_or(u32::MAX, |pause| pause.as_millis() as u32)
@@ -193,28 +193,28 @@
 pub fn place(
     cluster: &Cluster,
     service: &Service,
-    ask: &Ask,
+    requirements: &Requirements,
     now: Instant,
 ) -> Result<Place, Rejection> {
-    let alone = runs_alone(cluster, ask.fingerprint, now)?;
-    let (candidates, limited) = candidates(cluster, service, ask, now);
+    let alone = runs_alone(cluster, requirements.fingerprint, now)?;
+    let (candidates, limited) = candidates(cluster, service, requirements, now);
     if candidates.is_empty() {
-        return Err(rejection(cluster, service, ask, now));
+        return Err(rejection(cluster, service, requirements, now));
     }
     let engine = service.engine.as_ref();
-    let Some(engine) = engine.filter(|engine| ask.long_read_ms(engine).is_some()) else {
+    let Some(engine) = engine.filter(|engine| requirements.long_read_ms(engine).is_some()) else {
         let place = match engine {
-            _ if alone => apart(ask, engine, candidates),
-            Some(engine) => short(ask, engine, candidates),
-            None => plain(ask, candidates),
+            _ if alone => apart(requirements, engine, candidates),
+            Some(engine) => short(requirements, engine, candidates),
+            None => plain(requirements, candidates),
         };
         return place.map(|place| Place { limited, ..place });
     };
-    let turns = [Turn { ask, index: 0 }];
-    let line = Line { turns: &turns, demand: 0.0, offset: ask.offset, kept: 0 };
+    let turns = [Turn { requirements, index: 0 }];
+    let line = Line { turns: &turns, demand: 0.0, offset: requirements.offset, kept: 0 };
     let placed = group::line(cluster, service, engine, line, now).pop();
     let (_, mut place) = placed.ok_or(Rejection::Full)?;
-    place.flight.alone = alone.then_some(ask.fingerprint);
+    place.flight.alone = alone.then_some(requirements.fingerprint);
     Ok(place)
 }
 
@@ -223,18 +223,18 @@
 pub fn place_whole(
     cluster: &Cluster,
     service: &Service,
-    ask: &Ask,
+    requirements: &Requirements,
     now: Instant,
 ) -> Result<Place, Rejection> {
-    let alone = runs_alone(cluster, ask.fingerprint, now)?;
+    let alone = runs_alone(cluster, requirements.fingerprint, now)?;
     let all = cluster.limited_rate(&service.name).is_some();
-    let (mut candidates, _) = candidates(cluster, service, ask, now);
+    let (mut candidates, _) = candidates(cluster, service, requirements, now);
     candidates.retain(|c| c.upstream.is_limited() && (all || c.is_due));
-    let mut place = apart(ask, service.engine.as_ref(), candidates)?;
-    if !all && place.predicted_ms > ask.left_ms(now) {
+    let mut place = apart(requirements, service.engine.as_ref(), candidates)?;
+    if !all && place.predicted_ms > requirements.left_ms(now) {
         return Err(Rejection::Full);
     }
-    place.flight.alone = alone.then_some(ask.fingerprint);
+    place.flight.alone = alone.then_some(requirements.fingerprint);
     Ok(place)
 }
 
@@ -254,42 +254,46 @@
 
 /// The place of a request that runs alone: where least is under way, which is nothing as a rule.
 fn apart(
-    ask: &Ask,
+    requirements: &Requirements,
     engine: Option<&Engine>,
     candidates: Vec<Candidate<'_>>,
 ) -> Result<Place, Rejection> {
     let open = candidates.len();
-    let has_room = |c: &Candidate<'_>| engine.is_none_or(|e| c.has_room(ask.memory.0, e));
+    let has_room = |c: &Candidate<'_>| engine.is_none_or(|e| c.has_room(requirements.memory.0, e));
     let under_way = |c: &Candidate<'_>| (c.load.requests + c.load.helping, c.load.memory);
     let best = candidates.into_iter().filter(has_room).min_by_key(under_way);
     let best = best.ok_or(Rejection::Full)?;
-    let read_ms = engine.map_or(0.0, |engine| forecast::read_ms(engine, ask.prompt.0));
+    let read_ms = engine.map_or(0.0, |engine| forecast::read_ms(engine, requirements.prompt.0));
     let predicted_ms = engine.map_or(0.0, |engine| best.predicted_ms(engine, read_ms));
-    let mut place = placed(ask, &best, &[], read_ms, predicted_ms, open);
-    place.flight.alone = Some(ask.fingerprint);
+    let mut place = placed(requirements, &best, &[], read_ms, predicted_ms, open);
+    place.flight.alone = Some(requirements.fingerprint);
     Ok(place)
 }
 
-fn plain(ask: &Ask, candidates: Vec<Candidate<'_>>) -> Result<Place, Rejection> {
+fn plain(requirements: &Requirements, candidates: Vec<Candidate<'_>>) -> Result<Place, Rejection> {
     let open = candidates.len();
     let relative =
         |c: &Candidate<'_>| f64::from(c.load.requests) / f64::from(c.upstream.listed.slots.max(1));
-    let is_new = |c: &Candidate<'_>| !ask.connected.contains(&c.upstream.tag);
+    let is_new = |c: &Candidate<'_>| !requirements.connected.contains(&c.upstream.tag);
     let compare = |a: &Candidate<'_>, b: &Candidate<'_>| {
         relative(a).total_cmp(&relative(b)).then(is_new(a).cmp(&is_new(b)))
     };
     let best = candidates.into_iter().min_by(compare).ok_or(Rejection::Closed)?;
-    Ok(placed(ask, &best, &[], 0.0, 0.0, open))
+    Ok(placed(requirements, &best, &[], 0.0, 0.0, open))
 }
 
-fn short(ask: &Ask, engine: &Engine, candidates: Vec<Candidate<'_>>) -> Result<Place, Rejection> {
-    let read = forecast::read_ms(engine, ask.prompt.0);
-    let objective = ask.objective.as_secs_f64() * 1e3;
+fn short(
+    requirements: &Requirements,
+    engine: &Engine,
+    candidates: Vec<Candidate<'_>>,
+) -> Result<Place, Rejection> {
+    let read = forecast::read_ms(engine, requirements.prompt.0);
+    let objective = requirements.objective.as_secs_f64() * 1e3;
     let open = candidates.len();
-    let memory = ask.memory.0;
+    let memory = requirements.memory.0;
     let fits = |c: &Candidate<'_>, part: f64| {
         c.has_room(memory, engine)
-            && c.load.next_ms + read <= c.allowance_ms(engine, ask.pause_ms())
+            && c.load.next_ms + read <= c.allowance_ms(engine, requirements.pause_ms())
             && c.predicted_ms(engine, read) <= objective * part
             && c.load.waited_ms + c.predicted_ms(engine, read) <= objective * FIRST
     };
@@ -303,7 +307,7 @@
         .ok_or(Rejection::Full)?;
     let best = &candidates[index];
     let predicted = best.predicted_ms(engine, read);
-    Ok(placed(ask, best, &[], read, predicted, open))
+    Ok(placed(requirements, best, &[], read, predicted, open))
 }
 
 /// The engine among those that `may` whose first event is predicted soonest.
@@ -332,7 +336,7 @@
 }
 
 fn placed(
-    ask: &Ask,
+    requirements: &Requirements,
     best: &Candidate<'_>,
     helpers: &[(&Candidate<'_>, u64)],
     part_ms: f64,
@@ -350,8 +354,8 @@
             upstream: listed.id.clone(),
             helpers: helpers.iter().map(helping).collect(),
             part_ms: part_ms as f32,
-            memory: ask.memory.0.saturating_sub(held),
-            pause_ms: ask.pause_ms(),
+            memory: requirements.memory.0.saturating_sub(held),
+            pause_ms: requirements.pause_ms(),
             writing: false,
             alone: None,
         },
--- a/request/src/placement/candidate.rs
+++ b/request/src/placement/candidate.rs
@@ -4,7 +4,7 @@
 
 use foldlock_version::routes::{Engine, Service};
 
-use super::{Ask, Rejection};
+use super::{Rejection, Requirements};
 use crate::cluster::{BRISK_MS, Cluster, Load, Upstream};
 use crate::forecast;
 use crate::pace::Bound;
@@ -100,14 +100,14 @@
 pub(super) fn rejection(
     cluster: &Cluster,
     service: &Service,
-    ask: &Ask,
+    requirements: &Requirements,
     now: Instant,
 ) -> Rejection {
     if cluster.is_drained(&service.name) {
         return Rejection::Drained;
     }
     let is_paced = |u: &Upstream| u.is_cold(now) || u.is_limited();
-    let left = |u: &Upstream| is_paced(u) && !ask.avoid.contains(&u.tag);
+    let left = |u: &Upstream| is_paced(u) && !requirements.avoid.contains(&u.tag);
     if cluster.open(&service.name).any(left) { Rejection::Full } else { Rejection::Closed }
 }
 
@@ -116,19 +116,19 @@
 pub(super) fn candidates<'a>(
     cluster: &'a Cluster,
     service: &'a Service,
-    ask: &Ask,
+    requirements: &Requirements,
     now: Instant,
 ) -> (Vec<Candidate<'a>>, usize) {
-    let open = cluster.open(&service.name).filter(|u| !ask.avoid.contains(&u.tag));
+    let open = cluster.open(&service.name).filter(|u| !requirements.avoid.contains(&u.tag));
     let (open, spent): (Vec<&Upstream>, Vec<&Upstream>) =
-        open.partition(|u| bears_more(cluster, service, u, ask.placers, now));
+        open.partition(|u| bears_more(cluster, service, u, requirements.placers, now));
     let limited = spent.into_iter().filter(|u| u.is_limited()).count();
     let mut candidates = trusted(cluster, open, now);
     if !candidates.is_empty() {
-        let offset = ask.offset % candidates.len();
+        let offset = requirements.offset % candidates.len();
         candidates.rotate_left(offset);
     }
-    candidates.sort_by_key(|u| (rank(u, now), u.listed.hall != ask.hall));
+    candidates.sort_by_key(|u| (rank(u, now), u.listed.hall != requirements.hall));
     let engine = service.engine.as_ref();
     let candidate = |upstream| Candidate::new(cluster, upstream, engine, now);
     (candidates.into_iter().map(candidate).collect(), limited)
--- a/request/src/placement/group.rs
+++ b/request/src/placement/group.rs
@@ -11,7 +11,7 @@
 
 use super::candidate::{Candidate, bears_more, trusted};
 use super::share::{MOST_ENGINES, Prompt, Reader, Readers, Share};
-use super::{Ask, Place, placed};
+use super::{Place, Requirements, placed};
 use crate::cluster::{Cluster, Upstream};
 use crate::forecast;
 use crate::line::{self, Capacity, Waiting};
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Turn<'a> {
     /// What is asked for.
-    pub ask: &'a Ask,
+    pub requirements: &'a Requirements,
     /// By which the caller knows it.
     pub index: usize,
 }
@@ -63,7 +63,7 @@
     pub turns: &'a [Turn<'a>],
     /// The engines that long prompts kept busy of late.
     pub demand: f64,
-    /// How far on in the order of engines to begin, as [`Ask::offset`].
+    /// How far on in the order of engines to begin, as [`Requirements::offset`].
     pub offset: usize,
     /// Engines that are kept free for short prompts, which find none in time.
     pub kept: usize,
@@ -92,13 +92,13 @@
     let mut placed = Vec::new();
     for waiting in in_order(line.turns, engine, &readers, now).into_iter().take(MOST_PLANNED) {
         let turn = &line.turns[waiting.index];
-        let prompt = Prompt { read_ms: waiting.read_ms, left_ms: turn.ask.left_ms(now) };
-        let bears = |u: &Upstream| bears_more(cluster, service, u, turn.ask.placers, now);
-        let demand = demand_of_others(&line, prompt, turn.ask, now);
+        let prompt = Prompt { read_ms: waiting.read_ms, left_ms: turn.requirements.left_ms(now) };
+        let bears = |u: &Upstream| bears_more(cluster, service, u, turn.requirements.placers, now);
+        let demand = demand_of_others(&line, prompt, turn.requirements, now);
         let most_ms = |share: &Share| longest_part_ms(&readers, demand, prompt, share);
-        match turn_now(turn.ask, engine, &readers, prompt, most_ms, bears) {
+        match turn_now(turn.requirements, engine, &readers, prompt, most_ms, bears) {
             Some((share, place)) => {
-                readers.begin(&share, &place, turn.ask);
+                readers.begin(&share, &place, turn.requirements);
                 placed.push((turn.index, place));
             }
             None => readers.plan(prompt, most_part_ms),
@@ -109,21 +109,22 @@
 
 /// The place of a prompt whose engines are free now.
 fn turn_now(
-    ask: &Ask,
+    requirements: &Requirements,
     engine: &Engine,
     readers: &Readers<'_>,
     prompt: Prompt,
     most_part_ms: impl Fn(&Share) -> f64,
     bears: impl Fn(&Upstream) -> bool,
 ) -> Option<(Share, Place)> {
-    let may = |r: &Reader<'_>| !ask.avoid.contains(&r.candidate.upstream.tag);
-    let can_answer =
-        |r: &Reader<'_>| r.candidate.has_room(ask.memory.0, engine) && bears(r.candidate.upstream);
+    let may = |r: &Reader<'_>| !requirements.avoid.contains(&r.candidate.upstream.tag);
+    let can_answer = |r: &Reader<'_>| {
+        r.candidate.has_room(requirements.memory.0, engine) && bears(r.candidate.upstream)
+    };
     let share = readers.now(prompt, may, can_answer)?;
     if share.part_ms > most_part_ms(&share) {
         return None;
     }
-    let place = group(ask, engine, readers, &share)?;
+    let place = group(requirements, engine, readers, &share)?;
     Some((share, place))
 }
 
@@ -138,24 +139,34 @@
 
 /// Whether a prompt is too long for a service's engines even if all of them were idle: its parts would be longer
 /// than any that are placed, or than memory may be held for it.
-pub fn is_too_long(cluster: &Cluster, service: &Service, engine: &Engine, ask: &Ask) -> bool {
-    let Some(read_ms) = ask.long_read_ms(engine) else { return false };
-    if cluster.limited_rate(&service.name).is_some() && ask.memory > engine.memory {
+pub fn is_too_long(
+    cluster: &Cluster,
+    service: &Service,
+    engine: &Engine,
+    requirements: &Requirements,
+) -> bool {
+    let Some(read_ms) = requirements.long_read_ms(engine) else { return false };
+    if cluster.limited_rate(&service.name).is_some() && requirements.memory > engine.memory {
         return true;
     }
     let unlimited = cluster.open(&service.name).filter(|upstream| !upstream.is_limited());
     let engines = unlimited.count().clamp(1, MOST_ENGINES);
-    let most_ms = if ask.memory > engine.memory {
-        ask.hold_limit.as_secs_f64() * 1e3 * HOLD_MARGIN
+    let most_ms = if requirements.memory > engine.memory {
+        requirements.hold_limit.as_secs_f64() * 1e3 * HOLD_MARGIN
     } else {
-        (MOST_PART_MS * 2.0).max(ask.objective.as_secs_f64() * 1e3)
+        (MOST_PART_MS * 2.0).max(requirements.objective.as_secs_f64() * 1e3)
     };
     read_ms / engines as f64 > most_ms
 }
 
 /// What the other long prompts ask for, engines: a prompt's own reading is not in its way.
-fn demand_of_others(line: &Line<'_>, prompt: Prompt, ask: &Ask, now: Instant) -> f64 {
-    let counted = now.saturating_duration_since(ask.arrived) < DEMAND_WINDOW;
+fn demand_of_others(
+    line: &Line<'_>,
+    prompt: Prompt,
+    requirements: &Requirements,
+    now: Instant,
+) -> f64 {
+    let counted = now.saturating_duration_since(requirements.arrived) < DEMAND_WINDOW;
     let own = if counted { prompt.read_ms / (DEMAND_WINDOW.as_secs_f64() * 1e3) } else { 0.0 };
     (line.demand - own).max(0.0)
 }
@@ -168,10 +179,10 @@
     now: Instant,
 ) -> Vec<Waiting> {
     let waiting = |(index, turn): (usize, &Turn<'_>)| Waiting {
-        arrived: turn.ask.arrived,
-        read_ms: forecast::read_ms(engine, turn.ask.prompt.0),
-        objective: turn.ask.objective,
-        limit: turn.ask.limit,
+        arrived: turn.requirements.arrived,
+        read_ms: forecast::read_ms(engine, turn.requirements.prompt.0),
+        objective: turn.requirements.objective,
+        limit: turn.requirements.limit,
         index,
     };
     let waiting = turns.iter().enumerate().map(waiting).collect();
@@ -205,11 +216,16 @@
 }
 
 /// The place of a prompt at the engines that share it, if they have the memory.
-fn group(ask: &Ask, engine: &Engine, readers: &Readers<'_>, share: &Share) -> Option<Place> {
+fn group(
+    requirements: &Requirements,
+    engine: &Engine,
+    readers: &Readers<'_>,
+    share: &Share,
+) -> Option<Place> {
     let of: Vec<&Reader<'_>> = share.engines.iter().map(|index| &readers.all()[*index]).collect();
-    let Holding { main, holders } = match main_engine(engine, &of, ask.memory.0) {
+    let Holding { main, holders } = match main_engine(engine, &of, requirements.memory.0) {
         Some(main) => Holding { main, holders: Vec::new() },
-        None => spread(&of, engine, ask.memory.0)?,
+        None => spread(&of, engine, requirements.memory.0)?,
     };
     let held = |index: usize| holders.iter().find(|(holder, _)| *holder == index);
     let others = (0..of.len()).filter(|index| *index != main);
@@ -221,12 +237,12 @@
     let read = helpers.iter().map(|(c, _)| done(c)).fold(done(main), f64::max);
     let pass = forecast::pass_ms(engine, main.load.writers + 1, main.load.memory);
     let predicted_ms = read + pass * main.pace;
-    let hold_limit_ms = ask.hold_limit.as_secs_f64() * 1e3 * HOLD_MARGIN;
+    let hold_limit_ms = requirements.hold_limit.as_secs_f64() * 1e3 * HOLD_MARGIN;
     if !holders.is_empty() && predicted_ms > hold_limit_ms {
         return None;
     }
     let open = readers.all().len();
-    Some(placed(ask, main, &helpers, share.part_ms, predicted_ms, open))
+    Some(placed(requirements, main, &helpers, share.part_ms, predicted_ms, open))
 }
 
 /// The engine that answers, among those with the memory.
--- a/request/src/placement/share.rs
+++ b/request/src/placement/share.rs
@@ -8,7 +8,7 @@
 use foldlock_version::routes::Engine;
 
 use super::candidate::Candidate;
-use super::{Ask, Place};
+use super::{Place, Requirements};
 use crate::forecast;
 
 /// The shortest part of a long read, milliseconds: under it the steps of each pass cost more than
@@ -271,7 +271,7 @@
     }
 
     /// A prompt begins: its engines read it from now on.
-    pub(super) fn begin(&mut self, share: &Share, place: &Place, ask: &Ask) {
+    pub(super) fn begin(&mut self, share: &Share, place: &Place, requirements: &Requirements) {
         for index in &share.engines {
             let reader = &mut self.all[*index];
             reader.free_ms = reader.done_ms(share.part_ms);
@@ -281,7 +281,9 @@
             if *id == place.flight.upstream {
                 load.requests += 1;
                 load.memory += place.flight.memory;
-                let pause_ms = load.pause_ms.map_or(ask.pause_ms(), |ms| ms.min(ask.pause_ms()));
+                let pause_ms = load
+                    .pause_ms
+                    .map_or(requirements.pause_ms(), |ms| ms.min(requirements.pause_ms()));
                 load.pause_ms = Some(pause_ms);
             } else {
                 load.helping += 1;
--- a/request/src/route.rs
+++ b/request/src/route.rs
@@ -16,7 +16,7 @@
 
 /// What is asked of an engine.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask {
+pub struct Requirements {
     /// The prompt's tokens.
     pub prompt: Tokens,
     /// Memory for prompt and answer.
@@ -56,41 +56,41 @@
 
 impl Candidate {
     /// The work until the first token of a request on it.
-    pub fn work(&self, ask: &Ask) -> Work {
-        let uncached = ask.prompt - self.cached;
-        let queued = self.fleet.ahead(ask.class);
-        let beside = !ask.class.is_long() && self.fleet.has_long_prefill();
+    pub fn work(&self, requirements: &Requirements) -> Work {
+        let uncached = requirements.prompt - self.cached;
+        let queued = self.fleet.ahead(requirements.class);
+        let beside = !requirements.class.is_long() && self.fleet.has_long_prefill();
         let long = u32::from(beside);
         Work::new(queued.0 as f64, uncached.0 as f64, self.cached.0 as f64, long)
     }
 
     /// The predicted seconds to the first token of a request on it.
-    pub fn predict(&self, ask: &Ask) -> f64 {
-        self.speed.predict(self.work(ask)) + self.overdue
+    pub fn predict(&self, requirements: &Requirements) -> f64 {
+        self.speed.predict(self.work(requirements)) + self.overdue
     }
 
     /// Whether the memory has room by what is known.
-    pub fn fits(&self, ask: &Ask) -> bool {
-        self.fleet.memory + ask.memory <= self.memory
+    pub fn fits(&self, requirements: &Requirements) -> bool {
+        self.fleet.memory + requirements.memory <= self.memory
     }
 
     /// Why it is not to be given the request now, though it may be the best. What waits in
     /// foldlock rather than at an engine can still go elsewhere, and in fair order.
-    pub fn closed(&self, ask: &Ask) -> Option<Cause> {
-        if !self.fits(ask) {
+    pub fn closed(&self, requirements: &Requirements) -> Option<Cause> {
+        if !self.fits(requirements) {
             return Some(Cause::Memory);
         }
-        let queued = self.fleet.ahead(ask.class).0 as f64 * self.speed.seconds_per_token();
-        let own = ask.prompt.0 as f64 * self.speed.seconds_per_token();
-        let most = if ask.class.is_long() { own * LONG_QUEUED } else { SHORT_QUEUED };
+        let queued = self.fleet.ahead(requirements.class).0 as f64 * self.speed.seconds_per_token();
+        let own = requirements.prompt.0 as f64 * self.speed.seconds_per_token();
+        let most = if requirements.class.is_long() { own * LONG_QUEUED } else { SHORT_QUEUED };
         (queued > most).then_some(Cause::Engines)
     }
 
     /// What a record says of it.
-    pub fn seen(&self, ask: &Ask, score: f64) -> Seen {
+    pub fn seen(&self, requirements: &Requirements, score: f64) -> Seen {
         Seen {
             upstream: self.engine.clone(),
-            predicted_ms: self.predict(ask) * 1e3,
+            predicted_ms: self.predict(requirements) * 1e3,
             score,
             requests: self.fleet.requests,
             long: self.fleet.long,
@@ -105,7 +105,7 @@
     /// The score of each candidate, lowest best; none for one that is not to be used now.
     fn score<R: Rng>(
         &mut self,
-        ask: &Ask,
+        requirements: &Requirements,
         candidates: &[Candidate],
         rng: &mut R,
     ) -> Vec<Option<f64>>;
@@ -134,33 +134,43 @@
     pub fn choose<R: Rng>(
         &mut self,
         route: policy::Route,
-        ask: &Ask,
+        requirements: &Requirements,
         candidates: &[Candidate],
         rng: &mut R,
     ) -> Option<Choice> {
         let scores = match route {
-            policy::Route::RoundRobin => self.round_robin.score(ask, candidates, rng),
+            policy::Route::RoundRobin => self.round_robin.score(requirements, candidates, rng),
             policy::Route::LeastOutstanding => {
-                least_outstanding::LeastOutstanding.score(ask, candidates, rng)
+                least_outstanding::LeastOutstanding.score(requirements, candidates, rng)
             }
             policy::Route::TwoChoices => {
-                two_choices::TwoChoices { basis: two_choices::Basis::Report }
-                    .score(ask, candidates, rng)
+                two_choices::TwoChoices { basis: two_choices::Basis::Report }.score(
+                    requirements,
+                    candidates,
+                    rng,
+                )
             }
             policy::Route::Shared => two_choices::TwoChoices { basis: two_choices::Basis::Fleet }
-                .score(ask, candidates, rng),
-            policy::Route::LengthAware => length_aware::LengthAware.score(ask, candidates, rng),
+                .score(requirements, candidates, rng),
+            policy::Route::LengthAware => {
+                length_aware::LengthAware.score(requirements, candidates, rng)
+            }
         };
-        best(ask, candidates, &scores)
+        best(requirements, candidates, &scores)
     }
 }
 
 /// The candidate with the lowest score. Equal scores go to the earlier one: callers shuffle.
-pub fn best(ask: &Ask, candidates: &[Candidate], scores: &[Option<f64>]) -> Option<Choice> {
+pub fn best(
+    requirements: &Requirements,
+    candidates: &[Candidate],
+    scores: &[Option<f64>],
+) -> Option<Choice> {
     let mut ranked: Vec<(usize, f64)> =
         scores.iter().enumerate().filter_map(|(i, s)| s.map(|s| (i, s))).collect();
     ranked.sort_by(|a, b| a.1.total_cmp(&b.1));
     let (index, _) = *ranked.first()?;
-    let seen = ranked.iter().take(SEEN).map(|(i, s)| candidates[*i].seen(ask, *s)).collect();
+    let seen =
+        ranked.iter().take(SEEN).map(|(i, s)| candidates[*i].seen(requirements, *s)).collect();
     Some(Choice { index, seen })
 }
--- a/request/src/route/least_outstanding.rs
+++ b/request/src/route/least_outstanding.rs
@@ -2,7 +2,7 @@
 
 use rand::Rng;
 
-use super::{Ask, Candidate, Route};
+use super::{Candidate, Requirements, Route};
 
 /// The route.
 #[derive(Debug)]
@@ -11,7 +11,7 @@
 impl Route for LeastOutstanding {
     fn score<R: Rng>(
         &mut self,
-        _ask: &Ask,
+        _requirements: &Requirements,
         candidates: &[Candidate],
         _rng: &mut R,
     ) -> Vec<Option<f64>> {
--- a/request/src/route/length_aware.rs
+++ b/request/src/route/length_aware.rs
@@ -6,7 +6,7 @@
 
 use rand::Rng;
 
-use super::{Ask, Candidate, Route};
+use super::{Candidate, Requirements, Route};
 
 /// The share of its own time that a long prompt gives up for each place further down the order.
 const RANK_COST: f64 = 0.25;
@@ -23,13 +23,13 @@
 pub struct LengthAware;
 
 impl LengthAware {
-    fn of(ask: &Ask, candidate: &Candidate) -> f64 {
-        let predicted = candidate.predict(ask);
-        let mut alone = candidate.work(ask);
-        alone.tokens -= candidate.fleet.ahead(ask.class).0 as f64;
+    fn of(requirements: &Requirements, candidate: &Candidate) -> f64 {
+        let predicted = candidate.predict(requirements);
+        let mut alone = candidate.work(requirements);
+        alone.tokens -= candidate.fleet.ahead(requirements.class).0 as f64;
         let own = candidate.speed.predict(alone);
         let mut score = predicted + own * OTHERS_COST * f64::from(candidate.fleet.requests);
-        if ask.class.is_long() {
+        if requirements.class.is_long() {
             score += own * RANK_COST * f64::from(candidate.long_rank);
         }
         score * 1e3
@@ -39,16 +39,16 @@
 impl Route for LengthAware {
     fn score<R: Rng>(
         &mut self,
-        ask: &Ask,
+        requirements: &Requirements,
         candidates: &[Candidate],
         rng: &mut R,
     ) -> Vec<Option<f64>> {
         let mut score = |c: &Candidate| {
             let (part, millis) = NEAR;
             let random: f64 = rng.random();
-            LengthAware::of(ask, c) * (1.0 + part * random) + millis * random
+            LengthAware::of(requirements, c) * (1.0 + part * random) + millis * random
         };
-        let open = |c: &&Candidate| c.closed(ask).is_none();
+        let open = |c: &&Candidate| c.closed(requirements).is_none();
         candidates.iter().map(|c| Some(c).filter(open).map(&mut score)).collect()
     }
 }
--- a/request/src/route/round_robin.rs
+++ b/request/src/route/round_robin.rs
@@ -2,7 +2,7 @@
 
 use rand::Rng;
 
-use super::{Ask, Candidate, Route};
+use super::{Candidate, Requirements, Route};
 
 /// The route with its turn.
 #[derive(Debug, Default)]
@@ -13,7 +13,7 @@
 impl Route for RoundRobin {
     fn score<R: Rng>(
         &mut self,
-        _ask: &Ask,
+        _requirements: &Requirements,
         candidates: &[Candidate],
         _rng: &mut R,
     ) -> Vec<Option<f64>> {
--- a/request/src/route/two_choices.rs
+++ b/request/src/route/two_choices.rs
@@ -3,7 +3,7 @@
 use rand::Rng;
 use rand::seq::index;
 
-use super::{Ask, Candidate, Route};
+use super::{Candidate, Requirements, Route};
 
 /// What tells the load.
 #[derive(Debug, Clone, Copy)]
@@ -39,7 +39,7 @@
 impl Route for TwoChoices {
     fn score<R: Rng>(
         &mut self,
-        _ask: &Ask,
+        _requirements: &Requirements,
         candidates: &[Candidate],
         rng: &mut R,
     ) -> Vec<Option<f64>> {
--- a/request/src/scheduler.rs
+++ b/request/src/scheduler.rs
@@ -14,7 +14,7 @@
 use crate::budget::{Budget, Charge, Figures};
 use crate::cluster::{Cluster, Holder};
 use crate::fingerprint::Fingerprint;
-use crate::placement::{self, Ask, DEMAND_WINDOW, Place, Rejection, runs_alone};
+use crate::placement::{self, DEMAND_WINDOW, Place, Rejection, Requirements, runs_alone};
 use crate::pressure::Pressure;
 use crate::tag::Tag;
 
@@ -53,7 +53,7 @@
 struct Waiter {
     key: Key,
     service: Tag,
-    ask: Ask,
+    requirements: Requirements,
     heard: Instant,
 }
 
@@ -105,7 +105,7 @@
         table: &Table,
         key: Key,
         service: Tag,
-        mut ask: Ask,
+        mut requirements: Requirements,
         now: Instant,
     ) -> Answer {
         if let Some(placed) = self.placed.get(&key) {
@@ -114,22 +114,27 @@
         if let Some(waiter) = self.waiters.iter_mut().find(|waiter| waiter.key == key) {
             waiter.heard = now;
             // A rest that was asked for meanwhile, or is over.
-            waiter.ask.avoid = ask.avoid;
+            waiter.requirements.avoid = requirements.avoid;
             return Answer::Waits;
         }
         let Some(found) = find(table, service) else { return Answer::Rejected(Rejection::Closed) };
-        if let Err(held @ Rejection::Quarantined { .. }) = runs_alone(cluster, ask.fingerprint, now)
+        if let Err(held @ Rejection::Quarantined { .. }) =
+            runs_alone(cluster, requirements.fingerprint, now)
         {
             return Answer::Rejected(held);
         }
         if cluster.is_drained(&found.name) {
             return Answer::Rejected(Rejection::Drained);
         }
-        if let Err(exhausted) = self.budget.check(service, ask.charge, now) {
+        if let Err(exhausted) = self.budget.check(service, requirements.charge, now) {
             return Answer::Rejected(Rejection::OverBudget(exhausted));
         }
-        let read_ms = found.engine.as_ref().and_then(|engine| ask.long_read_ms(engine));
-        if found.engine.as_ref().is_some_and(|e| placement::is_too_long(cluster, found, e, &ask)) {
+        let read_ms = found.engine.as_ref().and_then(|engine| requirements.long_read_ms(engine));
+        if found
+            .engine
+            .as_ref()
+            .is_some_and(|e| placement::is_too_long(cluster, found, e, &requirements))
+        {
             return Answer::Rejected(Rejection::TooLarge);
         }
         let limited_rate = cluster.limited_rate(&found.name);
@@ -141,13 +146,13 @@
             let placed = if must_queue {
                 Err(Rejection::Full)
             } else {
-                placement::place(cluster, found, &ask, now)
+                placement::place(cluster, found, &requirements, now)
             };
             match placed {
                 Ok(place) => {
-                    let objective_ms = ask.objective.as_secs_f64() * 1e3;
+                    let objective_ms = requirements.objective.as_secs_f64() * 1e3;
                     self.pressure.placed(place.predicted_ms / objective_ms, now);
-                    let charged = Charged { key, service, charge: ask.charge };
+                    let charged = Charged { key, service, charge: requirements.charge };
                     return self.give(cluster, charged, place, now);
                 }
                 Err(Rejection::Full) => self.pressure.waits(now),
@@ -156,12 +161,14 @@
         }
         if let Some(rate) = limited_rate {
             let ahead = self.waiting_for(service);
-            if let Err(limited) = self.backlog.check(service, rate, &ask, ahead, false, now) {
+            if let Err(limited) =
+                self.backlog.check(service, rate, &requirements, ahead, false, now)
+            {
                 return Answer::Rejected(limited);
             }
         }
-        ask.charge = self.budget.queue(service, ask.charge);
-        self.waiters.push(Waiter { key, service, ask, heard: now });
+        requirements.charge = self.budget.queue(service, requirements.charge);
+        self.waiters.push(Waiter { key, service, requirements, heard: now });
         Answer::Waits
     }
 
@@ -229,7 +236,7 @@
             let Some(waiter) = self.waiters.iter().find(|waiter| waiter.key == key) else {
                 continue;
             };
-            if let Ok(place) = placement::place_whole(cluster, service, &waiter.ask, now) {
+            if let Ok(place) = placement::place_whole(cluster, service, &waiter.requirements, now) {
                 let charged = waiter.charged();
                 let answer = self.give(cluster, charged, place, now);
                 answers.push((key, answer));
@@ -252,7 +259,7 @@
             let Some(waiter) = self.waiters.iter().find(|waiter| waiter.key == key) else {
                 continue;
             };
-            match self.backlog.check(tag, rate, &waiter.ask, ahead, true, now) {
+            match self.backlog.check(tag, rate, &waiter.requirements, ahead, true, now) {
                 Ok(()) => ahead += 1,
                 Err(limited) => {
                     self.waiters.retain(|waiter| waiter.key != key);
@@ -266,7 +273,9 @@
     fn due(&self, service: Tag, of: impl Fn(&Waiter) -> bool) -> Vec<Key> {
         let waiters = self.waiters.iter().filter(|waiter| waiter.service == service && of(waiter));
         let mut due: Vec<(Instant, &Key)> = waiters
-            .map(|waiter| (waiter.ask.arrived + waiter.ask.objective, &waiter.key))
+            .map(|waiter| {
+                (waiter.requirements.arrived + waiter.requirements.objective, &waiter.key)
+            })
             .collect();
         due.sort();
         due.into_iter().map(|(_, key)| key.clone()).collect()
@@ -274,12 +283,14 @@
 
     /// Tells those that wait and are kept from all upstreams by now.
     fn turn_away(&mut self, cluster: &Cluster, now: Instant, answers: &mut Vec<(Key, Answer)>) {
-        self.waiters.retain(|waiter| match runs_alone(cluster, waiter.ask.fingerprint, now) {
-            Err(held @ Rejection::Quarantined { .. }) => {
-                answers.push((waiter.key.clone(), Answer::Rejected(held)));
-                false
+        self.waiters.retain(|waiter| {
+            match runs_alone(cluster, waiter.requirements.fingerprint, now) {
+                Err(held @ Rejection::Quarantined { .. }) => {
+                    answers.push((waiter.key.clone(), Answer::Rejected(held)));
+                    false
+                }
+                _ => true,
             }
-            _ => true,
         });
     }
 
@@ -306,7 +317,7 @@
             let Some(waiter) = self.waiters.iter().find(|waiter| waiter.key == key) else {
                 continue;
             };
-            if let Ok(place) = placement::place(cluster, service, &waiter.ask, now) {
+            if let Ok(place) = placement::place(cluster, service, &waiter.requirements, now) {
                 let charged = waiter.charged();
                 let answer = self.give(cluster, charged, place, now);
                 answers.push((key, answer));
@@ -327,8 +338,8 @@
         let waiters = self.waiters.iter().enumerate();
         let turns: Vec<placement::Turn<'_>> = waiters
             .filter(|(_, waiter)| waiter.service == tag && waiter.is_long(service))
-            .filter(|(_, waiter)| runs_alone(cluster, waiter.ask.fingerprint, now).is_ok())
-            .map(|(index, waiter)| placement::Turn { ask: &waiter.ask, index })
+            .filter(|(_, waiter)| runs_alone(cluster, waiter.requirements.fingerprint, now).is_ok())
+            .map(|(index, waiter)| placement::Turn { requirements: &waiter.requirements, index })
             .collect();
         if turns.is_empty() {
             return;
@@ -343,7 +354,7 @@
         let placed: Vec<(Charged, Fingerprint, Place)> = placed
             .into_iter()
             .map(|(index, place)| (&self.waiters[index], place))
-            .map(|(waiter, place)| (waiter.charged(), waiter.ask.fingerprint, place))
+            .map(|(waiter, place)| (waiter.charged(), waiter.requirements.fingerprint, place))
             .collect();
         for (charged, fingerprint, mut place) in placed {
             // Of two copies in one line the first runs alone, and the other waits for it.
@@ -398,11 +409,14 @@
 
 impl Waiter {
     fn charged(&self) -> Charged {
-        Charged { key: self.key.clone(), service: self.service, charge: self.ask.charge }
+        Charged { key: self.key.clone(), service: self.service, charge: self.requirements.charge }
     }
 
     fn is_long(&self, service: &Service) -> bool {
-        service.engine.as_ref().is_some_and(|engine| self.ask.long_read_ms(engine).is_some())
+        service
+            .engine
+            .as_ref()
+            .is_some_and(|engine| self.requirements.long_read_ms(engine).is_some())
     }
 }
 
--- a/request/src/scheduler/backlog.rs
+++ b/request/src/scheduler/backlog.rs
@@ -5,7 +5,7 @@
 
 use foldlock_base::prelude::*;
 
-use crate::placement::{Ask, Rejection};
+use crate::placement::{Rejection, Requirements};
 use crate::tag::Tag;
 
 /// Longest wait of the request at the head of the queue, even beyond its objective.
@@ -21,11 +21,11 @@
 }
 
 /// Longest acceptable waiting time.
-fn longest_wait(ask: &Ask, ahead: usize, now: Instant) -> Duration {
-    let left = |time: Duration| (ask.arrived + time).saturating_duration_since(now);
-    let in_time = left(ask.objective);
+fn longest_wait(requirements: &Requirements, ahead: usize, now: Instant) -> Duration {
+    let left = |time: Duration| (requirements.arrived + time).saturating_duration_since(now);
+    let in_time = left(requirements.objective);
     let longest = if ahead == 0 { in_time.max(FIRST_WAIT) } else { in_time };
-    longest.min(left(ask.limit))
+    longest.min(left(requirements.limit))
 }
 
 /// Retry times handed out to rejected callers, by service.
@@ -42,14 +42,14 @@
         &mut self,
         service: Tag,
         rate: Rate,
-        ask: &Ask,
+        requirements: &Requirements,
         ahead: usize,
         is_queued: bool,
         now: Instant,
     ) -> Result<(), Rejection> {
         let wait = wait(rate, ahead);
         let turn = if is_queued { self::wait(rate, 0) } else { Duration::ZERO };
-        if wait <= longest_wait(ask, ahead, now).saturating_add(turn) {
+        if wait <= longest_wait(requirements, ahead, now).saturating_add(turn) {
             return Ok(());
         }
         let after_ms = self.come_back(service, rate, wait, now).as_millis() as u64;
--- a/request/tests/cold.rs
+++ b/request/tests/cold.rs
@@ -9,7 +9,7 @@
 use foldlock_request::budget::Charge;
 use foldlock_request::cluster::{Cluster, Holder, Listed};
 use foldlock_request::fingerprint::Fingerprint;
-use foldlock_request::placement::{self, Ask, Rejection};
+use foldlock_request::placement::{self, Rejection, Requirements};
 use foldlock_request::scheduler::{Answer, Key, Scheduler};
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::{Bounds, Service, Table};
@@ -56,8 +56,8 @@
     cluster
 }
 
-fn ask(now: Instant, placers: usize) -> Ask {
-    Ask {
+fn requirements(now: Instant, placers: usize) -> Requirements {
+    Requirements {
         prompt: Tokens(0),
         memory: Tokens(0),
         objective: Duration::from_millis(300),
@@ -90,8 +90,14 @@
         if let Some(ended) = number.checked_sub(50 / every.as_millis() as u64) {
             scheduler.cancel(cluster, &key(ended), now);
         }
-        let answer =
-            scheduler.ask(cluster, &table, key(number), Tag::of("plain"), ask(now, 1), now);
+        let answer = scheduler.ask(
+            cluster,
+            &table,
+            key(number),
+            Tag::of("plain"),
+            requirements(now, 1),
+            now,
+        );
         if let Answer::Placed(place, _) = answer {
             sent.entry(place.flight.upstream).or_default().push(now);
         }
@@ -142,7 +148,7 @@
     let mut cluster = cluster(1, 1, now);
     played(&mut cluster, now, Duration::from_millis(2));
     let later = now + Duration::from_millis(1_999);
-    let placed = placement::place(&cluster, &service(), &ask(later, 1), later);
+    let placed = placement::place(&cluster, &service(), &requirements(later, 1), later);
     assert!(matches!(placed, Err(Rejection::Full)), "{placed:?}");
 }
 
@@ -157,8 +163,9 @@
         for number in 0..4_u64 {
             // Some 200 requests a second of all, each at the VM that its caller found.
             let at = now + Duration::from_millis(250 * number + vm as u64);
-            let ask = Ask { offset: vm * 7 + number as usize, ..ask(at, vms) };
-            let place = placement::place(&cluster, &service(), &ask, at).unwrap();
+            let requirements =
+                Requirements { offset: vm * 7 + number as usize, ..requirements(at, vms) };
+            let place = placement::place(&cluster, &service(), &requirements, at).unwrap();
             cluster.enter(number, place.flight.clone(), at);
             sent.entry(place.flight.upstream).or_default().push(at);
         }
@@ -176,10 +183,10 @@
     let mut there = cluster(1, 1, now);
     let mut here = cluster(1, 1, now);
     for number in 0..14 {
-        let place = placement::place(&there, &service(), &ask(now, 1), now).unwrap();
+        let place = placement::place(&there, &service(), &requirements(now, 1), now).unwrap();
         there.enter(number, place.flight.clone(), now);
     }
     here.hear(&"vm-2".parse().unwrap(), &there.told(now), 0, now);
     assert_eq!(here.begun(&upstream(0), now), 14);
-    assert!(placement::place(&here, &service(), &ask(now, 1), now).is_err());
+    assert!(placement::place(&here, &service(), &requirements(now, 1), now).is_err());
 }
--- a/request/tests/line.rs
+++ b/request/tests/line.rs
@@ -8,7 +8,7 @@
 use foldlock_request::cluster::{Cluster, Listed};
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::line::{Capacity, Waiting, order};
-use foldlock_request::placement::{self, Ask, Line, Place, Turn};
+use foldlock_request::placement::{self, Line, Place, Requirements, Turn};
 use foldlock_request::report::{Observed, Report};
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::{Engine, Service};
@@ -95,8 +95,8 @@
 }
 
 /// A prompt that arrived at that moment.
-fn ask(tokens: u64, arrived: Instant) -> Ask {
-    Ask {
+fn requirements(tokens: u64, arrived: Instant) -> Requirements {
+    Requirements {
         prompt: Tokens(tokens),
         memory: Tokens(tokens + 1_000),
         objective: Duration::from_millis(3_000),
@@ -115,9 +115,12 @@
 }
 
 /// Places what has a place now, and enters it as under way.
-fn place(cluster: &mut Cluster, asks: &[Ask], now: Instant) -> Vec<(usize, Place)> {
-    let turns: Vec<Turn<'_>> =
-        asks.iter().enumerate().map(|(index, ask)| Turn { ask, index }).collect();
+fn place(cluster: &mut Cluster, prompts: &[Requirements], now: Instant) -> Vec<(usize, Place)> {
+    let turns: Vec<Turn<'_>> = prompts
+        .iter()
+        .enumerate()
+        .map(|(index, requirements)| Turn { requirements, index })
+        .collect();
     let line = Line { turns: &turns, demand: 0.0, offset: 0, kept: 0 };
     let placed = placement::line(cluster, &service(), &ENGINE, line, now);
     for (_, place) in &placed {
@@ -135,8 +138,8 @@
 #[test]
 fn a_prompt_leaves_the_engines_to_one_that_waits_longer() {
     let (mut cluster, now) = (cluster(6), Instant::now());
-    let first = ask(182_000, now.checked_sub(Duration::from_millis(900)).unwrap());
-    let second = ask(182_000, now.checked_sub(Duration::from_millis(100)).unwrap());
+    let first = requirements(182_000, now.checked_sub(Duration::from_millis(900)).unwrap());
+    let second = requirements(182_000, now.checked_sub(Duration::from_millis(100)).unwrap());
     let placed = place(&mut cluster, &[second.clone(), first], now);
     assert_eq!(placed.iter().map(|(index, _)| *index).collect::<Vec<_>>(), [1]);
     assert!(place(&mut cluster, std::slice::from_ref(&second), now).is_empty(), "all are reading");
@@ -147,15 +150,15 @@
 #[test]
 fn prompts_that_find_different_engines_are_placed_together() {
     let (mut cluster, now) = (cluster(6), Instant::now());
-    let small = ask(12_000, now);
+    let small = requirements(12_000, now);
     let placed = place(&mut cluster, &[small.clone(), small], now);
     let [(_, one), (_, two)] = placed.as_slice() else { panic!("{placed:?}") };
     assert!(engines(one).iter().all(|engine| !engines(two).contains(engine)));
 }
 
 /// Whether a prompt has a place on idle engines, of which other long prompts ask for so many.
-fn has_place(engines: usize, demand: f64, prompt: &Ask, now: Instant) -> bool {
-    let turns = [Turn { ask: prompt, index: 0 }];
+fn has_place(engines: usize, demand: f64, prompt: &Requirements, now: Instant) -> bool {
+    let turns = [Turn { requirements: prompt, index: 0 }];
     let line = Line { turns: &turns, demand, offset: 0, kept: 0 };
     let placed = placement::line(&cluster(engines), &service(), &ENGINE, line, now);
     placed.iter().all(|(_, place)| place.predicted_ms < 4_000.0) && !placed.is_empty()
@@ -167,7 +170,7 @@
 fn the_longest_prompt_of_a_calm_day_is_read_at_once_where_enough_engines_are_left() {
     let now = Instant::now();
     let objective = Duration::from_millis(4_000);
-    let longest = Ask { objective, hold_limit: objective, ..ask(700_000, now) };
+    let longest = Requirements { objective, hold_limit: objective, ..requirements(700_000, now) };
     let own = 44_000.0 / 2_000.0;
     assert!(has_place(45, own, &longest, now), "it asks for 22 engines itself");
     assert!(has_place(45, own + 11.0, &longest, now));
@@ -182,7 +185,7 @@
 fn a_group_without_the_engines_at_fault_is_found_in_three_refusals() {
     let now = Instant::now();
     let full = [upstream(23), upstream(20), upstream(17)];
-    let mut prompt = ask(182_000, now);
+    let mut prompt = requirements(182_000, now);
     for refusals in 0..=3 {
         let placed = place(&mut cluster(24), std::slice::from_ref(&prompt), now);
         let flight = &placed[0].1.flight;
@@ -205,10 +208,10 @@
     let (mut cluster, now) = (cluster(6), Instant::now());
     let slow = Report { pace: 5.0, running: 0, waiting: 0, memory: Tokens(0), born: None };
     observe(&mut cluster, 4, Some(slow), now);
-    let placed = place(&mut cluster, &[ask(182_000, now)], now);
+    let placed = place(&mut cluster, &[requirements(182_000, now)], now);
     assert!(!engines(&placed[0].1).contains(&upstream(4)), "{placed:?}");
     let later = now + Duration::from_secs(5);
-    let placed = place(&mut cluster, &[ask(182_000, later)], later);
+    let placed = place(&mut cluster, &[requirements(182_000, later)], later);
     assert!(engines(&placed[0].1).contains(&upstream(4)), "an old report counts no more");
 }
 
@@ -218,7 +221,7 @@
     let now = Instant::now();
     observe(&mut here, 5, None, now);
     there.hear_reports(&here.told_reports(now), now);
-    let placed = place(&mut there, &[ask(182_000, now)], now);
+    let placed = place(&mut there, &[requirements(182_000, now)], now);
     assert!(!engines(&placed[0].1).contains(&upstream(5)), "{placed:?}");
 }
 
@@ -280,10 +283,10 @@
         tokens in prop::collection::vec(30_000_u64..300_000, 1..12),
     ) {
         let (mut cluster, now) = (cluster(12), Instant::now());
-        let asks: Vec<Ask> = tokens.iter().enumerate().map(|(i, tokens)| {
-            ask(*tokens, now.checked_sub(Duration::from_millis(10 * i as u64)).unwrap())
+        let prompts: Vec<Requirements> = tokens.iter().enumerate().map(|(i, tokens)| {
+            requirements(*tokens, now.checked_sub(Duration::from_millis(10 * i as u64)).unwrap())
         }).collect();
-        let placed = place(&mut cluster, &asks, now);
+        let placed = place(&mut cluster, &prompts, now);
         prop_assert!(!placed.is_empty());
         let mut used: Vec<id::Upstream> = Vec::new();
         for (_, place) in &placed {
--- a/request/tests/message.rs
+++ b/request/tests/message.rs
@@ -6,7 +6,7 @@
 use foldlock_request::budget::Charge;
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::message::{Asked, Beat, Message, Number, State, Work, decode, encode};
-use foldlock_request::placement::Ask;
+use foldlock_request::placement::Requirements;
 use foldlock_request::tag::Tag;
 use proptest::prelude::*;
 
@@ -38,7 +38,7 @@
 #[test]
 fn what_is_asked_for_is_told_by_ages() {
     let sent = Instant::now();
-    let ask = Ask {
+    let requirements = Requirements {
         prompt: Tokens(5_000),
         memory: Tokens(6_000),
         objective: Duration::from_millis(400),
@@ -55,12 +55,12 @@
         charge: Charge::Withdraw,
     };
     let request = Number { incarnation: 1, number: 8 };
-    let message = Message::Asked(Asked::new(request, Tag::of("model"), &ask, true, sent));
+    let message = Message::Asked(Asked::new(request, Tag::of("model"), &requirements, true, sent));
     let Message::Asked(asked) = decode(&encode(&message)).unwrap() else { panic!("{message:?}") };
     assert_eq!((asked.request, asked.service), (request, Tag::of("model")));
     let heard = sent + Duration::from_millis(3);
     let arrived = heard.checked_sub(Duration::from_millis(70)).unwrap();
-    assert_eq!(asked.ask("a".to_owned(), heard), Ask { arrived, ..ask });
+    assert_eq!(asked.requirements("a".to_owned(), heard), Requirements { arrived, ..requirements });
 }
 
 #[test]
--- a/request/tests/patterns/crash.rs
+++ b/request/tests/patterns/crash.rs
@@ -11,7 +11,7 @@
 use foldlock_request::budget::Charge;
 use foldlock_request::cluster::{Cluster, Listed};
 use foldlock_request::fingerprint::Fingerprint;
-use foldlock_request::placement::{self, Ask, Rejection};
+use foldlock_request::placement::{self, Rejection, Requirements};
 use foldlock_request::quarantine::Ending;
 use foldlock_version::routes::Service;
 use rand::rngs::StdRng;
@@ -120,7 +120,7 @@
     }
 
     fn place(&mut self, request: &mut Request) -> Result<(), Rejection> {
-        let ask = Ask {
+        let requirements = Requirements {
             prompt: Tokens(4_960),
             memory: Tokens(6_300),
             objective: Duration::from_millis(300),
@@ -136,7 +136,7 @@
             placers: 1,
             charge: Charge::Free,
         };
-        let place = placement::place(&self.cluster, &self.service, &ask, self.now)?;
+        let place = placement::place(&self.cluster, &self.service, &requirements, self.now)?;
         let number = self.cluster.number();
         let name = place.flight.upstream.as_str();
         let engine = name[2..4].parse().unwrap();
--- a/request/tests/patterns/play.rs
+++ b/request/tests/patterns/play.rs
@@ -10,7 +10,7 @@
 use foldlock_request::cluster::{Cluster, Holder, Listed};
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::forecast;
-use foldlock_request::placement::{Ask, Place};
+use foldlock_request::placement::{Place, Requirements};
 use foldlock_request::report::Observed;
 use foldlock_request::scheduler::{Answer, Key, Scheduler};
 use foldlock_request::tag::Tag;
@@ -196,10 +196,10 @@
         }
     }
 
-    fn ask_for(&self, index: usize) -> Ask {
+    fn requirements_for(&self, index: usize) -> Requirements {
         let request = &self.requests[index];
         let kind = &request.kind;
-        Ask {
+        Requirements {
             prompt: Tokens(request.tokens),
             memory: Tokens(request.tokens + self.figures.usual_answer.0),
             objective: Duration::from_millis(kind.objective_ms),
@@ -228,9 +228,10 @@
     }
 
     fn ask_as(&mut self, number: u64, index: usize, now: Instant) {
-        let ask = self.ask_for(index);
+        let requirements = self.requirements_for(index);
         let (cluster, table) = (&mut self.cluster, &self.table);
-        let answer = self.scheduler.ask(cluster, table, Play::key(number), self.service, ask, now);
+        let answer =
+            self.scheduler.ask(cluster, table, Play::key(number), self.service, requirements, now);
         if let Answer::Placed(place, _) = answer {
             self.placed(number, *place, now);
         }
--- a/request/tests/placement.rs
+++ b/request/tests/placement.rs
@@ -9,7 +9,7 @@
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::flight::Flight;
 use foldlock_request::forecast;
-use foldlock_request::placement::{self, Ask, Place, Rejection};
+use foldlock_request::placement::{self, Place, Rejection, Requirements};
 use foldlock_request::suspicion::{Failure, Outcome};
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::{Engine, Service};
@@ -65,8 +65,8 @@
     cluster
 }
 
-fn ask(route: Route, tokens: u64) -> Ask {
-    Ask {
+fn requirements(route: Route, tokens: u64) -> Requirements {
+    Requirements {
         prompt: Tokens(tokens),
         memory: Tokens(tokens + 1_000),
         objective: Duration::from_millis(route.objective),
@@ -84,8 +84,8 @@
     }
 }
 
-fn place(cluster: &Cluster, ask: &Ask, now: Instant) -> Result<Place, Rejection> {
-    placement::place(cluster, &service(Some(ENGINE)), ask, now)
+fn place(cluster: &Cluster, requirements: &Requirements, now: Instant) -> Result<Place, Rejection> {
+    placement::place(cluster, &service(Some(ENGINE)), requirements, now)
 }
 
 fn begin(cluster: &mut Cluster, flight: Flight, now: Instant) -> u64 {
@@ -95,8 +95,12 @@
 }
 
 /// Places a request and enters it as under way.
-fn enter(cluster: &mut Cluster, ask: &Ask, now: Instant) -> Result<Place, Rejection> {
-    let place = place(cluster, ask, now)?;
+fn enter(
+    cluster: &mut Cluster,
+    requirements: &Requirements,
+    now: Instant,
+) -> Result<Place, Rejection> {
+    let place = place(cluster, requirements, now)?;
     begin(cluster, place.flight.clone(), now);
     Ok(place)
 }
@@ -116,21 +120,21 @@
     let (mut cluster, now) = (cluster(9), Instant::now());
     let plain = service(None);
     let connected = vec![Tag::of(upstream(5).as_str())];
-    let ask = Ask { connected, ..ask(SHORT, 0) };
-    let placed = placement::place(&cluster, &plain, &ask, now).unwrap();
+    let requirements = Requirements { connected, ..requirements(SHORT, 0) };
+    let placed = placement::place(&cluster, &plain, &requirements, now).unwrap();
     assert_eq!(placed.flight.upstream, upstream(5));
     begin(&mut cluster, placed.flight, now);
-    let placed = placement::place(&cluster, &plain, &ask, now).unwrap();
+    let placed = placement::place(&cluster, &plain, &requirements, now).unwrap();
     assert_ne!(placed.flight.upstream, upstream(5));
 }
 
 #[test]
 fn short_prompts_fill_one_engine_after_the_other() {
     let (mut cluster, now) = (cluster(4), Instant::now());
-    let ask = ask(SHORT, 1_000);
+    let requirements = requirements(SHORT, 1_000);
     for n in 0..32 {
         let number = {
-            let place = place(&cluster, &ask, now).unwrap();
+            let place = place(&cluster, &requirements, now).unwrap();
             let number = begin(&mut cluster, place.flight.clone(), now);
             assert_eq!(place.flight.upstream, upstream(n / 16), "request {n}");
             number
@@ -143,11 +147,11 @@
 fn a_long_prompt_is_read_by_several_engines_away_from_short_ones() {
     let (mut cluster, now) = (cluster(6), Instant::now());
     for _ in 0..2 {
-        let placed = enter(&mut cluster, &ask(SHORT, 5_000), now).unwrap();
+        let placed = enter(&mut cluster, &requirements(SHORT, 5_000), now).unwrap();
         assert_eq!(placed.flight.upstream, upstream(0));
         assert!(placed.flight.helpers.is_empty());
     }
-    let placed = enter(&mut cluster, &ask(LONG, 133_000), now).unwrap();
+    let placed = enter(&mut cluster, &requirements(LONG, 133_000), now).unwrap();
     let read: Vec<_> = placed.flight.helpers.iter().map(|h| &h.upstream).collect();
     assert_eq!(read.len(), 4, "the five engines without a short answer");
     assert_ne!(placed.flight.upstream, upstream(0));
@@ -170,18 +174,18 @@
         };
         begin(&mut cluster, flight, now);
     }
-    let placed = enter(&mut cluster, &ask(LONG, 60_000), now).unwrap();
+    let placed = enter(&mut cluster, &requirements(LONG, 60_000), now).unwrap();
     let pass = forecast::pass_ms(&ENGINE, 2, 6_000);
     assert!(f64::from(placed.flight.part_ms) + pass <= 250.0, "{placed:?}");
-    let heavy = place(&cluster, &ask(LONG, 300_000), now);
+    let heavy = place(&cluster, &requirements(LONG, 300_000), now);
     assert_eq!(heavy.unwrap_err(), Rejection::Full);
-    assert!(place(&cluster, &ask(SHORT, 5_000), now).is_ok());
+    assert!(place(&cluster, &requirements(SHORT, 5_000), now).is_ok());
 }
 
 #[test]
 fn a_prompt_beyond_one_engine_is_held_by_several() {
     let (mut cluster, now) = (cluster(12), Instant::now());
-    let placed = enter(&mut cluster, &ask(LONG, 300_000), now).unwrap();
+    let placed = enter(&mut cluster, &requirements(LONG, 300_000), now).unwrap();
     let held: u64 = placed.flight.helpers.iter().map(|h| h.held).sum();
     assert!(held > 0);
     assert_eq!(placed.flight.memory + held, 301_000);
@@ -192,7 +196,7 @@
 #[test]
 fn the_longest_prompts_find_a_place_on_an_idle_fleet() {
     let (mut cluster, now) = (cluster(18), Instant::now());
-    let placed = enter(&mut cluster, &ask(LONG, 600_000), now).unwrap();
+    let placed = enter(&mut cluster, &requirements(LONG, 600_000), now).unwrap();
     assert_eq!(placed.flight.helpers.len(), 16);
     assert!(placed.predicted_ms < 2_500.0, "{}", placed.predicted_ms);
 }
@@ -200,20 +204,23 @@
 #[test]
 fn a_heavy_prompt_waits_for_idle_engines() {
     let (mut cluster, now) = (cluster(12), Instant::now());
-    enter(&mut cluster, &ask(LONG, 300_000), now).unwrap();
-    let second = place(&cluster, &ask(LONG, 300_000), now);
+    enter(&mut cluster, &requirements(LONG, 300_000), now).unwrap();
+    let second = place(&cluster, &requirements(LONG, 300_000), now);
     assert_eq!(second.unwrap_err(), Rejection::Full);
     let later = now + Duration::from_secs(2);
-    assert!(place(&cluster, &ask(LONG, 300_000), later).is_ok(), "read by then");
+    assert!(place(&cluster, &requirements(LONG, 300_000), later).is_ok(), "read by then");
 }
 
 #[test]
 fn a_part_is_not_put_on_top_of_others_that_are_unread() {
     let (mut cluster, now) = (cluster(4), Instant::now());
-    enter(&mut cluster, &ask(LONG, 133_000), now).unwrap();
-    let second = ask(LONG, 100_000);
+    enter(&mut cluster, &requirements(LONG, 133_000), now).unwrap();
+    let second = requirements(LONG, 100_000);
     assert_eq!(place(&cluster, &second, now).unwrap_err(), Rejection::Full);
-    let aged = Ask { arrived: now.checked_sub(Duration::from_secs(6)).unwrap(), ..second.clone() };
+    let aged = Requirements {
+        arrived: now.checked_sub(Duration::from_secs(6)).unwrap(),
+        ..second.clone()
+    };
     assert_eq!(place(&cluster, &aged, now).unwrap_err(), Rejection::Full, "however long it waited");
     assert!(place(&cluster, &second, now + Duration::from_millis(600)).is_ok(), "read by then");
 }
@@ -222,14 +229,14 @@
 fn a_heavy_prompt_is_read_by_the_engines_apart_from_short_answers() {
     let (mut cluster, now) = (cluster(12), Instant::now());
     for i in (0..6).chain(0..6) {
-        let placed = place(&cluster, &ask(SHORT, 5_000), now).unwrap();
+        let placed = place(&cluster, &requirements(SHORT, 5_000), now).unwrap();
         begin(&mut cluster, Flight { upstream: upstream(i), writing: true, ..placed.flight }, now);
     }
-    let placed = enter(&mut cluster, &ask(LONG, 220_000), now).unwrap();
+    let placed = enter(&mut cluster, &requirements(LONG, 220_000), now).unwrap();
     let read: Vec<_> = placed.flight.helpers.iter().map(|h| h.upstream.clone()).collect();
     assert!(read.iter().chain([&placed.flight.upstream]).all(|id| *id > upstream(5)), "{read:?}");
     assert!(placed.predicted_ms < 1_000.0, "{}", placed.predicted_ms);
-    let next = ask(LONG, 220_000);
+    let next = requirements(LONG, 220_000);
     assert_eq!(place(&cluster, &next, now).unwrap_err(), Rejection::Full, "they are busy now");
 }
 
@@ -237,12 +244,13 @@
 fn a_prompt_that_several_engines_hold_is_read_before_the_hold_may_have_to_end() {
     let (mut cluster, now) = (cluster(12), Instant::now());
     for i in (0..6).chain(0..6) {
-        let placed = place(&cluster, &ask(SHORT, 5_000), now).unwrap();
+        let placed = place(&cluster, &requirements(SHORT, 5_000), now).unwrap();
         begin(&mut cluster, Flight { upstream: upstream(i), writing: true, ..placed.flight }, now);
     }
-    let brief = Ask { hold_limit: Duration::from_millis(1_500), ..ask(LONG, 300_000) };
+    let brief =
+        Requirements { hold_limit: Duration::from_millis(1_500), ..requirements(LONG, 300_000) };
     assert_eq!(place(&cluster, &brief, now).unwrap_err(), Rejection::Full, "1.3 s on five engines");
-    let placed = place(&cluster, &ask(LONG, 300_000), now).unwrap();
+    let placed = place(&cluster, &requirements(LONG, 300_000), now).unwrap();
     assert!(placed.flight.holds_memory());
     assert!(placed.predicted_ms < 2_400.0 * 0.85, "{}", placed.predicted_ms);
 }
@@ -251,37 +259,42 @@
 fn a_lone_short_answer_does_not_keep_long_parts_away() {
     let (mut cluster, now) = (cluster(6), Instant::now());
     for i in 0..6 {
-        let placed = place(&cluster, &ask(SHORT, 5_000), now).unwrap();
+        let placed = place(&cluster, &requirements(SHORT, 5_000), now).unwrap();
         begin(&mut cluster, Flight { upstream: upstream(i), writing: true, ..placed.flight }, now);
     }
-    let alone = place(&cluster, &ask(LONG, 220_000), now).unwrap();
+    let alone = place(&cluster, &requirements(LONG, 220_000), now).unwrap();
     assert!(alone.flight.part_ms > 250.0, "{alone:?}");
     for i in 0..6 {
-        let placed = place(&cluster, &ask(SHORT, 5_000), now).unwrap();
+        let placed = place(&cluster, &requirements(SHORT, 5_000), now).unwrap();
         begin(&mut cluster, Flight { upstream: upstream(i), writing: true, ..placed.flight }, now);
     }
-    assert_eq!(place(&cluster, &ask(LONG, 220_000), now).unwrap_err(), Rejection::Full);
+    assert_eq!(place(&cluster, &requirements(LONG, 220_000), now).unwrap_err(), Rejection::Full);
 }
 
 #[test]
 fn upstreams_that_failed_are_passed_over_while_there_are_others() {
     let (mut cluster, now) = (cluster(2), Instant::now());
     cluster.note(&upstream(0), Outcome::Failed(Failure::Silent), now);
-    let placed = place(&cluster, &ask(SHORT, 5_000), now).unwrap();
+    let placed = place(&cluster, &requirements(SHORT, 5_000), now).unwrap();
     assert_eq!(placed.flight.upstream, upstream(1));
     let avoid = vec![Tag::of("i-01")];
-    let placed = place(&cluster, &Ask { avoid, ..ask(SHORT, 5_000) }, now).unwrap();
+    let placed =
+        place(&cluster, &Requirements { avoid, ..requirements(SHORT, 5_000) }, now).unwrap();
     assert_eq!(placed.flight.upstream, upstream(0), "better than none");
     let avoid = vec![Tag::of("i-00"), Tag::of("i-01")];
-    let none = place(&cluster, &Ask { avoid, ..ask(SHORT, 5_000) }, now);
+    let none = place(&cluster, &Requirements { avoid, ..requirements(SHORT, 5_000) }, now);
     assert_eq!(none.unwrap_err(), Rejection::Closed);
 }
 
 #[test]
 fn the_own_hall_comes_first() {
     let (cluster, now) = (cluster(4), Instant::now());
-    let placed =
-        place(&cluster, &Ask { hall: "odd".to_owned(), ..ask(SHORT, 5_000) }, now).unwrap();
+    let placed = place(
+        &cluster,
+        &Requirements { hall: "odd".to_owned(), ..requirements(SHORT, 5_000) },
+        now,
+    )
+    .unwrap();
     assert_eq!(placed.flight.upstream, upstream(1));
 }
 
@@ -290,7 +303,8 @@
     let (mut cluster, now) = (cluster(3), Instant::now());
     let mut seen: Vec<String> = (0..3)
         .map(|_| {
-            let plain = placement::place(&cluster, &service(None), &ask(SHORT, 0), now).unwrap();
+            let plain =
+                placement::place(&cluster, &service(None), &requirements(SHORT, 0), now).unwrap();
             begin(&mut cluster, plain.flight.clone(), now);
             plain.flight.upstream.to_string()
         })
@@ -311,8 +325,8 @@
             for (is_short, tokens, after_ms) in asks {
             now += Duration::from_millis(after_ms);
             let (route, tokens) = if is_short { (SHORT, tokens % 24_000) } else { (LONG, tokens) };
-            let ask = ask(route, tokens);
-            let Ok(placed) = enter(&mut cluster, &ask, now) else { continue };
+            let requirements = requirements(route, tokens);
+            let Ok(placed) = enter(&mut cluster, &requirements, now) else { continue };
             let mut group: Vec<&id::Upstream> =
                 placed.flight.helpers.iter().map(|h| &h.upstream).collect();
             group.push(&placed.flight.upstream);
@@ -322,7 +336,7 @@
             prop_assert_eq!(group.len(), size);
             prop_assert!(size <= 17);
             let held: u64 = placed.flight.helpers.iter().map(|h| h.held).sum();
-            prop_assert!(placed.flight.memory + held >= ask.memory.0);
+            prop_assert!(placed.flight.memory + held >= requirements.memory.0);
             for (upstream, load) in cluster.loads(None, now) {
                 prop_assert!(load.requests <= ENGINE.slots, "{} has {:?}", upstream, load);
                 prop_assert!(load.memory <= ENGINE.memory.0, "{} has {:?}", upstream, load);
@@ -347,7 +361,7 @@
     let mut cluster = cluster(18);
     limit(&mut cluster, 6, 2.0, now);
     let later = now + Duration::from_secs(1);
-    let prompt = Ask { arrived: later, ..ask(LONG, 133_000) };
+    let prompt = Requirements { arrived: later, ..requirements(LONG, 133_000) };
     let place = place(&cluster, &prompt, later).unwrap();
     assert!(!place.flight.helpers.is_empty());
     let limited: Vec<id::Upstream> = (0..6).map(upstream).collect();
@@ -365,7 +379,7 @@
     limit(&mut cluster, 4, 2.0, now);
     let later = now + Duration::from_secs(1);
     let service = service(Some(ENGINE));
-    let prompt = Ask { arrived: later, ..ask(LONG, 133_000) };
+    let prompt = Requirements { arrived: later, ..requirements(LONG, 133_000) };
     assert!(!placement::is_too_long(&cluster, &service, &ENGINE, &prompt));
     for _ in 0..4 {
         let place = placement::place_whole(&cluster, &service, &prompt, later).unwrap();
@@ -375,7 +389,7 @@
     let fifth = placement::place_whole(&cluster, &service, &prompt, later);
     assert!(matches!(fifth, Err(Rejection::Full)), "each takes one in half a second: {fifth:?}");
     // What only several of them hold is known not to be servable.
-    assert!(placement::is_too_long(&cluster, &service, &ENGINE, &ask(LONG, 300_000)));
+    assert!(placement::is_too_long(&cluster, &service, &ENGINE, &requirements(LONG, 300_000)));
 }
 
 /// Guards against a limit that is believed for ever, since its engine gets nothing while others have room.
@@ -387,8 +401,8 @@
     let mut sent = [0, 0];
     for step in 1..50 {
         let at = now + Duration::from_millis(200 * step);
-        let ask = Ask { arrived: at, ..ask(SHORT, 5_000) };
-        let place = place(&cluster, &ask, at).unwrap();
+        let requirements = Requirements { arrived: at, ..requirements(SHORT, 5_000) };
+        let place = place(&cluster, &requirements, at).unwrap();
         let engine = usize::from(place.flight.upstream == upstream(1));
         sent[engine] += 1;
         let number = begin(&mut cluster, place.flight, at);
--- a/request/tests/rate_limits/fleet.rs
+++ b/request/tests/rate_limits/fleet.rs
@@ -9,7 +9,7 @@
 use foldlock_request::cluster::{Cluster, Holder, Listed};
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::flight::Flight;
-use foldlock_request::placement::{Ask, Place, Rejection};
+use foldlock_request::placement::{Place, Rejection, Requirements};
 use foldlock_request::rate_limit::Entry;
 use foldlock_request::scheduler::{Answer, Key, Scheduler};
 use foldlock_request::tag::Tag;
@@ -76,8 +76,8 @@
     cluster
 }
 
-pub(crate) fn ask(now: Instant, number: u64) -> Ask {
-    Ask {
+pub(crate) fn requirements(now: Instant, number: u64) -> Requirements {
+    Requirements {
         prompt: Tokens(0),
         memory: Tokens(0),
         objective: Duration::from_millis(300),
@@ -237,14 +237,20 @@
         }
         self.vms[vm].numbers += 1;
         let number = self.vms[vm].numbers;
-        let ask = ask(self.now, number);
+        let requirements = requirements(self.now, number);
         // A grant without knowledge of the limit is given back once, with the limit.
         for _ in 0..2 {
             let Some(scheduler) = self.scheduler_of(vm) else { break };
             let key = self.key(vm, scheduler, number);
             let Vm { cluster, scheduler: of, .. } = &mut self.vms[scheduler];
-            let answer =
-                of.ask(cluster, &self.table, key.clone(), Tag::of("plain"), ask.clone(), self.now);
+            let answer = of.ask(
+                cluster,
+                &self.table,
+                key.clone(),
+                Tag::of("plain"),
+                requirements.clone(),
+                self.now,
+            );
             match answer {
                 Answer::Placed(place, _) if self.send(vm, scheduler, number, &place) => return,
                 Answer::Placed(..) => {
--- a/request/tests/rate_limits/main.rs
+++ b/request/tests/rate_limits/main.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use fleet::{
-    Fleet, SCHEDULERS, SPAN, STEP, UPSTREAMS, ask, cluster, rate, table, upstream, vm_name,
+    Fleet, SCHEDULERS, SPAN, STEP, UPSTREAMS, cluster, rate, requirements, table, upstream, vm_name,
 };
 use foldlock_request::cluster::Holder;
 use foldlock_request::placement::Rejection;
@@ -159,8 +159,8 @@
     let mut after_ms = Vec::new();
     for number in 0..20 {
         let key = Key { holder: Holder::Own, incarnation: 1, number };
-        let ask = ask(now, number);
-        match scheduler.ask(&mut cluster, &table, key, Tag::of("plain"), ask, now) {
+        let requirements = requirements(now, number);
+        match scheduler.ask(&mut cluster, &table, key, Tag::of("plain"), requirements, now) {
             Answer::Rejected(Rejection::Limited { after_ms: after }) => after_ms.push(after),
             answer => assert!(matches!(answer, Answer::Waits), "{answer:?}"),
         }
--- a/request/tests/scheduler.rs
+++ b/request/tests/scheduler.rs
@@ -7,7 +7,7 @@
 use foldlock_request::budget::Charge;
 use foldlock_request::cluster::{Cluster, Holder, Listed};
 use foldlock_request::fingerprint::Fingerprint;
-use foldlock_request::placement::{Ask, Place, Rejection};
+use foldlock_request::placement::{Place, Rejection, Requirements};
 use foldlock_request::quarantine::Ending;
 use foldlock_request::scheduler::{Answer, Key, Scheduler};
 use foldlock_request::tag::Tag;
@@ -74,8 +74,8 @@
     Key { holder: Holder::Peer(vm(vm_index)), incarnation: 1, number }
 }
 
-fn short(arrived: Instant) -> Ask {
-    Ask {
+fn short(arrived: Instant) -> Requirements {
+    Requirements {
         prompt: Tokens(5_000),
         memory: Tokens(6_500),
         objective: Duration::from_millis(400),
@@ -93,8 +93,8 @@
     }
 }
 
-fn long(tokens: u64, arrived: Instant) -> Ask {
-    Ask {
+fn long(tokens: u64, arrived: Instant) -> Requirements {
+    Requirements {
         prompt: Tokens(tokens),
         memory: Tokens(tokens + 800),
         objective: Duration::from_millis(3_000),
@@ -117,9 +117,9 @@
         Fleet { cluster: cluster(engines), table: table(), scheduler, now: Instant::now() }
     }
 
-    fn ask(&mut self, key: Key, ask: Ask) -> Answer {
+    fn ask(&mut self, key: Key, requirements: Requirements) -> Answer {
         let model = Tag::of("model");
-        self.scheduler.ask(&mut self.cluster, &self.table, key, model, ask, self.now)
+        self.scheduler.ask(&mut self.cluster, &self.table, key, model, requirements, self.now)
     }
 
     fn look(&mut self) -> Vec<(Key, Place)> {
@@ -150,23 +150,23 @@
 #[test]
 fn who_asks_again_gets_the_same_place() {
     let mut fleet = Fleet::new(3);
-    let ask = short(fleet.now);
-    let (place, grant) = placed(fleet.ask(key(1, 1), ask.clone()));
+    let requirements = short(fleet.now);
+    let (place, grant) = placed(fleet.ask(key(1, 1), requirements.clone()));
     fleet.after(25);
-    let (again, grant_again) = placed(fleet.ask(key(1, 1), ask.clone()));
+    let (again, grant_again) = placed(fleet.ask(key(1, 1), requirements.clone()));
     assert_eq!((place.flight, grant), (again.flight, grant_again));
     assert_eq!(fleet.cluster.under_way(), 1);
-    let (_, next) = placed(fleet.ask(key(1, 2), ask));
+    let (_, next) = placed(fleet.ask(key(1, 2), requirements));
     assert!(next > grant, "each place has a higher number");
 }
 
 #[test]
 fn many_vms_that_ask_at_one_moment_do_not_meet_at_one_engine() {
     let mut fleet = Fleet::new(12);
-    let ask = short(fleet.now);
+    let requirements = short(fleet.now);
     let mut reading = std::collections::HashMap::new();
     for i in 0..24 {
-        let (place, _) = placed(fleet.ask(key(i, 1), ask.clone()));
+        let (place, _) = placed(fleet.ask(key(i, 1), requirements.clone()));
         *reading.entry(place.flight.upstream).or_insert(0_u32) += 1;
         assert!(place.predicted_ms <= 0.85 * 400.0, "{}", place.predicted_ms);
     }
@@ -202,10 +202,10 @@
 fn who_waits_is_not_placed_where_it_may_not_be_sent_by_now() {
     let mut fleet = Fleet::new(2);
     let engines: Vec<Tag> = fleet.cluster.ids().map(|id| fleet.cluster.tag_of(id)).collect();
-    let ask = long(60_000, fleet.now);
+    let requirements = long(60_000, fleet.now);
     for barred in engines {
-        assert!(matches!(fleet.ask(key(1, 1), ask.clone()), Answer::Waits));
-        let asked_again = Ask { avoid: vec![barred], ..ask.clone() };
+        assert!(matches!(fleet.ask(key(1, 1), requirements.clone()), Answer::Waits));
+        let asked_again = Requirements { avoid: vec![barred], ..requirements.clone() };
         assert!(matches!(fleet.ask(key(1, 1), asked_again), Answer::Waits));
         let placed = fleet.look();
         let [(_, place)] = placed.as_slice() else { panic!("{placed:?}") };
@@ -219,9 +219,9 @@
 #[test]
 fn what_asks_no_more_holds_up_nobody() {
     let mut fleet = Fleet::new(6);
-    let ask = long(190_000, fleet.now);
-    fleet.ask(key(1, 1), ask.clone());
-    fleet.ask(key(2, 1), ask.clone());
+    let requirements = long(190_000, fleet.now);
+    fleet.ask(key(1, 1), requirements.clone());
+    fleet.ask(key(2, 1), requirements.clone());
     fleet.cancel(&key(1, 1));
     let placed = fleet.look();
     assert_eq!(placed.iter().map(|(key, _)| key.clone()).collect::<Vec<_>>(), [key(2, 1)]);
@@ -232,13 +232,13 @@
 #[test]
 fn a_vm_that_falls_silent_waits_for_nothing() {
     let mut fleet = Fleet::new(6);
-    let ask = long(190_000, fleet.now);
-    fleet.ask(key(1, 1), ask.clone());
-    fleet.ask(key(2, 1), ask.clone());
+    let requirements = long(190_000, fleet.now);
+    fleet.ask(key(1, 1), requirements.clone());
+    fleet.ask(key(2, 1), requirements.clone());
     fleet.look();
     fleet.after(400);
-    fleet.ask(key(2, 1), ask.clone());
-    fleet.ask(key(1, 1), ask);
+    fleet.ask(key(2, 1), requirements.clone());
+    fleet.ask(key(1, 1), requirements);
     fleet.after(700);
     fleet.look();
     assert_eq!(fleet.scheduler.waiting(), 0);
@@ -258,7 +258,7 @@
 #[test]
 fn a_prompt_beyond_all_engines_together_is_refused_at_once() {
     let now = Instant::now();
-    let long = |tokens| Ask {
+    let long = |tokens| Requirements {
         prompt: Tokens(tokens),
         memory: Tokens(tokens + 1_000),
         objective: Duration::from_secs(4),
@@ -276,11 +276,12 @@
 #[test]
 fn a_service_that_is_not_known_has_no_place() {
     let mut fleet = Fleet::new(1);
-    let ask = short(fleet.now);
+    let requirements = short(fleet.now);
     let Fleet { scheduler, cluster, table, now } = &mut fleet;
-    let answer = scheduler.ask(cluster, table, key(1, 1), Tag::of("other"), ask.clone(), *now);
+    let answer =
+        scheduler.ask(cluster, table, key(1, 1), Tag::of("other"), requirements.clone(), *now);
     assert!(matches!(answer, Answer::Rejected(Rejection::Closed)), "{answer:?}");
-    let answer = scheduler.ask(cluster, table, key(1, 2), Tag::of("plain"), ask, *now);
+    let answer = scheduler.ask(cluster, table, key(1, 2), Tag::of("plain"), requirements, *now);
     assert!(matches!(answer, Answer::Rejected(Rejection::Closed)), "no upstream of it is listed");
 }
 
@@ -294,10 +295,10 @@
         let mut fleet = Fleet::new(8);
         for (vm, number, tokens, after_ms, step) in steps {
             fleet.after(after_ms);
-            let ask = if tokens < 20_000 { short(fleet.now) } else { long(tokens, fleet.now) };
+            let requirements = if tokens < 20_000 { short(fleet.now) } else { long(tokens, fleet.now) };
             match step {
                 0 | 1 => {
-                    fleet.ask(key(vm, number), ask);
+                    fleet.ask(key(vm, number), requirements);
                 }
                 2 => fleet.cancel(&key(vm, number)),
                 _ => {
@@ -319,29 +320,29 @@
 }
 
 /// Two upstreams ended under a request: it may be the cause, or have been beside the one that is.
-fn suspect(fleet: &mut Fleet, ask: &Ask) {
+fn suspect(fleet: &mut Fleet, requirements: &Requirements) {
     for upstream in ["i-900", "i-901"] {
         let ending = Ending { upstream: Tag::of(upstream), alone: false };
-        fleet.cluster.quarantine.ended(ask.fingerprint, ending, fleet.now);
+        fleet.cluster.quarantine.ended(requirements.fingerprint, ending, fleet.now);
     }
 }
 
-fn suspicious(ask: Ask) -> Ask {
-    Ask { fingerprint: Fingerprint::of("", "POST", "/deadly/", b""), ..ask }
+fn suspicious(requirements: Requirements) -> Requirements {
+    Requirements { fingerprint: Fingerprint::of("", "POST", "/deadly/", b""), ..requirements }
 }
 
 #[test]
 fn a_suspect_runs_at_an_upstream_that_is_left_to_it() {
-    for suspected in [short as fn(Instant) -> Ask, |now| long(60_000, now)] {
+    for suspected in [short as fn(Instant) -> Requirements, |now| long(60_000, now)] {
         let mut fleet = Fleet::new(6);
         let beside = placed(fleet.ask(key(0, 1), short(fleet.now))).0;
-        let ask = suspicious(suspected(fleet.now));
-        suspect(&mut fleet, &ask);
-        let alone = match fleet.ask(key(0, 2), ask.clone()) {
+        let requirements = suspicious(suspected(fleet.now));
+        suspect(&mut fleet, &requirements);
+        let alone = match fleet.ask(key(0, 2), requirements.clone()) {
             Answer::Placed(place, _) => *place,
             _ => fleet.look().pop().expect("there is room").1,
         };
-        assert_eq!(alone.flight.alone, Some(ask.fingerprint));
+        assert_eq!(alone.flight.alone, Some(requirements.fingerprint));
         assert_ne!(alone.flight.upstream, beside.flight.upstream);
         for number in 3..20 {
             let other = placed(fleet.ask(key(0, number), short(fleet.now))).0;
@@ -352,33 +353,33 @@
 
 #[test]
 fn a_second_copy_of_a_suspect_waits_for_what_becomes_of_the_first() {
-    for suspected in [short as fn(Instant) -> Ask, |now| long(60_000, now)] {
+    for suspected in [short as fn(Instant) -> Requirements, |now| long(60_000, now)] {
         let mut fleet = Fleet::new(6);
-        let ask = suspicious(suspected(fleet.now));
-        suspect(&mut fleet, &ask);
-        fleet.ask(key(0, 1), ask.clone());
-        fleet.ask(key(1, 1), ask.clone());
+        let requirements = suspicious(suspected(fleet.now));
+        suspect(&mut fleet, &requirements);
+        fleet.ask(key(0, 1), requirements.clone());
+        fleet.ask(key(1, 1), requirements.clone());
         fleet.look();
         assert_eq!(fleet.cluster.under_way(), 1);
-        assert!(matches!(fleet.ask(key(1, 1), ask.clone()), Answer::Waits));
+        assert!(matches!(fleet.ask(key(1, 1), requirements.clone()), Answer::Waits));
         // The first ends its upstream: the second is told so, and so is the next that comes.
         let ending = Ending { upstream: Tag::of("i-000"), alone: true };
-        fleet.cluster.quarantine.ended(ask.fingerprint, ending, fleet.now);
+        fleet.cluster.quarantine.ended(requirements.fingerprint, ending, fleet.now);
         let answers = fleet.scheduler.look(&mut fleet.cluster, &fleet.table, fleet.now);
         let held =
             |answer: &Answer| matches!(answer, Answer::Rejected(Rejection::Quarantined { .. }));
         assert!(answers.iter().any(|(waiting, answer)| *waiting == key(1, 1) && held(answer)));
-        assert!(held(&fleet.ask(key(2, 1), ask.clone())));
+        assert!(held(&fleet.ask(key(2, 1), requirements.clone())));
     }
 }
 
 #[test]
 fn a_suspect_whose_vm_ends_may_run_again_elsewhere() {
     let mut fleet = Fleet::new(6);
-    let ask = suspicious(short(fleet.now));
-    suspect(&mut fleet, &ask);
-    placed(fleet.ask(key(0, 1), ask.clone()));
-    assert!(matches!(fleet.ask(key(1, 1), ask.clone()), Answer::Waits));
+    let requirements = suspicious(short(fleet.now));
+    suspect(&mut fleet, &requirements);
+    placed(fleet.ask(key(0, 1), requirements.clone()));
+    assert!(matches!(fleet.ask(key(1, 1), requirements.clone()), Answer::Waits));
     fleet.cluster.peer_lost(&vm(0), fleet.now);
     let again = fleet.look();
     assert_eq!(again.len(), 1);
--- a/standin/examples/load/oracle.rs
+++ b/standin/examples/load/oracle.rs
@@ -6,7 +6,7 @@
 
 use foldlock_base::size::Tokens;
 use foldlock_connection::wire::Load;
-use foldlock_request::route::{Ask, Candidate, Routes};
+use foldlock_request::route::{Candidate, Requirements, Routes};
 use foldlock_request::speed::{Model, Work};
 use foldlock_version::policy::{Policy, Route};
 use standin::client::Answer;
@@ -68,12 +68,12 @@
 
     async fn serve(&self, arrival: &Arrival, prompt: String, started: Instant, out: &mut Answer) {
         let class = Policy::default().class(Tokens(arrival.tokens));
-        let ask = Ask {
+        let requirements = Requirements {
             prompt: Tokens(arrival.tokens),
             memory: Tokens(arrival.tokens + arrival.answer),
             class,
         };
-        let mut flight = self.place(&ask).await;
+        let mut flight = self.place(&requirements).await;
         let sent = Instant::now();
         let begun = self.engines[flight.engine].begin(engine::Ask {
             request: format!("oracle-{:x}", arrival.seed),
@@ -107,17 +107,17 @@
         stream.detach();
     }
 
-    async fn place(&self, ask: &Ask) -> Flight<'_> {
+    async fn place(&self, requirements: &Requirements) -> Flight<'_> {
         loop {
             let changed = self.changed.notified();
-            if let Some(flight) = self.try_place(ask) {
+            if let Some(flight) = self.try_place(requirements) {
                 return flight;
             }
             let _ = tokio::time::timeout(Duration::from_millis(20), changed).await;
         }
     }
 
-    fn try_place(&self, ask: &Ask) -> Option<Flight<'_>> {
+    fn try_place(&self, requirements: &Requirements) -> Option<Flight<'_>> {
         let mut locals = self.locals.lock().unwrap();
         let candidate = |(i, l): (usize, &Local)| Candidate {
             engine: format!("engine-{i}").parse().expect("a name"),
@@ -131,12 +131,16 @@
             long_rank: i as u32,
         };
         let candidates: Vec<Candidate> = locals.iter().enumerate().map(candidate).collect();
-        let choice =
-            Routes::default().choose(Route::LengthAware, ask, &candidates, &mut rand::rng())?;
+        let choice = Routes::default().choose(
+            Route::LengthAware,
+            requirements,
+            &candidates,
+            &mut rand::rng(),
+        )?;
         let chosen = &candidates[choice.index];
-        let load = Load::of(ask.class, ask.prompt, ask.memory);
+        let load = Load::of(requirements.class, requirements.prompt, requirements.memory);
         locals[choice.index].load = locals[choice.index].load.plus(load);
-        Some(Flight { oracle: self, engine: choice.index, load, work: chosen.work(ask) })
+        Some(Flight { oracle: self, engine: choice.index, load, work: chosen.work(requirements) })
     }
 
     fn first_token(&self, flight: &mut Flight<'_>, seconds: f64) {
