--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -11,7 +11,7 @@
 use foldlock_request::dialect::Dialect;
 use foldlock_request::flight::Flight;
 use foldlock_request::notice::RateLimit;
-use foldlock_request::placement::Place;
+use foldlock_request::placement::Placement;
 use foldlock_request::suspicion::{Failure as Cause, Outcome};
 use foldlock_request::tag::Tag;
 use foldlock_request::terms::{Handover, Helper, Verdict};
@@ -64,7 +64,7 @@
     Events(Box<Begun<D>>),
     /// No byte was sent.
     Unsent(String),
-    /// The memory that the place counted on was taken; nothing was sent.
+    /// The memory that the placement counted on was taken; nothing was sent.
     NoMemory(ReservationLost),
     /// The upstream said that it did not run the request.
     NotRun {
@@ -81,16 +81,16 @@
     Deadline,
 }
 
-/// Sends the request to a place.
+/// Sends the request to a placement.
 pub async fn run<D: Dialect>(
     job: &Arc<Job<D>>,
     grant: Grant,
     last_event: Option<u64>,
     tries: &Tries,
 ) -> End<D> {
-    let upstream = grant.place.flight.upstream.clone();
-    let entered = job.process.enter(grant.number, grant.place.flight.clone());
-    let limit = patience(job, &grant.place, tries);
+    let upstream = grant.placement.flight.upstream.clone();
+    let entered = job.process.enter(grant.number, grant.placement.flight.clone());
+    let limit = patience(job, &grant.placement, tries);
     let sent = sent(job, grant, last_event, entered);
     let until = job.deadline.min(job.process.now() + limit);
     let ended = tokio::select! {
@@ -113,18 +113,18 @@
 }
 
 /// How long an attempt may go without its answer or first event before the request goes elsewhere.
-fn patience<D: Dialect>(job: &Job<D>, place: &Place, tries: &Tries) -> Duration {
-    if place.flight.holds_memory() {
+fn patience<D: Dialect>(job: &Job<D>, placement: &Placement, tries: &Tries) -> Duration {
+    if placement.flight.holds_memory() {
         return job.process.config.fleet.held_silence();
     }
-    let last = tries.ran + 1 >= job.route.attempts || place.open < 2;
+    let last = tries.ran + 1 >= job.route.attempts || placement.open < 2;
     if last || !job.repeatable() {
         return job.left();
     }
     match job.route.shape {
         Shape::Whole => job.route.objective.mul_f64(SLOW_WHOLE),
         Shape::Events { .. } => {
-            let ms = place.predicted_ms * SLOW_FIRST + SLOW_FIRST_MS;
+            let ms = placement.predicted_ms * SLOW_FIRST + SLOW_FIRST_MS;
             Duration::from_secs_f64(ms / 1e3).max(job.route.objective.mul_f64(SLOW_OBJECTIVES))
         }
     }
@@ -136,8 +136,8 @@
     last_event: Option<u64>,
     entered: Entered<D>,
 ) -> End<D> {
-    let place = &grant.place;
-    let upstream = place.flight.upstream.clone();
+    let placement = &grant.placement;
+    let upstream = placement.flight.upstream.clone();
     let start = notices::start(&job.process, &upstream);
     let hold = match Hold::take(job, &grant).await {
         Ok(hold) => hold,
@@ -153,20 +153,20 @@
             return End::Unsent(why);
         }
     };
-    if let Some((upstream, reason)) = excluded(job, place) {
+    if let Some((upstream, reason)) = excluded(job, placement) {
         // That came to be while memory was set aside for this request, or its connection opened.
         return End::Unsent(format!("upstream {upstream} is excluded: {reason}"));
     }
-    let request = request(job, place, &hold.helpers(&grant), last_event);
+    let request = request(job, placement, &hold.helpers(&grant), last_event);
     let sent = job.process.now();
     job.process.metrics.sent(Sent::Request, 1);
-    job.process.metrics.sent(Sent::Part, place.flight.helpers.len());
+    job.process.metrics.sent(Sent::Part, placement.flight.helpers.len());
     let answer = match channel.send(request).await {
         Ok(answer) => answer,
         Err(Failure::Refused(why) | Failure::Unsent(why)) => return End::Unsent(why),
         Err(Failure::Broken(why)) => {
             note(job, &upstream, Cause::Broken);
-            ending::examine(job, &place.flight, start).await;
+            ending::examine(job, &placement.flight, start).await;
             return End::Broken(why);
         }
     };
@@ -179,7 +179,7 @@
             rate_limits::observe(&job.process, start, None, sent);
         }
         Verdict::Ran => {}
-        verdict => return refused(job, &place.flight, start, verdict, &head),
+        verdict => return refused(job, &placement.flight, start, verdict, &head),
     }
     if head.status.is_success() && !D::genuine(&head.headers) {
         note(job, &upstream, Cause::Broken);
@@ -188,10 +188,10 @@
     let promised = declared(&head.headers);
     strip(&mut head.headers);
     let source = Source {
-        flight: place.flight.clone(),
+        flight: placement.flight.clone(),
         start,
         sent,
-        predicted_ms: place.predicted_ms,
+        predicted_ms: placement.predicted_ms,
         entered,
         hold,
         channel,
@@ -206,13 +206,13 @@
     }
 }
 
-/// The first upstream of a place that must not be sent anything.
+/// The first upstream of a placement that must not be sent anything.
 fn excluded<'a, D: Dialect>(
     job: &Job<D>,
-    place: &'a Place,
+    placement: &'a Placement,
 ) -> Option<(&'a id::Upstream, Exclusion)> {
-    let flight = &place.flight;
-    if !rate_limits::unknown_to_scheduler(&job.process, place).is_empty() {
+    let flight = &placement.flight;
+    if !rate_limits::unknown_to_scheduler(&job.process, placement).is_empty() {
         return Some((&flight.upstream, Exclusion::RateLimited));
     }
     let helpers = flight.helpers.iter().map(|helping| &helping.upstream);
@@ -252,7 +252,7 @@
 
 async fn channel<D: Dialect>(job: &Job<D>, grant: &Grant) -> Result<Channel, String> {
     let pool = &job.process.pool;
-    let upstream = &grant.place.flight.upstream;
+    let upstream = &grant.placement.flight.upstream;
     if let Some(channel) = pool.take(upstream, job.most_rest(), job.process.now()) {
         return Ok(channel);
     }
@@ -265,7 +265,7 @@
 
 fn request<D: Dialect>(
     job: &Job<D>,
-    place: &Place,
+    placement: &Placement,
     helpers: &[Helper],
     last_event: Option<u64>,
 ) -> Request<Full<Bytes>> {
@@ -277,7 +277,7 @@
         &mut headers,
         &Handover {
             left: job.left(),
-            instance: place.flight.upstream.as_str(),
+            instance: placement.flight.upstream.as_str(),
             organisation: job.organisation.as_ref().map(|o| o.name.as_str()),
             last_event,
             helpers,
--- a/daemon/src/fleet/events.rs
+++ b/daemon/src/fleet/events.rs
@@ -227,7 +227,7 @@
             _ = sink.closed() => return None,
         };
         job.process.metrics.resumed.inc();
-        from = grant.place.flight.upstream.clone();
+        from = grant.placement.flight.upstream.clone();
         let end = tokio::select! {
             end = attempt::run(job, grant, Some(last), tries) => end,
             _ = sink.closed() => return None,
--- a/daemon/src/fleet/gate.rs
+++ b/daemon/src/fleet/gate.rs
@@ -48,12 +48,12 @@
 /// Slowdown of decoding caused by prefill chunks in the same batch.
 const PREFILL_SLOWDOWN: f64 = 1.5;
 
-/// How long a request waits for a place at most.
+/// How long a request waits for a placement at most.
 pub fn patience<D: Dialect>(job: &Job<D>) -> Duration {
     (job.deadline - job.arrived).mul_f64(MAX_QUEUE_SHARE)
 }
 
-/// Finds a place, or says why there is none. The request has not been sent, or each attempt so far
+/// Finds a placement, or says why there is none. The request has not been sent, or each attempt so far
 /// is known not to have run, or it may be repeated; the caller of this function knows which.
 ///
 /// `begun` says that a part of its answer was delivered.
@@ -132,7 +132,7 @@
     Some((engine, requirements.long_read_ms(engine)?))
 }
 
-/// The time that a long prompt needs from its place to the end of its answer, if that is no longer than usual. A
+/// The time that a long prompt needs from its placement to the end of its answer, if that is no longer than usual. A
 /// caller's guess is often far too long, and a prompt that was refused for it finds engines free.
 fn last_start<D: Dialect>(job: &Job<D>, engine: &Engine, read_ms: f64) -> Duration {
     let expected = job.terms.expected.unwrap_or(engine.usual_answer);
@@ -147,23 +147,23 @@
     if asked >= LEAST_QUEUED {
         job.record(Decision::Waited { cause: Cause::Engines, waited_ms: millis(asked) });
     }
-    let place = &grant.place;
-    if place.limited > 0 {
+    let placement = &grant.placement;
+    if placement.limited > 0 {
         let elsewhere = ByLimited { limited: Limited::Elsewhere };
         job.process.metrics.rate_limited.get_or_create(&elsewhere).inc();
     }
-    let named = std::iter::once((&place.flight.upstream, &place.load))
-        .chain(place.slowest.iter().map(|(id, load)| (id, load)));
-    let seen = named.map(|(id, load)| seen(id, load, place.predicted_ms)).collect();
+    let named = std::iter::once((&placement.flight.upstream, &placement.load))
+        .chain(placement.slowest.iter().map(|(id, load)| (id, load)));
+    let seen = named.map(|(id, load)| seen(id, load, placement.predicted_ms)).collect();
     job.record(Decision::Routed {
-        upstream: place.flight.upstream.clone(),
+        upstream: placement.flight.upstream.clone(),
         route: None,
-        predicted_ms: place.predicted_ms,
-        engines: place.flight.helpers.len() as u32 + 1,
-        part_ms: f64::from(place.flight.part_ms),
+        predicted_ms: placement.predicted_ms,
+        engines: placement.flight.helpers.len() as u32 + 1,
+        part_ms: f64::from(placement.flight.part_ms),
         seen,
         by: grant.by.clone(),
-        limited: place.limited as u32,
+        limited: placement.limited as u32,
         asked_ms: millis(asked),
     });
 }
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that ask for a place: at the VM that places, at the next one where it does not answer,
+//! Requests that ask for a placement: at the VM that places, at the next one where it does not answer,
 //! and by what this VM knows itself where none does.
 
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::flight::{Flight, Helping};
 use foldlock_request::message::{self, Answered, Asked, Message, Number};
-use foldlock_request::placement::{Place, Rejection, Requirements};
+use foldlock_request::placement::{Placement, Rejection, Requirements};
 use foldlock_request::rate_limit::Entry;
 use foldlock_request::scheduler::Answer;
 use foldlock_request::tag::Tag;
@@ -41,8 +41,8 @@
 /// An assignment of a request to upstreams, with their addresses.
 #[derive(Debug)]
 pub struct Grant {
-    /// The place.
-    pub place: Place,
+    /// The placement.
+    pub placement: Placement,
     /// Where the upstream listens.
     pub address: String,
     /// Where the helpers of the flight listen, in the same order.
@@ -70,7 +70,7 @@
         rate_limits::merge(process, Entry { upstream: placed.upstream, limit }, &peer.vm);
     }
     let answer = decode(&process.cluster.lock().unwrap(), answered.answer);
-    // A place at an upstream that is not known here is of no use: another VM is asked.
+    // A placement at an upstream that is not known here is of no use: another VM is asked.
     if let Some(answer) = answer {
         process.questions.deliver(number, answer);
     }
@@ -93,7 +93,7 @@
     let id = |tag: Tag| cluster.by_tag(tag).map(|upstream| upstream.listed.id.clone());
     let helping = |(tag, held): &(Tag, u64)| Some(Helping { upstream: id(*tag)?, held: *held });
     let slowest = placed.slowest.into_iter().filter_map(|(tag, load)| Some((id(tag)?, load)));
-    let place = Place {
+    let placement = Placement {
         flight: Flight {
             upstream: id(placed.upstream)?,
             helpers: placed.helpers.iter().map(helping).collect::<Option<_>>()?,
@@ -110,7 +110,7 @@
         limited: placed.limited,
         limit: placed.limit,
     };
-    Some(Answer::Placed(Box::new(place), placed.grant))
+    Some(Answer::Placed(Box::new(placement), placed.grant))
 }
 
 /// Where the upstream of a flight and its helpers listen, or the first of them that may be sent nothing.
@@ -134,7 +134,7 @@
     Ok((address(&flight.upstream)?, helpers.collect::<Result<_, _>>()?))
 }
 
-/// How long a request asks for a place.
+/// How long a request asks for a placement.
 #[derive(Debug, Clone, Copy)]
 pub struct Until {
     /// At most until then.
@@ -150,7 +150,7 @@
     }
 }
 
-/// Asks for a place until then.
+/// Asks for a placement until then.
 pub async fn place<D: Dialect>(
     process: &Arc<Process<D>>,
     service: &Arc<Service>,
@@ -208,13 +208,13 @@
     Rejected(Rejection),
     /// The VM does not answer.
     Silent(id::Vm),
-    /// The place is at an upstream that takes no more work, which the VM does not know yet.
+    /// The placement is at an upstream that takes no more work, which the VM does not know yet.
     Gone(Tag),
-    /// The place is at an upstream that has asked this VM for a rest since the question was sent.
+    /// The placement is at an upstream that has asked this VM for a rest since the question was sent.
     Resting,
     /// The scheduler did not know the latest rate limit of the upstream.
     Superseded,
-    /// There is no place yet.
+    /// There is no placement yet.
     Later,
 }
 
@@ -303,7 +303,7 @@
         tokio::time::timeout_at(until.into(), self.answers.recv()).await.ok().flatten()
     }
 
-    /// The place, if there is one within `time`.
+    /// The placement, if there is one within `time`.
     async fn place_in(&mut self, time: Duration) -> Option<Answer> {
         let until = self.process.now() + time;
         loop {
@@ -317,10 +317,10 @@
 
     fn ended(&mut self, answer: Answer) -> Ended {
         match answer {
-            Answer::Placed(place, _) => {
+            Answer::Placed(placement, _) => {
                 let by = match self.asked.take() {
                     Some(Placer::Peer(vm, address)) => {
-                        let limits = rate_limits::unknown_to_scheduler(self.process, &place);
+                        let limits = rate_limits::unknown_to_scheduler(self.process, &placement);
                         if !limits.is_empty() {
                             rate_limits::send(self.process, limits, address);
                             return Ended::Superseded;
@@ -329,7 +329,7 @@
                     }
                     _ => self.process.member.vm.clone(),
                 };
-                self.grant(*place, Some(by))
+                self.grant(*placement, Some(by))
             }
             Answer::Rejected(rejection) => Ended::Rejected(rejection),
             Answer::Waits => Ended::Later,
@@ -344,7 +344,7 @@
         let now = self.process.now();
         let placed = scheduler::place_alone(self.process, self.service, &requirements, now);
         match placed {
-            Ok(place) => self.grant(place, None),
+            Ok(placement) => self.grant(placement, None),
             Err(Rejection::Full) => {
                 tokio::time::sleep(POLL_INTERVAL).await;
                 Ended::Later
@@ -353,12 +353,12 @@
         }
     }
 
-    /// A place, unless one of its upstreams takes no more work by what is known here.
-    fn grant(&self, place: Place, by: Option<id::Vm>) -> Ended {
-        match addresses(self.process, &place.flight) {
+    /// A placement, unless one of its upstreams takes no more work by what is known here.
+    fn grant(&self, placement: Placement, by: Option<id::Vm>) -> Ended {
+        match addresses(self.process, &placement.flight) {
             Ok((address, helpers)) => {
                 let number = self.number;
-                Ended::Placed(Box::new(Grant { place, address, helpers, number, by }))
+                Ended::Placed(Box::new(Grant { placement, address, helpers, number, by }))
             }
             Err(ended) => ended,
         }
--- a/daemon/src/fleet/hold.rs
+++ b/daemon/src/fleet/hold.rs
@@ -43,7 +43,7 @@
 }
 
 impl<D: Dialect> Hold<D> {
-    /// Sets aside the memory that a place counts on at its helpers.
+    /// Sets aside the memory that a placement counts on at its helpers.
     pub async fn take(job: &Arc<Job<D>>, grant: &Grant) -> Result<Hold<D>, ReservationLost> {
         let reservations = Arc::new(reservations(job, grant));
         let mut hold = Hold {
@@ -82,13 +82,13 @@
         self.reservations.is_empty()
     }
 
-    /// The helpers of a place with their tickets.
+    /// The helpers of a placement with their tickets.
     pub fn helpers(&self, grant: &Grant) -> Vec<Helper> {
         let ticket = |upstream: &id::Upstream| {
             let reservation = self.reservations.iter().find(|r| r.upstream == *upstream)?;
             Some(reservation.ticket.clone())
         };
-        let helpers = grant.place.flight.helpers.iter().zip(&grant.helpers);
+        let helpers = grant.placement.flight.helpers.iter().zip(&grant.helpers);
         helpers
             .map(|(helping, address)| Helper {
                 address: address.clone(),
@@ -111,7 +111,7 @@
 }
 
 fn reservations<D: Dialect>(job: &Job<D>, grant: &Grant) -> Vec<Reservation> {
-    let helpers = grant.place.flight.helpers.iter().zip(&grant.helpers);
+    let helpers = grant.placement.flight.helpers.iter().zip(&grant.helpers);
     let held = helpers.filter(|(helping, _)| helping.held > 0);
     held.map(|(helping, address)| Reservation {
         upstream: helping.upstream.clone(),
--- a/daemon/src/fleet/notices.rs
+++ b/daemon/src/fleet/notices.rs
@@ -98,7 +98,7 @@
         /// What is left of it.
         left: Duration,
     },
-    /// Its rate limit has changed since the place was granted.
+    /// Its rate limit has changed since the placement was granted.
     RateLimited,
 }
 
--- a/daemon/src/fleet/peers.rs
+++ b/daemon/src/fleet/peers.rs
@@ -43,7 +43,7 @@
     pub echo: Option<u64>,
     /// The incarnation of the stamp.
     pub echo_of: u64,
-    /// The newest place that it gave.
+    /// The newest placement that it gave.
     pub granted: u64,
     /// Whether it places the requests of this VM, or might.
     pub scheduler: bool,
@@ -240,7 +240,7 @@
         }
     }
 
-    /// A peer has granted a place.
+    /// A peer has granted a placement.
     pub fn granted(&self, vm: &id::Vm, grant: u64) {
         if let Some(peer) = self.known.lock().unwrap().peers.get_mut(vm) {
             peer.granted = peer.granted.max(grant);
--- a/daemon/src/fleet/peers/peer.rs
+++ b/daemon/src/fleet/peers/peer.rs
@@ -37,7 +37,7 @@
     pub(super) tried: Option<Instant>,
     /// When it left questions unanswered, if it was not heard since.
     pub(super) missed: Option<Instant>,
-    /// The newest place that it gave.
+    /// The newest placement that it gave.
     pub(super) granted: u64,
 }
 
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -85,9 +85,9 @@
     pub scheduler: Mutex<Scheduler>,
     /// The scheduler that holds this VM's share of the fleet's retry budget.
     pub affiliation: Mutex<Affiliation>,
-    /// The requests of this VM that ask for a place.
+    /// The requests of this VM that ask for a placement.
     pub questions: Questions,
-    /// Told when something in the cluster state ends or begins, so that what waits may have a place.
+    /// Told when something in the cluster state ends or begins, so that what waits may have a placement.
     pub room: Notify,
     /// Told when peers are to hear of it.
     pub tell: Notify,
@@ -364,7 +364,7 @@
         log::event(&self.log, Event::Reloaded, what);
     }
 
-    /// Enters an attempt in the cluster state. The VM that gave its place knows of it, the others hear with
+    /// Enters an attempt in the cluster state. The VM that gave its placement knows of it, the others hear with
     /// the next beat.
     pub fn enter(self: &Arc<Self>, number: u64, flight: Flight) -> Entered<D> {
         self.cluster.lock().unwrap().enter(number, flight, self.now());
--- a/daemon/src/fleet/questions.rs
+++ b/daemon/src/fleet/questions.rs
@@ -1,4 +1,4 @@
-//! The questions for places that are open at this VM.
+//! The questions for placements that are open at this VM.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -32,7 +32,7 @@
     /// There is an answer for a request of this VM.
     pub fn deliver(&self, number: u64, answer: Answer) {
         if let Some(open) = self.open.lock().unwrap().get(&number) {
-            // Who asked may have left just now; then the place is given back.
+            // Who asked may have left just now; then the placement is given back.
             let _ = open.send(answer);
         }
     }
--- a/daemon/src/fleet/rate_limits.rs
+++ b/daemon/src/fleet/rate_limits.rs
@@ -11,7 +11,7 @@
 use foldlock_request::dialect::Dialect;
 use foldlock_request::flight::Flight;
 use foldlock_request::message::Message;
-use foldlock_request::placement::Place;
+use foldlock_request::placement::Placement;
 use foldlock_request::rate_limit::{Entry, Limit, Merge};
 use foldlock_request::tag::Tag;
 
@@ -65,13 +65,13 @@
     }
 }
 
-/// Limits that forbid the use of a place, since its scheduler did not know them.
-pub fn unknown_to_scheduler<D: Dialect>(process: &Process<D>, place: &Place) -> Vec<Entry> {
+/// Limits that forbid the use of a placement, since its scheduler did not know them.
+pub fn unknown_to_scheduler<D: Dialect>(process: &Process<D>, placement: &Placement) -> Vec<Entry> {
     let cluster = process.cluster.lock().unwrap();
-    let Flight { upstream, helpers, .. } = &place.flight;
+    let Flight { upstream, helpers, .. } = &placement.flight;
     let helpers = helpers.iter().map(|helping| &helping.upstream);
     let limited = helpers.filter(|id| cluster.get(id).is_some_and(|helper| helper.is_limited()));
-    let own = (!cluster.may_send(upstream, place.limit)).then_some(upstream);
+    let own = (!cluster.may_send(upstream, placement.limit)).then_some(upstream);
     own.into_iter().chain(limited).filter_map(|id| entry(&cluster, id)).collect()
 }
 
--- a/daemon/src/fleet/scheduler.rs
+++ b/daemon/src/fleet/scheduler.rs
@@ -8,7 +8,7 @@
 use foldlock_request::cluster::{Cluster, Holder};
 use foldlock_request::dialect::Dialect;
 use foldlock_request::message::{self, Answered, Asked, Message, Number};
-use foldlock_request::placement::{self, Place, Rejection, Requirements};
+use foldlock_request::placement::{self, Placement, Rejection, Requirements};
 use foldlock_request::scheduler::{Answer, Key};
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::Service;
@@ -25,7 +25,7 @@
 /// The same while nothing does: what was given and not used is taken back.
 const IDLE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A peer asks for a place.
+/// A peer asks for a placement.
 pub fn asked<D: Dialect>(process: &Process<D>, asked: &Asked, from: SocketAddr) {
     let Some(peer) = process.peers.at(from) else { return };
     let now = process.now();
@@ -35,7 +35,7 @@
     answered(process, asked.request, from, answer);
 }
 
-/// A request of this VM asks for a place.
+/// A request of this VM asks for a placement.
 pub fn own<D: Dialect>(
     process: &Process<D>,
     number: u64,
@@ -76,16 +76,16 @@
     service: &Service,
     requirements: &Requirements,
     now: Instant,
-) -> Result<Place, Rejection> {
+) -> Result<Placement, Rejection> {
     let vms = process.peers.running_count();
     let tag = Tag::of(&service.name);
     let is_client = affiliation::contact_own(process);
     let mut scheduler = process.scheduler.lock().unwrap();
     scheduler.budget.record_contact(&Holder::Own, is_client, vms, now);
     scheduler.budget.check(tag, requirements.charge, now).map_err(Rejection::OverBudget)?;
-    let place = placement::place(&process.cluster.lock().unwrap(), service, requirements, now)?;
+    let placement = placement::place(&process.cluster.lock().unwrap(), service, requirements, now)?;
     scheduler.budget.charge(tag, requirements.charge, now).map_err(Rejection::OverBudget)?;
-    Ok(place)
+    Ok(placement)
 }
 
 /// A client has sent its heartbeat.
@@ -157,13 +157,13 @@
 }
 
 fn encode(cluster: &Cluster, answer: Answer) -> message::Answer {
-    let (place, grant) = match answer {
-        Answer::Placed(place, grant) => (place, grant),
+    let (placement, grant) = match answer {
+        Answer::Placed(placement, grant) => (placement, grant),
         Answer::Waits => return message::Answer::Waits,
         Answer::Rejected(rejection) => return message::Answer::Rejected(rejection),
     };
     let tag = |id: &id::Upstream| cluster.tag_of(id);
-    let flight = &place.flight;
+    let flight = &placement.flight;
     message::Answer::Placed(message::Placed {
         grant,
         upstream: tag(&flight.upstream),
@@ -171,12 +171,12 @@
         part_ms: flight.part_ms,
         memory: flight.memory,
         pause_ms: flight.pause_ms,
-        predicted_ms: place.predicted_ms,
-        load: place.load,
-        slowest: place.slowest.iter().map(|(id, load)| (tag(id), load.clone())).collect(),
-        open: place.open,
+        predicted_ms: placement.predicted_ms,
+        load: placement.load,
+        slowest: placement.slowest.iter().map(|(id, load)| (tag(id), load.clone())).collect(),
+        open: placement.open,
         alone: flight.alone,
-        limited: place.limited,
-        limit: place.limit,
+        limited: placement.limited,
+        limit: placement.limit,
     })
 }
--- a/daemon/src/fleet/serve.rs
+++ b/daemon/src/fleet/serve.rs
@@ -73,7 +73,7 @@
             Ok(grant) => grant,
             Err(rejection) => return no_place(&job, tries, proof, rejection),
         };
-        let upstream = grant.place.flight.upstream.clone();
+        let upstream = grant.placement.flight.upstream.clone();
         let attempt = proof.send();
         let end = attempt::run(&job, grant, job.terms.last_event, &tries).await;
         proof = match settle(&job, &mut tries, upstream, attempt, end) {
@@ -87,7 +87,7 @@
     }
 }
 
-/// The answer to a request for which there is no place: an upstream's own failure if there was one.
+/// The answer to a request for which there is no placement: an upstream's own failure if there was one.
 fn no_place<D: Dialect>(
     job: &Job<D>,
     tries: Tries,
@@ -155,7 +155,7 @@
     again(job, tries, upstream, proof, why)
 }
 
-/// Memory that was counted on was taken: the request looks for another place while it may wait.
+/// Memory that was counted on was taken: the request looks for another placement while it may wait.
 fn no_memory<D: Dialect>(
     job: &Job<D>,
     tries: &mut Tries,
--- a/daemon/src/fleet/tries.rs
+++ b/daemon/src/fleet/tries.rs
@@ -40,7 +40,7 @@
     pub refused: u32,
     /// Attempts that may have run.
     pub ran: u32,
-    /// Whether it has had a place.
+    /// Whether it has had a placement.
     begun: bool,
     /// Repeats that the fleet's retry budget has granted.
     granted: u32,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The next attempt has its place.
+    /// The next attempt has its placement.
     pub fn placed<D: Dialect>(&mut self, job: &Job<D>) {
         if self.charge() == Charge::Withdraw {
             self.granted += 1;
@@ -72,7 +72,7 @@
         }
     }
 
-    /// There is no place for the next attempt.
+    /// There is no placement for the next attempt.
     pub fn unplaced<D: Dialect>(&mut self, job: &Job<D>, rejection: &Rejection) {
         let budget = match rejection {
             Rejection::OverBudget(exhausted) => {
--- a/request/src/cluster/flights.rs
+++ b/request/src/cluster/flights.rs
@@ -12,7 +12,7 @@
 use crate::flight::{Flight, Told, Tracked};
 use crate::pace::Pace;
 
-/// How long a place that was given counts before its VM tells of the attempt: several beats, of
+/// How long a placement that was given counts before its VM tells of the attempt: several beats, of
 /// which some may be lost.
 const GRANT_LASTS: Duration = Duration::from_millis(1_000);
 
@@ -29,7 +29,7 @@
 struct Entry {
     serial: Serial,
     tracked: Tracked,
-    /// The number of the message by which the place was given, while its VM has not told of it.
+    /// The number of the message by which the placement was given, while its VM has not told of it.
     grant: Option<u64>,
 }
 
@@ -200,14 +200,14 @@
         self.flights.end(&Holder::Own, number, now);
     }
 
-    /// Enters a place that this VM gives, by its message `grant`: it counts from now on, and until
+    /// Enters a placement that this VM gives, by its message `grant`: it counts from now on, and until
     /// its VM tells of it, or tells that it has that message and not of the attempt.
     pub fn grant(&mut self, to: &Holder, number: u64, flight: Flight, grant: u64, now: Instant) {
         let tracked = self.tracked(flight, now);
         self.flights.begin(to.clone(), number, tracked, Some(grant));
     }
 
-    /// Takes back a place that was given and not used.
+    /// Takes back a placement that was given and not used.
     pub fn take_back(&mut self, from: &Holder, number: u64, now: Instant) {
         let entry = self.flights.by_holder.get(from).and_then(|flights| flights.get(&number));
         if entry.is_some_and(|entry| entry.grant.is_some()) {
@@ -215,7 +215,7 @@
         }
     }
 
-    /// Forgets the places given of which nothing was heard. Answers whether there were any.
+    /// Forgets the placements given of which nothing was heard. Answers whether there were any.
     pub fn forget_grants(&mut self, now: Instant) -> bool {
         let old = |entry: &Entry| {
             let age = now.saturating_duration_since(entry.tracked.sent);
@@ -254,7 +254,7 @@
         self.flights.pace(upstream).map_or(0, |pace| pace.begun(now))
     }
 
-    /// The attempts of all VMs that tell theirs, and the places given.
+    /// The attempts of all VMs that tell theirs, and the placements given.
     pub fn under_way(&self) -> usize {
         self.flights.by_holder.values().map(HashMap::len).sum()
     }
--- a/request/src/message.rs
+++ b/request/src/message.rs
@@ -1,6 +1,6 @@
 //! What VMs of a fleet tell each other, by UDP: one message a datagram.
 //!
-//! A beat holds the sender's whole state, and who asks for a place asks again until there is an
+//! A beat holds the sender's whole state, and who asks for a placement asks again until there is an
 //! answer, so a message that is lost costs nothing but time.
 
 use std::time::{Duration, Instant};
@@ -26,7 +26,7 @@
 pub enum Message {
     /// The sender's state.
     Beat(Beat),
-    /// A request asks for a place.
+    /// A request asks for a placement.
     Asked(Asked),
     /// It asks no more.
     Cancelled(Number),
@@ -45,7 +45,7 @@
     pub echo: Option<u64>,
     /// The incarnation of the receiver that the echoed stamp belongs to.
     pub echo_of: u64,
-    /// The newest place that the receiver gave which the sender has heard of.
+    /// The newest placement that the receiver gave which the sender has heard of.
     pub granted: u64,
     /// Whether the sender wants to hear from the receiver, which places its requests, or might.
     pub wants: bool,
@@ -147,7 +147,7 @@
     pub number: u64,
 }
 
-/// A request that asks for a place.
+/// A request that asks for a placement.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Asked {
     /// The request.
@@ -233,7 +233,7 @@
 /// What a request is told.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
-    /// It has a place.
+    /// It has a placement.
     Placed(Placed),
     /// It waits for one.
     Waits,
@@ -242,7 +242,7 @@
     Rejected(Rejection),
 }
 
-/// A place, upstreams by their tags.
+/// A placement, upstreams by their tags.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Placed {
     /// The number of the message by which it is given; each is higher than the one before.
--- a/request/src/placement.rs
+++ b/request/src/placement.rs
@@ -115,9 +115,9 @@
     }
 }
 
-/// A place.
+/// A placement.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct Placement {
     /// How it counts in the cluster state.
     pub flight: Flight,
     /// The predicted time to the first event, milliseconds; 0 where there is no model.
@@ -130,11 +130,11 @@
     pub open: usize,
     /// Upstreams that were at their rate limits.
     pub limited: usize,
-    /// The upstream's rate limit as known to the VM that granted the place.
+    /// The upstream's rate limit as known to the VM that granted the placement.
     pub limit: Option<Limit>,
 }
 
-/// Why there is no place.
+/// Why there is no placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Rejection {
     /// No upstream of the service is known to be open.
@@ -189,13 +189,13 @@
     }
 }
 
-/// Finds a place for a request that does not wait in a line of others.
+/// Finds a placement for a request that does not wait in a line of others.
 pub fn place(
     cluster: &Cluster,
     service: &Service,
     requirements: &Requirements,
     now: Instant,
-) -> Result<Place, Rejection> {
+) -> Result<Placement, Rejection> {
     let alone = runs_alone(cluster, requirements.fingerprint, now)?;
     let (candidates, limited) = candidates(cluster, service, requirements, now);
     if candidates.is_empty() {
@@ -203,39 +203,39 @@
     }
     let engine = service.engine.as_ref();
     let Some(engine) = engine.filter(|engine| requirements.long_read_ms(engine).is_some()) else {
-        let place = match engine {
+        let placement = match engine {
             _ if alone => apart(requirements, engine, candidates),
             Some(engine) => short(requirements, engine, candidates),
             None => plain(requirements, candidates),
         };
-        return place.map(|place| Place { limited, ..place });
+        return placement.map(|placement| Placement { limited, ..placement });
     };
     let turns = [Turn { requirements, index: 0 }];
     let line = Line { turns: &turns, demand: 0.0, offset: requirements.offset, kept: 0 };
     let placed = group::line(cluster, service, engine, line, now).pop();
-    let (_, mut place) = placed.ok_or(Rejection::Full)?;
-    place.flight.alone = alone.then_some(requirements.fingerprint);
-    Ok(place)
+    let (_, mut placement) = placed.ok_or(Rejection::Full)?;
+    placement.flight.alone = alone.then_some(requirements.fingerprint);
+    Ok(placement)
 }
 
-/// Finds a place for a long prompt on a single rate-limited upstream, if all are limited or one is due for a probe. Limited
+/// Finds a placement for a long prompt on a single rate-limited upstream, if all are limited or one is due for a probe. Limited
 /// upstreams take no parts of a split prompt.
 pub fn place_whole(
     cluster: &Cluster,
     service: &Service,
     requirements: &Requirements,
     now: Instant,
-) -> Result<Place, Rejection> {
+) -> Result<Placement, Rejection> {
     let alone = runs_alone(cluster, requirements.fingerprint, now)?;
     let all = cluster.limited_rate(&service.name).is_some();
     let (mut candidates, _) = candidates(cluster, service, requirements, now);
     candidates.retain(|c| c.upstream.is_limited() && (all || c.is_due));
-    let mut place = apart(requirements, service.engine.as_ref(), candidates)?;
-    if !all && place.predicted_ms > requirements.left_ms(now) {
+    let mut placement = apart(requirements, service.engine.as_ref(), candidates)?;
+    if !all && placement.predicted_ms > requirements.left_ms(now) {
         return Err(Rejection::Full);
     }
-    place.flight.alone = alone.then_some(requirements.fingerprint);
-    Ok(place)
+    placement.flight.alone = alone.then_some(requirements.fingerprint);
+    Ok(placement)
 }
 
 /// Whether a request is to run alone, if it may run now at all: one copy at a time does.
@@ -252,12 +252,12 @@
     }
 }
 
-/// The place of a request that runs alone: where least is under way, which is nothing as a rule.
+/// The placement of a request that runs alone: where least is under way, which is nothing as a rule.
 fn apart(
     requirements: &Requirements,
     engine: Option<&Engine>,
     candidates: Vec<Candidate<'_>>,
-) -> Result<Place, Rejection> {
+) -> Result<Placement, Rejection> {
     let open = candidates.len();
     let has_room = |c: &Candidate<'_>| engine.is_none_or(|e| c.has_room(requirements.memory.0, e));
     let under_way = |c: &Candidate<'_>| (c.load.requests + c.load.helping, c.load.memory);
@@ -265,12 +265,15 @@
     let best = best.ok_or(Rejection::Full)?;
     let read_ms = engine.map_or(0.0, |engine| forecast::read_ms(engine, requirements.prompt.0));
     let predicted_ms = engine.map_or(0.0, |engine| best.predicted_ms(engine, read_ms));
-    let mut place = placed(requirements, &best, &[], read_ms, predicted_ms, open);
-    place.flight.alone = Some(requirements.fingerprint);
-    Ok(place)
+    let mut placement = placed(requirements, &best, &[], read_ms, predicted_ms, open);
+    placement.flight.alone = Some(requirements.fingerprint);
+    Ok(placement)
 }
 
-fn plain(requirements: &Requirements, candidates: Vec<Candidate<'_>>) -> Result<Place, Rejection> {
+fn plain(
+    requirements: &Requirements,
+    candidates: Vec<Candidate<'_>>,
+) -> Result<Placement, Rejection> {
     let open = candidates.len();
     let relative =
         |c: &Candidate<'_>| f64::from(c.load.requests) / f64::from(c.upstream.listed.slots.max(1));
@@ -286,7 +289,7 @@
     requirements: &Requirements,
     engine: &Engine,
     candidates: Vec<Candidate<'_>>,
-) -> Result<Place, Rejection> {
+) -> Result<Placement, Rejection> {
     let read = forecast::read_ms(engine, requirements.prompt.0);
     let objective = requirements.objective.as_secs_f64() * 1e3;
     let open = candidates.len();
@@ -342,14 +345,14 @@
     part_ms: f64,
     predicted_ms: f64,
     open: usize,
-) -> Place {
+) -> Placement {
     let listed = &best.upstream.listed;
     let held: u64 = helpers.iter().map(|(_, held)| held).sum();
     let helping = |(c, held): &(&Candidate<'_>, u64)| Helping {
         upstream: c.upstream.listed.id.clone(),
         held: *held,
     };
-    Place {
+    Placement {
         flight: Flight {
             upstream: listed.id.clone(),
             helpers: helpers.iter().map(helping).collect(),
--- a/request/src/placement/group.rs
+++ b/request/src/placement/group.rs
@@ -11,13 +11,13 @@
 
 use super::candidate::{Candidate, bears_more, trusted};
 use super::share::{MOST_ENGINES, Prompt, Reader, Readers, Share};
-use super::{Place, Requirements, placed};
+use super::{Placement, Requirements, placed};
 use crate::cluster::{Cluster, Upstream};
 use crate::forecast;
 use crate::line::{self, Capacity, Waiting};
 
 /// The longest part, milliseconds, where all engines were busy of late: all that comes meanwhile
-/// waits for it. Twice that where none was, so that the longest prompts find a place on a calm fleet.
+/// waits for it. Twice that where none was, so that the longest prompts find a placement on a calm fleet.
 const MOST_PART_MS: f64 = 1_000.0;
 
 /// The time over which the demand of long prompts is taken: the mix of lengths turns within some
@@ -77,7 +77,7 @@
     engine: &Engine,
     line: Line<'_>,
     now: Instant,
-) -> Vec<(usize, Place)> {
+) -> Vec<(usize, Placement)> {
     // Parts of split prompts would count against the rate limit.
     let unlimited = cluster.open(&service.name).filter(|upstream| !upstream.is_limited());
     let open = trusted(cluster, unlimited.collect(), now);
@@ -97,9 +97,9 @@
         let demand = demand_of_others(&line, prompt, turn.requirements, now);
         let most_ms = |share: &Share| longest_part_ms(&readers, demand, prompt, share);
         match turn_now(turn.requirements, engine, &readers, prompt, most_ms, bears) {
-            Some((share, place)) => {
-                readers.begin(&share, &place, turn.requirements);
-                placed.push((turn.index, place));
+            Some((share, placement)) => {
+                readers.begin(&share, &placement, turn.requirements);
+                placed.push((turn.index, placement));
             }
             None => readers.plan(prompt, most_part_ms),
         }
@@ -107,7 +107,7 @@
     placed
 }
 
-/// The place of a prompt whose engines are free now.
+/// The placement of a prompt whose engines are free now.
 fn turn_now(
     requirements: &Requirements,
     engine: &Engine,
@@ -115,7 +115,7 @@
     prompt: Prompt,
     most_part_ms: impl Fn(&Share) -> f64,
     bears: impl Fn(&Upstream) -> bool,
-) -> Option<(Share, Place)> {
+) -> Option<(Share, Placement)> {
     let may = |r: &Reader<'_>| !requirements.avoid.contains(&r.candidate.upstream.tag);
     let can_answer = |r: &Reader<'_>| {
         r.candidate.has_room(requirements.memory.0, engine) && bears(r.candidate.upstream)
@@ -124,8 +124,8 @@
     if share.part_ms > most_part_ms(&share) {
         return None;
     }
-    let place = group(requirements, engine, readers, &share)?;
-    Some((share, place))
+    let placement = group(requirements, engine, readers, &share)?;
+    Some((share, placement))
 }
 
 /// The longest part of a prompt that is read by these engines. Where the engines that are left suffice for what
@@ -215,13 +215,13 @@
     candidate.ahead_ms(engine) + pass
 }
 
-/// The place of a prompt at the engines that share it, if they have the memory.
+/// The placement of a prompt at the engines that share it, if they have the memory.
 fn group(
     requirements: &Requirements,
     engine: &Engine,
     readers: &Readers<'_>,
     share: &Share,
-) -> Option<Place> {
+) -> Option<Placement> {
     let of: Vec<&Reader<'_>> = share.engines.iter().map(|index| &readers.all()[*index]).collect();
     let Holding { main, holders } = match main_engine(engine, &of, requirements.memory.0) {
         Some(main) => Holding { main, holders: Vec::new() },
--- a/request/src/placement/share.rs
+++ b/request/src/placement/share.rs
@@ -8,7 +8,7 @@
 use foldlock_version::routes::Engine;
 
 use super::candidate::Candidate;
-use super::{Place, Requirements};
+use super::{Placement, Requirements};
 use crate::forecast;
 
 /// The shortest part of a long read, milliseconds: under it the steps of each pass cost more than
@@ -271,23 +271,29 @@
     }
 
     /// A prompt begins: its engines read it from now on.
-    pub(super) fn begin(&mut self, share: &Share, place: &Place, requirements: &Requirements) {
+    pub(super) fn begin(
+        &mut self,
+        share: &Share,
+        placement: &Placement,
+        requirements: &Requirements,
+    ) {
         for index in &share.engines {
             let reader = &mut self.all[*index];
             reader.free_ms = reader.done_ms(share.part_ms);
             let load = &mut reader.candidate.load;
             load.backlog_ms = reader.free_ms;
             let id = &reader.candidate.upstream.listed.id;
-            if *id == place.flight.upstream {
+            if *id == placement.flight.upstream {
                 load.requests += 1;
-                load.memory += place.flight.memory;
+                load.memory += placement.flight.memory;
                 let pause_ms = load
                     .pause_ms
                     .map_or(requirements.pause_ms(), |ms| ms.min(requirements.pause_ms()));
                 load.pause_ms = Some(pause_ms);
             } else {
                 load.helping += 1;
-                let helping = place.flight.helpers.iter().find(|helping| helping.upstream == *id);
+                let helping =
+                    placement.flight.helpers.iter().find(|helping| helping.upstream == *id);
                 load.memory += helping.map_or(0, |helping| helping.held);
             }
             reader.apart = !reader.candidate.is_crowded();
--- a/request/src/pressure.rs
+++ b/request/src/pressure.rs
@@ -31,7 +31,7 @@
         }
     }
 
-    /// A short prompt found no place.
+    /// A short prompt found no placement.
     pub fn waits(&mut self, now: Instant) {
         self.since.push_back(now);
     }
--- a/request/src/retry_after.rs
+++ b/request/src/retry_after.rs
@@ -12,9 +12,9 @@
     /// No VM serves the caller's key before the directory confirms it: the settings of this VM are too
     /// old, or it has none.
     OldSettings,
-    /// No upstream has a place for it.
+    /// No upstream has a placement for it.
     Full,
-    /// No upstreams have a place for a long prompt.
+    /// No upstreams have a placement for a long prompt.
     FullForLong,
 }
 
--- a/request/src/scheduler.rs
+++ b/request/src/scheduler.rs
@@ -14,7 +14,7 @@
 use crate::budget::{Budget, Charge, Figures};
 use crate::cluster::{Cluster, Holder};
 use crate::fingerprint::Fingerprint;
-use crate::placement::{self, DEMAND_WINDOW, Place, Rejection, Requirements, runs_alone};
+use crate::placement::{self, DEMAND_WINDOW, Placement, Rejection, Requirements, runs_alone};
 use crate::pressure::Pressure;
 use crate::tag::Tag;
 
@@ -24,7 +24,7 @@
 /// its caller has left, or its VM has ended or asks elsewhere.
 const ASK_LASTS: Duration = Duration::from_millis(600);
 
-/// How long a place that was given is kept for a VM that asks again since it did not hear of it.
+/// How long a placement that was given is kept for a VM that asks again since it did not hear of it.
 const PLACED_LASTS: Duration = Duration::from_millis(600);
 
 /// A request that waits or was placed.
@@ -41,8 +41,8 @@
 /// The answer to a VM.
 #[derive(Debug, Clone)]
 pub enum Answer {
-    /// There is a place, given by the message with this number.
-    Placed(Box<Place>, u64),
+    /// There is a placement, given by the message with this number.
+    Placed(Box<Placement>, u64),
     /// It waits for one.
     Waits,
     /// There is none, and waiting brings none.
@@ -57,7 +57,7 @@
     heard: Instant,
 }
 
-/// A request that gets a place, and what that is to the budget.
+/// A request that gets a placement, and what that is to the budget.
 struct Charged {
     key: Key,
     service: Tag,
@@ -66,7 +66,7 @@
 
 #[derive(Debug)]
 struct Placed {
-    place: Place,
+    placement: Placement,
     grant: u64,
     at: Instant,
 }
@@ -98,7 +98,7 @@
         Scheduler { budget: Budget::new(figures), ..Scheduler::default() }
     }
 
-    /// A VM asks for a place, for the first time or again.
+    /// A VM asks for a placement, for the first time or again.
     pub fn ask(
         &mut self,
         cluster: &mut Cluster,
@@ -109,7 +109,7 @@
         now: Instant,
     ) -> Answer {
         if let Some(placed) = self.placed.get(&key) {
-            return Answer::Placed(Box::new(placed.place.clone()), placed.grant);
+            return Answer::Placed(Box::new(placed.placement.clone()), placed.grant);
         }
         if let Some(waiter) = self.waiters.iter_mut().find(|waiter| waiter.key == key) {
             waiter.heard = now;
@@ -149,11 +149,11 @@
                 placement::place(cluster, found, &requirements, now)
             };
             match placed {
-                Ok(place) => {
+                Ok(placement) => {
                     let objective_ms = requirements.objective.as_secs_f64() * 1e3;
-                    self.pressure.placed(place.predicted_ms / objective_ms, now);
+                    self.pressure.placed(placement.predicted_ms / objective_ms, now);
                     let charged = Charged { key, service, charge: requirements.charge };
-                    return self.give(cluster, charged, place, now);
+                    return self.give(cluster, charged, placement, now);
                 }
                 Err(Rejection::Full) => self.pressure.waits(now),
                 Err(rejection) => return Answer::Rejected(rejection),
@@ -172,7 +172,7 @@
         Answer::Waits
     }
 
-    /// A VM asks no more for this place.
+    /// A VM asks no more for this placement.
     pub fn cancel(&mut self, cluster: &mut Cluster, key: &Key, now: Instant) {
         self.waiters.retain(|waiter| waiter.key != *key);
         if self.placed.remove(key).is_some() {
@@ -194,7 +194,7 @@
         self.waiters.iter().filter(|waiter| waiter.service == service).count()
     }
 
-    /// Places what waits and has a place now.
+    /// Places what waits and has a placement now.
     pub fn look(
         &mut self,
         cluster: &mut Cluster,
@@ -236,9 +236,11 @@
             let Some(waiter) = self.waiters.iter().find(|waiter| waiter.key == key) else {
                 continue;
             };
-            if let Ok(place) = placement::place_whole(cluster, service, &waiter.requirements, now) {
+            if let Ok(placement) =
+                placement::place_whole(cluster, service, &waiter.requirements, now)
+            {
                 let charged = waiter.charged();
-                let answer = self.give(cluster, charged, place, now);
+                let answer = self.give(cluster, charged, placement, now);
                 answers.push((key, answer));
             }
         }
@@ -317,9 +319,9 @@
             let Some(waiter) = self.waiters.iter().find(|waiter| waiter.key == key) else {
                 continue;
             };
-            if let Ok(place) = placement::place(cluster, service, &waiter.requirements, now) {
+            if let Ok(placement) = placement::place(cluster, service, &waiter.requirements, now) {
                 let charged = waiter.charged();
-                let answer = self.give(cluster, charged, place, now);
+                let answer = self.give(cluster, charged, placement, now);
                 answers.push((key, answer));
             }
         }
@@ -351,17 +353,19 @@
             kept: self.pressure.engines(),
         };
         let placed = placement::line(cluster, service, engine, line, now);
-        let placed: Vec<(Charged, Fingerprint, Place)> = placed
+        let placed: Vec<(Charged, Fingerprint, Placement)> = placed
             .into_iter()
-            .map(|(index, place)| (&self.waiters[index], place))
-            .map(|(waiter, place)| (waiter.charged(), waiter.requirements.fingerprint, place))
+            .map(|(index, placement)| (&self.waiters[index], placement))
+            .map(|(waiter, placement)| {
+                (waiter.charged(), waiter.requirements.fingerprint, placement)
+            })
             .collect();
-        for (charged, fingerprint, mut place) in placed {
+        for (charged, fingerprint, mut placement) in placed {
             // Of two copies in one line the first runs alone, and the other waits for it.
             let Ok(alone) = runs_alone(cluster, fingerprint, now) else { continue };
-            place.flight.alone = alone.then_some(fingerprint);
+            placement.flight.alone = alone.then_some(fingerprint);
             let key = charged.key.clone();
-            let answer = self.give(cluster, charged, place, now);
+            let answer = self.give(cluster, charged, placement, now);
             answers.push((key, answer));
         }
     }
@@ -372,12 +376,12 @@
         of.map(|asked| asked.read_ms).sum::<f64>() / (DEMAND_WINDOW.as_secs_f64() * 1e3)
     }
 
-    /// Gives a place, unless the budget has no token left for it.
+    /// Gives a placement, unless the budget has no token left for it.
     fn give(
         &mut self,
         cluster: &mut Cluster,
         charged: Charged,
-        place: Place,
+        placement: Placement,
         now: Instant,
     ) -> Answer {
         let Charged { key, service, charge } = charged;
@@ -388,9 +392,9 @@
         let grant = self.grants.entry(key.holder.clone()).or_default();
         *grant += 1;
         let grant = *grant;
-        cluster.grant(&key.holder, key.number, place.flight.clone(), grant, now);
-        self.placed.insert(key, Placed { place: place.clone(), grant, at: now });
-        Answer::Placed(Box::new(place), grant)
+        cluster.grant(&key.holder, key.number, placement.flight.clone(), grant, now);
+        self.placed.insert(key, Placed { placement: placement.clone(), grant, at: now });
+        Answer::Placed(Box::new(placement), grant)
     }
 
     /// Forgets what is asked for no more.
--- a/request/tests/cold.rs
+++ b/request/tests/cold.rs
@@ -75,7 +75,7 @@
     }
 }
 
-/// Asks for places at this pace for two seconds; each answer takes 50 ms. Gives when each upstream was sent
+/// Asks for placements at this pace for two seconds; each answer takes 50 ms. Gives when each upstream was sent
 /// requests.
 fn played(
     cluster: &mut Cluster,
@@ -98,8 +98,8 @@
             requirements(now, 1),
             now,
         );
-        if let Answer::Placed(place, _) = answer {
-            sent.entry(place.flight.upstream).or_default().push(now);
+        if let Answer::Placed(placement, _) = answer {
+            sent.entry(placement.flight.upstream).or_default().push(now);
         }
     }
     sent
@@ -165,9 +165,9 @@
             let at = now + Duration::from_millis(250 * number + vm as u64);
             let requirements =
                 Requirements { offset: vm * 7 + number as usize, ..requirements(at, vms) };
-            let place = placement::place(&cluster, &service(), &requirements, at).unwrap();
-            cluster.enter(number, place.flight.clone(), at);
-            sent.entry(place.flight.upstream).or_default().push(at);
+            let placement = placement::place(&cluster, &service(), &requirements, at).unwrap();
+            cluster.enter(number, placement.flight.clone(), at);
+            sent.entry(placement.flight.upstream).or_default().push(at);
         }
     }
     for i in 0..20 {
@@ -183,8 +183,8 @@
     let mut there = cluster(1, 1, now);
     let mut here = cluster(1, 1, now);
     for number in 0..14 {
-        let place = placement::place(&there, &service(), &requirements(now, 1), now).unwrap();
-        there.enter(number, place.flight.clone(), now);
+        let placement = placement::place(&there, &service(), &requirements(now, 1), now).unwrap();
+        there.enter(number, placement.flight.clone(), now);
     }
     here.hear(&"vm-2".parse().unwrap(), &there.told(now), 0, now);
     assert_eq!(here.begun(&upstream(0), now), 14);
--- a/request/tests/line.rs
+++ b/request/tests/line.rs
@@ -8,7 +8,7 @@
 use foldlock_request::cluster::{Cluster, Listed};
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::line::{Capacity, Waiting, order};
-use foldlock_request::placement::{self, Line, Place, Requirements, Turn};
+use foldlock_request::placement::{self, Line, Placement, Requirements, Turn};
 use foldlock_request::report::{Observed, Report};
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::{Engine, Service};
@@ -114,8 +114,8 @@
     }
 }
 
-/// Places what has a place now, and enters it as under way.
-fn place(cluster: &mut Cluster, prompts: &[Requirements], now: Instant) -> Vec<(usize, Place)> {
+/// Places what has a placement now, and enters it as under way.
+fn place(cluster: &mut Cluster, prompts: &[Requirements], now: Instant) -> Vec<(usize, Placement)> {
     let turns: Vec<Turn<'_>> = prompts
         .iter()
         .enumerate()
@@ -123,16 +123,16 @@
         .collect();
     let line = Line { turns: &turns, demand: 0.0, offset: 0, kept: 0 };
     let placed = placement::line(cluster, &service(), &ENGINE, line, now);
-    for (_, place) in &placed {
+    for (_, placement) in &placed {
         let number = cluster.number();
-        cluster.enter(number, place.flight.clone(), now);
+        cluster.enter(number, placement.flight.clone(), now);
     }
     placed
 }
 
-fn engines(place: &Place) -> Vec<id::Upstream> {
-    let helpers = place.flight.helpers.iter().map(|helping| helping.upstream.clone());
-    helpers.chain([place.flight.upstream.clone()]).collect()
+fn engines(placement: &Placement) -> Vec<id::Upstream> {
+    let helpers = placement.flight.helpers.iter().map(|helping| helping.upstream.clone());
+    helpers.chain([placement.flight.upstream.clone()]).collect()
 }
 
 #[test]
@@ -156,12 +156,12 @@
     assert!(engines(one).iter().all(|engine| !engines(two).contains(engine)));
 }
 
-/// Whether a prompt has a place on idle engines, of which other long prompts ask for so many.
+/// Whether a prompt has a placement on idle engines, of which other long prompts ask for so many.
 fn has_place(engines: usize, demand: f64, prompt: &Requirements, now: Instant) -> bool {
     let turns = [Turn { requirements: prompt, index: 0 }];
     let line = Line { turns: &turns, demand, offset: 0, kept: 0 };
     let placed = placement::line(&cluster(engines), &service(), &ENGINE, line, now);
-    placed.iter().all(|(_, place)| place.predicted_ms < 4_000.0) && !placed.is_empty()
+    placed.iter().all(|(_, placement)| placement.predicted_ms < 4_000.0) && !placed.is_empty()
 }
 
 /// The pattern: a calm day, and a prompt whose parts are long on as many engines as may share it. It is in time
@@ -289,12 +289,12 @@
         let placed = place(&mut cluster, &prompts, now);
         prop_assert!(!placed.is_empty());
         let mut used: Vec<id::Upstream> = Vec::new();
-        for (_, place) in &placed {
-            prop_assert!(place.load.backlog_ms <= 20.0);
-            for (_, load) in &place.slowest {
+        for (_, placement) in &placed {
+            prop_assert!(placement.load.backlog_ms <= 20.0);
+            for (_, load) in &placement.slowest {
                 prop_assert!(load.backlog_ms <= 20.0);
             }
-            for engine in engines(place) {
+            for engine in engines(placement) {
                 prop_assert!(!used.contains(&engine), "{} reads for two", engine);
                 used.push(engine);
             }
--- a/request/tests/patterns/crash.rs
+++ b/request/tests/patterns/crash.rs
@@ -136,12 +136,12 @@
             placers: 1,
             charge: Charge::Free,
         };
-        let place = placement::place(&self.cluster, &self.service, &requirements, self.now)?;
+        let placement = placement::place(&self.cluster, &self.service, &requirements, self.now)?;
         let number = self.cluster.number();
-        let name = place.flight.upstream.as_str();
+        let name = placement.flight.upstream.as_str();
         let engine = name[2..4].parse().unwrap();
-        let alone = place.flight.alone.is_some();
-        self.cluster.enter(number, place.flight, self.now);
+        let alone = placement.flight.alone.is_some();
+        self.cluster.enter(number, placement.flight, self.now);
         request.state = State::Runs { engine, number, since: self.now, alone };
         Ok(())
     }
--- a/request/tests/patterns/play.rs
+++ b/request/tests/patterns/play.rs
@@ -10,7 +10,7 @@
 use foldlock_request::cluster::{Cluster, Holder, Listed};
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::forecast;
-use foldlock_request::placement::{Place, Requirements};
+use foldlock_request::placement::{Placement, Requirements};
 use foldlock_request::report::Observed;
 use foldlock_request::scheduler::{Answer, Key, Scheduler};
 use foldlock_request::tag::Tag;
@@ -47,7 +47,7 @@
     tokens: u64,
     /// The parts that are not read yet.
     parts: usize,
-    place: Option<Place>,
+    placement: Option<Placement>,
     first: Option<Instant>,
     last: Option<Instant>,
     pause: Duration,
@@ -187,7 +187,7 @@
                 arrives: self.start + Duration::from_secs_f64(at_ms / 1e3),
                 tokens: (stretch.kind.tokens as f64 * spread) as u64,
                 parts: 0,
-                place: None,
+                placement: None,
                 first: None,
                 last: None,
                 pause: Duration::ZERO,
@@ -232,8 +232,8 @@
         let (cluster, table) = (&mut self.cluster, &self.table);
         let answer =
             self.scheduler.ask(cluster, table, Play::key(number), self.service, requirements, now);
-        if let Answer::Placed(place, _) = answer {
-            self.placed(number, *place, now);
+        if let Answer::Placed(placement, _) = answer {
+            self.placed(number, *placement, now);
         }
     }
 
@@ -242,7 +242,7 @@
         let over = |(_, index): &(&u64, &usize)| {
             let request = &self.requests[**index];
             let time = Duration::from_millis(request.kind.time_ms);
-            request.place.is_none() && now >= request.arrives + time
+            request.placement.is_none() && now >= request.arrives + time
         };
         let over: Vec<u64> =
             self.by_number.iter().filter(over).map(|(number, _)| *number).collect();
@@ -254,18 +254,18 @@
 
     fn look(&mut self, now: Instant) {
         for (key, answer) in self.scheduler.look(&mut self.cluster, &self.table, now) {
-            if let Answer::Placed(place, _) = answer {
-                self.placed(key.number, *place, now);
+            if let Answer::Placed(placement, _) = answer {
+                self.placed(key.number, *placement, now);
             }
         }
     }
 
-    fn placed(&mut self, number: u64, place: Place, now: Instant) {
+    fn placed(&mut self, number: u64, placement: Placement, now: Instant) {
         let index = self.by_number[&number];
-        if self.requests[index].place.is_some() {
+        if self.requests[index].placement.is_some() {
             return;
         }
-        let flight = place.flight.clone();
+        let flight = placement.flight.clone();
         self.cluster.enter(number, flight.clone(), now);
         let helpers = flight.helpers.iter().map(|helping| &helping.upstream);
         let all: Vec<&id::Upstream> = helpers.chain([&flight.upstream]).collect();
@@ -274,7 +274,7 @@
             let engine = self.engines.get_mut(id).unwrap();
             engine.waits.push((index, f64::from(flight.part_ms)));
         }
-        self.requests[index].place = Some(place);
+        self.requests[index].placement = Some(placement);
     }
 
     /// Ends the passes that end now: what they read is read, and who writes has one event more.
@@ -303,14 +303,17 @@
                 events.into_iter().filter(|index| self.event(*index, now)).collect();
             // The one that answers writes once all parts are read.
             for index in writes {
-                let at = self.requests[index].place.as_ref().unwrap().flight.upstream.clone();
+                let at = self.requests[index].placement.as_ref().unwrap().flight.upstream.clone();
                 self.engines.get_mut(&at).unwrap().writes.push(index);
             }
         }
     }
 
     fn answers(&self, index: usize, id: &id::Upstream) -> bool {
-        self.requests[index].place.as_ref().is_some_and(|place| place.flight.upstream == *id)
+        self.requests[index]
+            .placement
+            .as_ref()
+            .is_some_and(|placement| placement.flight.upstream == *id)
     }
 
     /// An event of an answer, if its prompt is read. Answers whether more are to come.
--- a/request/tests/placement.rs
+++ b/request/tests/placement.rs
@@ -9,7 +9,7 @@
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::flight::Flight;
 use foldlock_request::forecast;
-use foldlock_request::placement::{self, Place, Rejection, Requirements};
+use foldlock_request::placement::{self, Placement, Rejection, Requirements};
 use foldlock_request::suspicion::{Failure, Outcome};
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::{Engine, Service};
@@ -84,7 +84,11 @@
     }
 }
 
-fn place(cluster: &Cluster, requirements: &Requirements, now: Instant) -> Result<Place, Rejection> {
+fn place(
+    cluster: &Cluster,
+    requirements: &Requirements,
+    now: Instant,
+) -> Result<Placement, Rejection> {
     placement::place(cluster, &service(Some(ENGINE)), requirements, now)
 }
 
@@ -99,10 +103,10 @@
     cluster: &mut Cluster,
     requirements: &Requirements,
     now: Instant,
-) -> Result<Place, Rejection> {
-    let place = place(cluster, requirements, now)?;
-    begin(cluster, place.flight.clone(), now);
-    Ok(place)
+) -> Result<Placement, Rejection> {
+    let placement = place(cluster, requirements, now)?;
+    begin(cluster, placement.flight.clone(), now);
+    Ok(placement)
 }
 
 #[test]
@@ -134,9 +138,9 @@
     let requirements = requirements(SHORT, 1_000);
     for n in 0..32 {
         let number = {
-            let place = place(&cluster, &requirements, now).unwrap();
-            let number = begin(&mut cluster, place.flight.clone(), now);
-            assert_eq!(place.flight.upstream, upstream(n / 16), "request {n}");
+            let placement = place(&cluster, &requirements, now).unwrap();
+            let number = begin(&mut cluster, placement.flight.clone(), now);
+            assert_eq!(placement.flight.upstream, upstream(n / 16), "request {n}");
             number
         };
         cluster.began(number, now);
@@ -362,11 +366,11 @@
     limit(&mut cluster, 6, 2.0, now);
     let later = now + Duration::from_secs(1);
     let prompt = Requirements { arrived: later, ..requirements(LONG, 133_000) };
-    let place = place(&cluster, &prompt, later).unwrap();
-    assert!(!place.flight.helpers.is_empty());
+    let placement = place(&cluster, &prompt, later).unwrap();
+    assert!(!placement.flight.helpers.is_empty());
     let limited: Vec<id::Upstream> = (0..6).map(upstream).collect();
-    let helpers = place.flight.helpers.iter().map(|helping| &helping.upstream);
-    for engine in helpers.chain([&place.flight.upstream]) {
+    let helpers = placement.flight.helpers.iter().map(|helping| &helping.upstream);
+    for engine in helpers.chain([&placement.flight.upstream]) {
         assert!(!limited.contains(engine), "{engine}");
     }
 }
@@ -382,9 +386,9 @@
     let prompt = Requirements { arrived: later, ..requirements(LONG, 133_000) };
     assert!(!placement::is_too_long(&cluster, &service, &ENGINE, &prompt));
     for _ in 0..4 {
-        let place = placement::place_whole(&cluster, &service, &prompt, later).unwrap();
-        assert!(place.flight.helpers.is_empty());
-        begin(&mut cluster, place.flight, later);
+        let placement = placement::place_whole(&cluster, &service, &prompt, later).unwrap();
+        assert!(placement.flight.helpers.is_empty());
+        begin(&mut cluster, placement.flight, later);
     }
     let fifth = placement::place_whole(&cluster, &service, &prompt, later);
     assert!(matches!(fifth, Err(Rejection::Full)), "each takes one in half a second: {fifth:?}");
@@ -402,10 +406,10 @@
     for step in 1..50 {
         let at = now + Duration::from_millis(200 * step);
         let requirements = Requirements { arrived: at, ..requirements(SHORT, 5_000) };
-        let place = place(&cluster, &requirements, at).unwrap();
-        let engine = usize::from(place.flight.upstream == upstream(1));
+        let placement = place(&cluster, &requirements, at).unwrap();
+        let engine = usize::from(placement.flight.upstream == upstream(1));
         sent[engine] += 1;
-        let number = begin(&mut cluster, place.flight, at);
+        let number = begin(&mut cluster, placement.flight, at);
         cluster.leave(number, at + Duration::from_millis(100));
     }
     assert!((3..=6).contains(&sent[0]), "{sent:?}");
--- a/request/tests/rate_limits/fleet.rs
+++ b/request/tests/rate_limits/fleet.rs
@@ -9,7 +9,7 @@
 use foldlock_request::cluster::{Cluster, Holder, Listed};
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::flight::Flight;
-use foldlock_request::placement::{Place, Rejection, Requirements};
+use foldlock_request::placement::{Placement, Rejection, Requirements};
 use foldlock_request::rate_limit::Entry;
 use foldlock_request::scheduler::{Answer, Key, Scheduler};
 use foldlock_request::tag::Tag;
@@ -252,7 +252,9 @@
                 self.now,
             );
             match answer {
-                Answer::Placed(place, _) if self.send(vm, scheduler, number, &place) => return,
+                Answer::Placed(placement, _) if self.send(vm, scheduler, number, &placement) => {
+                    return;
+                }
                 Answer::Placed(..) => {
                     let now = self.now;
                     let Vm { cluster, scheduler: of, .. } = &mut self.vms[scheduler];
@@ -274,13 +276,13 @@
     }
 
     /// Sends on a grant, unless its scheduler knew less of the limit, which it is told then.
-    fn send(&mut self, vm: usize, scheduler: usize, number: u64, place: &Place) -> bool {
-        let id = &place.flight.upstream;
-        if !self.vms[vm].cluster.may_send(id, place.limit) {
+    fn send(&mut self, vm: usize, scheduler: usize, number: u64, placement: &Placement) -> bool {
+        let id = &placement.flight.upstream;
+        if !self.vms[vm].cluster.may_send(id, placement.limit) {
             self.tell_limit(vm, scheduler, id);
             return false;
         }
-        if let Some(limit) = place.limit {
+        if let Some(limit) = placement.limit {
             self.merge_limit(vm, scheduler, Entry { upstream: Tag::of(id.as_str()), limit });
         }
         let upstream = (0..UPSTREAMS).find(|index| upstream(*index) == *id).unwrap();
@@ -387,8 +389,8 @@
                 };
                 let lives = self.vms[vm].incarnation == key.incarnation && !self.is_frozen(vm);
                 match answer {
-                    Answer::Placed(place, _) if lives && self.reaches(scheduler, vm) => {
-                        self.send(vm, scheduler, key.number, &place);
+                    Answer::Placed(placement, _) if lives && self.reaches(scheduler, vm) => {
+                        self.send(vm, scheduler, key.number, &placement);
                     }
                     Answer::Rejected(_) => self.refused += 1,
                     _ => {}
--- a/request/tests/scheduler.rs
+++ b/request/tests/scheduler.rs
@@ -7,7 +7,7 @@
 use foldlock_request::budget::Charge;
 use foldlock_request::cluster::{Cluster, Holder, Listed};
 use foldlock_request::fingerprint::Fingerprint;
-use foldlock_request::placement::{Place, Rejection, Requirements};
+use foldlock_request::placement::{Placement, Rejection, Requirements};
 use foldlock_request::quarantine::Ending;
 use foldlock_request::scheduler::{Answer, Key, Scheduler};
 use foldlock_request::tag::Tag;
@@ -122,13 +122,13 @@
         self.scheduler.ask(&mut self.cluster, &self.table, key, model, requirements, self.now)
     }
 
-    fn look(&mut self) -> Vec<(Key, Place)> {
+    fn look(&mut self) -> Vec<(Key, Placement)> {
         let answers = self.scheduler.look(&mut self.cluster, &self.table, self.now);
-        let place = |(key, answer)| match answer {
-            Answer::Placed(place, _) => (key, *place),
+        let placement = |(key, answer)| match answer {
+            Answer::Placed(placement, _) => (key, *placement),
             answer => panic!("{key:?}: {answer:?}"),
         };
-        answers.into_iter().map(place).collect()
+        answers.into_iter().map(placement).collect()
     }
 
     fn cancel(&mut self, key: &Key) {
@@ -140,9 +140,9 @@
     }
 }
 
-fn placed(answer: Answer) -> (Place, u64) {
+fn placed(answer: Answer) -> (Placement, u64) {
     match answer {
-        Answer::Placed(place, grant) => (*place, grant),
+        Answer::Placed(placement, grant) => (*placement, grant),
         answer => panic!("{answer:?}"),
     }
 }
@@ -151,10 +151,10 @@
 fn who_asks_again_gets_the_same_place() {
     let mut fleet = Fleet::new(3);
     let requirements = short(fleet.now);
-    let (place, grant) = placed(fleet.ask(key(1, 1), requirements.clone()));
+    let (placement, grant) = placed(fleet.ask(key(1, 1), requirements.clone()));
     fleet.after(25);
     let (again, grant_again) = placed(fleet.ask(key(1, 1), requirements.clone()));
-    assert_eq!((place.flight, grant), (again.flight, grant_again));
+    assert_eq!((placement.flight, grant), (again.flight, grant_again));
     assert_eq!(fleet.cluster.under_way(), 1);
     let (_, next) = placed(fleet.ask(key(1, 2), requirements));
     assert!(next > grant, "each place has a higher number");
@@ -166,9 +166,9 @@
     let requirements = short(fleet.now);
     let mut reading = std::collections::HashMap::new();
     for i in 0..24 {
-        let (place, _) = placed(fleet.ask(key(i, 1), requirements.clone()));
-        *reading.entry(place.flight.upstream).or_insert(0_u32) += 1;
-        assert!(place.predicted_ms <= 0.85 * 400.0, "{}", place.predicted_ms);
+        let (placement, _) = placed(fleet.ask(key(i, 1), requirements.clone()));
+        *reading.entry(placement.flight.upstream).or_insert(0_u32) += 1;
+        assert!(placement.predicted_ms <= 0.85 * 400.0, "{}", placement.predicted_ms);
     }
     // One is read at once, and five fit into the pass after it without a pause of over 250 ms.
     assert!(reading.values().all(|reads| *reads <= 6), "{reading:?}");
@@ -208,9 +208,9 @@
         let asked_again = Requirements { avoid: vec![barred], ..requirements.clone() };
         assert!(matches!(fleet.ask(key(1, 1), asked_again), Answer::Waits));
         let placed = fleet.look();
-        let [(_, place)] = placed.as_slice() else { panic!("{placed:?}") };
-        let used = std::iter::once(&place.flight.upstream)
-            .chain(place.flight.helpers.iter().map(|helping| &helping.upstream));
+        let [(_, placement)] = placed.as_slice() else { panic!("{placed:?}") };
+        let used = std::iter::once(&placement.flight.upstream)
+            .chain(placement.flight.helpers.iter().map(|helping| &helping.upstream));
         assert!(used.map(|id| fleet.cluster.tag_of(id)).all(|tag| tag != barred));
         fleet.cancel(&key(1, 1));
     }
@@ -339,7 +339,7 @@
         let requirements = suspicious(suspected(fleet.now));
         suspect(&mut fleet, &requirements);
         let alone = match fleet.ask(key(0, 2), requirements.clone()) {
-            Answer::Placed(place, _) => *place,
+            Answer::Placed(placement, _) => *placement,
             _ => fleet.look().pop().expect("there is room").1,
         };
         assert_eq!(alone.flight.alone, Some(requirements.fingerprint));
