--- a/daemon/src/fleet/peers.rs
+++ b/daemon/src/fleet/peers.rs
@@ -16,7 +16,7 @@
 use foldlock_base::prelude::*;
 use foldlock_request::directory::Member;
 use foldlock_request::message::Beat;
-use foldlock_request::rank::Contact;
+use foldlock_request::rank::Liveness;
 use serde_json::json;
 
 use crate::fleet::peers::known::Known;
@@ -256,7 +256,7 @@
     pub fn position(&self, now: Instant) -> usize {
         let known = self.known.lock().unwrap();
         let before = known.order.iter().take_while(|member| member.vm != self.own.vm);
-        before.filter(|member| known.contact(&member.vm, now) == Contact::Heard).count()
+        before.filter(|member| known.liveness(&member.vm, now) == Liveness::Up).count()
     }
 
     /// The place of this VM among all that are listed, in their order.
--- a/daemon/src/fleet/peers/known.rs
+++ b/daemon/src/fleet/peers/known.rs
@@ -5,7 +5,7 @@
 
 use foldlock_base::prelude::*;
 use foldlock_request::directory::Member;
-use foldlock_request::rank::{self, Contact};
+use foldlock_request::rank::{self, Liveness};
 
 use crate::fleet::peers::Cadence;
 use crate::fleet::peers::peer::Peer;
@@ -40,9 +40,9 @@
     }
 
     /// What is known of a VM's life.
-    pub(super) fn contact(&self, vm: &id::Vm, now: Instant) -> Contact {
-        // This VM is always in contact with itself.
-        self.peers.get(vm).map_or(Contact::Heard, |peer| peer.contact(self.cadence(), now))
+    pub(super) fn liveness(&self, vm: &id::Vm, now: Instant) -> Liveness {
+        // This VM is always up for itself.
+        self.peers.get(vm).map_or(Liveness::Up, |peer| peer.liveness(self.cadence(), now))
     }
 
     /// The peers that were heard of late.
@@ -53,7 +53,7 @@
 
     /// The VMs that are told all, in their order.
     pub(super) fn schedulers(&self, now: Instant) -> impl Iterator<Item = &Member> {
-        let order = self.order.iter().map(|member| self.contact(&member.vm, now));
-        rank::told(order).into_iter().map(|index| &self.order[index])
+        let order = self.order.iter().map(|member| self.liveness(&member.vm, now));
+        rank::schedulers(order).into_iter().map(|index| &self.order[index])
     }
 }
--- a/daemon/src/fleet/peers/peer.rs
+++ b/daemon/src/fleet/peers/peer.rs
@@ -4,7 +4,7 @@
 
 use foldlock_request::directory::Member;
 use foldlock_request::message::State;
-use foldlock_request::rank::Contact;
+use foldlock_request::rank::Liveness;
 use foldlock_request::revision::Revision;
 
 use crate::fleet::peers::{Cadence, Target};
@@ -100,39 +100,39 @@
     }
 
     /// Whether it may be asked to place requests.
-    pub(super) fn contact(&self, cadence: Cadence, now: Instant) -> Contact {
+    pub(super) fn liveness(&self, cadence: Cadence, now: Instant) -> Liveness {
         let since = |at: Instant| now.saturating_duration_since(at);
         // Where all schedulers die at once, the next ones are told at once, and not only when the
         // dead are no longer taken for heard. Until then each VM would place by its own requests alone,
         // on engines that it takes for empty.
         if self.missed.is_some_and(|at| since(at) < cadence.places()) {
-            return Contact::Untried;
+            return Liveness::Unknown;
         }
         if self.heard.is_some_and(|at| since(at) < cadence.places()) {
-            return Contact::Heard;
+            return Liveness::Up;
         }
         // How long a VM that is not heard is told all, to find out whether it lives.
         let tried = cadence.places();
         match self.tried {
-            Some(at) if since(at) >= tried && since(at) < tried + RETRIED => Contact::Silent,
-            _ => Contact::Untried,
+            Some(at) if since(at) >= tried && since(at) < tried + RETRIED => Liveness::Down,
+            _ => Liveness::Unknown,
         }
     }
 
     /// It is told all now, whether it is heard or not.
     pub(super) fn tried(&mut self, cadence: Cadence, now: Instant) {
         let again = |at: Instant| now.saturating_duration_since(at) >= cadence.places() + RETRIED;
-        if self.contact(cadence, now) != Contact::Heard && self.tried.is_none_or(again) {
+        if self.liveness(cadence, now) != Liveness::Up && self.tried.is_none_or(again) {
             self.tried = Some(now);
         }
     }
 
     /// How little it is to be asked, 0 the most.
     pub(super) fn placing_rank(&self, cadence: Cadence, now: Instant) -> u8 {
-        match self.contact(cadence, now) {
-            Contact::Heard if self.settled => 0,
-            Contact::Heard => 1,
-            Contact::Untried | Contact::Silent => 2,
+        match self.liveness(cadence, now) {
+            Liveness::Up if self.settled => 0,
+            Liveness::Up => 1,
+            Liveness::Unknown | Liveness::Down => 2,
         }
     }
 }
--- a/daemon/src/fleet/peers/sources.rs
+++ b/daemon/src/fleet/peers/sources.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Instant;
 
-use foldlock_request::rank::Contact;
+use foldlock_request::rank::Liveness;
 use foldlock_request::revision::Revision;
 use rand::seq::IndexedRandom;
 
@@ -70,7 +70,7 @@
         let is_near = |peer: &&Peer| {
             peer.member.hall == self.own.hall
                 && !peer.leaving
-                && peer.contact(known.cadence(), now) != Contact::Silent
+                && peer.liveness(known.cadence(), now) != Liveness::Down
         };
         let near: Vec<&Peer> = known.peers.values().filter(is_near).collect();
         near.choose(&mut rand::rng()).map(|peer| peer.member.address)
--- a/request/src/rank.rs
+++ b/request/src/rank.rs
@@ -33,30 +33,30 @@
 
 /// What is known of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Contact {
+pub enum Liveness {
     /// It was heard just now.
-    Heard,
+    Up,
     /// It was not asked for long enough to know.
-    Untried,
+    Unknown,
     /// It does not answer.
-    Silent,
+    Down,
 }
 
 /// The VMs that are told all, by their place in the order: the first that are heard, and those before
 /// them that may yet answer.
-pub fn told(order: impl Iterator<Item = Contact>) -> Vec<usize> {
-    let mut heard = 0;
-    let mut told = Vec::new();
-    for (index, contact) in order.enumerate() {
-        if heard == SCHEDULERS || told.len() == TRIED {
+pub fn schedulers(order: impl Iterator<Item = Liveness>) -> Vec<usize> {
+    let mut up = 0;
+    let mut schedulers = Vec::new();
+    for (index, liveness) in order.enumerate() {
+        if up == SCHEDULERS || schedulers.len() == TRIED {
             break;
         }
-        match contact {
-            Contact::Heard => heard += 1,
-            Contact::Untried => {}
-            Contact::Silent => continue,
+        match liveness {
+            Liveness::Up => up += 1,
+            Liveness::Unknown => {}
+            Liveness::Down => continue,
         }
-        told.push(index);
+        schedulers.push(index);
     }
-    told
+    schedulers
 }
--- a/request/tests/rank.rs
+++ b/request/tests/rank.rs
@@ -1,7 +1,7 @@
 //! Which VMs place for all: the order, and who is told all.
 
 use foldlock_request::directory::Member;
-use foldlock_request::rank::{self, Contact, SCHEDULERS};
+use foldlock_request::rank::{self, Liveness, SCHEDULERS};
 use proptest::prelude::*;
 
 fn member(i: usize, millicores: u32) -> Member {
@@ -51,35 +51,35 @@
 
 #[test]
 fn the_next_ones_follow_those_that_fall_silent() {
-    use Contact::{Heard, Silent, Untried};
-    let told = |contacts: &[Contact]| rank::told(contacts.iter().copied());
-    assert_eq!(told(&[Heard, Heard, Heard, Heard]), [0, 1, 2]);
-    assert_eq!(told(&[Silent, Heard, Silent, Heard, Heard, Heard]), [1, 3, 4]);
-    assert_eq!(told(&[Untried, Heard, Heard, Heard, Heard]), [0, 1, 2, 3], "it may live");
-    assert_eq!(told(&[Untried; 20]).len(), 6, "not all are tried at once");
-    assert!(told(&[Silent; 4]).is_empty());
+    use Liveness::{Down, Unknown, Up};
+    let schedulers = |liveness: &[Liveness]| rank::schedulers(liveness.iter().copied());
+    assert_eq!(schedulers(&[Up, Up, Up, Up]), [0, 1, 2]);
+    assert_eq!(schedulers(&[Down, Up, Down, Up, Up, Up]), [1, 3, 4]);
+    assert_eq!(schedulers(&[Unknown, Up, Up, Up, Up]), [0, 1, 2, 3], "it may live");
+    assert_eq!(schedulers(&[Unknown; 20]).len(), 6, "not all are tried at once");
+    assert!(schedulers(&[Down; 4]).is_empty());
 }
 
 proptest! {
     /// Whoever is silent, the first ones that are heard are told, and few others.
     #[test]
     fn the_first_that_are_heard_are_told(
-        contacts in prop::collection::vec(
-            prop_oneof![Just(Contact::Heard), Just(Contact::Untried), Just(Contact::Silent)],
+        liveness in prop::collection::vec(
+            prop_oneof![Just(Liveness::Up), Just(Liveness::Unknown), Just(Liveness::Down)],
             0..40,
         ),
     ) {
-        let told = rank::told(contacts.iter().copied());
-        prop_assert!(told.len() <= 2 * SCHEDULERS);
-        prop_assert!(told.iter().all(|index| contacts[*index] != Contact::Silent));
-        let heard: Vec<usize> =
-            (0..contacts.len()).filter(|i| contacts[*i] == Contact::Heard).collect();
-        let told_heard: Vec<usize> =
-            told.iter().copied().filter(|i| contacts[*i] == Contact::Heard).collect();
-        prop_assert!(told_heard.len() <= SCHEDULERS);
-        prop_assert!(heard.starts_with(&told_heard));
-        if told.len() < 2 * SCHEDULERS {
-            prop_assert_eq!(told_heard.len(), heard.len().min(SCHEDULERS));
+        let schedulers = rank::schedulers(liveness.iter().copied());
+        prop_assert!(schedulers.len() <= 2 * SCHEDULERS);
+        prop_assert!(schedulers.iter().all(|index| liveness[*index] != Liveness::Down));
+        let up: Vec<usize> =
+            (0..liveness.len()).filter(|i| liveness[*i] == Liveness::Up).collect();
+        let schedulers_up: Vec<usize> =
+            schedulers.iter().copied().filter(|i| liveness[*i] == Liveness::Up).collect();
+        prop_assert!(schedulers_up.len() <= SCHEDULERS);
+        prop_assert!(up.starts_with(&schedulers_up));
+        if schedulers.len() < 2 * SCHEDULERS {
+            prop_assert_eq!(schedulers_up.len(), up.len().min(SCHEDULERS));
         }
     }
 }
