--- a/daemon/src/fleet/beats.rs
+++ b/daemon/src/fleet/beats.rs
@@ -23,7 +23,7 @@
 };
 use crate::log;
 
-/// The least time between two beats to the VM that places: what begins and ends gathers for it. A
+/// The least time between two beats to the scheduler: what begins and ends gathers for it. A
 /// VM so sends at most 200 datagrams a second.
 const GATHER: Duration = Duration::from_millis(5);
 
--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -13,7 +13,7 @@
 use foldlock_request::step;
 
 use crate::fleet::members;
-use crate::fleet::peers::Placer;
+use crate::fleet::peers::Scheduler;
 use crate::fleet::process::Process;
 use crate::fleet::register::Order;
 use crate::log;
@@ -187,7 +187,7 @@
 
 /// A copy of the directory lists a request that was let go since it was made: one VM removes it again.
 fn release_again<D: Dialect>(process: &Process<D>, entry: &Quarantined) {
-    if process.peers.placer(false, process.now()) == Some(Placer::Own) {
+    if process.peers.scheduler(false, process.now()) == Some(Scheduler::Own) {
         process.register.order(Order::Remove(entry.fingerprint));
     }
 }
--- a/daemon/src/fleet/ending.rs
+++ b/daemon/src/fleet/ending.rs
@@ -65,7 +65,7 @@
     let held = cluster.quarantine.ended(job.fingerprint, ending, now);
     let known = cluster.quarantine.ended_under(job.fingerprint) as u32;
     drop(cluster);
-    tell::tell_placer(&job.process);
+    tell::tell_scheduler(&job.process);
     job.process.pool.forget(&upstream);
     job.process.metrics.ended_under.inc();
     job.record(Decision::Ended { upstream, known, alone });
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that ask for a placement: at the VM that places, at the next one where it does not answer,
+//! Requests that ask for a placement: at the scheduler, at the next one where it does not answer,
 //! and by what this VM knows itself where none does.
 
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 use tokio::sync::mpsc;
 
 use crate::fleet::notices::{self, Exclusion};
-use crate::fleet::peers::Placer;
+use crate::fleet::peers::Scheduler;
 use crate::fleet::process::Process;
 use crate::fleet::{affiliation, rate_limits, scheduler, tell};
 use crate::log;
@@ -32,7 +32,7 @@
 /// Questions without an answer after which the next VM is asked.
 const MAX_UNANSWERED: u32 = 2;
 
-/// How often a request that waits asks again, so that it is seen when the VM that places is gone.
+/// How often a request that waits asks again, so that it is seen when the scheduler is gone.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(150);
 
 /// How often a VM that places its own requests looks again.
@@ -77,9 +77,9 @@
 }
 
 /// Logs that another VM than before is asked.
-fn note<D: Dialect>(process: &Process<D>, placer: Option<&Placer>) {
-    if process.questions.asked(placer) {
-        let what = placer.map_or_else(|| "none is heard".to_owned(), Placer::to_string);
+fn note<D: Dialect>(process: &Process<D>, scheduler: Option<&Scheduler>) {
+    if process.questions.asked(scheduler) {
+        let what = scheduler.map_or_else(|| "none is heard".to_owned(), Scheduler::to_string);
         log::event(&process.log, Event::SchedulerChanged, what);
     }
 }
@@ -159,10 +159,10 @@
 ) -> Result<Grant, Rejection> {
     loop {
         let mut open = Open::new(process, service, &requirements, until);
-        let placer = process.peers.placer(process.stopping.is_cancelled(), process.now());
-        note(process, placer.as_ref());
-        let ended = match placer {
-            Some(placer) => open.ask(placer).await,
+        let scheduler = process.peers.scheduler(process.stopping.is_cancelled(), process.now());
+        note(process, scheduler.as_ref());
+        let ended = match scheduler {
+            Some(scheduler) => open.ask(scheduler).await,
             None => open.alone().await,
         };
         drop(open);
@@ -226,7 +226,7 @@
     until: Until,
     number: u64,
     answers: mpsc::UnboundedReceiver<Answer>,
-    asked: Option<Placer>,
+    asked: Option<Scheduler>,
 }
 
 impl<'a, D: Dialect> Open<'a, D> {
@@ -242,11 +242,11 @@
     }
 
     /// Asks a VM until it has placed the request, or does not answer.
-    async fn ask(&mut self, placer: Placer) -> Ended {
-        self.asked = Some(placer.clone());
+    async fn ask(&mut self, scheduler: Scheduler) -> Ended {
+        self.asked = Some(scheduler.clone());
         let mut unanswered = 0;
         loop {
-            self.send(&placer);
+            self.send(&scheduler);
             match self.answer(ANSWER_TIMEOUT).await {
                 None => unanswered += 1,
                 Some(Answer::Waits) => {
@@ -257,8 +257,8 @@
                 }
                 Some(answer) => return self.ended(answer),
             }
-            match &placer {
-                Placer::Peer(vm, _) if unanswered == MAX_UNANSWERED => {
+            match &scheduler {
+                Scheduler::Peer(vm, _) if unanswered == MAX_UNANSWERED => {
                     return Ended::Silent(vm.clone());
                 }
                 _ if self.is_over() => return Ended::Later,
@@ -267,11 +267,13 @@
         }
     }
 
-    fn send(&self, placer: &Placer) {
+    fn send(&self, scheduler: &Scheduler) {
         let requirements = self.without_resting();
-        match placer {
-            Placer::Own => scheduler::own(self.process, self.number, self.service, &requirements),
-            Placer::Peer(vm, address) => {
+        match scheduler {
+            Scheduler::Own => {
+                scheduler::own(self.process, self.number, self.service, &requirements)
+            }
+            Scheduler::Peer(vm, address) => {
                 let service = Tag::of(&self.service.name);
                 let is_client = affiliation::contact_peer(self.process, vm);
                 let now = self.process.now();
@@ -282,7 +284,7 @@
     }
 
     /// What is asked for, the upstreams left out that rest for this VM. They go with the question, so that
-    /// the VM that places need not know who was told to leave whom alone.
+    /// the scheduler need not know who was told to leave whom alone.
     fn without_resting(&self) -> Requirements {
         let mut requirements = self.requirements.clone();
         requirements.avoid.extend(notices::resting(self.process));
@@ -319,7 +321,7 @@
         match answer {
             Answer::Placed(placement, _) => {
                 let by = match self.asked.take() {
-                    Some(Placer::Peer(vm, address)) => {
+                    Some(Scheduler::Peer(vm, address)) => {
                         let limits = rate_limits::unknown_to_scheduler(self.process, &placement);
                         if !limits.is_empty() {
                             rate_limits::send(self.process, limits, address);
@@ -339,8 +341,8 @@
     /// Places the request by what is known here.
     async fn alone(&self) -> Ended {
         let offset = rand::random_range(0..u16::MAX).into();
-        let placers = self.process.peers.running_count();
-        let requirements = Requirements { offset, placers, ..self.without_resting() };
+        let schedulers = self.process.peers.running_count();
+        let requirements = Requirements { offset, schedulers, ..self.without_resting() };
         let now = self.process.now();
         let placed = scheduler::place_alone(self.process, self.service, &requirements, now);
         match placed {
@@ -369,8 +371,8 @@
     fn drop(&mut self) {
         self.process.questions.close(self.number);
         match self.asked.take() {
-            Some(Placer::Own) => scheduler::cancel_own(self.process, self.number),
-            Some(Placer::Peer(_, address)) => {
+            Some(Scheduler::Own) => scheduler::cancel_own(self.process, self.number),
+            Some(Scheduler::Peer(_, address)) => {
                 let message = Message::Cancelled(self.request());
                 tell::send(self.process, &message, address);
             }
--- a/daemon/src/fleet/job.rs
+++ b/daemon/src/fleet/job.rs
@@ -125,7 +125,7 @@
             hold_limit: self.process.config.fleet.held_silence(),
             fingerprint: self.fingerprint,
             offset: 0,
-            placers: 1,
+            schedulers: 1,
             charge,
         }
     }
--- a/daemon/src/fleet/peers.rs
+++ b/daemon/src/fleet/peers.rs
@@ -4,7 +4,7 @@
 mod cadence;
 mod known;
 mod peer;
-mod placer;
+mod scheduler;
 mod sources;
 
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 use crate::fleet::peers::peer::Peer;
 
 pub use cadence::Cadence;
-pub use placer::Placer;
+pub use scheduler::Scheduler;
 
 /// VMs that watch the directory in a large fleet; the others hear from them. Three, so that two
 /// may fail at once without a gap.
@@ -204,26 +204,26 @@
         self.known.lock().unwrap().peers.get(vm).map(|peer| peer.target(false))
     }
 
-    /// The VM that places requests, the first in order that answers; none where none does.
-    pub fn placer(&self, stopping: bool, now: Instant) -> Option<Placer> {
+    /// The scheduler, the first in order that answers; none where none does.
+    pub fn scheduler(&self, stopping: bool, now: Instant) -> Option<Scheduler> {
         let known = self.known.lock().unwrap();
         let own_settled = self.age(now) >= known.cadence().settles();
-        let mut found: Option<(u8, Placer)> = None;
+        let mut found: Option<(u8, Scheduler)> = None;
         for member in known.schedulers(now) {
-            let (rank, placer) = match known.peers.get(&member.vm) {
+            let (rank, scheduler) = match known.peers.get(&member.vm) {
                 None if stopping => continue,
-                None => (if own_settled { 0 } else { 1 }, Placer::Own),
+                None => (if own_settled { 0 } else { 1 }, Scheduler::Own),
                 Some(peer) if peer.missed.is_some() => continue,
                 Some(peer) => {
-                    let placer = Placer::Peer(member.vm.clone(), member.address);
-                    (peer.placing_rank(known.cadence(), now), placer)
+                    let scheduler = Scheduler::Peer(member.vm.clone(), member.address);
+                    (peer.placing_rank(known.cadence(), now), scheduler)
                 }
             };
             if found.as_ref().is_none_or(|(best, _)| rank < *best) {
-                found = Some((rank, placer));
+                found = Some((rank, scheduler));
             }
         }
-        found.map(|(_, placer)| placer)
+        found.map(|(_, scheduler)| scheduler)
     }
 
     /// A VM left questions unanswered: the next one is asked until it is heard again.
--- a/daemon/src/fleet/peers/placer.rs
+++ b/daemon/src/fleet/peers/scheduler.rs
@@ -1,4 +1,4 @@
-//! Who places a request.
+//! The scheduler of a VM's requests.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,28 +7,28 @@
 
 /// The VM that places a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Placer {
+pub enum Scheduler {
     /// This one.
     Own,
     /// A peer.
     Peer(id::Vm, SocketAddr),
 }
 
-impl fmt::Display for Placer {
+impl fmt::Display for Scheduler {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Placer::Own => f.write_str("this one"),
-            Placer::Peer(vm, address) => write!(f, "{vm} at {address}"),
+            Scheduler::Own => f.write_str("this one"),
+            Scheduler::Peer(vm, address) => write!(f, "{vm} at {address}"),
         }
     }
 }
 
-impl Placer {
+impl Scheduler {
     /// Where it listens, if it is a peer.
     pub fn address(&self) -> Option<SocketAddr> {
         match self {
-            Placer::Own => None,
-            Placer::Peer(_, address) => Some(*address),
+            Scheduler::Own => None,
+            Scheduler::Peer(_, address) => Some(*address),
         }
     }
 }
--- a/daemon/src/fleet/questions.rs
+++ b/daemon/src/fleet/questions.rs
@@ -6,14 +6,14 @@
 use foldlock_request::scheduler::Answer;
 use tokio::sync::mpsc;
 
-use crate::fleet::peers::Placer;
+use crate::fleet::peers::Scheduler;
 
 /// The questions.
 #[derive(Debug, Default)]
 pub struct Questions {
     open: Mutex<HashMap<u64, mpsc::UnboundedSender<Answer>>>,
     /// The VM that was asked last.
-    placer: Mutex<Option<Placer>>,
+    scheduler: Mutex<Option<Scheduler>>,
 }
 
 impl Questions {
@@ -38,11 +38,11 @@
     }
 
     /// A VM is about to be asked. Answers whether it is another than before.
-    pub fn asked(&self, placer: Option<&Placer>) -> bool {
-        let mut known = self.placer.lock().unwrap();
-        let other = known.as_ref() != placer;
+    pub fn asked(&self, scheduler: Option<&Scheduler>) -> bool {
+        let mut known = self.scheduler.lock().unwrap();
+        let other = known.as_ref() != scheduler;
         if other {
-            *known = placer.cloned();
+            *known = scheduler.cloned();
         }
         other
     }
--- a/daemon/src/fleet/rate_limits.rs
+++ b/daemon/src/fleet/rate_limits.rs
@@ -28,8 +28,8 @@
     let entry = entry(&cluster, &upstream);
     drop(cluster);
     log_change(process, &upstream, rate, own);
-    let scheduler = process.peers.placer(process.stopping.is_cancelled(), now);
-    if let Some(address) = scheduler.and_then(|placer| placer.address()) {
+    let scheduler = process.peers.scheduler(process.stopping.is_cancelled(), now);
+    if let Some(address) = scheduler.and_then(|scheduler| scheduler.address()) {
         send(process, entry.into_iter().collect(), address);
     }
     broadcast(process);
--- a/daemon/src/fleet/reports.rs
+++ b/daemon/src/fleet/reports.rs
@@ -1,4 +1,4 @@
-//! Reports of engines: the VM that places has each engine asked by one of those that it hears, so that
+//! Reports of engines: the scheduler has each engine asked by one of those that it hears, so that
 //! it knows of a slow or silent engine soon and no VM asks many.
 
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::fleet::notices::{self, Exclusion};
-use crate::fleet::peers::Placer;
+use crate::fleet::peers::Scheduler;
 use crate::fleet::process::Process;
 use crate::fleet::{rate_limits, tell};
 use crate::log;
@@ -31,7 +31,7 @@
 pub async fn run<D: Dialect>(process: Arc<Process<D>>) {
     while !process.stopping.is_cancelled() {
         tokio::time::sleep(EVERY).await;
-        if process.peers.placer(false, process.now()) == Some(Placer::Own) {
+        if process.peers.scheduler(false, process.now()) == Some(Scheduler::Own) {
             poll(&process);
         }
     }
@@ -56,7 +56,7 @@
     }
 }
 
-/// The VM that places wants the report of an engine.
+/// The scheduler wants the report of an engine.
 pub fn polled<D: Dialect>(process: &Arc<Process<D>>, upstream: Tag) {
     let cluster = process.cluster.lock().unwrap();
     // An upstream that is not known here is asked by another VM next time, or has ended.
--- a/daemon/src/fleet/tell.rs
+++ b/daemon/src/fleet/tell.rs
@@ -19,7 +19,7 @@
 /// Who is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Round {
-    /// The VM that places.
+    /// The scheduler.
     First,
     /// The VMs that would take over from it, too.
     Spare,
@@ -27,9 +27,9 @@
     All,
 }
 
-/// Tells the VM that places at once what it must not place without: a caller that sends a request again
+/// Tells the scheduler at once what it must not place without: a caller that sends a request again
 /// takes a few milliseconds, no more than a beat may wait for others.
-pub fn tell_placer<D: Dialect>(process: &Process<D>) {
+pub fn tell_scheduler<D: Dialect>(process: &Process<D>) {
     tell(process, Round::First, process.now());
 }
 
@@ -45,8 +45,8 @@
 pub fn tell<D: Dialect>(process: &Process<D>, round: Round, now: Instant) -> Option<Rest> {
     let mut told = process.peers.schedulers(now);
     if round == Round::First {
-        let scheduler = process.peers.placer(process.stopping.is_cancelled(), now);
-        let first = scheduler.and_then(|placer| placer.address());
+        let scheduler = process.peers.scheduler(process.stopping.is_cancelled(), now);
+        let first = scheduler.and_then(|scheduler| scheduler.address());
         told.retain(|target| Some(target.address) == first);
     }
     let listeners = if round == Round::All { process.peers.listeners(now) } else { Vec::new() };
@@ -81,11 +81,11 @@
     work: Option<Work>,
     targets: &[Target],
 ) {
-    let placer = process.peers.placer(process.stopping.is_cancelled(), process.now());
-    let placer = placer.and_then(|placer| placer.address());
+    let scheduler = process.peers.scheduler(process.stopping.is_cancelled(), process.now());
+    let scheduler = scheduler.and_then(|scheduler| scheduler.address());
     for target in targets {
         let is_client =
-            Some(target.address) == placer && affiliation::contact_peer(process, &target.vm);
+            Some(target.address) == scheduler && affiliation::contact_peer(process, &target.vm);
         let work = work.clone().filter(|_| target.scheduler);
         let beat = Beat {
             echo: target.echo,
--- a/daemon/src/fleet/writer.rs
+++ b/daemon/src/fleet/writer.rs
@@ -11,7 +11,7 @@
 use foldlock_request::directory::{Directory, Fault};
 
 use crate::fleet::metrics::Call;
-use crate::fleet::peers::Placer;
+use crate::fleet::peers::Scheduler;
 use crate::fleet::process::Process;
 use crate::fleet::register::Order;
 use crate::log;
@@ -92,7 +92,7 @@
 }
 
 fn sweep<D: Dialect>(process: &Process<D>) {
-    let places = process.peers.placer(false, process.now()) == Some(Placer::Own);
+    let places = process.peers.scheduler(false, process.now()) == Some(Scheduler::Own);
     if !places || !process.watching.load(Ordering::Relaxed) {
         return;
     }
--- a/daemon/tests/peers.rs
+++ b/daemon/tests/peers.rs
@@ -5,7 +5,7 @@
 use foldlock_base::clock::{Clock, System};
 use foldlock_request::directory::Member;
 use foldlock_request::message::{Beat, State};
-use foldlockd::fleet::peers::{Peers, Placer};
+use foldlockd::fleet::peers::{Peers, Scheduler};
 
 fn member(vm: &str, millicores: u32) -> Member {
     Member {
@@ -46,12 +46,12 @@
     let now = System.now();
     let strong = member("vm-strong", 1_000);
     let peers = peers(&strong, now);
-    let other = Some(Placer::Peer(strong.vm.clone(), strong.address));
-    assert_eq!(peers.placer(false, now), other);
+    let other = Some(Scheduler::Peer(strong.vm.clone(), strong.address));
+    assert_eq!(peers.scheduler(false, now), other);
     peers.missed(&strong.vm, now);
-    assert_eq!(peers.placer(false, now), Some(Placer::Own));
+    assert_eq!(peers.scheduler(false, now), Some(Scheduler::Own));
     peers.answered(&strong.vm);
-    assert_eq!(peers.placer(false, now), other);
+    assert_eq!(peers.scheduler(false, now), other);
 }
 
 /// The withdrawal of the start before is carried out late: the VM lists itself again, and goes on as it was.
@@ -64,7 +64,10 @@
     assert_eq!(peers.listed_count(), 1);
     assert!(peers.list(strong.clone()).is_some());
     assert_eq!(peers.listed_count(), 2);
-    assert_eq!(peers.placer(false, now), Some(Placer::Peer(strong.vm.clone(), strong.address)));
+    assert_eq!(
+        peers.scheduler(false, now),
+        Some(Scheduler::Peer(strong.vm.clone(), strong.address))
+    );
     assert!(peers.list(strong).is_none(), "it says nothing new");
 }
 
--- a/request/src/message.rs
+++ b/request/src/message.rs
@@ -215,7 +215,7 @@
             hold_limit: millis(self.hold_limit_ms),
             fingerprint: self.fingerprint,
             offset: 0,
-            placers: 1,
+            schedulers: 1,
             charge: self.charge,
         }
     }
--- a/request/src/pace.rs
+++ b/request/src/pace.rs
@@ -42,8 +42,8 @@
 
 impl Bound {
     /// Share of what a cold upstream bears, for one of several VMs that place requests independently.
-    pub fn cold(per_s: f64, placers: usize) -> Bound {
-        let share = (per_s / placers.max(1) as f64).max(1.0);
+    pub fn cold(per_s: f64, schedulers: usize) -> Bound {
+        let share = (per_s / schedulers.max(1) as f64).max(1.0);
         Bound { count: share as usize, window: COLD_WINDOW }
     }
 
--- a/request/src/placement.rs
+++ b/request/src/placement.rs
@@ -76,7 +76,7 @@
     pub offset: usize,
     /// The VMs that may place at the same time without hearing of each other: what a cold upstream bears is
     /// divided among them. One where a VM places for all.
-    pub placers: usize,
+    pub schedulers: usize,
     /// What it is to the fleet's retry budget.
     pub charge: Charge,
 }
--- a/request/src/placement/candidate.rs
+++ b/request/src/placement/candidate.rs
@@ -121,7 +121,7 @@
 ) -> (Vec<Candidate<'a>>, usize) {
     let open = cluster.open(&service.name).filter(|u| !requirements.avoid.contains(&u.tag));
     let (open, spent): (Vec<&Upstream>, Vec<&Upstream>) =
-        open.partition(|u| bears_more(cluster, service, u, requirements.placers, now));
+        open.partition(|u| bears_more(cluster, service, u, requirements.schedulers, now));
     let limited = spent.into_iter().filter(|u| u.is_limited()).count();
     let mut candidates = trusted(cluster, open, now);
     if !candidates.is_empty() {
@@ -149,13 +149,13 @@
     cluster: &Cluster,
     service: &Service,
     upstream: &Upstream,
-    placers: usize,
+    schedulers: usize,
     now: Instant,
 ) -> bool {
-    if upstream.is_limited() && placers > 1 {
+    if upstream.is_limited() && schedulers > 1 {
         return false;
     }
-    let cold = service.cold_per_s.map(|per_s| Bound::cold(per_s, placers));
+    let cold = service.cold_per_s.map(|per_s| Bound::cold(per_s, schedulers));
     cluster.takes_more(upstream, cold, now)
 }
 
--- a/request/src/placement/group.rs
+++ b/request/src/placement/group.rs
@@ -93,7 +93,8 @@
     for waiting in in_order(line.turns, engine, &readers, now).into_iter().take(MOST_PLANNED) {
         let turn = &line.turns[waiting.index];
         let prompt = Prompt { read_ms: waiting.read_ms, left_ms: turn.requirements.left_ms(now) };
-        let bears = |u: &Upstream| bears_more(cluster, service, u, turn.requirements.placers, now);
+        let bears =
+            |u: &Upstream| bears_more(cluster, service, u, turn.requirements.schedulers, now);
         let demand = demand_of_others(&line, prompt, turn.requirements, now);
         let most_ms = |share: &Share| longest_part_ms(&readers, demand, prompt, share);
         match turn_now(turn.requirements, engine, &readers, prompt, most_ms, bears) {
--- a/request/tests/cold.rs
+++ b/request/tests/cold.rs
@@ -56,7 +56,7 @@
     cluster
 }
 
-fn requirements(now: Instant, placers: usize) -> Requirements {
+fn requirements(now: Instant, schedulers: usize) -> Requirements {
     Requirements {
         prompt: Tokens(0),
         memory: Tokens(0),
@@ -70,7 +70,7 @@
         hold_limit: Duration::from_secs(2),
         fingerprint: Fingerprint::of("", "", "", b""),
         offset: 0,
-        placers,
+        schedulers,
         charge: Charge::Free,
     }
 }
@@ -152,7 +152,7 @@
     assert!(matches!(placed, Err(Rejection::Full)), "{placed:?}");
 }
 
-/// The VM that places is not heard: 91 VMs place for themselves, and none hears of the others in time.
+/// The scheduler is not heard: 91 VMs place for themselves, and none hears of the others in time.
 #[test]
 fn vms_that_each_place_for_themselves_divide_what_a_cold_upstream_bears() {
     let now = Instant::now();
--- a/request/tests/message.rs
+++ b/request/tests/message.rs
@@ -51,7 +51,7 @@
         hold_limit: Duration::from_millis(2_400),
         fingerprint: Fingerprint::of("", "", "", b""),
         offset: 0,
-        placers: 1,
+        schedulers: 1,
         charge: Charge::Withdraw,
     };
     let request = Number { incarnation: 1, number: 8 };
--- a/request/tests/patterns/crash.rs
+++ b/request/tests/patterns/crash.rs
@@ -133,7 +133,7 @@
             hold_limit: Duration::from_secs(2),
             fingerprint: request.fingerprint,
             offset: 0,
-            placers: 1,
+            schedulers: 1,
             charge: Charge::Free,
         };
         let placement = placement::place(&self.cluster, &self.service, &requirements, self.now)?;
--- a/request/tests/patterns/play.rs
+++ b/request/tests/patterns/play.rs
@@ -212,7 +212,7 @@
             hold_limit: Duration::from_millis(2_400),
             fingerprint: Fingerprint::of("", "", "", b""),
             offset: 0,
-            placers: 1,
+            schedulers: 1,
             charge: Charge::Free,
         }
     }
--- a/request/tests/placement.rs
+++ b/request/tests/placement.rs
@@ -79,7 +79,7 @@
         hold_limit: Duration::from_millis(2_400),
         fingerprint: Fingerprint::of("", "", "", b""),
         offset: 0,
-        placers: 1,
+        schedulers: 1,
         charge: Charge::Free,
     }
 }
--- a/request/tests/rate_limits/fleet.rs
+++ b/request/tests/rate_limits/fleet.rs
@@ -90,7 +90,7 @@
         hold_limit: Duration::from_secs(2),
         fingerprint: Fingerprint::of("", "", &number.to_string(), b""),
         offset: 0,
-        placers: 1,
+        schedulers: 1,
         charge: Charge::Free,
     }
 }
--- a/request/tests/scheduler.rs
+++ b/request/tests/scheduler.rs
@@ -88,7 +88,7 @@
         hold_limit: Duration::from_millis(2_400),
         fingerprint: Fingerprint::of("", "", "", b""),
         offset: 0,
-        placers: 1,
+        schedulers: 1,
         charge: Charge::Free,
     }
 }
