--- a/request/src/cluster.rs
+++ b/request/src/cluster.rs
@@ -1,9 +1,8 @@
-//! The cluster state: every upstream that is known, and every attempt that is under way at one, of this VM
-//! and of the VMs that tell it theirs.
+//! The cluster state: all upstreams, and the in-flight attempts at them of this VM and of the peers that
+//! announce theirs.
 //!
-//! What a VM tells is the whole of its attempts each time, so a lost message costs accuracy for one
-//! interval and nothing else; what is kept for each upstream changes only with what begins and ends
-//! there.
+//! A VM announces all of its attempts each time, so a lost message costs accuracy for one heartbeat interval
+//! and nothing else. The load of each upstream is updated incrementally as attempts begin and end.
 
 mod flights;
 mod halls;
@@ -39,39 +38,39 @@
 pub use outcomes::Ended;
 pub use upstream::Upstream;
 
-/// Ended upstreams that are remembered: no message is on its way for as long as this many upstreams take
-/// to end.
+/// Most removed upstreams that are remembered. No message is delayed for as long as it takes for this many
+/// upstreams to be removed.
 const ENDED: usize = 1_024;
 
-/// The cluster state.
+/// The upstreams and in-flight attempts, as this VM has received them.
 #[derive(Debug, Default)]
 pub struct Cluster {
     upstreams: BTreeMap<id::Upstream, Upstream>,
     halls: Halls,
-    /// Those that are gone, with the revision up to which that is known.
+    /// Removed upstreams, each with the revision at which it was absent.
     ended: VecDeque<(id::Upstream, Revision)>,
     starts: VecDeque<(Instant, Start)>,
     tags: HashMap<Tag, id::Upstream>,
     flights: flights::Flights,
-    /// Requests under which upstreams ended.
+    /// Requests during which upstreams crashed.
     pub quarantine: Quarantine,
-    /// Those of them that the directory lists.
+    /// Quarantined requests that the directory lists.
     held: BTreeMap<Fingerprint, Quarantined>,
-    /// Those that it listed once and that were let go.
+    /// Requests that the directory listed as quarantined and that have been released.
     released: VecDeque<Fingerprint>,
     outcomes: VecDeque<(Instant, Ended)>,
     heard_outcomes: HashMap<id::Vm, u64>,
     own_dispatches: limits::OwnDispatches,
-    /// The upstreams that name a rate limit.
+    /// Number of upstreams with a rate limit.
     limited: usize,
     next: u64,
-    /// The digest of the listings, until one changes: it is asked for with each beat.
+    /// The digest of the listings, cached until one changes, since every heartbeat includes it.
     digest: Cell<Option<u64>>,
 }
 
 impl Cluster {
-    /// Takes a listing. Answers whether it is new or says something new. A later start ends all that was
-    /// believed of the one before it.
+    /// Applies a listing. Returns whether it is new or has changed. A later incarnation of the upstream discards
+    /// all state of the one before.
     pub fn list(&mut self, listed: Listed) -> bool {
         self.digest.set(None);
         let Some(known) = self.upstreams.get_mut(&listed.id) else {
@@ -80,7 +79,7 @@
         };
         known.unlisted = None;
         if listed.is_other_start(&known.listed) {
-            // The entry of the start before, read again after the upstream told of its new one.
+            // The entry of the previous incarnation, read again after the upstream itself reported its restart.
             let is_late = listed.revision <= known.listed.revision;
             if is_late && listed.born < known.listed.born {
                 return false;
@@ -90,16 +89,16 @@
             return true;
         }
         let changed = !listed.says_the_same(&known.listed);
-        // A start that the upstream itself told stays known until the directory tells one.
+        // A start time reported by the upstream itself is kept until the directory lists one.
         let born = listed.born.or(known.listed.born);
         known.drained = self.halls.is_drained(&listed.hall);
         known.listed = Listed { born, ..listed };
         changed
     }
 
-    /// Takes a listing of a directory that has come back from a copy of itself, which is older than what is
-    /// known. What ended since does not come back, nor an earlier start, and who leaves goes on leaving;
-    /// their own words reach the directory again. Answers whether it says something new.
+    /// Applies a listing of a directory that was restored from an older copy. Upstreams removed since that copy
+    /// stay removed, earlier incarnations are ignored, and leaving upstreams stay leaving: the upstreams that
+    /// still run write their entries again. Returns whether the listing has changed.
     pub fn list_copy(&mut self, listed: Listed) -> bool {
         if self.ended.iter().any(|(id, _)| *id == listed.id) {
             return false;
@@ -142,12 +141,12 @@
         Some(known)
     }
 
-    /// How VMs name the start of an upstream that is known here.
+    /// The tag of the current incarnation of an upstream, or of its id if the upstream is unknown.
     pub fn tag_of(&self, id: &id::Upstream) -> Tag {
         self.upstreams.get(id).map_or_else(|| Tag::of(id.as_str()), |known| known.tag)
     }
 
-    /// Forgets an upstream that is gone by what is known up to a revision. Answers whether it was known.
+    /// Removes an upstream that is absent from the listings at a revision. Returns whether it was known.
     pub fn remove(&mut self, id: &id::Upstream, revision: Revision) -> bool {
         self.digest.set(None);
         let known = self.forget(id).is_some();
@@ -157,9 +156,9 @@
         known
     }
 
-    /// All listings as a peer is told of them. A revision goes with those alone that were gone or bad before
-    /// and came back, since only these need it: with one for each entry, what 3,000 upstreams take is 49
-    /// kB in place of 37, for each VM that reads it.
+    /// All listings, as sent to a peer. Only upstreams that were removed or unreadable and came back carry a
+    /// revision, since only these need it: with a revision in each entry, 3,000 upstreams take 49 kB in place
+    /// of 37 for each VM that reads them.
     pub fn relayed(&self, now: Instant) -> impl Iterator<Item = Listed> {
         self.upstreams.values().map(move |upstream| {
             let listed = &upstream.listed;
@@ -171,15 +170,15 @@
         })
     }
 
-    /// An upstream was said to be cold for so much longer.
+    /// Sets for how much longer an upstream is cold.
     pub fn note_cold(&mut self, id: &id::Upstream, left: Duration, now: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.cold_until = (!left.is_zero()).then(|| now + left);
         }
     }
 
-    /// Whether a peer's word of a listing may be taken: nothing that ended comes back but by a higher
-    /// revision, and nothing that is leaving stays but by one.
+    /// Whether a listing received from a peer may be applied. Only a higher revision restores a removed upstream
+    /// or ends the leaving of one.
     pub fn accepts(&self, listed: &Listed) -> bool {
         let ended = self.ended.iter().find(|(id, _)| *id == listed.id);
         if ended.is_some_and(|(_, revision)| listed.revision <= *revision) {
@@ -208,16 +207,15 @@
         self.ended.push_back((id, revision));
     }
 
-    /// The listing of an upstream ended while the directory was away: it may still live, and is
-    /// kept until [`Cluster::expire`].
+    /// Marks an upstream whose listing lapsed while the directory was unavailable. It may still run, and is kept
+    /// until [`Cluster::expire`].
     pub fn unlist(&mut self, id: &id::Upstream, now: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.unlisted.get_or_insert(now);
         }
     }
 
-    /// Forgets upstreams that have been without a listing for `grace`, as is known up to a revision, and
-    /// names them.
+    /// Removes upstreams that have had no listing for `grace`, as of a revision, and returns their ids.
     pub fn expire(
         &mut self,
         grace: Duration,
@@ -235,12 +233,12 @@
         gone
     }
 
-    /// An upstream by id.
+    /// The upstream with this id.
     pub fn get(&self, id: &id::Upstream) -> Option<&Upstream> {
         self.upstreams.get(id)
     }
 
-    /// All listings, in the order of their ids.
+    /// All listings, ordered by id.
     pub fn listings(&self) -> impl Iterator<Item = &Listed> {
         self.upstreams.values().map(|u| &u.listed)
     }
@@ -257,13 +255,13 @@
         self.upstreams.keys()
     }
 
-    /// The upstreams of a service that take new work, in the order of their ids, which is the same
-    /// on all VMs.
+    /// The upstreams of a service that accept new requests, ordered by id, so that the order is the same on all
+    /// VMs.
     pub fn open<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Upstream> {
         self.upstreams.values().filter(move |u| u.listed.service == service && u.is_open())
     }
 
-    /// A digest of all listings: two cluster states with the same have the same.
+    /// A digest of all listings, equal on VMs with the same listings.
     pub fn digest(&self) -> u64 {
         if let Some(digest) = self.digest.get() {
             return digest;
@@ -277,7 +275,7 @@
         digest
     }
 
-    /// A number for an attempt, never used again.
+    /// Allocates a number for an attempt, unique within this process.
     pub fn number(&mut self) -> u64 {
         self.next += 1;
         self.next
@@ -288,7 +286,7 @@
         self.upstreams.get(self.tags.get(&tag)?)
     }
 
-    /// A peer is no longer heard, or has started anew: what it had under way ends with it.
+    /// Drops the state of a peer that is down or has restarted, its in-flight attempts included.
     pub fn peer_lost(&mut self, vm: &id::Vm, now: Instant) {
         self.heard_outcomes.remove(vm);
         self.flights.lost(vm, now);
