--- a/request/src/cluster/flights.rs
+++ b/request/src/cluster/flights.rs
@@ -1,4 +1,4 @@
-//! What is under way, by the VM that has it, and summed up by upstream.
+//! In-flight attempts by the VM that sent them, and the load that they put on each upstream.
 
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
@@ -12,14 +12,14 @@
 use crate::flight::{Flight, Told, Tracked};
 use crate::pace::Pace;
 
-/// How long a placement that was given counts before its VM tells of the attempt: several beats, of
-/// which some may be lost.
+/// How long a granted placement counts before its VM announces the attempt: several heartbeats, since some may
+/// be lost.
 const GRANT_LASTS: Duration = Duration::from_millis(1_000);
 
-/// The VM that has a flight under way.
+/// The VM whose attempt a flight is.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Holder {
-    /// This one.
+    /// This VM.
     Own,
     /// A peer.
     Peer(id::Vm),
@@ -29,18 +29,18 @@
 struct Entry {
     serial: Serial,
     tracked: Tracked,
-    /// The number of the message by which the placement was given, while its VM has not told of it.
+    /// The number of the message with the grant, until the VM has announced the flight.
     grant: Option<u64>,
 }
 
-/// All flights.
+/// All in-flight attempts.
 #[derive(Debug, Default)]
 pub(super) struct Flights {
     by_holder: HashMap<Holder, HashMap<u64, Entry>>,
     works: HashMap<id::Upstream, Work>,
-    /// Those that run alone; hardly ever any.
+    /// Isolated flights; rarely any, so they are searched linearly.
     alone: Vec<(Serial, Fingerprint, id::Upstream)>,
-    /// What was sent to each upstream of late.
+    /// Recent dispatches to each upstream.
     paces: HashMap<id::Upstream, Pace>,
     serial: Serial,
 }
@@ -99,7 +99,7 @@
         self.works.get_mut(upstream).expect("just inserted")
     }
 
-    /// Applies a change to the work of each upstream of a flight.
+    /// Applies a change to the load of each upstream of a flight.
     fn change(
         works: &mut HashMap<id::Upstream, Work>,
         flight: &Flight,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The first event of a flight has come. Answers whether that is news.
+    /// Records the first event of a flight. Returns whether it is the first record of it.
     fn began(&mut self, holder: &Holder, number: u64, now: Instant) -> bool {
         let entry = self.by_holder.get_mut(holder).and_then(|flights| flights.get_mut(&number));
         let Some(entry) = entry.filter(|entry| !entry.tracked.flight.writing) else { return false };
@@ -125,7 +125,7 @@
         true
     }
 
-    /// A flight has ended. Answers whether it was known.
+    /// Removes a flight. Returns whether it was known.
     fn end(&mut self, holder: &Holder, number: u64, now: Instant) -> bool {
         let entry = self.by_holder.get_mut(holder).and_then(|flights| flights.remove(&number));
         let Some(Entry { serial, tracked, .. }) = entry else { return false };
@@ -145,7 +145,8 @@
         }
     }
 
-    /// The numbers of flights of a holder that end because it does not tell of them.
+    /// The numbers of a holder's flights that have ended, since it no longer announces them. Grants that it has
+    /// not received yet are not among them.
     fn untold(&self, holder: &Holder, told: &HashSet<u64>, granted: u64, now: Instant) -> Vec<u64> {
         let Some(flights) = self.by_holder.get(holder) else { return Vec::new() };
         let waits = |entry: &Entry| {
@@ -156,15 +157,15 @@
         over.map(|(number, _)| *number).collect()
     }
 
-    /// An upstream has started again: what was under way there has ended with the start before, whatever
-    /// the VMs that sent it still tell.
+    /// Drops the load of an upstream that has restarted: its attempts ended with the previous incarnation, even
+    /// if the VMs that sent them still announce them.
     pub(super) fn restarted(&mut self, upstream: &id::Upstream) {
         self.works.remove(upstream);
         self.paces.remove(upstream);
         self.alone.retain(|(.., at)| at != upstream);
     }
 
-    /// Ends all flights of a peer.
+    /// Removes all flights of a peer.
     pub(super) fn lost(&mut self, vm: &id::Vm, now: Instant) {
         let holder = Holder::Peer(vm.clone());
         self.paces.values_mut().for_each(|pace| pace.renumber(&holder));
@@ -177,7 +178,7 @@
 }
 
 impl Cluster {
-    /// Enters an attempt of this VM.
+    /// Adds an attempt of this VM.
     pub fn enter(&mut self, number: u64, flight: Flight, now: Instant) {
         let tracked = self.tracked(flight, now);
         self.record_own_dispatch(&tracked.flight.upstream, number, now);
@@ -190,24 +191,24 @@
         Tracked { tag, helper_tags: helpers.collect(), flight, sent }
     }
 
-    /// The first event of an attempt of this VM has come.
+    /// Records the first event of an attempt of this VM.
     pub fn began(&mut self, number: u64, now: Instant) {
         self.flights.began(&Holder::Own, number, now);
     }
 
-    /// An attempt of this VM has ended.
+    /// Removes an attempt of this VM that has ended.
     pub fn leave(&mut self, number: u64, now: Instant) {
         self.flights.end(&Holder::Own, number, now);
     }
 
-    /// Enters a placement that this VM gives, by its message `grant`: it counts from now on, and until
-    /// its VM tells of it, or tells that it has that message and not of the attempt.
+    /// Adds a placement that this VM grants in its message `grant`. It counts as a flight from now on, until the
+    /// VM announces the attempt itself, or confirms that message without announcing the attempt.
     pub fn grant(&mut self, to: &Holder, number: u64, flight: Flight, grant: u64, now: Instant) {
         let tracked = self.tracked(flight, now);
         self.flights.begin(to.clone(), number, tracked, Some(grant));
     }
 
-    /// Takes back a placement that was given and not used.
+    /// Releases a granted placement that was not used.
     pub fn take_back(&mut self, from: &Holder, number: u64, now: Instant) {
         let entry = self.flights.by_holder.get(from).and_then(|flights| flights.get(&number));
         if entry.is_some_and(|entry| entry.grant.is_some()) {
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Forgets the placements given of which nothing was heard. Answers whether there were any.
+    /// Removes granted placements that were not announced in time. Returns whether there were any.
     pub fn forget_grants(&mut self, now: Instant) -> bool {
         let old = |entry: &Entry| {
             let age = now.saturating_duration_since(entry.tracked.sent);
@@ -233,42 +234,42 @@
         !over.is_empty()
     }
 
-    /// Whether a copy of this request runs alone somewhere.
+    /// Whether a copy of this request runs isolated on any upstream.
     pub fn runs_alone(&self, fingerprint: Fingerprint) -> bool {
         self.flights.alone.iter().any(|(_, alone, _)| *alone == fingerprint)
     }
 
-    /// Whether a request runs alone at this upstream.
+    /// Whether a request runs isolated on this upstream.
     pub fn is_left_alone(&self, upstream: &id::Upstream) -> bool {
         self.flights.alone.iter().any(|(.., at)| at == upstream)
     }
 
-    /// This VM's attempts.
+    /// The in-flight attempts of this VM.
     pub fn own(&self) -> impl Iterator<Item = &Tracked> {
         let own = self.flights.by_holder.get(&Holder::Own);
         own.into_iter().flat_map(|flights| flights.values()).map(|entry| &entry.tracked)
     }
 
-    /// The requests that began at an upstream within the last second, as far as is known here.
+    /// Requests sent to an upstream within the window for cold upstreams, as far as recorded here.
     pub fn begun(&self, upstream: &id::Upstream, now: Instant) -> usize {
         self.flights.pace(upstream).map_or(0, |pace| pace.begun(now))
     }
 
-    /// The attempts of all VMs that tell theirs, and the placements given.
+    /// Number of in-flight attempts of this VM and of the peers that announce theirs, granted placements included.
     pub fn under_way(&self) -> usize {
         self.flights.by_holder.values().map(HashMap::len).sum()
     }
 
-    /// This VM's attempts, as peers are told of them.
+    /// The attempts of this VM, as announced to peers.
     pub fn told(&self, now: Instant) -> Vec<Told> {
         let own = self.flights.by_holder.get(&Holder::Own);
         let entries = own.into_iter().flatten().filter(|(_, entry)| entry.grant.is_none());
         entries.map(|(number, entry)| entry.tracked.told(*number, now)).collect()
     }
 
-    /// Takes all attempts that a peer told of, when it had this VM's messages up to `granted`. Those
-    /// at upstreams that are not known here are left. Answers whether any of them began to write or
-    /// ended: there may be room.
+    /// Merges all attempts that a peer announced when it had received this VM's grants up to `granted`. Attempts
+    /// at unknown upstreams are ignored. Returns whether an attempt had its first event or ended, so that a
+    /// queued request may find a placement.
     pub fn hear(&mut self, vm: &id::Vm, told: &[Told], granted: u64, now: Instant) -> bool {
         let holder = Holder::Peer(vm.clone());
         let mut room = false;
@@ -291,13 +292,13 @@
         room
     }
 
-    /// The load of an upstream whose engine has these figures.
+    /// The load of an upstream, predicted with the figures of its engine.
     pub fn load(&self, upstream: &Upstream, engine: Option<&Engine>, now: Instant) -> Load {
         let work = self.flights.works.get(&upstream.listed.id);
         work.map_or_else(Load::default, |work| work.load(engine, upstream.pace(now), now))
     }
 
-    /// The load of each upstream with any, listed or not.
+    /// The load of each upstream that has any, listed or not.
     pub fn loads(&self, engine: Option<&Engine>, now: Instant) -> HashMap<&id::Upstream, Load> {
         let pace = |id| self.upstreams.get(id).map_or(1.0, |upstream| upstream.pace(now));
         let works = self.flights.works.iter();
