--- a/request/src/cluster/halls.rs
+++ b/request/src/cluster/halls.rs
@@ -1,5 +1,5 @@
-//! Data halls that an operator has drained: nothing new is sent to the upstreams of such a hall until it
-//! is taken back.
+//! Data halls that an operator has drained. The upstreams of a drained hall get no new requests until it is
+//! undrained.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -9,31 +9,31 @@
 use super::{Cluster, Upstream};
 use crate::revision::Revision;
 
-/// Halls that are remembered at most. A name that nobody has is kept like any other.
+/// Most halls that are remembered. Names are not checked, so those of no existing hall count too.
 const MOST_HALLS: usize = 256;
 
-/// What is known of one hall: the newest word of the directory.
+/// The newest state of a hall in the directory.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hall {
-    /// Its name.
+    /// The hall's name.
     pub name: String,
-    /// Whether it is drained; else it has been taken back.
+    /// Whether it is drained; otherwise it has been undrained.
     pub drained: bool,
-    /// The directory's revision of this word. Of two words of one hall the higher is the newer one, whoever
-    /// brings it.
+    /// The directory's revision of this state. Of two states of one hall the one with the higher revision is
+    /// newer, whatever its source.
     pub revision: Revision,
 }
 
-/// All halls of which the directory said something.
+/// All halls that the directory has listed as drained or undrained.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Halls {
     halls: BTreeMap<String, Hall>,
-    /// The revision of the newest whole read: a hall that it did not list was not drained then.
+    /// The revision of the newest full sync. A hall that it did not list was not drained at that revision.
     read_at: Revision,
 }
 
 impl Halls {
-    /// Takes a word of a hall. Answers whether it is drained or taken back by it.
+    /// Applies a state of a hall if it is newer. Returns whether the hall became drained or undrained.
     pub fn note(&mut self, hall: Hall) -> bool {
         match self.halls.entry(hall.name.clone()) {
             Entry::Vacant(entry) => {
@@ -51,8 +51,8 @@
         }
     }
 
-    /// A whole read, of this revision, listed these halls as drained: all others are not. Names those that
-    /// are taken back by it.
+    /// Applies a full sync at this revision, which listed these halls as drained and so all others as undrained.
+    /// Returns the names of the halls that became undrained.
     pub fn read(&mut self, drained: &[&str], at: Revision) -> Vec<String> {
         self.read_at = self.read_at.max(at);
         let unlisted = |hall: &&mut Hall| {
@@ -65,7 +65,7 @@
         self.halls.values_mut().filter(unlisted).map(take_back).collect()
     }
 
-    /// Takes what a peer knows. Answers the halls that are drained or taken back by it.
+    /// Merges the halls of a peer. Returns those that became drained or undrained.
     pub fn merge(&mut self, told: &Halls) -> Vec<Hall> {
         let mut news: Vec<Hall> =
             told.halls.values().filter(|hall| self.note((*hall).clone())).cloned().collect();
@@ -81,12 +81,12 @@
         self.halls.get(name).is_some_and(|hall| hall.drained)
     }
 
-    /// The halls that are drained, in the order of their names.
+    /// The drained halls, ordered by name.
     pub fn drained(&self) -> impl Iterator<Item = &Hall> {
         self.halls.values().filter(|hall| hall.drained)
     }
 
-    /// Forgets the hall that was taken back first, where there are too many.
+    /// Drops the hall that was undrained first if there are too many.
     fn forget_one(&mut self) {
         if self.halls.len() <= MOST_HALLS {
             return;
@@ -100,7 +100,7 @@
 }
 
 impl Cluster {
-    /// The directory says that a hall is drained, or taken back. Answers whether that is news.
+    /// Applies a change of a hall in the directory. Returns whether the hall became drained or undrained.
     pub fn note_hall(&mut self, hall: Hall) -> bool {
         let news = self.halls.note(hall);
         if news {
@@ -109,22 +109,22 @@
         news
     }
 
-    /// A whole read of the directory, of this revision, listed these halls as drained. Names those that are
-    /// taken back by it.
+    /// Applies a full sync of the directory at this revision, which listed these halls as drained. Returns the
+    /// names of the halls that became undrained.
     pub fn read_halls(&mut self, drained: &[&str], at: Revision) -> Vec<String> {
         let taken_back = self.halls.read(drained, at);
         self.halls_changed();
         taken_back
     }
 
-    /// Takes what a peer knows of halls. Answers what is news in that.
+    /// Merges the halls of a peer. Returns those that became drained or undrained.
     pub fn hear_halls(&mut self, told: &Halls) -> Vec<Hall> {
         let news = self.halls.merge(told);
         self.halls_changed();
         news
     }
 
-    /// What is known of halls.
+    /// The drained and undrained halls.
     pub fn halls(&self) -> &Halls {
         &self.halls
     }
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Whether a service has upstreams that would take new work, and all of them are in drained halls.
+    /// Whether a service has upstreams that are not leaving, and all of these are in drained halls.
     pub fn is_drained(&self, service: &str) -> bool {
         let staying = |u: &&Upstream| u.listed.service == service && !u.is_leaving();
         let mut staying = self.upstreams.values().filter(staying).peekable();
