--- a/request/src/cluster/held.rs
+++ b/request/src/cluster/held.rs
@@ -1,4 +1,4 @@
-//! Requests that the directory lists as held.
+//! Quarantined requests, as the directory lists them.
 
 use std::time::{Duration, Instant};
 
@@ -6,12 +6,12 @@
 use crate::fingerprint::Fingerprint;
 use crate::held::Quarantined;
 
-/// Requests that were let go and are remembered: what a copy of the directory may still list, some seconds
-/// of an operator's work.
+/// Most released requests that are remembered, in case a restored copy of the directory still lists them: as
+/// many as an operator releases within some seconds.
 const RELEASED: usize = 256;
 
 impl Cluster {
-    /// The directory lists a request that is held. Answers whether that says something new.
+    /// Applies a directory entry of a quarantined request. Returns whether it is new or has changed.
     pub fn list_held(&mut self, entry: Quarantined, now: Instant, wall_ms: u64) -> bool {
         let time = Duration::from_millis(entry.until_ms.saturating_sub(wall_ms));
         self.quarantine.hold(entry.fingerprint, entry.proofs, time, now);
@@ -19,7 +19,7 @@
         self.held.insert(entry.fingerprint, entry.clone()).as_ref() != Some(&entry)
     }
 
-    /// The directory no longer lists a request as held. Answers whether it did.
+    /// Releases a request that the directory no longer lists as quarantined. Returns whether it was listed.
     pub fn unlist_held(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
         let known = self.held.remove(&fingerprint).is_some();
         if known {
@@ -33,12 +33,12 @@
         known
     }
 
-    /// Whether a request was let go that the directory listed as held, and was not held again.
+    /// Whether a request was listed as quarantined, has been released and is not listed again.
     pub fn is_released(&self, fingerprint: Fingerprint) -> bool {
         self.released.contains(&fingerprint) && !self.held.contains_key(&fingerprint)
     }
 
-    /// The requests that the directory lists as held.
+    /// The requests that the directory lists as quarantined.
     pub fn held(&self) -> impl Iterator<Item = &Quarantined> {
         self.held.values()
     }
