--- a/request/src/cluster/limits.rs
+++ b/request/src/cluster/limits.rs
@@ -55,8 +55,8 @@
 }
 
 impl Cluster {
-    /// Applies the limit named in an answer to a request that this VM sent at `sent`. Returns the upstream if its limit
-    /// has changed.
+    /// Applies the limit named in a response to a request that this VM sent at `sent`. Returns the upstream if its
+    /// limit has changed.
     pub fn observe_limit(
         &mut self,
         instance: Tag,
@@ -117,7 +117,7 @@
         self.upstreams.get(id)?.rate_limit.as_ref()
     }
 
-    /// Whether a grant may be used whose scheduler knew this limit. It must not if this VM knows a later one.
+    /// Whether a grant may be used that the scheduler made under this limit. It must not if this VM has a later one.
     pub fn may_send(&self, id: &id::Upstream, granted: Option<Limit>) -> bool {
         let Some(known) = self.limit_of(id) else { return true };
         match granted {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Records a message to an upstream that was sent without a grant, such as an order.
+    /// Records a message that was sent to an upstream without a grant, such as a reservation order.
     pub fn record_unscheduled(&mut self, id: &id::Upstream, now: Instant) {
         if !self.upstreams.get(id).is_some_and(Upstream::is_limited) {
             return;
@@ -173,7 +173,7 @@
         cold.is_none_or(allows) && named_bounds(upstream, now).all(allows)
     }
 
-    /// Requests sent to an upstream within a window, as far as this VM has learned.
+    /// Requests sent to an upstream within a window, as far as recorded here.
     pub fn sent_within(&self, id: &id::Upstream, window: Duration, now: Instant) -> usize {
         self.flights.pace(id).map_or(0, |pace| pace.sent_within(window, now))
     }
