--- a/request/src/cluster/listed.rs
+++ b/request/src/cluster/listed.rs
@@ -1,4 +1,4 @@
-//! An upstream as the directory lists it, and which start of its program that is.
+//! An upstream as the directory lists it, and its incarnation.
 
 use std::hash::{Hash, Hasher};
 
@@ -11,27 +11,27 @@
 /// An upstream as the directory lists it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
-    /// The instance. It may start again under the same id; then it is another one, see `born`.
+    /// The upstream. It may restart under the same id; `born` tells its incarnations apart.
     pub id: id::Upstream,
-    /// When this start of its program was, milliseconds since 1970 by its own clock; none where it does
-    /// not say.
+    /// When its process started, milliseconds since 1970 by its own clock; none if it does not report that.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub born: Option<u64>,
-    /// The directory's revision of this entry: of two words of one upstream the higher is the newer one,
-    /// whoever brings it. None where there are none.
+    /// The directory's revision of this entry. Of two entries of one upstream the one with the higher revision is
+    /// newer, whatever its source. Default if unknown.
     #[serde(default, skip_serializing_if = "Revision::is_none")]
     pub revision: Revision,
-    /// The service that it belongs to.
+    /// Its service.
     pub service: String,
-    /// Where it listens, `IP:port`.
+    /// The address that it listens on, `IP:port`.
     pub address: String,
-    /// The data hall that it is in.
+    /// Its data hall.
     pub hall: String,
-    /// Requests that it works on at once.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is about to leave and takes no new work.
+    /// Whether it is shutting down and accepts no new requests.
     pub leaving: bool,
-    /// How much longer it is cold, milliseconds from when this was said: slow, and it bears few requests.
+    /// For how much longer it is cold, milliseconds from when this was written. A cold upstream is slow and crashes
+    /// under more than a few requests.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub cold_ms: u32,
 }
@@ -41,7 +41,7 @@
 }
 
 impl Listed {
-    /// How VMs name this start of it to each other.
+    /// The tag of this incarnation, by which VMs refer to it in messages.
     pub fn tag(&self) -> Tag {
         match self.born {
             Some(born) => Tag::of(&format!("{} {born}", self.id)),
@@ -49,31 +49,31 @@
         }
     }
 
-    /// Whether this is another start of the program than `other`: work, memory and counts of one say
-    /// nothing of the other.
+    /// Whether this is another incarnation than `other`. Load, memory and counters of one do not apply to the
+    /// other.
     pub fn is_other_start(&self, other: &Listed) -> bool {
         self.born.is_some() && other.born.is_some() && self.born != other.born
     }
 
-    /// Whether it says the same as `other`, under whatever revision and for however long it is cold.
+    /// Whether it equals `other` apart from the revision and the time for which it is cold.
     pub(super) fn says_the_same(&self, other: &Listed) -> bool {
         *self == Listed { revision: self.revision, cold_ms: self.cold_ms, ..other.clone() }
     }
 }
 
 impl Hash for Listed {
-    /// Two words that say the same are alike, whatever their revisions.
+    /// Ignores the revision and the time for which the upstream is cold, so that equivalent entries hash alike.
     fn hash<H: Hasher>(&self, state: &mut H) {
         (&self.id, self.born, &self.service, &self.address).hash(state);
         (&self.hall, self.slots, self.leaving).hash(state);
     }
 }
 
-/// A start of an upstream that was learnt from its own word before the directory told of it.
+/// A restart of an upstream that it reported itself, before the directory listed it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Start {
     /// The upstream.
     pub upstream: id::Upstream,
-    /// When it was, milliseconds since 1970 by the upstream's clock.
+    /// The time of the restart, milliseconds since 1970 by the upstream's clock.
     pub born: u64,
 }
