--- a/request/src/cluster/load.rs
+++ b/request/src/cluster/load.rs
@@ -1,4 +1,4 @@
-//! What is under way at one upstream, kept up to date by what begins and ends there.
+//! The load of one upstream, updated as attempts begin and end there.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -9,65 +9,66 @@
 use crate::flight::Tracked;
 use crate::forecast;
 
-/// A pause at or under this is short: no long read belongs beside such an answer.
+/// Responses whose callers allow at most this pause between events are interactive: a long prefill on the same
+/// upstream would exceed it.
 pub const BRISK_MS: u32 = 400;
 
-/// What is under way at one upstream, summed up.
+/// Summary of the in-flight work of one upstream.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests that it answers.
+    /// In-flight requests to which it responds, prefill or decode.
     pub requests: u32,
-    /// Those of them that write.
+    /// Those of them that are decoding.
     pub writers: u32,
-    /// The shortest pause that one of them may have, milliseconds; none where there are none.
+    /// The shortest pause between events that one of their callers allows, milliseconds; none without requests.
     pub pause_ms: Option<u32>,
-    /// Requests among them whose pauses are to be short, at most [`BRISK_MS`].
+    /// Interactive ones among them, whose callers allow pauses of at most [`BRISK_MS`].
     pub brisk: u32,
-    /// The shortest pause that one of the others may have, milliseconds.
+    /// The shortest pause that a caller of the others allows, milliseconds.
     pub calm_ms: Option<u32>,
-    /// Parts of other upstreams' prompts that it still has to read.
+    /// Prefill parts that it still has to read for prompts of other upstreams.
     pub helping: u32,
-    /// Tokens of memory.
+    /// Memory in use, tokens.
     pub memory: u64,
-    /// Milliseconds of reading still ahead.
+    /// Predicted time until all prompts are read, milliseconds.
     pub backlog_ms: f64,
-    /// Milliseconds until the pass that runs is over: what is sent now is read in the next one.
+    /// Predicted time until the current pass ends, milliseconds. A prompt sent now is read in the next pass.
     pub pass_ms: f64,
-    /// Milliseconds of reading that the next pass holds by now.
+    /// Prefill already due in the next pass, milliseconds.
     pub next_ms: f64,
-    /// How long the first of the prompts that it answers waits for that pass, milliseconds.
+    /// How long the first request among those has waited for the next pass, milliseconds.
     pub waited_ms: f64,
 }
 
-/// The number of a flight in this cluster state.
+/// The number of a flight, unique within this process.
 pub(super) type Serial = u64;
 
-/// A request that the upstream answers, or a part that it reads for another one.
+/// A request to which the upstream responds, or a prefill part that it reads for another upstream.
 #[derive(Debug)]
 struct Entry {
     serial: Serial,
     sent: Instant,
-    /// Milliseconds of reading.
+    /// Prefill time, milliseconds.
     part_ms: f64,
     memory: u64,
     pause_ms: u32,
-    /// Whether it answers; else it helps.
+    /// Whether the upstream responds to the request; otherwise it reads a part for another one.
     answers: bool,
-    /// Whether the prompt is read by now.
+    /// Whether the prefill is done.
     read: bool,
-    /// Whether several upstreams read the prompt.
+    /// Whether the prompt is split among several upstreams.
     shared: bool,
 }
 
-/// What is under way at one upstream.
+/// The in-flight work of one upstream.
 #[derive(Debug, Default)]
 pub(super) struct Work {
     entries: Vec<Entry>,
-    /// When a pass is known to have begun: the first and the last event of an answer come at the end
-    /// of one.
+    /// The start of a recent pass, derived from events: the first and the last event of a response are sent at the
+    /// end of a pass.
     boundary: Option<Instant>,
-    /// The sum, until something changes: a look at 150 upstreams takes a tenth of the time that
-    /// adding them up each time does.
+    /// The sum, cached until an entry changes. The loads of 150 upstreams take a tenth of the time that they take
+    /// without the cache.
     known: Cell<Option<Known>>,
 }
 
@@ -91,19 +92,19 @@
     pass: Pass,
 }
 
-/// The pass that runs.
+/// The current pass.
 #[derive(Debug, Clone, Copy, Default)]
 struct Pass {
-    /// When it is over; none where nothing runs.
+    /// When it ends; none if the upstream is idle.
     ends: Option<Instant>,
-    /// Milliseconds of reading that wait for the next one.
+    /// Prefill due in the next pass, milliseconds.
     next_ms: f64,
-    /// Since when the first prompt to be answered waits for it.
+    /// Since when the first request that this upstream responds to has waited for the next pass.
     waits: Option<Instant>,
 }
 
 impl Work {
-    /// A flight that this upstream answers begins.
+    /// Adds a flight to which this upstream responds.
     pub(super) fn answer(&mut self, serial: Serial, tracked: &Tracked) {
         let flight = &tracked.flight;
         self.add(Entry {
@@ -118,7 +119,7 @@
         });
     }
 
-    /// A flight begins for which this upstream reads a part and holds that much memory.
+    /// Adds a flight for which this upstream reads a prefill part and reserves that much memory.
     pub(super) fn help(&mut self, serial: Serial, tracked: &Tracked, held: u64) {
         self.add(Entry {
             serial,
@@ -140,7 +141,7 @@
         self.known.set(None);
     }
 
-    /// A flight has its first event: its prompt is read, and who only read is done.
+    /// Records the first event of a flight: its prefill is done. Parts without reserved memory are removed.
     pub(super) fn began(&mut self, serial: Serial, now: Instant) {
         if self.entries.iter().any(|e| e.serial == serial && e.answers) {
             self.boundary = Some(now);
@@ -152,7 +153,7 @@
         self.known.set(None);
     }
 
-    /// A flight ends.
+    /// Removes a flight that has ended.
     pub(super) fn end(&mut self, serial: Serial, now: Instant) {
         if self.entries.iter().any(|e| e.serial == serial && e.answers && e.read) {
             self.boundary = Some(now);
@@ -165,7 +166,7 @@
         self.entries.is_empty()
     }
 
-    /// The load now, of an engine with these figures that takes `pace` times as long as they say.
+    /// The current load, predicted for an engine with these figures that takes `pace` times as long as they state.
     pub(super) fn load(&self, engine: Option<&Engine>, pace: f64, now: Instant) -> Load {
         let known = self.known.get().filter(|k| k.engine == engine.is_some() && k.pace == pace);
         let known = known.filter(|k| k.sum.pass.ends.is_none_or(|ends| ends > now));
@@ -200,7 +201,7 @@
             free_at: None,
             pass: Pass::default(),
         };
-        // A part ends with the pass that reads it, where some request writes.
+        // While requests decode, a prefill part is done at the end of the pass that reads it.
         let pass_ms = match engine {
             Some(engine) if sum.writers > 0 => forecast::pass_ms(engine, sum.writers, sum.memory),
             _ => 0.0,
@@ -212,11 +213,11 @@
         sum
     }
 
-    /// Plays the passes from the last known beginning of one on: each reads what was sent before it
-    /// began, and plays the steps of those who write.
+    /// Simulates the passes from the last recorded start of a pass on. Each pass reads the prompts that were sent
+    /// before it began, and runs the steps of the decoding requests.
     ///
-    /// With the reads ahead and half a pass in its place, one first event in ten took 1.9 times as long
-    /// as predicted; so it is 1.3 times (900 short prompts in a burst).
+    /// An estimate from the prefill ahead and half a pass is less accurate: in a burst of 900 short prompts, one
+    /// first event in ten took 1.9 times as long as that predicted. With the simulation it is 1.3 times.
     fn pass(&self, engine: &Engine, sum: &Sum, pace: f64, now: Instant) -> Pass {
         let Some(mut at) = self.boundary else { return Pass::default() };
         let mut unread: Vec<&Entry> = self.entries.iter().filter(|entry| !entry.read).collect();
@@ -250,14 +251,14 @@
             writers += begin;
             at += lasts;
             if unread.peek().is_none() && begin == 0 {
-                // Nothing changes from here on: the passes that are over are left out.
+                // All further passes are equal: skip those that have ended.
                 let over = now.saturating_duration_since(at).as_nanos() / lasts.as_nanos().max(1);
                 at += lasts * over as u32;
             }
         }
     }
 
-    /// When all prompts are read: one after the other, in the order in which they were sent.
+    /// When all prompts are read, one after the other in the order in which they were sent.
     fn free_at(&self, pass_ms: f64, pace: f64) -> Option<Instant> {
         let mut unread: Vec<&Entry> = self.entries.iter().filter(|entry| !entry.read).collect();
         unread.sort_by_key(|entry| entry.sent);
@@ -271,7 +272,7 @@
     }
 }
 
-/// Milliseconds from `earlier` to `later`, 0 where that is past.
+/// Milliseconds from `earlier` to `later`, 0 if `later` is before `earlier`.
 fn millis(later: Instant, earlier: Instant) -> f64 {
     later.saturating_duration_since(earlier).as_secs_f64() * 1e3
 }
