--- a/request/src/cluster/outcomes.rs
+++ b/request/src/cluster/outcomes.rs
@@ -1,4 +1,4 @@
-//! How attempts of late have ended, as VMs tell each other.
+//! Outcomes of recent attempts, exchanged between VMs.
 
 use std::time::{Duration, Instant};
 
@@ -9,13 +9,13 @@
 use crate::suspicion::Outcome;
 use crate::tag::Tag;
 
-/// How long the end of an attempt is told: some beats, of which one arrives.
+/// How long an outcome is announced: several heartbeats, so that one of them arrives.
 const OUTCOME_TOLD: Duration = Duration::from_millis(700);
 
-/// Ends that are told at most; more of them in that time say the same again.
+/// Most outcomes that are announced. More within the announcement window add no information.
 const MOST_OUTCOMES: usize = 64;
 
-/// The end of an attempt, as peers are told of it.
+/// The outcome of an attempt, as announced to peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ended {
     number: u64,
@@ -24,7 +24,7 @@
 }
 
 impl Cluster {
-    /// An attempt of this VM at an upstream has ended in this way.
+    /// Records the outcome of an attempt of this VM at an upstream.
     pub fn note(&mut self, id: &id::Upstream, outcome: Outcome, now: Instant) {
         let Some(upstream) = self.upstreams.get_mut(id) else { return };
         upstream.note(outcome, now);
@@ -36,7 +36,7 @@
         self.outcomes.push_back((now, ended));
     }
 
-    /// The ends of late, as peers are told of them.
+    /// The recent outcomes, as announced to peers.
     pub fn told_outcomes(&mut self, now: Instant) -> Vec<Ended> {
         let old = |at: &Instant| now.saturating_duration_since(*at) > OUTCOME_TOLD;
         while self.outcomes.front().is_some_and(|(at, _)| old(at)) {
@@ -45,7 +45,7 @@
         self.outcomes.iter().map(|(_, ended)| *ended).collect()
     }
 
-    /// Takes the ends that a peer told of, those that were heard before left out.
+    /// Merges the outcomes that a peer announced, each of them once.
     pub fn hear_outcomes(&mut self, vm: &id::Vm, told: &[Ended], now: Instant) {
         let through = self.heard_outcomes.get(vm).copied().unwrap_or(0);
         for ended in told.iter().filter(|ended| ended.number > through) {
