--- a/request/src/cluster/reports.rs
+++ b/request/src/cluster/reports.rs
@@ -1,4 +1,4 @@
-//! Reports of engines, asked for by this VM or heard from a peer.
+//! Reports of engines, fetched by this VM or received from a peer.
 
 use std::time::Instant;
 
@@ -9,21 +9,21 @@
 use crate::report::{self, Observed};
 
 impl Cluster {
-    /// This VM asked an engine for its report. Answers what was known before.
+    /// Records a report that this VM fetched from an engine. Returns the previous one.
     pub fn observe(&mut self, id: &id::Upstream, observed: Observed) -> Option<Observed> {
         let upstream = self.upstreams.get_mut(id)?;
         upstream.asked = true;
         upstream.observed.replace(observed)
     }
 
-    /// The reports that this VM asked for and that still count, as peers are told of them.
+    /// The reports that this VM fetched and that are fresh, as announced to peers.
     pub fn told_reports(&self, now: Instant) -> Vec<report::Told> {
         let fresh = |o: &Observed| now.saturating_duration_since(o.at) < REPORT_LASTS;
         let asked = self.upstreams.values().filter(|u| u.asked);
         asked.filter_map(|u| u.observed.filter(fresh).map(|o| o.told(u.tag, now))).collect()
     }
 
-    /// Takes the reports that a peer has, where they are newer.
+    /// Merges the reports that a peer announced, where they are newer.
     pub fn hear_reports(&mut self, told: &[report::Told], now: Instant) {
         for told in told {
             let Some(id) = self.tags.get(&told.upstream) else { continue };
