--- a/request/src/cluster/starts.rs
+++ b/request/src/cluster/starts.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of themselves: that they have started again, and that they leave.
+//! Restarts of upstreams and upstreams that are leaving, as reported by the upstreams themselves.
 
 use std::time::{Duration, Instant};
 
@@ -7,24 +7,24 @@
 use super::{Cluster, Listed, Start};
 use crate::tag::Tag;
 
-/// How long a new start of an upstream is told that was not learnt from the directory: by then the
-/// directory has told it, or the next answer does again.
+/// How long a restart that the upstream reported itself is announced. After that the directory lists it, or the
+/// next response of the upstream reports it again.
 const START_TOLD: Duration = Duration::from_secs(10);
 
-/// Departures that are told at most, 9 bytes each. Those beyond it are told when the directory has told of
-/// others.
+/// Most leaving upstreams that are announced, 9 bytes each. Further ones follow once the directory lists others
+/// as leaving.
 const MOST_DEPARTURES: usize = 256;
 
-/// New starts that are told at most.
+/// Most restarts that are announced.
 const MOST_STARTS: usize = 64;
 
 impl Cluster {
-    /// An upstream says itself that it has started at this moment. Answers whether that is a later start
-    /// than the one that is known; an earlier one is an answer that came late.
+    /// Applies the start time that an upstream reports of itself. Returns whether it is later than the recorded
+    /// one; an earlier one is from a delayed response.
     ///
-    /// An upstream whose clock went back before it started again is taken for the earlier start until the
-    /// directory tells of it: what it is sent meanwhile is refused or runs there, and a group that counts
-    /// on memory of before is refused and placed anew.
+    /// If an upstream's clock went back before a restart, the restart is not detected until the directory lists
+    /// it. Requests sent meanwhile are refused or run there, and a prompt split among several upstreams that
+    /// counts on memory of the previous incarnation is refused and placed anew.
     pub fn renew(&mut self, id: &id::Upstream, born: u64, now: Instant) -> bool {
         let Some(known) = self.upstreams.get(id).and_then(|known| known.listed.born) else {
             return false;
@@ -42,7 +42,7 @@
         true
     }
 
-    /// New starts that were not learnt from the directory, as peers are told of them.
+    /// Restarts that upstreams reported themselves, as announced to peers.
     pub fn told_starts(&mut self, now: Instant) -> Vec<Start> {
         let old = |at: &Instant| now.saturating_duration_since(*at) > START_TOLD;
         while self.starts.front().is_some_and(|(at, _)| old(at)) {
@@ -51,8 +51,8 @@
         self.starts.iter().map(|(_, start)| start.clone()).collect()
     }
 
-    /// An upstream says by an answer, to this VM or to a peer, that this start of it is leaving. Names it, if
-    /// that is news.
+    /// Records that an incarnation of an upstream reported in a response, to this VM or to a peer, that it is
+    /// leaving. Returns the upstream unless it was recorded before.
     pub fn depart(&mut self, start: Tag) -> Option<id::Upstream> {
         let id = self.tags.get(&start)?;
         let upstream = self.upstreams.get_mut(id)?;
@@ -60,8 +60,8 @@
         (!known).then(|| id.clone())
     }
 
-    /// The starts of upstreams that said so and that the directory does not list as leaving yet, as peers
-    /// are told of them.
+    /// Upstream incarnations that reported that they are leaving and that the directory does not list as leaving
+    /// yet, as announced to peers.
     pub fn departures(&self) -> Vec<Tag> {
         let unheard = self.upstreams.values().filter(|u| u.told_leaving && !u.listed.leaving);
         unheard.map(|u| u.tag).take(MOST_DEPARTURES).collect()
