--- a/request/src/cluster/upstream.rs
+++ b/request/src/cluster/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream, as the cluster state has it.
+//! The state of one upstream.
 
 use std::time::{Duration, Instant};
 
@@ -8,54 +8,54 @@
 use crate::suspicion::{Outcome, Suspicion};
 use crate::tag::Tag;
 
-/// How long a report counts: an engine that is asked no more is taken for sound again.
+/// How long a report is fresh. An engine whose reports are no longer fetched counts as healthy again.
 pub(super) const REPORT_LASTS: Duration = Duration::from_millis(2_500);
 
-/// An upstream, as the cluster state has it.
+/// The state of one upstream, as recorded by this VM.
 #[derive(Debug, Clone)]
 pub struct Upstream {
-    /// How it is listed.
+    /// Its directory listing.
     pub listed: Listed,
-    /// How VMs name it to each other.
+    /// The tag of its incarnation, by which VMs refer to it in messages.
     pub tag: Tag,
-    /// It said itself, by an answer, that it is leaving. This holds for as long as this start of it is known,
-    /// whatever the directory lists: that may be older, and is away just when much else happens.
+    /// Whether it reported in a response that it is leaving. This holds for the rest of its incarnation, whatever
+    /// the directory lists: its entry may be older, and the directory may be unavailable in the same incident.
     pub told_leaving: bool,
-    /// Whether its hall is drained: what runs there ends in peace, and nothing new is sent.
+    /// Whether its hall is drained: requests that run there finish, and no new ones are sent.
     pub drained: bool,
-    /// Failures of late.
+    /// Weight of its recent failures.
     pub suspicion: Suspicion,
-    /// The newest report, of this VM or a peer.
+    /// The newest report, fetched by this VM or received from a peer.
     pub observed: Option<Observed>,
-    /// Whether this VM asked for it.
+    /// Whether this VM fetched that report.
     pub asked: bool,
-    /// Until when it is cold.
+    /// Until when it is cold, if it is.
     pub cold_until: Option<Instant>,
-    /// The rate limit that it names, if it ever did.
+    /// Its rate limit, if it ever named one.
     pub rate_limit: Option<rate_limit::State>,
-    /// When its listing ended while the directory was away; it may still live.
+    /// When its listing lapsed while the directory was unavailable; it may still run.
     pub unlisted: Option<Instant>,
 }
 
 impl Upstream {
-    /// How many times longer its work takes than its figures say, as far as is known.
+    /// Measured over expected time of its engine by a fresh report, at least 1; 1 without one.
     pub fn pace(&self, now: Instant) -> f64 {
         let fresh = |o: &Observed| now.saturating_duration_since(o.at) < REPORT_LASTS;
         let report = self.observed.filter(fresh).and_then(|o| o.report);
         report.map_or(1.0, |report| report.pace.max(1.0))
     }
 
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub fn is_open(&self) -> bool {
         !self.is_leaving() && !self.drained
     }
 
-    /// Whether it is about to end, by the directory or by its own word.
+    /// Whether it is shutting down, by the directory or by its own report.
     pub fn is_leaving(&self) -> bool {
         self.listed.leaving || self.told_leaving
     }
 
-    /// Notes how an attempt ended here.
+    /// Records the outcome of an attempt at this upstream.
     pub(super) fn note(&mut self, outcome: Outcome, now: Instant) {
         match outcome {
             Outcome::Answered => self.suspicion.answered(now),
@@ -63,17 +63,17 @@
         }
     }
 
-    /// Whether it is slow from its start, or from having been left idle, and bears few requests.
+    /// Whether it is cold, after its start or after idle time: slow, and unable to take many requests.
     pub fn is_cold(&self, now: Instant) -> bool {
         self.cold_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it names a rate limit.
+    /// Whether it has a rate limit.
     pub fn is_limited(&self) -> bool {
         self.rate_limit.as_ref().is_some_and(|known| known.limit.rate.is_some())
     }
 
-    /// Whether it did not answer when it was last asked for a report.
+    /// Whether it did not respond to the latest request for a report, if that is fresh.
     pub fn silent(&self, now: Instant) -> bool {
         let fresh = |o: &Observed| now.saturating_duration_since(o.at) < REPORT_LASTS;
         self.observed.is_some_and(|o| o.report.is_none() && fresh(&o))
