--- a/request/src/flight.rs
+++ b/request/src/flight.rs
@@ -1,4 +1,4 @@
-//! An attempt under way at an upstream, and how VMs tell each other of it.
+//! An in-flight attempt at an upstream, and its announcement to other VMs.
 
 use std::time::{Duration, Instant};
 
@@ -8,66 +8,68 @@
 use crate::fingerprint::Fingerprint;
 use crate::tag::Tag;
 
-/// An upstream that reads a part of the prompt for another one.
+/// An upstream that reads a prefill part of a prompt for another upstream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Helping {
     /// The upstream.
     pub upstream: id::Upstream,
-    /// Tokens of its memory that are set aside for the prompt; 0 where it only reads.
+    /// Tokens of its memory that are reserved for the prompt; 0 if it only reads.
     pub held: u64,
 }
 
-/// An attempt under way.
+/// An in-flight attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Flight {
-    /// The upstream that answers.
+    /// The upstream that responds.
     pub upstream: id::Upstream,
-    /// The upstreams that read a part of the prompt each.
+    /// The upstreams that read a prefill part each.
     pub helpers: Vec<Helping>,
-    /// Milliseconds that each of them reads.
+    /// Prefill time of each part, milliseconds.
     pub part_ms: f32,
-    /// Tokens of prompt and answer that the upstream that answers holds itself.
+    /// Memory that prompt and answer take on the upstream that responds, tokens.
     pub memory: u64,
-    /// The longest pause between events that its caller takes for in time, milliseconds.
+    /// The longest pause between events that its caller allows, milliseconds.
     pub pause_ms: u32,
-    /// Whether its first event has come.
+    /// Whether its first event was received.
     pub writing: bool,
-    /// The request, if it runs alone: nothing is placed beside it, and no second copy.
+    /// The request, if it runs isolated: no other request is placed on that upstream, and no second copy of it on
+    /// any.
     pub alone: Option<Fingerprint>,
 }
 
 impl Flight {
-    /// The upstream that the next attempt leaves out, after a refusal that names `suspect`: a helper
-    /// without a place fails each group that it is in, so it is left out and not the one that answers.
-    /// Where the latter was, five such helpers failed 60 attempts of 17 engines within half a second.
+    /// The upstream to exclude from the next attempt, after a refusal that names `suspect`. A helper without room
+    /// fails every split prompt that it takes part in, so the helper is excluded and not the upstream that
+    /// responds. Excluding the latter let five such helpers fail 60 attempts of 17 engines within half a second.
     pub fn left_out<'a>(&'a self, suspect: &'a id::Upstream) -> &'a id::Upstream {
         let helps = self.helpers.iter().any(|helping| helping.upstream == *suspect);
         if helps { suspect } else { &self.upstream }
     }
 
-    /// Whether other upstreams hold memory for it.
+    /// Whether other upstreams have reserved memory for it.
     pub fn holds_memory(&self) -> bool {
         self.helpers.iter().any(|helping| helping.held > 0)
     }
 }
 
-/// A flight with the time at which it was sent, by this process's clock.
+/// A flight with the time at which it was sent, by the clock of this process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tracked {
     /// The flight.
     pub flight: Flight,
-    /// The start of the upstream that it was sent to.
+    /// The incarnation of the upstream that it was sent to.
     pub tag: Tag,
-    /// The starts of the helpers, in their order.
+    /// The incarnations of the helpers, in their order.
     pub helper_tags: Vec<Tag>,
     /// When it was sent.
     pub sent: Instant,
 }
 
-/// A flight as peers are told of it: ids as tags, and no helpers once they have read.
+/// A flight as announced to peers: with tags for ids, and without helpers that have read their parts and reserve no
+/// memory.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Told {
-    /// Its number at the VM that tells of it.
+    /// Its number at the VM that announces it.
     pub number: u64,
     pub(crate) upstream: Tag,
     pub(crate) helpers: Vec<(Tag, u64)>,
@@ -80,7 +82,7 @@
 }
 
 impl Tracked {
-    /// What peers are told.
+    /// The announcement of this flight to peers.
     pub fn told(&self, number: u64, now: Instant) -> Told {
         let flight = &self.flight;
         let counts = |(h, _): &(&Helping, &Tag)| !flight.writing || h.held > 0;
@@ -98,7 +100,7 @@
         }
     }
 
-    /// What a peer told, if its upstream is `known` here; helpers that are not are left out.
+    /// The flight that a peer announced; none if its upstream is unknown here. Unknown helpers are omitted.
     pub fn heard(
         told: &Told,
         known: impl Fn(Tag) -> Option<id::Upstream>,
