--- a/request/src/report.rs
+++ b/request/src/report.rs
@@ -1,4 +1,4 @@
-//! What an engine tells of itself when it is asked.
+//! Reports of engines about their own load and speed.
 
 use std::future::Future;
 use std::time::{Duration, Instant};
@@ -9,34 +9,34 @@
 use crate::notice::Noted;
 use crate::tag::Tag;
 
-/// What one engine told.
+/// The report of one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// How many times longer its work takes than its figures say; 1 where it is sound.
+    /// Measured over expected time of its work; 1 for a healthy engine.
     pub pace: f64,
-    /// Requests that it works on.
+    /// Requests that it processes.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests in its queue.
     pub waiting: u32,
-    /// Tokens of its memory that are in use.
+    /// Memory in use, tokens.
     pub memory: Tokens,
-    /// When it started, milliseconds since 1970 by its own clock; none where it does not say.
+    /// When its process started, milliseconds since 1970 by its own clock; none if it does not report that.
     #[serde(default)]
     pub born: Option<u64>,
 }
 
-/// Why there is no report.
+/// Why a report could not be fetched.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// The engine did not answer.
+    /// The engine did not respond.
     Silent(String),
-    /// It answered what is no report.
+    /// The response is not a valid report.
     Unreadable(String),
 }
 
-/// Engines that tell of themselves. An adapter implements this.
+/// Fetches reports of engines. Implemented by the adapter of a platform.
 pub trait Reports: Clone + Send + Sync + 'static {
-    /// Asks the engine that listens at `address`, `IP:port`.
+    /// Fetches the report of the engine at `address`, `IP:port`.
     fn report(
         &self,
         upstream: &id::Upstream,
@@ -44,16 +44,16 @@
     ) -> impl Future<Output = Noted<Result<Report, Fault>>> + Send;
 }
 
-/// A report, or that there was none, with the time at which it was asked for.
+/// The result of fetching a report, with its time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Observed {
-    /// What the engine told; none where it did not answer.
+    /// The report; none if the engine did not respond.
     pub report: Option<Report>,
-    /// When it was asked, by this process's clock.
+    /// When it was fetched, by the clock of this process.
     pub at: Instant,
 }
 
-/// A report as peers are told of it.
+/// A report as announced to peers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Told {
     /// The engine's tag.
@@ -63,13 +63,13 @@
 }
 
 impl Observed {
-    /// What peers are told of the engine with this tag.
+    /// The announcement of this report, of the engine with this tag.
     pub fn told(&self, upstream: Tag, now: Instant) -> Told {
         let age_ms = now.saturating_duration_since(self.at).as_millis() as u32;
         Told { upstream, report: self.report, age_ms }
     }
 
-    /// What a peer told.
+    /// The report that a peer announced.
     pub fn heard(told: &Told, now: Instant) -> Observed {
         let age = Duration::from_millis(u64::from(told.age_ms));
         Observed { report: told.report, at: now.checked_sub(age).unwrap_or(now) }
