--- a/request/tests/board.rs
+++ b/request/tests/board.rs
@@ -1,4 +1,4 @@
-//! The cluster state: what is listed, what has ended, and what is under way where.
+//! The cluster state: listings, removed upstreams and the load of in-flight attempts.
 
 #[path = "board/starts.rs"]
 mod starts;
@@ -49,14 +49,14 @@
     }
 }
 
-/// Enters an attempt of the VM that the cluster state is of.
+/// Adds an attempt of the VM that owns this cluster state.
 fn enter(cluster: &mut Cluster, flight: Flight, now: Instant) -> u64 {
     let number = cluster.number();
     cluster.enter(number, flight, now);
     number
 }
 
-/// Tells `there` what is under way on `here`, of which the VM with this number is the VM.
+/// Announces the flights of `here`, the state of VM number `from`, to `there`.
 fn tell(here: &Cluster, there: &mut Cluster, from: usize, granted: u64, now: Instant) -> bool {
     there.hear(&vm(from), &here.told(now), granted, now)
 }
@@ -75,7 +75,7 @@
     for i in [3, 1, 2] {
         assert!(cluster.list(listed(i)));
     }
-    assert!(!cluster.list(listed(1)), "nothing new");
+    assert!(!cluster.list(listed(1)), "no change");
     assert_eq!(open(&cluster), ["i-01", "i-02", "i-03"]);
     assert_eq!(cluster.open("other").count(), 0);
 }
@@ -88,8 +88,8 @@
     });
     assert!(cluster.list(leaving(1)));
     assert_eq!(cluster.depart(cluster.tag_of(&upstream(2))), Some(upstream(2)));
-    assert_eq!(cluster.depart(cluster.tag_of(&upstream(2))), None, "it is known");
-    assert_eq!(cluster.depart(cluster.tag_of(&upstream(9))), None, "nobody's");
+    assert_eq!(cluster.depart(cluster.tag_of(&upstream(2))), None, "recorded before");
+    assert_eq!(cluster.depart(cluster.tag_of(&upstream(9))), None, "unknown upstream");
     assert_eq!(open(&cluster), ["i-03"]);
 }
 
@@ -100,7 +100,7 @@
     assert!(cluster.accepts(&listed(1)));
     assert!(cluster.remove(&upstream(1), 0.into()));
     assert!(!cluster.accepts(&listed(1)));
-    assert!(cluster.accepts(&listed(2)), "never heard of");
+    assert!(cluster.accepts(&listed(2)), "never listed");
 }
 
 #[test]
@@ -164,7 +164,7 @@
     assert_eq!((reader.helping, reader.memory), (1, 0));
     assert_eq!(reader.backlog_ms.round(), 80.0);
     cluster.began(number, now);
-    assert_eq!(load(&cluster, 2, now).memory, 40_000, "the memory is still held");
+    assert_eq!(load(&cluster, 2, now).memory, 40_000, "the memory is still reserved");
     assert_eq!(load(&cluster, 3, now), Load::default());
 }
 
@@ -180,11 +180,11 @@
     let first = enter(&mut one, flight(1, 10.0, 1), now);
     enter(&mut one, flight(2, 10.0, 1), now);
     enter(&mut two, flight(1, 10.0, 1), now);
-    assert!(!tell(&one, &mut cluster, 1, 0, now), "what begins makes no room");
+    assert!(!tell(&one, &mut cluster, 1, 0, now), "a new attempt frees no capacity");
     tell(&two, &mut cluster, 2, 0, now);
     assert_eq!(load(&cluster, 1, now).requests, 2);
     one.leave(first, now);
-    assert!(tell(&one, &mut cluster, 1, 0, now), "what ends makes room");
+    assert!(tell(&one, &mut cluster, 1, 0, now), "an ended attempt frees capacity");
     assert_eq!(load(&cluster, 1, now).requests, 1);
     cluster.peer_lost(&vm(2), now);
     assert_eq!(load(&cluster, 1, now).requests, 0);
@@ -208,11 +208,11 @@
     tell(&here, &mut there, 1, 0, later);
     assert_eq!(there.loads(None, later), here.loads(None, later));
     here.began(number, later);
-    assert!(tell(&here, &mut there, 1, 0, later), "what is read makes room");
+    assert!(tell(&here, &mut there, 1, 0, later), "a finished prefill frees capacity");
     assert_eq!(there.loads(None, later), here.loads(None, later));
     let mut stranger = Cluster::default();
     tell(&here, &mut stranger, 1, 0, later);
-    assert!(stranger.loads(None, later).is_empty(), "an upstream that is not known there");
+    assert!(stranger.loads(None, later).is_empty(), "the upstream is unknown there");
 }
 
 #[test]
@@ -224,7 +224,7 @@
         cluster.get(&upstream(1)).unwrap().suspicion.avoided(at)
     };
     cluster.note(&upstream(1), Outcome::Failed(Failure::Full), now);
-    assert!(!avoided(&cluster, 0), "one refusal is no sign");
+    assert!(!avoided(&cluster, 0), "a single refusal is not enough");
     cluster.note(&upstream(1), Outcome::Failed(Failure::Silent), now);
     assert!(avoided(&cluster, 0));
     assert!(!avoided(&cluster, 5_000));
@@ -242,9 +242,13 @@
     for _ in 0..3 {
         there.hear_outcomes(&vm(1), &here.told_outcomes(now), now);
     }
-    assert_eq!(there.get(&upstream(1)).unwrap().suspicion.weight(now), 1.0, "told three times");
+    assert_eq!(
+        there.get(&upstream(1)).unwrap().suspicion.weight(now),
+        1.0,
+        "announced three times"
+    );
     let later = now + Duration::from_secs(1);
-    assert!(here.told_outcomes(later).is_empty(), "all have heard it by then");
+    assert!(here.told_outcomes(later).is_empty(), "no longer announced");
 }
 
 #[test]
@@ -253,15 +257,15 @@
     here.list(listed(1));
     here.depart(here.tag_of(&upstream(1)));
     assert_eq!(here.departures(), [here.tag_of(&upstream(1))]);
-    // Told before the other VM has heard of the upstream, and again.
+    // Announced before the other VM has listed the upstream, and again afterwards.
     assert_eq!(there.depart(here.departures()[0]), None);
     there.list(listed(1));
     assert_eq!(there.depart(here.departures()[0]), Some(upstream(1)));
-    assert!(open(&there).is_empty(), "it told that VM that it is leaving");
+    assert!(open(&there).is_empty(), "it reported that it is leaving");
     there.list(Listed { slots: 99, ..listed(1) });
-    assert!(open(&there).is_empty(), "what the directory lists may be older");
+    assert!(open(&there).is_empty(), "the directory's entry may be older");
     here.list(leaving(1));
-    assert!(here.departures().is_empty(), "all hear it from the directory");
+    assert!(here.departures().is_empty(), "all VMs receive it from the directory");
     assert!(open(&here).is_empty());
 }
 
@@ -273,7 +277,7 @@
     let peer = Holder::Peer(vm(1));
     here.grant(&peer, 7, flight(1, 10.0, 1), 3, now);
     assert_eq!(load(&here, 1, now).requests, 1);
-    assert!(!here.hear(&vm(1), &[], 2, now), "it has not heard of its place yet");
+    assert!(!here.hear(&vm(1), &[], 2, now), "it has not received its grant yet");
     assert_eq!(load(&here, 1, now).requests, 1);
     there.enter(7, flight(1, 10.0, 1), now);
     tell(&there, &mut here, 1, 3, now);
@@ -288,13 +292,19 @@
     let (mut cluster, now) = (Cluster::default(), Instant::now());
     let peer = Holder::Peer(vm(1));
     cluster.grant(&peer, 1, flight(1, 10.0, 1), 1, now);
-    assert!(cluster.hear(&vm(1), &[], 1, now), "it has the message, and not the attempt");
+    assert!(
+        cluster.hear(&vm(1), &[], 1, now),
+        "it has received the grant and announces no attempt"
+    );
     cluster.grant(&peer, 2, flight(1, 10.0, 1), 2, now);
     cluster.take_back(&peer, 2, now);
     assert_eq!(load(&cluster, 1, now).requests, 0);
     cluster.grant(&peer, 3, flight(1, 10.0, 1), 3, now);
     assert!(!cluster.forget_grants(now + Duration::from_millis(900)));
-    assert!(cluster.forget_grants(now + Duration::from_millis(1_000)), "nothing was heard of it");
+    assert!(
+        cluster.forget_grants(now + Duration::from_millis(1_000)),
+        "it was not announced in time"
+    );
     assert_eq!(load(&cluster, 1, now).requests, 0);
     cluster.grant(&peer, 4, flight(1, 10.0, 1), 4, now);
     cluster.peer_lost(&vm(1), now);
@@ -321,7 +331,7 @@
 }
 
 proptest! {
-    /// Whatever the order of events, the loads are those of the attempts that are under way.
+    /// For any order of events, the loads are the sums over the attempts in flight, here and on a peer.
     #[test]
     fn loads_add_up(steps in prop::collection::vec(step(), 0..60)) {
         let (mut cluster, now) = (Cluster::default(), Instant::now());
--- a/request/tests/board/starts.rs
+++ b/request/tests/board/starts.rs
@@ -1,4 +1,4 @@
-//! Upstreams that start again under their id, and words of them that come late.
+//! Upstreams that restart under the same id, and listings of them that arrive late or out of order.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -10,7 +10,7 @@
 
 use crate::{enter, flight, listed, upstream};
 
-/// The upstream `i`, started at `born`, as written at a revision.
+/// The listing of upstream `i` that started at `born`, written at a revision.
 fn started(i: usize, born: u64, revision: u64) -> Listed {
     Listed { born: Some(born), revision: revision.into(), ..listed(i) }
 }
@@ -28,12 +28,15 @@
     let known = cluster.get(&upstream(1)).unwrap();
     assert!(known.is_open() && known.suspicion.weight(now) == 0.0);
     assert_eq!(cluster.load(known, None, now), Load::default());
-    assert_ne!(known.tag, before, "what is told of the start before says nothing of this one");
+    assert_ne!(
+        known.tag, before,
+        "announcements about the previous incarnation do not apply to this one"
+    );
     let mut other = Cluster::default();
     other.list(started(1, 200, 2));
     other.hear(&"vm-2".parse().unwrap(), &told, 0, now);
     assert_eq!(other.under_way(), 0);
-    // The end of the attempt at the start before changes nothing at this one.
+    // The end of an attempt at the previous incarnation does not change the load of this one.
     enter(&mut cluster, flight(1, 10.0, 9_000), now);
     cluster.leave(number, now);
     assert_eq!(cluster.load(cluster.get(&upstream(1)).unwrap(), None, now).requests, 1);
@@ -43,12 +46,12 @@
 fn an_earlier_start_that_is_heard_late_and_the_same_one_change_nothing() {
     let (mut cluster, now) = (Cluster::default(), Instant::now());
     cluster.list(started(1, 100, 1));
-    assert!(cluster.renew(&upstream(1), 200, now), "by its own word, before its entry");
+    assert!(cluster.renew(&upstream(1), 200, now), "reported by itself, before its entry");
     assert!(!cluster.renew(&upstream(1), 200, now));
     assert!(!cluster.renew(&upstream(1), 150, now));
-    assert!(!cluster.list(started(1, 100, 1)), "the entry of before, read again");
+    assert!(!cluster.list(started(1, 100, 1)), "the previous entry, read again");
     assert_eq!(cluster.get(&upstream(1)).unwrap().listed.born, Some(200));
-    assert!(!cluster.list(started(1, 200, 2)), "its entry says what is known");
+    assert!(!cluster.list(started(1, 200, 2)), "its entry brings no change");
     assert_eq!(cluster.told_starts(now).len(), 1);
 }
 
@@ -73,8 +76,8 @@
 }
 
 proptest! {
-    /// The words of three starts come in any order, doubled, from the directory of other VMs: in the end
-    /// the newest holds, and all cluster states agree.
+    /// Listings of three incarnations arrive from peers in any order and repeatedly: the newest one wins, so all
+    /// cluster states converge.
     #[test]
     fn clusters_agree_on_the_newest_start(words in prop::collection::vec(0..3_usize, 0..20)) {
         let starts = [started(1, 100, 1), started(1, 300, 4), started(1, 200, 6)];
@@ -104,10 +107,10 @@
     assert!(cluster.relayed(Instant::now()).all(|listed| peer.accepts(&listed)));
     let gone = Listed { leaving: true, ..listed(1) };
     peer.list(Listed { revision: 5.into(), ..listed(1) });
-    assert!(peer.accepts(&gone), "that an upstream leaves is taken without a revision, too");
+    assert!(peer.accepts(&gone), "a leaving upstream is accepted without a revision");
 }
 
-/// What happens to an upstream.
+/// An event in the life of an upstream.
 #[derive(Debug, Clone, Copy)]
 enum Turn {
     Starts,
@@ -119,7 +122,7 @@
     (1..4_usize, prop_oneof![Just(Turn::Starts), Just(Turn::Leaves), Just(Turn::Ends)])
 }
 
-/// What a directory lists after these turns, each written at the next number of an era.
+/// The entries of a directory after these events, each written at the next revision number of one era.
 fn entries(turns: &[(usize, Turn)]) -> BTreeMap<usize, Listed> {
     let mut entries = BTreeMap::new();
     for (number, (upstream, turn)) in (1..).zip(turns) {
@@ -141,7 +144,7 @@
     entries
 }
 
-/// A cluster state that has heard each of these turns from the directory.
+/// A cluster state that has received each of these events from the directory.
 fn heard(turns: &[(usize, Turn)]) -> Cluster {
     let mut cluster = Cluster::default();
     for through in 1..=turns.len() {
@@ -161,8 +164,8 @@
 }
 
 proptest! {
-    /// The directory comes back from a copy of any moment before, once or twice: nothing comes back that is over,
-    /// and once who lives has written itself again, what is believed is what is so.
+    /// The directory is restored once or twice, each time from an older copy: no removed upstream and no earlier
+    /// incarnation comes back, and the state is right once the running upstreams have written their entries again.
     #[test]
     fn a_copy_of_any_age_brings_nothing_back(
         turns in prop::collection::vec(turn(), 1..24),
