--- a/request/tests/halls.rs
+++ b/request/tests/halls.rs
@@ -1,4 +1,4 @@
-//! Halls that an operator drains: the newest word counts, in whatever order words are heard.
+//! Drained data halls: the newest state of a hall wins, in whatever order states are received.
 
 use foldlock_request::cluster::{Hall, Halls};
 use foldlock_request::revision::Revision;
@@ -38,10 +38,10 @@
     halls.note(hall("b", true, 6));
     halls.note(hall("c", true, 9));
     assert_eq!(halls.read(&["b"], 8.into()), ["a"]);
-    assert_eq!(drained(&halls), ["b", "c"], "what is newer than the read stays");
+    assert_eq!(drained(&halls), ["b", "c"], "a state newer than the sync is kept");
 }
 
-/// A peer that never heard of a hall says nothing of it, but by a whole read of its own.
+/// A peer without a state of a hall undrains it only by a full sync of its own that is newer.
 #[test]
 fn a_peer_without_a_word_takes_back_what_its_read_would_have_listed() {
     let mut halls = Halls::default();
@@ -66,14 +66,14 @@
     assert!(kept["halls"].as_object().unwrap().len() <= 256);
 }
 
-/// A directory's history: each change drains a hall or takes it back, at the next revision.
+/// The changes in a directory: each drains or undrains a hall, at the next revision.
 fn history() -> impl Strategy<Value = Vec<(usize, bool)>> {
     prop::collection::vec((0..3_usize, any::<bool>()), 1..30)
 }
 
 proptest! {
-    /// Two VMs that hear parts of a history, and then of each other, agree with the directory about all
-    /// that either heard last.
+    /// Two VMs that each receive a part of the changes agree with the directory after they have merged each
+    /// other's state.
     #[test]
     fn two_vms_agree_once_they_have_told_each_other(
         history in history(),
@@ -81,14 +81,14 @@
         read_at in 0..30_usize,
     ) {
         let names = ["a", "b", "c"];
-        // The revision at which each hall was drained, where it is.
+        // The revision at which each drained hall was drained.
         let mut state = [None; 3];
         let (mut one, mut other) = (Halls::default(), Halls::default());
         for (index, (name, drained)) in history.iter().enumerate() {
             let revision = index as u64 + 1;
             state[*name] = drained.then_some(revision);
             let word = hall(names[*name], *drained, revision);
-            // Between them they hear all.
+            // Each change reaches one of the two.
             if heard[index] {
                 one.note(word);
             } else {
