--- a/request/tests/cold.rs
+++ b/request/tests/cold.rs
@@ -1,5 +1,5 @@
-//! A whole hall comes back cold: its upstreams are slow for some seconds, and end under more than some requests
-//! a second. The load of the fleet must not fall on them at once.
+//! Cold upstreams are slow for some seconds and crash under more than some requests a second. When a whole data
+//! hall restarts, the load of the fleet must not reach its upstreams at once.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -14,10 +14,10 @@
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::{Bounds, Service, Table};
 
-/// What a cold upstream bears a second.
+/// Requests a second that a cold upstream can take.
 const PER_S: f64 = 14.0;
 
-/// What ends it, with some to spare.
+/// Requests a second under which a cold upstream crashes, less a margin.
 const MOST: usize = 26;
 
 const COLD: Duration = Duration::from_secs(3);
@@ -36,7 +36,7 @@
     format!("i-{i:02}").parse().unwrap()
 }
 
-/// A cluster state of upstreams, of which the first ones are cold.
+/// A cluster state of upstreams, the first `cold` of them cold.
 fn cluster(upstreams: usize, cold: usize, now: Instant) -> Cluster {
     let mut cluster = Cluster::default();
     for i in 0..upstreams {
@@ -75,8 +75,8 @@
     }
 }
 
-/// Asks for placements at this pace for two seconds; each answer takes 50 ms. Gives when each upstream was sent
-/// requests.
+/// Requests placements at this interval for two seconds; each request takes 50 ms. Returns when requests were sent,
+/// by upstream.
 fn played(
     cluster: &mut Cluster,
     start: Instant,
@@ -105,7 +105,7 @@
     sent
 }
 
-/// The most of these moments within a second.
+/// The largest number of these times within a second.
 fn most_in_a_second(times: &[Instant]) -> usize {
     let within = |from: &Instant| {
         times.iter().filter(|at| *at >= from && **at < *from + Duration::from_secs(1)).count()
@@ -129,7 +129,7 @@
     let now = Instant::now();
     let mut cluster = cluster(4, 2, now);
     let sent = played(&mut cluster, now, Duration::from_millis(10));
-    assert_eq!(sent.values().map(Vec::len).sum::<usize>(), 200, "none waits");
+    assert_eq!(sent.values().map(Vec::len).sum::<usize>(), 200, "none is queued");
     let cold: usize = (0..2).filter_map(|i| sent.get(&upstream(i))).map(Vec::len).sum();
     assert!(cold <= 2 * 2 * PER_S as usize, "{cold}");
 }
@@ -152,7 +152,7 @@
     assert!(matches!(placed, Err(Rejection::Full)), "{placed:?}");
 }
 
-/// The scheduler is not heard: 91 VMs place for themselves, and none hears of the others in time.
+/// Without a scheduler, 91 VMs place requests independently and receive no announcements of the others in time.
 #[test]
 fn vms_that_each_place_for_themselves_divide_what_a_cold_upstream_bears() {
     let now = Instant::now();
@@ -161,7 +161,7 @@
     for vm in 0..vms {
         let mut cluster = cluster(60, 20, now);
         for number in 0..4_u64 {
-            // Some 200 requests a second of all, each at the VM that its caller found.
+            // Some 200 requests a second in total, spread over the VMs by their callers.
             let at = now + Duration::from_millis(250 * number + vm as u64);
             let requirements =
                 Requirements { offset: vm * 7 + number as usize, ..requirements(at, vms) };
@@ -176,7 +176,7 @@
     }
 }
 
-/// A peer's requests that this VM did not place count as well.
+/// Requests that a peer placed itself count too, once it has announced them.
 #[test]
 fn requests_that_a_peer_tells_of_count() {
     let now = Instant::now();
