--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -114,7 +114,7 @@
 
 /// How long an attempt may go without its answer or first event before the request goes elsewhere.
 fn patience<D: Dialect>(job: &Job<D>, placement: &Placement, tries: &Tries) -> Duration {
-    if placement.flight.holds_memory() {
+    if placement.flight.has_reservations() {
         return job.process.config.fleet.held_silence();
     }
     let last = tries.ran + 1 >= job.route.attempts || placement.open < 2;
@@ -241,7 +241,7 @@
             let suspect = culprit.as_ref().unwrap_or(upstream);
             note(job, suspect, Cause::Full);
             let why = format!("it refused with {status}; at fault is {suspect}");
-            End::NotRun { why, at_fault: flight.left_out(suspect).clone() }
+            End::NotRun { why, at_fault: flight.excluded_after(suspect).clone() }
         }
         Verdict::Ran | Verdict::Foreign => {
             note(job, upstream, Cause::Broken);
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -10,7 +10,7 @@
 use foldlock_request::cluster::Cluster;
 use foldlock_request::dialect::Dialect;
 use foldlock_request::fingerprint::Fingerprint;
-use foldlock_request::flight::{Flight, Helping};
+use foldlock_request::flight::{Flight, Helper};
 use foldlock_request::message::{self, Answered, Asked, Message, Number};
 use foldlock_request::placement::{Placement, Rejection, Requirements};
 use foldlock_request::rate_limit::Entry;
@@ -91,7 +91,7 @@
         message::Answer::Rejected(rejection) => return Some(Answer::Rejected(rejection)),
     };
     let id = |tag: Tag| cluster.by_tag(tag).map(|upstream| upstream.listed.id.clone());
-    let helping = |(tag, held): &(Tag, u64)| Some(Helping { upstream: id(*tag)?, held: *held });
+    let helping = |(tag, held): &(Tag, u64)| Some(Helper { upstream: id(*tag)?, reserved: *held });
     let slowest = placed.slowest.into_iter().filter_map(|(tag, load)| Some((id(tag)?, load)));
     let placement = Placement {
         flight: Flight {
@@ -100,7 +100,7 @@
             part_ms: placed.part_ms,
             memory: placed.memory,
             pause_ms: placed.pause_ms,
-            writing: false,
+            decoding: false,
             alone: placed.alone,
         },
         predicted_ms: placed.predicted_ms,
--- a/daemon/src/fleet/hold.rs
+++ b/daemon/src/fleet/hold.rs
@@ -112,12 +112,12 @@
 
 fn reservations<D: Dialect>(job: &Job<D>, grant: &Grant) -> Vec<Reservation> {
     let helpers = grant.placement.flight.helpers.iter().zip(&grant.helpers);
-    let held = helpers.filter(|(helping, _)| helping.held > 0);
+    let held = helpers.filter(|(helping, _)| helping.reserved > 0);
     held.map(|(helping, address)| Reservation {
         upstream: helping.upstream.clone(),
         address: address.clone(),
         ticket: job.process.ticket(),
-        tokens: Tokens(helping.held),
+        tokens: Tokens(helping.reserved),
     })
     .collect()
 }
--- a/daemon/src/fleet/scheduler.rs
+++ b/daemon/src/fleet/scheduler.rs
@@ -167,7 +167,7 @@
     message::Answer::Placed(message::Placed {
         grant,
         upstream: tag(&flight.upstream),
-        helpers: flight.helpers.iter().map(|h| (tag(&h.upstream), h.held)).collect(),
+        helpers: flight.helpers.iter().map(|h| (tag(&h.upstream), h.reserved)).collect(),
         part_ms: flight.part_ms,
         memory: flight.memory,
         pause_ms: flight.pause_ms,
--- a/request/src/cluster/flights.rs
+++ b/request/src/cluster/flights.rs
@@ -9,7 +9,7 @@
 use super::load::{Load, Serial, Work};
 use super::{Cluster, Upstream};
 use crate::fingerprint::Fingerprint;
-use crate::flight::{Flight, Told, Tracked};
+use crate::flight::{Announcement, Flight, Tracked};
 use crate::pace::Pace;
 
 /// How long a granted placement counts before its VM announces the attempt: several heartbeats, since some may
@@ -58,8 +58,8 @@
             self.alone.push((serial, fingerprint, flight.upstream.clone()));
         }
         self.work(&flight.upstream).answer(serial, &tracked);
-        for helping in &flight.helpers {
-            self.work(&helping.upstream).help(serial, &tracked, helping.held);
+        for helper in &flight.helpers {
+            self.work(&helper.upstream).help(serial, &tracked, helper.reserved);
         }
         let entry = Entry { serial, tracked, grant };
         self.by_holder.entry(holder).or_default().insert(number, entry);
@@ -105,7 +105,7 @@
         flight: &Flight,
         change: impl Fn(&mut Work),
     ) {
-        let helpers = flight.helpers.iter().map(|helping| &helping.upstream);
+        let helpers = flight.helpers.iter().map(|helper| &helper.upstream);
         for upstream in std::iter::once(&flight.upstream).chain(helpers) {
             let Some(work) = works.get_mut(upstream) else { continue };
             change(work);
@@ -118,8 +118,10 @@
     /// Records the first event of a flight. Returns whether it is the first record of it.
     fn began(&mut self, holder: &Holder, number: u64, now: Instant) -> bool {
         let entry = self.by_holder.get_mut(holder).and_then(|flights| flights.get_mut(&number));
-        let Some(entry) = entry.filter(|entry| !entry.tracked.flight.writing) else { return false };
-        entry.tracked.flight.writing = true;
+        let Some(entry) = entry.filter(|entry| !entry.tracked.flight.decoding) else {
+            return false;
+        };
+        entry.tracked.flight.decoding = true;
         let serial = entry.serial;
         Self::change(&mut self.works, &entry.tracked.flight, |work| work.began(serial, now));
         true
@@ -187,7 +189,7 @@
 
     fn tracked(&self, flight: Flight, sent: Instant) -> Tracked {
         let tag = self.tag_of(&flight.upstream);
-        let helpers = flight.helpers.iter().map(|helping| self.tag_of(&helping.upstream));
+        let helpers = flight.helpers.iter().map(|helper| self.tag_of(&helper.upstream));
         Tracked { tag, helper_tags: helpers.collect(), flight, sent }
     }
 
@@ -261,27 +263,29 @@
     }
 
     /// The attempts of this VM, as announced to peers.
-    pub fn told(&self, now: Instant) -> Vec<Told> {
+    pub fn told(&self, now: Instant) -> Vec<Announcement> {
         let own = self.flights.by_holder.get(&Holder::Own);
         let entries = own.into_iter().flatten().filter(|(_, entry)| entry.grant.is_none());
-        entries.map(|(number, entry)| entry.tracked.told(*number, now)).collect()
+        entries.map(|(number, entry)| entry.tracked.announcement(*number, now)).collect()
     }
 
     /// Merges all attempts that a peer announced when it had received this VM's grants up to `granted`. Attempts
     /// at unknown upstreams are ignored. Returns whether an attempt had its first event or ended, so that a
     /// queued request may find a placement.
-    pub fn hear(&mut self, vm: &id::Vm, told: &[Told], granted: u64, now: Instant) -> bool {
+    pub fn hear(&mut self, vm: &id::Vm, told: &[Announcement], granted: u64, now: Instant) -> bool {
         let holder = Holder::Peer(vm.clone());
         let mut room = false;
         for flight in told {
             if !self.flights.knows(&holder, flight.number) {
                 let known = |tag| self.tags.get(&tag).cloned();
-                let Some(tracked) = Tracked::heard(flight, known, now) else { continue };
+                let Some(tracked) = Tracked::from_announcement(flight, known, now) else {
+                    continue;
+                };
                 self.flights.begin(holder.clone(), flight.number, tracked, None);
                 continue;
             }
             self.flights.told(&holder, flight.number);
-            if flight.writing {
+            if flight.decoding {
                 room |= self.flights.began(&holder, flight.number, now);
             }
         }
--- a/request/src/cluster/load.rs
+++ b/request/src/cluster/load.rs
@@ -114,7 +114,7 @@
             memory: flight.memory,
             pause_ms: flight.pause_ms,
             answers: true,
-            read: flight.writing,
+            read: flight.decoding,
             shared: !flight.helpers.is_empty(),
         });
     }
@@ -128,7 +128,7 @@
             memory: held,
             pause_ms: u32::MAX,
             answers: false,
-            read: tracked.flight.writing,
+            read: tracked.flight.decoding,
             shared: true,
         });
     }
--- a/request/src/message.rs
+++ b/request/src/message.rs
@@ -126,7 +126,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Work {
     /// Its attempts.
-    pub flights: Vec<flight::Told>,
+    pub flights: Vec<flight::Announcement>,
     /// How attempts of late have ended.
     pub outcomes: Vec<Ended>,
     /// The reports that it has of engines.
--- a/request/src/placement.rs
+++ b/request/src/placement.rs
@@ -21,7 +21,7 @@
 use crate::budget::{Charge, Exhausted};
 use crate::cluster::{BRISK_MS, Cluster, Load};
 use crate::fingerprint::Fingerprint;
-use crate::flight::{Flight, Helping};
+use crate::flight::{Flight, Helper};
 use crate::forecast;
 use crate::quarantine::Verdict;
 use crate::rate_limit::Limit;
@@ -348,9 +348,9 @@
 ) -> Placement {
     let listed = &best.upstream.listed;
     let held: u64 = helpers.iter().map(|(_, held)| held).sum();
-    let helping = |(c, held): &(&Candidate<'_>, u64)| Helping {
+    let helping = |(c, held): &(&Candidate<'_>, u64)| Helper {
         upstream: c.upstream.listed.id.clone(),
-        held: *held,
+        reserved: *held,
     };
     Placement {
         flight: Flight {
@@ -359,7 +359,7 @@
             part_ms: part_ms as f32,
             memory: requirements.memory.0.saturating_sub(held),
             pause_ms: requirements.pause_ms(),
-            writing: false,
+            decoding: false,
             alone: None,
         },
         predicted_ms,
--- a/request/src/placement/share.rs
+++ b/request/src/placement/share.rs
@@ -294,7 +294,7 @@
                 load.helping += 1;
                 let helping =
                     placement.flight.helpers.iter().find(|helping| helping.upstream == *id);
-                load.memory += helping.map_or(0, |helping| helping.held);
+                load.memory += helping.map_or(0, |helping| helping.reserved);
             }
             reader.apart = !reader.candidate.is_crowded();
         }
--- a/request/tests/board.rs
+++ b/request/tests/board.rs
@@ -7,7 +7,7 @@
 
 use foldlock_base::id;
 use foldlock_request::cluster::{Cluster, Holder, Listed, Load};
-use foldlock_request::flight::{Flight, Helping};
+use foldlock_request::flight::{Flight, Helper};
 use foldlock_request::suspicion::{Failure, Outcome};
 use proptest::prelude::*;
 
@@ -44,7 +44,7 @@
         part_ms,
         memory,
         pause_ms: 250,
-        writing: false,
+        decoding: false,
         alone: None,
     }
 }
@@ -155,8 +155,8 @@
 fn helpers_read_their_part_and_hold_their_memory_until_the_end() {
     let (mut cluster, now) = (Cluster::default(), Instant::now());
     let helpers = vec![
-        Helping { upstream: upstream(2), held: 40_000 },
-        Helping { upstream: upstream(3), held: 0 },
+        Helper { upstream: upstream(2), reserved: 40_000 },
+        Helper { upstream: upstream(3), reserved: 0 },
     ];
     let number = enter(&mut cluster, Flight { helpers, ..flight(1, 80.0, 200_000) }, now);
     let (holder, reader) = (load(&cluster, 2, now), load(&cluster, 3, now));
@@ -200,8 +200,8 @@
         there.list(listed(i));
     });
     let helpers = vec![
-        Helping { upstream: upstream(2), held: 40_000 },
-        Helping { upstream: upstream(3), held: 0 },
+        Helper { upstream: upstream(2), reserved: 40_000 },
+        Helper { upstream: upstream(3), reserved: 0 },
     ];
     let number = enter(&mut here, Flight { helpers, ..flight(1, 80.0, 200_000) }, now);
     let later = now + Duration::from_millis(30);
@@ -313,17 +313,17 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Enter { upstream: usize, helper: usize, held: u64 },
+    Enter { upstream: usize, helper: usize, reserved: u64 },
     Began(usize),
     Leave(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        (0usize..4, 4usize..8, 0u64..9).prop_map(|(upstream, helper, held)| Step::Enter {
+        (0usize..4, 4usize..8, 0u64..9).prop_map(|(upstream, helper, reserved)| Step::Enter {
             upstream,
             helper,
-            held
+            reserved
         }),
         (0usize..20).prop_map(Step::Began),
         (0usize..20).prop_map(Step::Leave),
@@ -338,10 +338,10 @@
         let mut entered: Vec<(u64, bool, u64)> = Vec::new();
         for step in steps {
             match step {
-                Step::Enter { upstream: u, helper, held } => {
-                    let helpers = vec![Helping { upstream: upstream(helper), held }];
+                Step::Enter { upstream: u, helper, reserved } => {
+                    let helpers = vec![Helper { upstream: upstream(helper), reserved }];
                     let number = enter(&mut cluster, Flight { helpers, ..flight(u, 5.0, 7) }, now);
-                    entered.push((number, false, held));
+                    entered.push((number, false, reserved));
                 }
                 Step::Began(i) if i < entered.len() => {
                     cluster.began(entered[i].0, now);
--- a/request/tests/line.rs
+++ b/request/tests/line.rs
@@ -194,7 +194,7 @@
             assert!(refusals > 0, "a group of so many holds one of them");
             return;
         };
-        prompt.avoid.push(Tag::of(flight.left_out(suspect).as_str()));
+        prompt.avoid.push(Tag::of(flight.excluded_after(suspect).as_str()));
     }
     panic!("three refusals named three engines, and the next group holds one of them");
 }
--- a/request/tests/placement.rs
+++ b/request/tests/placement.rs
@@ -159,7 +159,7 @@
     let read: Vec<_> = placed.flight.helpers.iter().map(|h| &h.upstream).collect();
     assert_eq!(read.len(), 4, "the five engines without a short answer");
     assert_ne!(placed.flight.upstream, upstream(0));
-    assert!(placed.flight.helpers.iter().all(|h| h.upstream != upstream(0) && h.held == 0));
+    assert!(placed.flight.helpers.iter().all(|h| h.upstream != upstream(0) && h.reserved == 0));
     assert!(placed.predicted_ms < 500.0, "{}", placed.predicted_ms);
 }
 
@@ -173,7 +173,7 @@
             part_ms: 0.0,
             memory: 6_000,
             pause_ms: 250,
-            writing: true,
+            decoding: true,
             alone: None,
         };
         begin(&mut cluster, flight, now);
@@ -190,7 +190,7 @@
 fn a_prompt_beyond_one_engine_is_held_by_several() {
     let (mut cluster, now) = (cluster(12), Instant::now());
     let placed = enter(&mut cluster, &requirements(LONG, 300_000), now).unwrap();
-    let held: u64 = placed.flight.helpers.iter().map(|h| h.held).sum();
+    let held: u64 = placed.flight.helpers.iter().map(|h| h.reserved).sum();
     assert!(held > 0);
     assert_eq!(placed.flight.memory + held, 301_000);
     assert!(placed.flight.memory <= ENGINE.memory.0);
@@ -234,7 +234,7 @@
     let (mut cluster, now) = (cluster(12), Instant::now());
     for i in (0..6).chain(0..6) {
         let placed = place(&cluster, &requirements(SHORT, 5_000), now).unwrap();
-        begin(&mut cluster, Flight { upstream: upstream(i), writing: true, ..placed.flight }, now);
+        begin(&mut cluster, Flight { upstream: upstream(i), decoding: true, ..placed.flight }, now);
     }
     let placed = enter(&mut cluster, &requirements(LONG, 220_000), now).unwrap();
     let read: Vec<_> = placed.flight.helpers.iter().map(|h| h.upstream.clone()).collect();
@@ -249,13 +249,13 @@
     let (mut cluster, now) = (cluster(12), Instant::now());
     for i in (0..6).chain(0..6) {
         let placed = place(&cluster, &requirements(SHORT, 5_000), now).unwrap();
-        begin(&mut cluster, Flight { upstream: upstream(i), writing: true, ..placed.flight }, now);
+        begin(&mut cluster, Flight { upstream: upstream(i), decoding: true, ..placed.flight }, now);
     }
     let brief =
         Requirements { hold_limit: Duration::from_millis(1_500), ..requirements(LONG, 300_000) };
     assert_eq!(place(&cluster, &brief, now).unwrap_err(), Rejection::Full, "1.3 s on five engines");
     let placed = place(&cluster, &requirements(LONG, 300_000), now).unwrap();
-    assert!(placed.flight.holds_memory());
+    assert!(placed.flight.has_reservations());
     assert!(placed.predicted_ms < 2_400.0 * 0.85, "{}", placed.predicted_ms);
 }
 
@@ -264,13 +264,13 @@
     let (mut cluster, now) = (cluster(6), Instant::now());
     for i in 0..6 {
         let placed = place(&cluster, &requirements(SHORT, 5_000), now).unwrap();
-        begin(&mut cluster, Flight { upstream: upstream(i), writing: true, ..placed.flight }, now);
+        begin(&mut cluster, Flight { upstream: upstream(i), decoding: true, ..placed.flight }, now);
     }
     let alone = place(&cluster, &requirements(LONG, 220_000), now).unwrap();
     assert!(alone.flight.part_ms > 250.0, "{alone:?}");
     for i in 0..6 {
         let placed = place(&cluster, &requirements(SHORT, 5_000), now).unwrap();
-        begin(&mut cluster, Flight { upstream: upstream(i), writing: true, ..placed.flight }, now);
+        begin(&mut cluster, Flight { upstream: upstream(i), decoding: true, ..placed.flight }, now);
     }
     assert_eq!(place(&cluster, &requirements(LONG, 220_000), now).unwrap_err(), Rejection::Full);
 }
@@ -339,7 +339,7 @@
             group.dedup();
             prop_assert_eq!(group.len(), size);
             prop_assert!(size <= 17);
-            let held: u64 = placed.flight.helpers.iter().map(|h| h.held).sum();
+            let held: u64 = placed.flight.helpers.iter().map(|h| h.reserved).sum();
             prop_assert!(placed.flight.memory + held >= requirements.memory.0);
             for (upstream, load) in cluster.loads(None, now) {
                 prop_assert!(load.requests <= ENGINE.slots, "{} has {:?}", upstream, load);
--- a/request/tests/rate_limits/fleet.rs
+++ b/request/tests/rate_limits/fleet.rs
@@ -407,7 +407,7 @@
         part_ms: 0.0,
         memory: 0,
         pause_ms: u32::MAX,
-        writing: false,
+        decoding: false,
         alone: None,
     }
 }
