--- a/daemon/src/fleet/reports.rs
+++ b/daemon/src/fleet/reports.rs
@@ -10,7 +10,7 @@
 use foldlock_request::directory::Member;
 use foldlock_request::message::Message;
 use foldlock_request::notice::Noted;
-use foldlock_request::report::{Fault, Observed, Report, Reports};
+use foldlock_request::report::{Observed, Report, ReportError, Reports};
 use foldlock_request::tag::Tag;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -92,7 +92,7 @@
     process.metrics.reports.inc();
     let Noted { notice, answer } = process.reports.report(&listed.id, &listed.address).await;
     notices::heard(&process, &listed.id, start, at, notice);
-    if let Err(Fault::Unreadable(why)) = &answer {
+    if let Err(ReportError::Unreadable(why)) = &answer {
         if process.trouble_lines.admit(process.now()).is_some() {
             log::event(&process.log, Event::ReportUnreadable, format!("{}: {why}", listed.id));
         }
@@ -135,11 +135,11 @@
     process: &Process<D>,
     id: &id::Upstream,
     before: Option<Observed>,
-    answer: &Result<Report, Fault>,
+    answer: &Result<Report, ReportError>,
 ) {
     let known = before.map(|observed| observed.report);
     match answer {
-        Err(Fault::Silent(why)) if known != Some(None) => {
+        Err(ReportError::Unresponsive(why)) if known != Some(None) => {
             log::event(&process.log, Event::UpstreamSilent, format!("{id}: {why}"));
         }
         Err(_) => {}
@@ -147,9 +147,10 @@
             if known == Some(None) {
                 log::event(&process.log, Event::UpstreamBack, id);
             }
-            let pace = known.flatten().map_or(1.0, |report| report.pace);
-            if (report.pace - pace).abs() > NEWS {
-                let what = format!("{id}: {:.2} times its figures, {pace:.2} before", report.pace);
+            let pace = known.flatten().map_or(1.0, |report| report.slowdown);
+            if (report.slowdown - pace).abs() > NEWS {
+                let what =
+                    format!("{id}: {:.2} times its figures, {pace:.2} before", report.slowdown);
                 log::event(&process.log, Event::UpstreamPace, what);
             }
         }
--- a/request/src/cluster/reports.rs
+++ b/request/src/cluster/reports.rs
@@ -17,18 +17,18 @@
     }
 
     /// The reports that this VM fetched and that are fresh, as announced to peers.
-    pub fn told_reports(&self, now: Instant) -> Vec<report::Told> {
+    pub fn told_reports(&self, now: Instant) -> Vec<report::Announcement> {
         let fresh = |o: &Observed| now.saturating_duration_since(o.at) < REPORT_LASTS;
         let asked = self.upstreams.values().filter(|u| u.asked);
-        asked.filter_map(|u| u.observed.filter(fresh).map(|o| o.told(u.tag, now))).collect()
+        asked.filter_map(|u| u.observed.filter(fresh).map(|o| o.announcement(u.tag, now))).collect()
     }
 
     /// Merges the reports that a peer announced, where they are newer.
-    pub fn hear_reports(&mut self, told: &[report::Told], now: Instant) {
+    pub fn hear_reports(&mut self, told: &[report::Announcement], now: Instant) {
         for told in told {
             let Some(id) = self.tags.get(&told.upstream) else { continue };
             let Some(upstream) = self.upstreams.get_mut(id) else { continue };
-            let observed = Observed::heard(told, now);
+            let observed = Observed::from_announcement(told, now);
             if upstream.observed.is_none_or(|known| known.at < observed.at) {
                 upstream.observed = Some(observed);
                 upstream.asked = false;
--- a/request/src/cluster/upstream.rs
+++ b/request/src/cluster/upstream.rs
@@ -42,7 +42,7 @@
     pub fn pace(&self, now: Instant) -> f64 {
         let fresh = |o: &Observed| now.saturating_duration_since(o.at) < REPORT_LASTS;
         let report = self.observed.filter(fresh).and_then(|o| o.report);
-        report.map_or(1.0, |report| report.pace.max(1.0))
+        report.map_or(1.0, |report| report.slowdown.max(1.0))
     }
 
     /// Whether it accepts new requests.
--- a/request/src/message.rs
+++ b/request/src/message.rs
@@ -130,7 +130,7 @@
     /// How attempts of late have ended.
     pub outcomes: Vec<Ended>,
     /// The reports that it has of engines.
-    pub reports: Vec<report::Told>,
+    pub reports: Vec<report::Announcement>,
     /// What it learnt of requests under which upstreams ended.
     pub suspects: Vec<quarantine::News>,
     /// Recent messages to rate-limited upstreams.
--- a/request/src/report.rs
+++ b/request/src/report.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// Measured over expected time of its work; 1 for a healthy engine.
-    pub pace: f64,
+    pub slowdown: f64,
     /// Requests that it processes.
     pub running: u32,
     /// Requests in its queue.
@@ -27,9 +27,9 @@
 
 /// Why a report could not be fetched.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Fault {
+pub enum ReportError {
     /// The engine did not respond.
-    Silent(String),
+    Unresponsive(String),
     /// The response is not a valid report.
     Unreadable(String),
 }
@@ -41,7 +41,7 @@
         &self,
         upstream: &id::Upstream,
         address: &str,
-    ) -> impl Future<Output = Noted<Result<Report, Fault>>> + Send;
+    ) -> impl Future<Output = Noted<Result<Report, ReportError>>> + Send;
 }
 
 /// The result of fetching a report, with its time.
@@ -55,7 +55,7 @@
 
 /// A report as announced to peers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct Announcement {
     /// The engine's tag.
     pub upstream: Tag,
     report: Option<Report>,
@@ -64,14 +64,14 @@
 
 impl Observed {
     /// The announcement of this report, of the engine with this tag.
-    pub fn told(&self, upstream: Tag, now: Instant) -> Told {
+    pub fn announcement(&self, upstream: Tag, now: Instant) -> Announcement {
         let age_ms = now.saturating_duration_since(self.at).as_millis() as u32;
-        Told { upstream, report: self.report, age_ms }
+        Announcement { upstream, report: self.report, age_ms }
     }
 
     /// The report that a peer announced.
-    pub fn heard(told: &Told, now: Instant) -> Observed {
-        let age = Duration::from_millis(u64::from(told.age_ms));
-        Observed { report: told.report, at: now.checked_sub(age).unwrap_or(now) }
+    pub fn from_announcement(announced: &Announcement, now: Instant) -> Observed {
+        let age = Duration::from_millis(u64::from(announced.age_ms));
+        Observed { report: announced.report, at: now.checked_sub(age).unwrap_or(now) }
     }
 }
--- a/request/tests/line.rs
+++ b/request/tests/line.rs
@@ -206,7 +206,7 @@
 #[test]
 fn a_slow_engine_is_left_out_of_a_group() {
     let (mut cluster, now) = (cluster(6), Instant::now());
-    let slow = Report { pace: 5.0, running: 0, waiting: 0, memory: Tokens(0), born: None };
+    let slow = Report { slowdown: 5.0, running: 0, waiting: 0, memory: Tokens(0), born: None };
     observe(&mut cluster, 4, Some(slow), now);
     let placed = place(&mut cluster, &[requirements(182_000, now)], now);
     assert!(!engines(&placed[0].1).contains(&upstream(4)), "{placed:?}");
@@ -230,7 +230,7 @@
     let (mut here, mut there) = (cluster(2), cluster(2));
     let now = Instant::now();
     let report =
-        |pace| Some(Report { pace, running: 1, waiting: 0, memory: Tokens(9), born: None });
+        |slowdown| Some(Report { slowdown, running: 1, waiting: 0, memory: Tokens(9), born: None });
     observe(&mut here, 0, report(3.0), now);
     observe(&mut there, 0, report(1.0), now + Duration::from_millis(600));
     let later = now + Duration::from_millis(650);
