--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -210,7 +210,7 @@
                 "rate_limit": rate_limit(&cluster, u, now),
                 "suspicion": u.suspicion.weight(now), "requests": load.requests,
                 "writers": load.writers, "memory": load.memory, "backlog_ms": load.backlog_ms,
-                "pace": u.pace(now), "silent": u.silent(now),
+                "pace": u.slowdown(now), "silent": u.is_unresponsive(now),
             })
         })
         .collect();
--- a/request/src/cluster.rs
+++ b/request/src/cluster.rs
@@ -121,11 +121,11 @@
         let upstream = Upstream {
             listed,
             tag,
-            told_leaving: false,
+            reported_leaving: false,
             drained,
             suspicion: Suspicion::default(),
             observed: None,
-            asked: false,
+            is_own_report: false,
             cold_until: None,
             rate_limit: None,
             unlisted: None,
--- a/request/src/cluster/flights.rs
+++ b/request/src/cluster/flights.rs
@@ -299,12 +299,12 @@
     /// The load of an upstream, predicted with the figures of its engine.
     pub fn load(&self, upstream: &Upstream, engine: Option<&Engine>, now: Instant) -> Load {
         let work = self.flights.works.get(&upstream.listed.id);
-        work.map_or_else(Load::default, |work| work.load(engine, upstream.pace(now), now))
+        work.map_or_else(Load::default, |work| work.load(engine, upstream.slowdown(now), now))
     }
 
     /// The load of each upstream that has any, listed or not.
     pub fn loads(&self, engine: Option<&Engine>, now: Instant) -> HashMap<&id::Upstream, Load> {
-        let pace = |id| self.upstreams.get(id).map_or(1.0, |upstream| upstream.pace(now));
+        let pace = |id| self.upstreams.get(id).map_or(1.0, |upstream| upstream.slowdown(now));
         let works = self.flights.works.iter();
         works.map(|(id, work)| (id, work.load(engine, pace(id), now))).collect()
     }
--- a/request/src/cluster/outcomes.rs
+++ b/request/src/cluster/outcomes.rs
@@ -27,7 +27,7 @@
     /// Records the outcome of an attempt of this VM at an upstream.
     pub fn note(&mut self, id: &id::Upstream, outcome: Outcome, now: Instant) {
         let Some(upstream) = self.upstreams.get_mut(id) else { return };
-        upstream.note(outcome, now);
+        upstream.record_outcome(outcome, now);
         self.next += 1;
         let ended = Ended { number: self.next, upstream: upstream.tag, outcome };
         if self.outcomes.len() == MOST_OUTCOMES {
@@ -51,7 +51,7 @@
         for ended in told.iter().filter(|ended| ended.number > through) {
             let upstream = self.tags.get(&ended.upstream).and_then(|id| self.upstreams.get_mut(id));
             if let Some(upstream) = upstream {
-                upstream.note(ended.outcome, now);
+                upstream.record_outcome(ended.outcome, now);
             }
         }
         if let Some(last) = told.last() {
--- a/request/src/cluster/starts.rs
+++ b/request/src/cluster/starts.rs
@@ -56,14 +56,14 @@
     pub fn depart(&mut self, start: Tag) -> Option<id::Upstream> {
         let id = self.tags.get(&start)?;
         let upstream = self.upstreams.get_mut(id)?;
-        let known = std::mem::replace(&mut upstream.told_leaving, true);
+        let known = std::mem::replace(&mut upstream.reported_leaving, true);
         (!known).then(|| id.clone())
     }
 
     /// Upstream incarnations that reported that they are leaving and that the directory does not list as leaving
     /// yet, as announced to peers.
     pub fn departures(&self) -> Vec<Tag> {
-        let unheard = self.upstreams.values().filter(|u| u.told_leaving && !u.listed.leaving);
+        let unheard = self.upstreams.values().filter(|u| u.reported_leaving && !u.listed.leaving);
         unheard.map(|u| u.tag).take(MOST_DEPARTURES).collect()
     }
 }
--- a/request/src/cluster/upstream.rs
+++ b/request/src/cluster/upstream.rs
@@ -20,7 +20,7 @@
     pub tag: Tag,
     /// Whether it reported in a response that it is leaving. This holds for the rest of its incarnation, whatever
     /// the directory lists: its entry may be older, and the directory may be unavailable in the same incident.
-    pub told_leaving: bool,
+    pub reported_leaving: bool,
     /// Whether its hall is drained: requests that run there finish, and no new ones are sent.
     pub drained: bool,
     /// Weight of its recent failures.
@@ -28,7 +28,7 @@
     /// The newest report, fetched by this VM or received from a peer.
     pub observed: Option<Observed>,
     /// Whether this VM fetched that report.
-    pub asked: bool,
+    pub is_own_report: bool,
     /// Until when it is cold, if it is.
     pub cold_until: Option<Instant>,
     /// Its rate limit, if it ever named one.
@@ -39,7 +39,7 @@
 
 impl Upstream {
     /// Measured over expected time of its engine by a fresh report, at least 1; 1 without one.
-    pub fn pace(&self, now: Instant) -> f64 {
+    pub fn slowdown(&self, now: Instant) -> f64 {
         let fresh = |o: &Observed| now.saturating_duration_since(o.at) < REPORT_LASTS;
         let report = self.observed.filter(fresh).and_then(|o| o.report);
         report.map_or(1.0, |report| report.slowdown.max(1.0))
@@ -52,11 +52,11 @@
 
     /// Whether it is shutting down, by the directory or by its own report.
     pub fn is_leaving(&self) -> bool {
-        self.listed.leaving || self.told_leaving
+        self.listed.leaving || self.reported_leaving
     }
 
     /// Records the outcome of an attempt at this upstream.
-    pub(super) fn note(&mut self, outcome: Outcome, now: Instant) {
+    pub(super) fn record_outcome(&mut self, outcome: Outcome, now: Instant) {
         match outcome {
             Outcome::Answered => self.suspicion.answered(now),
             Outcome::Failed(failure) => self.suspicion.failed(failure, now),
@@ -74,7 +74,7 @@
     }
 
     /// Whether it did not respond to the latest request for a report, if that is fresh.
-    pub fn silent(&self, now: Instant) -> bool {
+    pub fn is_unresponsive(&self, now: Instant) -> bool {
         let fresh = |o: &Observed| now.saturating_duration_since(o.at) < REPORT_LASTS;
         self.observed.is_some_and(|o| o.report.is_none() && fresh(&o))
     }
--- a/request/src/placement/candidate.rs
+++ b/request/src/placement/candidate.rs
@@ -41,7 +41,7 @@
         Candidate {
             upstream,
             load,
-            pace: upstream.pace(now),
+            pace: upstream.slowdown(now),
             is_due: is_due(cluster, upstream, now),
         }
     }
@@ -169,7 +169,7 @@
     let sound = |u: &&Upstream| {
         u.unlisted.is_none()
             && !u.suspicion.avoided(now)
-            && !u.silent(now)
+            && !u.is_unresponsive(now)
             && !cluster.is_left_alone(&u.listed.id)
     };
     let trusted: Vec<&Upstream> = open.iter().copied().filter(sound).collect();
--- a/request/tests/line.rs
+++ b/request/tests/line.rs
@@ -235,9 +235,9 @@
     observe(&mut there, 0, report(1.0), now + Duration::from_millis(600));
     let later = now + Duration::from_millis(650);
     there.hear_reports(&here.told_reports(later), later);
-    assert_eq!(there.get(&upstream(0)).unwrap().pace(later), 1.0);
+    assert_eq!(there.get(&upstream(0)).unwrap().slowdown(later), 1.0);
     here.hear_reports(&there.told_reports(later), later);
-    assert_eq!(here.get(&upstream(0)).unwrap().pace(later), 1.0);
+    assert_eq!(here.get(&upstream(0)).unwrap().slowdown(later), 1.0);
     assert!(here.told_reports(later).is_empty(), "who asked last tells");
 }
 
