--- a/daemon/src/fleet/gate.rs
+++ b/daemon/src/fleet/gate.rs
@@ -174,7 +174,7 @@
         predicted_ms,
         score: load.backlog_ms,
         requests: load.requests,
-        long: load.helping,
+        long: load.helper_parts,
         queued: Tokens(load.memory),
         cached: Tokens(0),
     }
--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -209,7 +209,7 @@
                 "rests_ms": rests.left(u.tag, moment).map(|left| left.as_millis() as u64),
                 "rate_limit": rate_limit(&cluster, u, now),
                 "suspicion": u.suspicion.weight(now), "requests": load.requests,
-                "writers": load.writers, "memory": load.memory, "backlog_ms": load.backlog_ms,
+                "writers": load.decoding, "memory": load.memory, "backlog_ms": load.backlog_ms,
                 "pace": u.slowdown(now), "silent": u.is_unresponsive(now),
             })
         })
--- a/request/src/cluster.rs
+++ b/request/src/cluster.rs
@@ -34,7 +34,7 @@
 pub use halls::{Hall, Halls};
 pub use limits::Dispatch;
 pub use listed::{Listed, Start};
-pub use load::{BRISK_MS, Load};
+pub use load::{INTERACTIVE_PAUSE_MS, Load};
 pub use outcomes::Ended;
 pub use upstream::Upstream;
 
--- a/request/src/cluster/flights.rs
+++ b/request/src/cluster/flights.rs
@@ -57,9 +57,9 @@
         if let Some(fingerprint) = flight.alone {
             self.alone.push((serial, fingerprint, flight.upstream.clone()));
         }
-        self.work(&flight.upstream).answer(serial, &tracked);
+        self.work(&flight.upstream).add_main(serial, &tracked);
         for helper in &flight.helpers {
-            self.work(&helper.upstream).help(serial, &tracked, helper.reserved);
+            self.work(&helper.upstream).add_helper(serial, &tracked, helper.reserved);
         }
         let entry = Entry { serial, tracked, grant };
         self.by_holder.entry(holder).or_default().insert(number, entry);
@@ -123,7 +123,9 @@
         };
         entry.tracked.flight.decoding = true;
         let serial = entry.serial;
-        Self::change(&mut self.works, &entry.tracked.flight, |work| work.began(serial, now));
+        Self::change(&mut self.works, &entry.tracked.flight, |work| {
+            work.record_first_event(serial, now)
+        });
         true
     }
 
@@ -304,8 +306,8 @@
 
     /// The load of each upstream that has any, listed or not.
     pub fn loads(&self, engine: Option<&Engine>, now: Instant) -> HashMap<&id::Upstream, Load> {
-        let pace = |id| self.upstreams.get(id).map_or(1.0, |upstream| upstream.slowdown(now));
+        let slowdown = |id| self.upstreams.get(id).map_or(1.0, |upstream| upstream.slowdown(now));
         let works = self.flights.works.iter();
-        works.map(|(id, work)| (id, work.load(engine, pace(id), now))).collect()
+        works.map(|(id, work)| (id, work.load(engine, slowdown(id), now))).collect()
     }
 }
--- a/request/src/placement.rs
+++ b/request/src/placement.rs
@@ -19,7 +19,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::budget::{Charge, Exhausted};
-use crate::cluster::{BRISK_MS, Cluster, Load};
+use crate::cluster::{Cluster, INTERACTIVE_PAUSE_MS, Load};
 use crate::fingerprint::Fingerprint;
 use crate::flight::{Flight, Helper};
 use crate::forecast;
@@ -88,8 +88,8 @@
     }
 
     /// Whether its answer has short pauses.
-    fn is_brisk(&self) -> bool {
-        self.pause_ms() <= BRISK_MS
+    fn is_interactive(&self) -> bool {
+        self.pause_ms() <= INTERACTIVE_PAUSE_MS
     }
 
     /// Milliseconds left for a first event in time; negative once it is late.
@@ -102,7 +102,8 @@
     pub fn long_read_ms(&self, engine: &Engine) -> Option<f64> {
         let read = forecast::read_ms(engine, self.prompt.0);
         let objective = self.objective.as_secs_f64() * 1e3;
-        let short = read <= objective * WHOLE && self.is_brisk() && self.memory <= engine.memory;
+        let short =
+            read <= objective * WHOLE && self.is_interactive() && self.memory <= engine.memory;
         (!short).then_some(read)
     }
 }
@@ -260,7 +261,7 @@
 ) -> Result<Placement, Rejection> {
     let open = candidates.len();
     let has_room = |c: &Candidate<'_>| engine.is_none_or(|e| c.has_room(requirements.memory.0, e));
-    let under_way = |c: &Candidate<'_>| (c.load.requests + c.load.helping, c.load.memory);
+    let under_way = |c: &Candidate<'_>| (c.load.requests + c.load.helper_parts, c.load.memory);
     let best = candidates.into_iter().filter(has_room).min_by_key(under_way);
     let best = best.ok_or(Rejection::Full)?;
     let read_ms = engine.map_or(0.0, |engine| forecast::read_ms(engine, requirements.prompt.0));
@@ -303,8 +304,8 @@
     let index = candidates
         .iter()
         .position(|c| c.is_due && fits(c, BESIDE))
-        .or_else(|| candidates.iter().position(|c| c.is_brisk() && fits(c, IN_TIME)))
-        .or_else(|| least(&candidates, engine, read, |c| c.is_brisk() && fits(c, BESIDE)))
+        .or_else(|| candidates.iter().position(|c| c.is_interactive() && fits(c, IN_TIME)))
+        .or_else(|| least(&candidates, engine, read, |c| c.is_interactive() && fits(c, BESIDE)))
         .or_else(|| candidates.iter().position(|c| fits(c, BESIDE)))
         .or_else(|| least(&candidates, engine, read, |c| c.has_room(memory, engine)))
         .ok_or(Rejection::Full)?;
--- a/request/src/placement/candidate.rs
+++ b/request/src/placement/candidate.rs
@@ -5,7 +5,7 @@
 use foldlock_version::routes::{Engine, Service};
 
 use super::{Rejection, Requirements};
-use crate::cluster::{BRISK_MS, Cluster, Load, Upstream};
+use crate::cluster::{Cluster, INTERACTIVE_PAUSE_MS, Load, Upstream};
 use crate::forecast;
 use crate::pace::Bound;
 
@@ -49,7 +49,7 @@
     /// When the first event of a prompt comes that is sent now: at the end of the pass that reads it,
     /// which begins when the one that runs is over.
     pub(super) fn predicted_ms(&self, engine: &Engine, part_ms: f64) -> f64 {
-        let writers = self.load.writers + 1;
+        let writers = self.load.decoding + 1;
         let pass = forecast::pass_ms(engine, writers, self.load.memory);
         self.load.pass_ms + (self.load.next_ms + part_ms + pass) * self.pace
     }
@@ -58,8 +58,8 @@
     /// rest of the pass that runs.
     pub(super) fn ahead_ms(&self, engine: &Engine) -> f64 {
         let load = &self.load;
-        let pass = forecast::pass_ms(engine, load.writers, load.memory);
-        let running = if load.writers > 0 { pass / 2.0 } else { 0.0 };
+        let pass = forecast::pass_ms(engine, load.decoding, load.memory);
+        let running = if load.decoding > 0 { pass / 2.0 } else { 0.0 };
         running * self.pace + load.backlog_ms
     }
 
@@ -71,23 +71,24 @@
 
     /// The longest part of a long prompt that may be read here.
     pub(super) fn part_allowance_ms(&self, engine: &Engine) -> f64 {
-        let pause_ms = if self.is_crowded() { self.load.pause_ms } else { self.load.calm_ms };
+        let pause_ms =
+            if self.is_crowded() { self.load.pause_ms } else { self.load.noninteractive_pause_ms };
         self.allowed_ms(engine, pause_ms.unwrap_or(u32::MAX))
     }
 
     pub(super) fn allowed_ms(&self, engine: &Engine, pause_ms: u32) -> f64 {
-        let pass = forecast::pass_ms(engine, self.load.writers + 1, self.load.memory);
+        let pass = forecast::pass_ms(engine, self.load.decoding + 1, self.load.memory);
         (f64::from(pause_ms) - PAUSE_MARGIN_MS) / self.pace - pass
     }
 
     /// Whether too many answers with short pauses are under way here for parts of any length.
     pub(super) fn is_crowded(&self) -> bool {
-        self.load.brisk > LONE
+        self.load.interactive > LONE
     }
 
     /// Whether an answer with short pauses is under way here.
-    pub(super) fn is_brisk(&self) -> bool {
-        self.load.pause_ms.is_some_and(|ms| ms <= BRISK_MS)
+    pub(super) fn is_interactive(&self) -> bool {
+        self.load.pause_ms.is_some_and(|ms| ms <= INTERACTIVE_PAUSE_MS)
     }
 
     pub(super) fn has_room(&self, memory: u64, engine: &Engine) -> bool {
--- a/request/src/placement/group.rs
+++ b/request/src/placement/group.rs
@@ -211,8 +211,8 @@
 /// with the pass that reads it.
 fn read_ms(candidate: &Candidate<'_>, engine: &Engine) -> f64 {
     let load = &candidate.load;
-    let pass = forecast::pass_ms(engine, load.writers, load.memory);
-    let pass = if load.writers > 0 { pass * candidate.pace } else { 0.0 };
+    let pass = forecast::pass_ms(engine, load.decoding, load.memory);
+    let pass = if load.decoding > 0 { pass * candidate.pace } else { 0.0 };
     candidate.ahead_ms(engine) + pass
 }
 
@@ -236,7 +236,7 @@
     let main = &of[main].candidate;
     let done = |c: &Candidate<'_>| read_ms(c, engine) + share.part_ms * c.pace;
     let read = helpers.iter().map(|(c, _)| done(c)).fold(done(main), f64::max);
-    let pass = forecast::pass_ms(engine, main.load.writers + 1, main.load.memory);
+    let pass = forecast::pass_ms(engine, main.load.decoding + 1, main.load.memory);
     let predicted_ms = read + pass * main.pace;
     let hold_limit_ms = requirements.hold_limit.as_secs_f64() * 1e3 * HOLD_MARGIN;
     if !holders.is_empty() && predicted_ms > hold_limit_ms {
--- a/request/src/placement/share.rs
+++ b/request/src/placement/share.rs
@@ -87,12 +87,12 @@
 impl<'a> Reader<'a> {
     fn new(candidate: Candidate<'a>, engine: &Engine) -> Reader<'a> {
         let load = &candidate.load;
-        let pass_ms = forecast::pass_ms(engine, load.writers, load.memory) * candidate.pace;
+        let pass_ms = forecast::pass_ms(engine, load.decoding, load.memory) * candidate.pace;
         Reader {
             apart: !candidate.is_crowded(),
             free_ms: load.backlog_ms,
             planned_ms: f64::INFINITY,
-            steps_ms: if load.writers > 0 { pass_ms } else { 0.0 },
+            steps_ms: if load.decoding > 0 { pass_ms } else { 0.0 },
             most_ms: candidate.part_allowance_ms(engine),
             kept: false,
             candidate,
@@ -116,7 +116,7 @@
 
     /// Whether a part fits between the answers here.
     fn fits(&self, part_ms: f64) -> bool {
-        !self.kept && self.candidate.load.helping < MOST_UNREAD && part_ms <= self.most_ms
+        !self.kept && self.candidate.load.helper_parts < MOST_UNREAD && part_ms <= self.most_ms
     }
 
     /// Whether a part fits that begins now and ends before what is planned.
@@ -291,7 +291,7 @@
                     .map_or(requirements.pause_ms(), |ms| ms.min(requirements.pause_ms()));
                 load.pause_ms = Some(pause_ms);
             } else {
-                load.helping += 1;
+                load.helper_parts += 1;
                 let helping =
                     placement.flight.helpers.iter().find(|helping| helping.upstream == *id);
                 load.memory += helping.map_or(0, |helping| helping.reserved);
--- a/request/tests/board.rs
+++ b/request/tests/board.rs
@@ -131,13 +131,13 @@
     let (mut cluster, now) = (Cluster::default(), Instant::now());
     cluster.list(listed(1));
     let number = enter(&mut cluster, flight(1, 100.0, 5_000), now);
-    let reading = load(&cluster, 1, now);
-    assert_eq!((reading.requests, reading.writers, reading.memory), (1, 0, 5_000));
-    assert_eq!(reading.backlog_ms.round(), 100.0);
-    assert_eq!(reading.pause_ms, Some(250));
+    let prefilling = load(&cluster, 1, now);
+    assert_eq!((prefilling.requests, prefilling.decoding, prefilling.memory), (1, 0, 5_000));
+    assert_eq!(prefilling.backlog_ms.round(), 100.0);
+    assert_eq!(prefilling.pause_ms, Some(250));
     cluster.began(number, now);
-    let writing = load(&cluster, 1, now);
-    assert_eq!((writing.writers, writing.backlog_ms), (1, 0.0));
+    let decoding = load(&cluster, 1, now);
+    assert_eq!((decoding.decoding, decoding.backlog_ms), (1, 0.0));
     cluster.leave(number, now);
     assert_eq!(load(&cluster, 1, now), Load::default());
 }
@@ -160,8 +160,8 @@
     ];
     let number = enter(&mut cluster, Flight { helpers, ..flight(1, 80.0, 200_000) }, now);
     let (holder, reader) = (load(&cluster, 2, now), load(&cluster, 3, now));
-    assert_eq!((holder.helping, holder.requests, holder.memory), (1, 0, 40_000));
-    assert_eq!((reader.helping, reader.memory), (1, 0));
+    assert_eq!((holder.helper_parts, holder.requests, holder.memory), (1, 0, 40_000));
+    assert_eq!((reader.helper_parts, reader.memory), (1, 0));
     assert_eq!(reader.backlog_ms.round(), 80.0);
     cluster.began(number, now);
     assert_eq!(load(&cluster, 2, now).memory, 40_000, "the memory is still reserved");
@@ -362,10 +362,10 @@
         prop_assert_eq!(peer.loads(None, now), cluster.loads(None, now));
         let loads = cluster.loads(None, now);
         let requests: u32 = loads.values().map(|l| l.requests).sum();
-        let writers: u32 = loads.values().map(|l| l.writers).sum();
+        let decoding: u32 = loads.values().map(|l| l.decoding).sum();
         let memory: u64 = loads.values().map(|l| l.memory).sum();
         prop_assert_eq!(requests as usize, entered.len());
-        prop_assert_eq!(writers as usize, entered.iter().filter(|e| e.1).count());
+        prop_assert_eq!(decoding as usize, entered.iter().filter(|e| e.1).count());
         prop_assert_eq!(memory, entered.iter().map(|e| 7 + e.2).sum::<u64>());
     }
 }
