--- a/daemon/src/fleet/beats.rs
+++ b/daemon/src/fleet/beats.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use foldlock_base::prelude::*;
-use foldlock_request::cluster::Start;
+use foldlock_request::cluster::Restart;
 use foldlock_request::dialect::Dialect;
 use foldlock_request::directory::Directory;
 use foldlock_request::message::{self, Beat, Message, State};
@@ -158,7 +158,7 @@
     }
     hear_steps(process, state);
     catch_up::start(process, directory);
-    for Start { upstream, born } in &state.starts {
+    for Restart { upstream, born } in &state.starts {
         reports::renewed(process, upstream, *born, &state.vm);
     }
     for start in &state.departures {
--- a/daemon/src/fleet/notices.rs
+++ b/daemon/src/fleet/notices.rs
@@ -54,7 +54,7 @@
 /// directory away for 12 s, six VMs sent it 36 requests after its first word, by the upstream's own count.
 pub fn leaves<D: Dialect>(process: &Process<D>, start: Tag, heard_by: &id::Vm) {
     // Unknown here, or known to leave.
-    let Some(upstream) = process.cluster.lock().unwrap().depart(start) else { return };
+    let Some(upstream) = process.cluster.lock().unwrap().mark_leaving(start) else { return };
     process.pool.forget(&upstream);
     let what = format!("{upstream}, by its answer to {heard_by}");
     log::event(&process.log, Event::UpstreamLeaving, what);
--- a/daemon/src/fleet/reports.rs
+++ b/daemon/src/fleet/reports.rs
@@ -120,7 +120,7 @@
     born: u64,
     from: &id::Vm,
 ) {
-    if !process.cluster.lock().unwrap().renew(upstream, born, process.now()) {
+    if !process.cluster.lock().unwrap().observe_restart(upstream, born, process.now()) {
         return;
     }
     process.pool.forget(upstream);
--- a/daemon/src/fleet/tell.rs
+++ b/daemon/src/fleet/tell.rs
@@ -113,10 +113,10 @@
     let (digest, starts, departures, rate_limits) = {
         let mut cluster = process.cluster.lock().unwrap();
         let (departures, rate_limits) = match round {
-            Round::All => (cluster.departures(), cluster.announced_limits(now)),
+            Round::All => (cluster.announced_leaving(), cluster.announced_limits(now)),
             _ => (Vec::new(), Vec::new()),
         };
-        (cluster.digest(), cluster.told_starts(now), departures, rate_limits)
+        (cluster.digest(), cluster.announced_restarts(now), departures, rate_limits)
     };
     State {
         stamp: process.peers.stamp(process.moment()),
--- a/request/src/cluster.rs
+++ b/request/src/cluster.rs
@@ -12,7 +12,7 @@
 mod load;
 mod outcomes;
 mod reports;
-mod starts;
+mod restarts;
 mod upstream;
 
 use std::cell::Cell;
@@ -33,7 +33,7 @@
 pub use flights::Holder;
 pub use halls::{Hall, Halls};
 pub use limits::Dispatch;
-pub use listed::{Listed, Start};
+pub use listed::{Listed, Restart};
 pub use load::{INTERACTIVE_PAUSE_MS, Load};
 pub use outcomes::Ended;
 pub use upstream::Upstream;
@@ -49,7 +49,7 @@
     halls: Halls,
     /// Removed upstreams, each with the revision at which it was absent.
     ended: VecDeque<(id::Upstream, Revision)>,
-    starts: VecDeque<(Instant, Start)>,
+    restarts: VecDeque<(Instant, Restart)>,
     tags: HashMap<Tag, id::Upstream>,
     flights: flights::Flights,
     /// Requests during which upstreams crashed.
@@ -78,7 +78,7 @@
             return true;
         };
         known.unlisted = None;
-        if listed.is_other_start(&known.listed) {
+        if listed.is_other_incarnation(&known.listed) {
             // The entry of the previous incarnation, read again after the upstream itself reported its restart.
             let is_late = listed.revision <= known.listed.revision;
             if is_late && listed.born < known.listed.born {
@@ -88,7 +88,7 @@
             self.insert(listed);
             return true;
         }
-        let changed = !listed.says_the_same(&known.listed);
+        let changed = !listed.is_equivalent(&known.listed);
         // A start time reported by the upstream itself is kept until the directory lists one.
         let born = listed.born.or(known.listed.born);
         known.drained = self.halls.is_drained(&listed.hall);
@@ -106,7 +106,7 @@
         let Some(known) = self.upstreams.get(&listed.id).map(|known| &known.listed) else {
             return self.list(listed);
         };
-        let is_other = listed.is_other_start(known);
+        let is_other = listed.is_other_incarnation(known);
         if is_other && listed.born < known.born {
             return false;
         }
@@ -187,7 +187,7 @@
         let Some(known) = self.upstreams.get(&listed.id).map(|known| &known.listed) else {
             return true;
         };
-        if listed.is_other_start(known) {
+        if listed.is_other_incarnation(known) {
             let ordered =
                 listed.revision != known.revision && !listed.revision.min(known.revision).is_none();
             return if ordered {
--- a/request/src/cluster/listed.rs
+++ b/request/src/cluster/listed.rs
@@ -51,12 +51,12 @@
 
     /// Whether this is another incarnation than `other`. Load, memory and counters of one do not apply to the
     /// other.
-    pub fn is_other_start(&self, other: &Listed) -> bool {
+    pub fn is_other_incarnation(&self, other: &Listed) -> bool {
         self.born.is_some() && other.born.is_some() && self.born != other.born
     }
 
     /// Whether it equals `other` apart from the revision and the time for which it is cold.
-    pub(super) fn says_the_same(&self, other: &Listed) -> bool {
+    pub(super) fn is_equivalent(&self, other: &Listed) -> bool {
         *self == Listed { revision: self.revision, cold_ms: self.cold_ms, ..other.clone() }
     }
 }
@@ -71,7 +71,7 @@
 
 /// A restart of an upstream that it reported itself, before the directory listed it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Start {
+pub struct Restart {
     /// The upstream.
     pub upstream: id::Upstream,
     /// The time of the restart, milliseconds since 1970 by the upstream's clock.
--- a/request/src/message.rs
+++ b/request/src/message.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::budget::Charge;
-use crate::cluster::{Dispatch, Ended, Load, Start};
+use crate::cluster::{Dispatch, Ended, Load, Restart};
 use crate::fingerprint::Fingerprint;
 use crate::placement::{Rejection, Requirements};
 use crate::rate_limit::Limit;
@@ -80,7 +80,7 @@
     /// Whether it has run for long enough to have heard of all that is under way.
     pub settled: bool,
     /// New starts of upstreams that it learnt from themselves.
-    pub starts: Vec<Start>,
+    pub starts: Vec<Restart>,
     /// Starts of upstreams that say by their answers that they leave, which the directory does not list as
     /// leaving yet. They go with the beats to all, five a second and one at once when there is news; with
     /// each beat, 45 of them would be 80 kB/s of a busy VM.
--- a/request/tests/board.rs
+++ b/request/tests/board.rs
@@ -1,7 +1,7 @@
 //! The cluster state: listings, removed upstreams and the load of in-flight attempts.
 
-#[path = "board/starts.rs"]
-mod starts;
+#[path = "board/restarts.rs"]
+mod restarts;
 
 use std::time::{Duration, Instant};
 
@@ -87,9 +87,9 @@
         cluster.list(listed(i));
     });
     assert!(cluster.list(leaving(1)));
-    assert_eq!(cluster.depart(cluster.tag_of(&upstream(2))), Some(upstream(2)));
-    assert_eq!(cluster.depart(cluster.tag_of(&upstream(2))), None, "recorded before");
-    assert_eq!(cluster.depart(cluster.tag_of(&upstream(9))), None, "unknown upstream");
+    assert_eq!(cluster.mark_leaving(cluster.tag_of(&upstream(2))), Some(upstream(2)));
+    assert_eq!(cluster.mark_leaving(cluster.tag_of(&upstream(2))), None, "recorded before");
+    assert_eq!(cluster.mark_leaving(cluster.tag_of(&upstream(9))), None, "unknown upstream");
     assert_eq!(open(&cluster), ["i-03"]);
 }
 
@@ -255,17 +255,17 @@
 fn a_departure_is_told_until_the_directory_tells_it() {
     let (mut here, mut there) = (Cluster::default(), Cluster::default());
     here.list(listed(1));
-    here.depart(here.tag_of(&upstream(1)));
-    assert_eq!(here.departures(), [here.tag_of(&upstream(1))]);
+    here.mark_leaving(here.tag_of(&upstream(1)));
+    assert_eq!(here.announced_leaving(), [here.tag_of(&upstream(1))]);
     // Announced before the other VM has listed the upstream, and again afterwards.
-    assert_eq!(there.depart(here.departures()[0]), None);
+    assert_eq!(there.mark_leaving(here.announced_leaving()[0]), None);
     there.list(listed(1));
-    assert_eq!(there.depart(here.departures()[0]), Some(upstream(1)));
+    assert_eq!(there.mark_leaving(here.announced_leaving()[0]), Some(upstream(1)));
     assert!(open(&there).is_empty(), "it reported that it is leaving");
     there.list(Listed { slots: 99, ..listed(1) });
     assert!(open(&there).is_empty(), "the directory's entry may be older");
     here.list(leaving(1));
-    assert!(here.departures().is_empty(), "all VMs receive it from the directory");
+    assert!(here.announced_leaving().is_empty(), "all VMs receive it from the directory");
     assert!(open(&here).is_empty());
 }
 
--- a/request/tests/board/starts.rs
+++ b/request/tests/board/restarts.rs
@@ -21,7 +21,7 @@
     cluster.list(started(1, 100, 1));
     let number = enter(&mut cluster, flight(1, 80.0, 200_000), now);
     cluster.note(&upstream(1), Outcome::Failed(Failure::Silent), now);
-    cluster.depart(cluster.tag_of(&upstream(1)));
+    cluster.mark_leaving(cluster.tag_of(&upstream(1)));
     let told = cluster.told(now);
     let before = cluster.tag_of(&upstream(1));
     assert!(cluster.list(started(1, 200, 2)));
@@ -46,13 +46,16 @@
 fn an_earlier_start_that_is_heard_late_and_the_same_one_change_nothing() {
     let (mut cluster, now) = (Cluster::default(), Instant::now());
     cluster.list(started(1, 100, 1));
-    assert!(cluster.renew(&upstream(1), 200, now), "reported by itself, before its entry");
-    assert!(!cluster.renew(&upstream(1), 200, now));
-    assert!(!cluster.renew(&upstream(1), 150, now));
+    assert!(
+        cluster.observe_restart(&upstream(1), 200, now),
+        "reported by itself, before its entry"
+    );
+    assert!(!cluster.observe_restart(&upstream(1), 200, now));
+    assert!(!cluster.observe_restart(&upstream(1), 150, now));
     assert!(!cluster.list(started(1, 100, 1)), "the previous entry, read again");
     assert_eq!(cluster.get(&upstream(1)).unwrap().listed.born, Some(200));
     assert!(!cluster.list(started(1, 200, 2)), "its entry brings no change");
-    assert_eq!(cluster.told_starts(now).len(), 1);
+    assert_eq!(cluster.announced_restarts(now).len(), 1);
 }
 
 #[test]
@@ -60,7 +63,7 @@
     let (mut cluster, now) = (Cluster::default(), Instant::now());
     cluster.list(started(1, 200, 1));
     let before = cluster.tag_of(&upstream(1));
-    assert!(!cluster.renew(&upstream(1), 100, now));
+    assert!(!cluster.observe_restart(&upstream(1), 100, now));
     assert!(cluster.list(started(1, 100, 2)));
     assert_ne!(cluster.tag_of(&upstream(1)), before);
 }
