--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -177,7 +177,8 @@
             .any(|change| matches!(change, Change::Quarantined(listed) if listed == entry))
     };
     let cluster = process.cluster.lock().unwrap();
-    let own = cluster.held().filter(|entry| entry.vm == process.member.vm && !is_listed(entry));
+    let own =
+        cluster.quarantined().filter(|entry| entry.vm == process.member.vm && !is_listed(entry));
     own.for_each(|entry| process.register.order(Order::Hold(entry.clone())));
 }
 
@@ -205,7 +206,7 @@
         })
         .collect();
     let known: Vec<Fingerprint> =
-        process.cluster.lock().unwrap().held().map(|entry| entry.fingerprint).collect();
+        process.cluster.lock().unwrap().quarantined().map(|entry| entry.fingerprint).collect();
     let gone = known.into_iter().filter(|fingerprint| !listed.contains(fingerprint));
     gone.for_each(|fingerprint| released(process, fingerprint, change_log));
 }
@@ -302,7 +303,7 @@
 fn quarantined<D: Dialect>(process: &Process<D>, entry: Quarantined, change_log: &mut ChangeLog) {
     let what = format!("{entry:?}");
     let wall_ms = process.clock.wall_millis();
-    if process.cluster.lock().unwrap().list_held(entry, process.now(), wall_ms) {
+    if process.cluster.lock().unwrap().list_quarantined(entry, process.now(), wall_ms) {
         change_log.add(Event::Quarantined, what);
         process.room.notify_one();
     }
@@ -313,7 +314,7 @@
     fingerprint: Fingerprint,
     change_log: &mut ChangeLog,
 ) {
-    if process.cluster.lock().unwrap().unlist_held(fingerprint, process.now()) {
+    if process.cluster.lock().unwrap().unlist_quarantined(fingerprint, process.now()) {
         change_log.add(Event::Released, fingerprint.to_string());
     }
 }
--- a/daemon/src/fleet/ending.rs
+++ b/daemon/src/fleet/ending.rs
@@ -102,7 +102,7 @@
     if !cluster.quarantine.answered(fingerprint, job.process.now()) {
         return;
     }
-    let listed = cluster.held().any(|entry| entry.fingerprint == fingerprint);
+    let listed = cluster.quarantined().any(|entry| entry.fingerprint == fingerprint);
     drop(cluster);
     job.record(Decision::Cleared);
     if listed {
--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -224,7 +224,7 @@
             })
         })
         .collect();
-    let held: Vec<_> = cluster.held().collect();
+    let held: Vec<_> = cluster.quarantined().collect();
     let drained: Vec<_> = cluster.halls().drained().collect();
     json!({
         "drained_halls": drained,
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -326,7 +326,7 @@
     pub fn listing(&self) -> Listing {
         let cluster = self.cluster.lock().unwrap();
         let upstreams = cluster.relayed(self.now()).collect();
-        let held = cluster.held().cloned().collect();
+        let held = cluster.quarantined().cloned().collect();
         let halls = cluster.halls().clone();
         drop(cluster);
         let members = self.peers.members();
--- a/daemon/src/fleet/writer.rs
+++ b/daemon/src/fleet/writer.rs
@@ -81,11 +81,13 @@
     let cluster = process.cluster.lock().unwrap();
     match order {
         Order::Hold(entry) => {
-            let listed = cluster.held().count();
-            let known = cluster.held().any(|held| held.fingerprint == entry.fingerprint);
+            let listed = cluster.quarantined().count();
+            let known = cluster.quarantined().any(|held| held.fingerprint == entry.fingerprint);
             entry.until_ms <= process.clock.wall_millis() || listed >= MOST_LISTED && !known
         }
-        Order::Release(fingerprint) => !cluster.held().any(|held| held.fingerprint == *fingerprint),
+        Order::Release(fingerprint) => {
+            !cluster.quarantined().any(|held| held.fingerprint == *fingerprint)
+        }
         Order::Remove(fingerprint) => !cluster.is_released(*fingerprint),
         Order::Announce => false,
     }
@@ -99,6 +101,6 @@
     let now_ms = process.clock.wall_millis();
     let kept_ms = KEPT.as_millis() as u64;
     let cluster = process.cluster.lock().unwrap();
-    let over = cluster.held().filter(|entry| entry.until_ms + kept_ms <= now_ms);
+    let over = cluster.quarantined().filter(|entry| entry.until_ms + kept_ms <= now_ms);
     over.for_each(|entry| process.register.order(Order::Release(entry.fingerprint)));
 }
--- a/request/src/cluster.rs
+++ b/request/src/cluster.rs
@@ -6,11 +6,11 @@
 
 mod flights;
 mod halls;
-mod held;
 mod limits;
 mod listed;
 mod load;
 mod outcomes;
+mod quarantined;
 mod reports;
 mod restarts;
 mod upstream;
@@ -55,7 +55,7 @@
     /// Requests during which upstreams crashed.
     pub quarantine: Quarantine,
     /// Quarantined requests that the directory lists.
-    held: BTreeMap<Fingerprint, Quarantined>,
+    quarantined: BTreeMap<Fingerprint, Quarantined>,
     /// Requests that the directory listed as quarantined and that have been released.
     released: VecDeque<Fingerprint>,
     outcomes: VecDeque<(Instant, Ended)>,
@@ -268,7 +268,7 @@
         }
         let mut hasher = Xxh3::new();
         self.listings().for_each(|listed| listed.hash(&mut hasher));
-        self.held().for_each(|entry| entry.hash(&mut hasher));
+        self.quarantined().for_each(|entry| entry.hash(&mut hasher));
         self.halls.drained().for_each(|hall| hall.name.hash(&mut hasher));
         let digest = hasher.finish();
         self.digest.set(Some(digest));
--- a/request/src/cluster/held.rs
+++ b/request/src/cluster/quarantined.rs
@@ -8,38 +8,38 @@
 
 /// Most released requests that are remembered, in case a restored copy of the directory still lists them: as
 /// many as an operator releases within some seconds.
-const RELEASED: usize = 256;
+const MAX_RELEASED: usize = 256;
 
 impl Cluster {
     /// Applies a directory entry of a quarantined request. Returns whether it is new or has changed.
-    pub fn list_held(&mut self, entry: Quarantined, now: Instant, wall_ms: u64) -> bool {
-        let time = Duration::from_millis(entry.until_ms.saturating_sub(wall_ms));
-        self.quarantine.hold(entry.fingerprint, entry.proofs, time, now);
+    pub fn list_quarantined(&mut self, entry: Quarantined, now: Instant, wall_ms: u64) -> bool {
+        let remaining = Duration::from_millis(entry.until_ms.saturating_sub(wall_ms));
+        self.quarantine.hold(entry.fingerprint, entry.proofs, remaining, now);
         self.digest.set(None);
-        self.held.insert(entry.fingerprint, entry.clone()).as_ref() != Some(&entry)
+        self.quarantined.insert(entry.fingerprint, entry.clone()).as_ref() != Some(&entry)
     }
 
     /// Releases a request that the directory no longer lists as quarantined. Returns whether it was listed.
-    pub fn unlist_held(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
-        let known = self.held.remove(&fingerprint).is_some();
-        if known {
+    pub fn unlist_quarantined(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
+        let was_listed = self.quarantined.remove(&fingerprint).is_some();
+        if was_listed {
             self.digest.set(None);
             self.quarantine.release(fingerprint, now);
-            if self.released.len() == RELEASED {
+            if self.released.len() == MAX_RELEASED {
                 self.released.pop_front();
             }
             self.released.push_back(fingerprint);
         }
-        known
+        was_listed
     }
 
     /// Whether a request was listed as quarantined, has been released and is not listed again.
     pub fn is_released(&self, fingerprint: Fingerprint) -> bool {
-        self.released.contains(&fingerprint) && !self.held.contains_key(&fingerprint)
+        self.released.contains(&fingerprint) && !self.quarantined.contains_key(&fingerprint)
     }
 
     /// The requests that the directory lists as quarantined.
-    pub fn held(&self) -> impl Iterator<Item = &Quarantined> {
-        self.held.values()
+    pub fn quarantined(&self) -> impl Iterator<Item = &Quarantined> {
+        self.quarantined.values()
     }
 }
