--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -142,7 +142,7 @@
             _ => None,
         })
         .collect();
-    let taken_back = process.cluster.lock().unwrap().read_halls(&drained, revision);
+    let taken_back = process.cluster.lock().unwrap().sync_halls(&drained, revision);
     for name in taken_back {
         hall_changed(process, &Hall { name, drained: false, revision }, change_log);
     }
@@ -150,12 +150,12 @@
 
 /// Takes what a peer knows of halls.
 pub fn halls_told<D: Dialect>(process: &Process<D>, halls: &Halls, change_log: &mut ChangeLog) {
-    let changed = process.cluster.lock().unwrap().hear_halls(halls);
+    let changed = process.cluster.lock().unwrap().merge_halls(halls);
     changed.iter().for_each(|hall| hall_changed(process, hall, change_log));
 }
 
 fn hall_noted<D: Dialect>(process: &Process<D>, hall: Hall, change_log: &mut ChangeLog) {
-    if process.cluster.lock().unwrap().note_hall(hall.clone()) {
+    if process.cluster.lock().unwrap().update_hall(hall.clone()) {
         hall_changed(process, &hall, change_log);
     }
 }
--- a/request/src/cluster/halls.rs
+++ b/request/src/cluster/halls.rs
@@ -10,7 +10,7 @@
 use crate::revision::Revision;
 
 /// Most halls that are remembered. Names are not checked, so those of no existing hall count too.
-const MOST_HALLS: usize = 256;
+const MAX_HALLS: usize = 256;
 
 /// The newest state of a hall in the directory.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -29,17 +29,18 @@
 pub struct Halls {
     halls: BTreeMap<String, Hall>,
     /// The revision of the newest full sync. A hall that it did not list was not drained at that revision.
-    read_at: Revision,
+    #[serde(rename = "read_at")]
+    synced_at: Revision,
 }
 
 impl Halls {
     /// Applies a state of a hall if it is newer. Returns whether the hall became drained or undrained.
-    pub fn note(&mut self, hall: Hall) -> bool {
+    pub fn update(&mut self, hall: Hall) -> bool {
         match self.halls.entry(hall.name.clone()) {
             Entry::Vacant(entry) => {
                 let drained = hall.drained;
                 entry.insert(hall);
-                self.forget_one();
+                self.evict_one();
                 drained
             }
             Entry::Occupied(mut entry) => {
@@ -53,27 +54,27 @@
 
     /// Applies a full sync at this revision, which listed these halls as drained and so all others as undrained.
     /// Returns the names of the halls that became undrained.
-    pub fn read(&mut self, drained: &[&str], at: Revision) -> Vec<String> {
-        self.read_at = self.read_at.max(at);
+    pub fn sync(&mut self, drained: &[&str], at: Revision) -> Vec<String> {
+        self.synced_at = self.synced_at.max(at);
         let unlisted = |hall: &&mut Hall| {
             hall.drained && hall.revision < at && !drained.contains(&hall.name.as_str())
         };
-        let take_back = |hall: &mut Hall| {
+        let undrain = |hall: &mut Hall| {
             *hall = Hall { drained: false, revision: at, ..hall.clone() };
             hall.name.clone()
         };
-        self.halls.values_mut().filter(unlisted).map(take_back).collect()
+        self.halls.values_mut().filter(unlisted).map(undrain).collect()
     }
 
     /// Merges the halls of a peer. Returns those that became drained or undrained.
-    pub fn merge(&mut self, told: &Halls) -> Vec<Hall> {
-        let mut news: Vec<Hall> =
-            told.halls.values().filter(|hall| self.note((*hall).clone())).cloned().collect();
-        let known: Vec<&str> = told.halls.keys().map(String::as_str).collect();
-        for name in self.read(&known, told.read_at) {
-            news.extend(self.halls.get(&name).cloned());
+    pub fn merge(&mut self, announced: &Halls) -> Vec<Hall> {
+        let mut changed: Vec<Hall> =
+            announced.halls.values().filter(|hall| self.update((*hall).clone())).cloned().collect();
+        let listed: Vec<&str> = announced.halls.keys().map(String::as_str).collect();
+        for name in self.sync(&listed, announced.synced_at) {
+            changed.extend(self.halls.get(&name).cloned());
         }
-        news
+        changed
     }
 
     /// Whether a hall is drained.
@@ -87,13 +88,13 @@
     }
 
     /// Drops the hall that was undrained first if there are too many.
-    fn forget_one(&mut self) {
-        if self.halls.len() <= MOST_HALLS {
+    fn evict_one(&mut self) {
+        if self.halls.len() <= MAX_HALLS {
             return;
         }
-        let open = self.halls.values().filter(|hall| !hall.drained);
-        let first = open.min_by_key(|hall| hall.revision).map(|hall| hall.name.clone());
-        if let Some(name) = first {
+        let undrained = self.halls.values().filter(|hall| !hall.drained);
+        let oldest = undrained.min_by_key(|hall| hall.revision).map(|hall| hall.name.clone());
+        if let Some(name) = oldest {
             self.halls.remove(&name);
         }
     }
@@ -101,27 +102,27 @@
 
 impl Cluster {
     /// Applies a change of a hall in the directory. Returns whether the hall became drained or undrained.
-    pub fn note_hall(&mut self, hall: Hall) -> bool {
-        let news = self.halls.note(hall);
-        if news {
-            self.halls_changed();
+    pub fn update_hall(&mut self, hall: Hall) -> bool {
+        let changed = self.halls.update(hall);
+        if changed {
+            self.apply_halls();
         }
-        news
+        changed
     }
 
     /// Applies a full sync of the directory at this revision, which listed these halls as drained. Returns the
     /// names of the halls that became undrained.
-    pub fn read_halls(&mut self, drained: &[&str], at: Revision) -> Vec<String> {
-        let taken_back = self.halls.read(drained, at);
-        self.halls_changed();
-        taken_back
+    pub fn sync_halls(&mut self, drained: &[&str], at: Revision) -> Vec<String> {
+        let undrained = self.halls.sync(drained, at);
+        self.apply_halls();
+        undrained
     }
 
     /// Merges the halls of a peer. Returns those that became drained or undrained.
-    pub fn hear_halls(&mut self, told: &Halls) -> Vec<Hall> {
-        let news = self.halls.merge(told);
-        self.halls_changed();
-        news
+    pub fn merge_halls(&mut self, announced: &Halls) -> Vec<Hall> {
+        let changed = self.halls.merge(announced);
+        self.apply_halls();
+        changed
     }
 
     /// The drained and undrained halls.
@@ -129,7 +130,7 @@
         &self.halls
     }
 
-    fn halls_changed(&mut self) {
+    fn apply_halls(&mut self) {
         self.digest.set(None);
         for upstream in self.upstreams.values_mut() {
             upstream.drained = self.halls.is_drained(&upstream.listed.hall);
@@ -138,8 +139,8 @@
 
     /// Whether a service has upstreams that are not leaving, and all of these are in drained halls.
     pub fn is_drained(&self, service: &str) -> bool {
-        let staying = |u: &&Upstream| u.listed.service == service && !u.is_leaving();
-        let mut staying = self.upstreams.values().filter(staying).peekable();
-        staying.peek().is_some() && staying.all(|upstream| upstream.drained)
+        let remaining = |u: &&Upstream| u.listed.service == service && !u.is_leaving();
+        let mut remaining = self.upstreams.values().filter(remaining).peekable();
+        remaining.peek().is_some() && remaining.all(|upstream| upstream.drained)
     }
 }
