--- a/daemon/src/fleet/beats.rs
+++ b/daemon/src/fleet/beats.rs
@@ -177,7 +177,7 @@
     cluster.quarantine.hear(&work.suspects, now);
     cluster.merge_dispatches(&state.vm, &work.dispatches, now);
     let granted = if of_this_start { beat.granted } else { 0 };
-    let room = cluster.hear(&state.vm, &work.flights, granted, now);
+    let room = cluster.merge_flights(&state.vm, &work.flights, granted, now);
     drop(cluster);
     if room || !work.suspects.is_empty() {
         process.room.notify_one();
--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -153,7 +153,7 @@
     let age = process.fresh.age(process.moment()).map_or(-1, |age| age.as_millis() as i64);
     metrics.age_ms.set(age);
     let cluster = process.cluster.lock().unwrap();
-    metrics.flights.set(cluster.own().count() as i64);
+    metrics.flights.set(cluster.own_attempts().count() as i64);
     metrics.unread.set(process.unread.bytes() as i64);
     metrics.limited_upstreams.set(cluster.limited_count() as i64);
     metrics.suspects.set(cluster.quarantine.suspects(now).count() as i64);
@@ -234,7 +234,7 @@
         "config": process.config,
         "ready": process.ready(),
         "stopping": process.stopping.is_cancelled(),
-        "requests": cluster.own().count(),
+        "requests": cluster.own_attempts().count(),
         "directory": process.at(),
         "version": process.version(),
         "settings_age_ms": process.fresh.age(process.moment()).map(|age| age.as_millis() as u64),
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -367,7 +367,7 @@
     /// Enters an attempt in the cluster state. The VM that gave its placement knows of it, the others hear with
     /// the next beat.
     pub fn enter(self: &Arc<Self>, number: u64, flight: Flight) -> Entered<D> {
-        self.cluster.lock().unwrap().enter(number, flight, self.now());
+        self.cluster.lock().unwrap().begin_attempt(number, flight, self.now());
         self.tell.notify_one();
         Entered { process: self.clone(), number }
     }
@@ -382,14 +382,14 @@
 impl<D: Dialect> Entered<D> {
     /// The first event has come.
     pub fn began(&self) {
-        self.process.cluster.lock().unwrap().began(self.number, self.process.now());
+        self.process.cluster.lock().unwrap().record_first_event(self.number, self.process.now());
         self.process.moved();
     }
 }
 
 impl<D: Dialect> Drop for Entered<D> {
     fn drop(&mut self) {
-        self.process.cluster.lock().unwrap().leave(self.number, self.process.now());
+        self.process.cluster.lock().unwrap().end_attempt(self.number, self.process.now());
         self.process.moved();
     }
 }
--- a/daemon/src/fleet/tell.rs
+++ b/daemon/src/fleet/tell.rs
@@ -146,7 +146,7 @@
 fn work<D: Dialect>(process: &Process<D>, round: Round, now: Instant) -> Work {
     let mut cluster = process.cluster.lock().unwrap();
     Work {
-        flights: cluster.told(now),
+        flights: cluster.announced_flights(now),
         outcomes: cluster.told_outcomes(now),
         reports: cluster.told_reports(now),
         suspects: cluster.quarantine.told(round == Round::All, now),
--- a/request/src/cluster.rs
+++ b/request/src/cluster.rs
@@ -136,7 +136,7 @@
     fn forget(&mut self, id: &id::Upstream) -> Option<Upstream> {
         let known = self.upstreams.remove(id)?;
         self.tags.remove(&known.tag);
-        self.flights.restarted(id);
+        self.flights.clear_upstream(id);
         self.limited -= usize::from(known.is_limited());
         Some(known)
     }
@@ -289,6 +289,6 @@
     /// Drops the state of a peer that is down or has restarted, its in-flight attempts included.
     pub fn peer_lost(&mut self, vm: &id::Vm, now: Instant) {
         self.heard_outcomes.remove(vm);
-        self.flights.lost(vm, now);
+        self.flights.clear_peer(vm, now);
     }
 }
--- a/request/src/cluster/flights.rs
+++ b/request/src/cluster/flights.rs
@@ -14,7 +14,7 @@
 
 /// How long a granted placement counts before its VM announces the attempt: several heartbeats, since some may
 /// be lost.
-const GRANT_LASTS: Duration = Duration::from_millis(1_000);
+const GRANT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// The VM whose attempt a flight is.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -39,15 +39,15 @@
     by_holder: HashMap<Holder, HashMap<u64, Entry>>,
     works: HashMap<id::Upstream, Work>,
     /// Isolated flights; rarely any, so they are searched linearly.
-    alone: Vec<(Serial, Fingerprint, id::Upstream)>,
+    isolated: Vec<(Serial, Fingerprint, id::Upstream)>,
     /// Recent dispatches to each upstream.
-    paces: HashMap<id::Upstream, Pace>,
+    dispatches: HashMap<id::Upstream, Pace>,
     serial: Serial,
 }
 
 impl Flights {
     fn begin(&mut self, holder: Holder, number: u64, tracked: Tracked, grant: Option<u64>) {
-        if !self.knows(&holder, number) {
+        if !self.contains(&holder, number) {
             self.record_dispatch(&tracked.flight.upstream, &holder, number, tracked.sent);
         }
         self.end(&holder, number, tracked.sent);
@@ -55,7 +55,7 @@
         let serial = self.serial;
         let flight = &tracked.flight;
         if let Some(fingerprint) = flight.alone {
-            self.alone.push((serial, fingerprint, flight.upstream.clone()));
+            self.isolated.push((serial, fingerprint, flight.upstream.clone()));
         }
         self.work(&flight.upstream).add_main(serial, &tracked);
         for helper in &flight.helpers {
@@ -72,24 +72,24 @@
         number: u64,
         at: Instant,
     ) {
-        self.pace_mut(upstream).record(holder, number, at);
+        self.dispatches_mut(upstream).record(holder, number, at);
     }
 
     pub(super) fn set_limited(&mut self, upstream: &id::Upstream, is_limited: bool) {
-        if is_limited || self.paces.contains_key(upstream) {
-            self.pace_mut(upstream).set_limited(is_limited);
+        if is_limited || self.dispatches.contains_key(upstream) {
+            self.dispatches_mut(upstream).set_limited(is_limited);
         }
     }
 
-    fn pace_mut(&mut self, upstream: &id::Upstream) -> &mut Pace {
-        if !self.paces.contains_key(upstream) {
-            self.paces.insert(upstream.clone(), Pace::default());
+    fn dispatches_mut(&mut self, upstream: &id::Upstream) -> &mut Pace {
+        if !self.dispatches.contains_key(upstream) {
+            self.dispatches.insert(upstream.clone(), Pace::default());
         }
-        self.paces.get_mut(upstream).expect("just inserted")
+        self.dispatches.get_mut(upstream).expect("just inserted")
     }
 
-    pub(super) fn pace(&self, upstream: &id::Upstream) -> Option<&Pace> {
-        self.paces.get(upstream)
+    pub(super) fn dispatches(&self, upstream: &id::Upstream) -> Option<&Pace> {
+        self.dispatches.get(upstream)
     }
 
     fn work(&mut self, upstream: &id::Upstream) -> &mut Work {
@@ -116,7 +116,7 @@
     }
 
     /// Records the first event of a flight. Returns whether it is the first record of it.
-    fn began(&mut self, holder: &Holder, number: u64, now: Instant) -> bool {
+    fn record_first_event(&mut self, holder: &Holder, number: u64, now: Instant) -> bool {
         let entry = self.by_holder.get_mut(holder).and_then(|flights| flights.get_mut(&number));
         let Some(entry) = entry.filter(|entry| !entry.tracked.flight.decoding) else {
             return false;
@@ -133,16 +133,16 @@
     fn end(&mut self, holder: &Holder, number: u64, now: Instant) -> bool {
         let entry = self.by_holder.get_mut(holder).and_then(|flights| flights.remove(&number));
         let Some(Entry { serial, tracked, .. }) = entry else { return false };
-        self.alone.retain(|(alone, ..)| *alone != serial);
+        self.isolated.retain(|(isolated, ..)| *isolated != serial);
         Self::change(&mut self.works, &tracked.flight, |work| work.end(serial, now));
         true
     }
 
-    fn knows(&self, holder: &Holder, number: u64) -> bool {
+    fn contains(&self, holder: &Holder, number: u64) -> bool {
         self.by_holder.get(holder).is_some_and(|flights| flights.contains_key(&number))
     }
 
-    fn told(&mut self, holder: &Holder, number: u64) {
+    fn confirm(&mut self, holder: &Holder, number: u64) {
         let entry = self.by_holder.get_mut(holder).and_then(|flights| flights.get_mut(&number));
         if let Some(entry) = entry {
             entry.grant = None;
@@ -151,31 +151,39 @@
 
     /// The numbers of a holder's flights that have ended, since it no longer announces them. Grants that it has
     /// not received yet are not among them.
-    fn untold(&self, holder: &Holder, told: &HashSet<u64>, granted: u64, now: Instant) -> Vec<u64> {
+    fn unannounced(
+        &self,
+        holder: &Holder,
+        announced: &HashSet<u64>,
+        granted: u64,
+        now: Instant,
+    ) -> Vec<u64> {
         let Some(flights) = self.by_holder.get(holder) else { return Vec::new() };
-        let waits = |entry: &Entry| {
+        let is_pending = |entry: &Entry| {
             let age = now.saturating_duration_since(entry.tracked.sent);
-            entry.grant.is_some_and(|grant| grant > granted) && age < GRANT_LASTS
+            entry.grant.is_some_and(|grant| grant > granted) && age < GRANT_TIMEOUT
         };
-        let over = flights.iter().filter(|(number, entry)| !told.contains(number) && !waits(entry));
-        over.map(|(number, _)| *number).collect()
+        let ended = flights
+            .iter()
+            .filter(|(number, entry)| !announced.contains(number) && !is_pending(entry));
+        ended.map(|(number, _)| *number).collect()
     }
 
     /// Drops the load of an upstream that has restarted: its attempts ended with the previous incarnation, even
     /// if the VMs that sent them still announce them.
-    pub(super) fn restarted(&mut self, upstream: &id::Upstream) {
+    pub(super) fn clear_upstream(&mut self, upstream: &id::Upstream) {
         self.works.remove(upstream);
-        self.paces.remove(upstream);
-        self.alone.retain(|(.., at)| at != upstream);
+        self.dispatches.remove(upstream);
+        self.isolated.retain(|(.., at)| at != upstream);
     }
 
     /// Removes all flights of a peer.
-    pub(super) fn lost(&mut self, vm: &id::Vm, now: Instant) {
+    pub(super) fn clear_peer(&mut self, vm: &id::Vm, now: Instant) {
         let holder = Holder::Peer(vm.clone());
-        self.paces.values_mut().for_each(|pace| pace.renumber(&holder));
+        self.dispatches.values_mut().for_each(|log| log.renumber(&holder));
         let flights = self.by_holder.remove(&holder).unwrap_or_default();
         for Entry { serial, tracked, .. } in flights.into_values() {
-            self.alone.retain(|(alone, ..)| *alone != serial);
+            self.isolated.retain(|(isolated, ..)| *isolated != serial);
             Self::change(&mut self.works, &tracked.flight, |work| work.end(serial, now));
         }
     }
@@ -183,7 +191,7 @@
 
 impl Cluster {
     /// Adds an attempt of this VM.
-    pub fn enter(&mut self, number: u64, flight: Flight, now: Instant) {
+    pub fn begin_attempt(&mut self, number: u64, flight: Flight, now: Instant) {
         let tracked = self.tracked(flight, now);
         self.record_own_dispatch(&tracked.flight.upstream, number, now);
         self.flights.begin(Holder::Own, number, tracked, None);
@@ -196,12 +204,12 @@
     }
 
     /// Records the first event of an attempt of this VM.
-    pub fn began(&mut self, number: u64, now: Instant) {
-        self.flights.began(&Holder::Own, number, now);
+    pub fn record_first_event(&mut self, number: u64, now: Instant) {
+        self.flights.record_first_event(&Holder::Own, number, now);
     }
 
     /// Removes an attempt of this VM that has ended.
-    pub fn leave(&mut self, number: u64, now: Instant) {
+    pub fn end_attempt(&mut self, number: u64, now: Instant) {
         self.flights.end(&Holder::Own, number, now);
     }
 
@@ -213,7 +221,7 @@
     }
 
     /// Releases a granted placement that was not used.
-    pub fn take_back(&mut self, from: &Holder, number: u64, now: Instant) {
+    pub fn release_grant(&mut self, from: &Holder, number: u64, now: Instant) {
         let entry = self.flights.by_holder.get(from).and_then(|flights| flights.get(&number));
         if entry.is_some_and(|entry| entry.grant.is_some()) {
             self.flights.end(from, number, now);
@@ -221,51 +229,51 @@
     }
 
     /// Removes granted placements that were not announced in time. Returns whether there were any.
-    pub fn forget_grants(&mut self, now: Instant) -> bool {
-        let old = |entry: &Entry| {
+    pub fn expire_grants(&mut self, now: Instant) -> bool {
+        let is_expired = |entry: &Entry| {
             let age = now.saturating_duration_since(entry.tracked.sent);
-            entry.grant.is_some() && age >= GRANT_LASTS
+            entry.grant.is_some() && age >= GRANT_TIMEOUT
         };
         let holders = self.flights.by_holder.iter();
-        let over: Vec<(Holder, u64)> = holders
+        let expired: Vec<(Holder, u64)> = holders
             .flat_map(|(holder, flights)| flights.iter().map(move |(n, e)| (holder, n, e)))
-            .filter(|(_, _, entry)| old(entry))
+            .filter(|(_, _, entry)| is_expired(entry))
             .map(|(holder, number, _)| (holder.clone(), *number))
             .collect();
-        over.iter().for_each(|(holder, number)| {
+        expired.iter().for_each(|(holder, number)| {
             self.flights.end(holder, *number, now);
         });
-        !over.is_empty()
+        !expired.is_empty()
     }
 
     /// Whether a copy of this request runs isolated on any upstream.
     pub fn runs_alone(&self, fingerprint: Fingerprint) -> bool {
-        self.flights.alone.iter().any(|(_, alone, _)| *alone == fingerprint)
+        self.flights.isolated.iter().any(|(_, isolated, _)| *isolated == fingerprint)
     }
 
     /// Whether a request runs isolated on this upstream.
-    pub fn is_left_alone(&self, upstream: &id::Upstream) -> bool {
-        self.flights.alone.iter().any(|(.., at)| at == upstream)
+    pub fn has_isolated_request(&self, upstream: &id::Upstream) -> bool {
+        self.flights.isolated.iter().any(|(.., at)| at == upstream)
     }
 
     /// The in-flight attempts of this VM.
-    pub fn own(&self) -> impl Iterator<Item = &Tracked> {
+    pub fn own_attempts(&self) -> impl Iterator<Item = &Tracked> {
         let own = self.flights.by_holder.get(&Holder::Own);
         own.into_iter().flat_map(|flights| flights.values()).map(|entry| &entry.tracked)
     }
 
     /// Requests sent to an upstream within the window for cold upstreams, as far as recorded here.
-    pub fn begun(&self, upstream: &id::Upstream, now: Instant) -> usize {
-        self.flights.pace(upstream).map_or(0, |pace| pace.begun(now))
+    pub fn sent_recently(&self, upstream: &id::Upstream, now: Instant) -> usize {
+        self.flights.dispatches(upstream).map_or(0, |dispatches| dispatches.begun(now))
     }
 
     /// Number of in-flight attempts of this VM and of the peers that announce theirs, granted placements included.
-    pub fn under_way(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.flights.by_holder.values().map(HashMap::len).sum()
     }
 
     /// The attempts of this VM, as announced to peers.
-    pub fn told(&self, now: Instant) -> Vec<Announcement> {
+    pub fn announced_flights(&self, now: Instant) -> Vec<Announcement> {
         let own = self.flights.by_holder.get(&Holder::Own);
         let entries = own.into_iter().flatten().filter(|(_, entry)| entry.grant.is_none());
         entries.map(|(number, entry)| entry.tracked.announcement(*number, now)).collect()
@@ -274,28 +282,34 @@
     /// Merges all attempts that a peer announced when it had received this VM's grants up to `granted`. Attempts
     /// at unknown upstreams are ignored. Returns whether an attempt had its first event or ended, so that a
     /// queued request may find a placement.
-    pub fn hear(&mut self, vm: &id::Vm, told: &[Announcement], granted: u64, now: Instant) -> bool {
+    pub fn merge_flights(
+        &mut self,
+        vm: &id::Vm,
+        announced: &[Announcement],
+        granted: u64,
+        now: Instant,
+    ) -> bool {
         let holder = Holder::Peer(vm.clone());
-        let mut room = false;
-        for flight in told {
-            if !self.flights.knows(&holder, flight.number) {
-                let known = |tag| self.tags.get(&tag).cloned();
-                let Some(tracked) = Tracked::from_announcement(flight, known, now) else {
+        let mut has_capacity = false;
+        for flight in announced {
+            if !self.flights.contains(&holder, flight.number) {
+                let resolve = |tag| self.tags.get(&tag).cloned();
+                let Some(tracked) = Tracked::from_announcement(flight, resolve, now) else {
                     continue;
                 };
                 self.flights.begin(holder.clone(), flight.number, tracked, None);
                 continue;
             }
-            self.flights.told(&holder, flight.number);
+            self.flights.confirm(&holder, flight.number);
             if flight.decoding {
-                room |= self.flights.began(&holder, flight.number, now);
+                has_capacity |= self.flights.record_first_event(&holder, flight.number, now);
             }
         }
-        let numbers: HashSet<u64> = told.iter().map(|flight| flight.number).collect();
-        for number in self.flights.untold(&holder, &numbers, granted, now) {
-            room |= self.flights.end(&holder, number, now);
+        let numbers: HashSet<u64> = announced.iter().map(|flight| flight.number).collect();
+        for number in self.flights.unannounced(&holder, &numbers, granted, now) {
+            has_capacity |= self.flights.end(&holder, number, now);
         }
-        room
+        has_capacity
     }
 
     /// The load of an upstream, predicted with the figures of its engine.
--- a/request/src/cluster/limits.rs
+++ b/request/src/cluster/limits.rs
@@ -167,15 +167,16 @@
 
     /// Whether both the rate limit and the bound for cold upstreams allow one more request.
     pub fn takes_more(&self, upstream: &Upstream, cold: Option<Bound>, now: Instant) -> bool {
-        let pace = self.flights.pace(&upstream.listed.id);
-        let allows = |bound: Bound| pace.is_none_or(|pace| pace.allows(bound, now));
+        let dispatches = self.flights.dispatches(&upstream.listed.id);
+        let allows =
+            |bound: Bound| dispatches.is_none_or(|dispatches| dispatches.allows(bound, now));
         let cold = cold.filter(|_| upstream.is_cold(now));
         cold.is_none_or(allows) && named_bounds(upstream, now).all(allows)
     }
 
     /// Requests sent to an upstream within a window, as far as recorded here.
     pub fn sent_within(&self, id: &id::Upstream, window: Duration, now: Instant) -> usize {
-        self.flights.pace(id).map_or(0, |pace| pace.sent_within(window, now))
+        self.flights.dispatches(id).map_or(0, |dispatches| dispatches.sent_within(window, now))
     }
 
     /// Sum of the rates of a service's open upstreams; none if one of them is unlimited.
--- a/request/src/placement/candidate.rs
+++ b/request/src/placement/candidate.rs
@@ -171,7 +171,7 @@
         u.unlisted.is_none()
             && !u.suspicion.avoided(now)
             && !u.is_unresponsive(now)
-            && !cluster.is_left_alone(&u.listed.id)
+            && !cluster.has_isolated_request(&u.listed.id)
     };
     let trusted: Vec<&Upstream> = open.iter().copied().filter(sound).collect();
     if trusted.is_empty() { open } else { trusted }
--- a/request/src/scheduler.rs
+++ b/request/src/scheduler.rs
@@ -176,7 +176,7 @@
     pub fn cancel(&mut self, cluster: &mut Cluster, key: &Key, now: Instant) {
         self.waiters.retain(|waiter| waiter.key != *key);
         if self.placed.remove(key).is_some() {
-            cluster.take_back(&key.holder, key.number, now);
+            cluster.release_grant(&key.holder, key.number, now);
         }
     }
 
@@ -407,7 +407,7 @@
         while self.asked.front().is_some_and(|asked| age(asked.at) > DEMAND_WINDOW) {
             self.asked.pop_front();
         }
-        cluster.forget_grants(now);
+        cluster.expire_grants(now);
     }
 }
 
--- a/request/tests/board.rs
+++ b/request/tests/board.rs
@@ -52,13 +52,13 @@
 /// Adds an attempt of the VM that owns this cluster state.
 fn enter(cluster: &mut Cluster, flight: Flight, now: Instant) -> u64 {
     let number = cluster.number();
-    cluster.enter(number, flight, now);
+    cluster.begin_attempt(number, flight, now);
     number
 }
 
 /// Announces the flights of `here`, the state of VM number `from`, to `there`.
 fn tell(here: &Cluster, there: &mut Cluster, from: usize, granted: u64, now: Instant) -> bool {
-    there.hear(&vm(from), &here.told(now), granted, now)
+    there.merge_flights(&vm(from), &here.announced_flights(now), granted, now)
 }
 
 fn open(cluster: &Cluster) -> Vec<String> {
@@ -135,10 +135,10 @@
     assert_eq!((prefilling.requests, prefilling.decoding, prefilling.memory), (1, 0, 5_000));
     assert_eq!(prefilling.backlog_ms.round(), 100.0);
     assert_eq!(prefilling.pause_ms, Some(250));
-    cluster.began(number, now);
+    cluster.record_first_event(number, now);
     let decoding = load(&cluster, 1, now);
     assert_eq!((decoding.decoding, decoding.backlog_ms), (1, 0.0));
-    cluster.leave(number, now);
+    cluster.end_attempt(number, now);
     assert_eq!(load(&cluster, 1, now), Load::default());
 }
 
@@ -163,7 +163,7 @@
     assert_eq!((holder.helper_parts, holder.requests, holder.memory), (1, 0, 40_000));
     assert_eq!((reader.helper_parts, reader.memory), (1, 0));
     assert_eq!(reader.backlog_ms.round(), 80.0);
-    cluster.began(number, now);
+    cluster.record_first_event(number, now);
     assert_eq!(load(&cluster, 2, now).memory, 40_000, "the memory is still reserved");
     assert_eq!(load(&cluster, 3, now), Load::default());
 }
@@ -183,7 +183,7 @@
     assert!(!tell(&one, &mut cluster, 1, 0, now), "a new attempt frees no capacity");
     tell(&two, &mut cluster, 2, 0, now);
     assert_eq!(load(&cluster, 1, now).requests, 2);
-    one.leave(first, now);
+    one.end_attempt(first, now);
     assert!(tell(&one, &mut cluster, 1, 0, now), "an ended attempt frees capacity");
     assert_eq!(load(&cluster, 1, now).requests, 1);
     cluster.peer_lost(&vm(2), now);
@@ -207,7 +207,7 @@
     let later = now + Duration::from_millis(30);
     tell(&here, &mut there, 1, 0, later);
     assert_eq!(there.loads(None, later), here.loads(None, later));
-    here.began(number, later);
+    here.record_first_event(number, later);
     assert!(tell(&here, &mut there, 1, 0, later), "a finished prefill frees capacity");
     assert_eq!(there.loads(None, later), here.loads(None, later));
     let mut stranger = Cluster::default();
@@ -277,12 +277,12 @@
     let peer = Holder::Peer(vm(1));
     here.grant(&peer, 7, flight(1, 10.0, 1), 3, now);
     assert_eq!(load(&here, 1, now).requests, 1);
-    assert!(!here.hear(&vm(1), &[], 2, now), "it has not received its grant yet");
+    assert!(!here.merge_flights(&vm(1), &[], 2, now), "it has not received its grant yet");
     assert_eq!(load(&here, 1, now).requests, 1);
-    there.enter(7, flight(1, 10.0, 1), now);
+    there.begin_attempt(7, flight(1, 10.0, 1), now);
     tell(&there, &mut here, 1, 3, now);
     assert_eq!(load(&here, 1, now).requests, 1, "not counted twice");
-    there.leave(7, now);
+    there.end_attempt(7, now);
     assert!(tell(&there, &mut here, 1, 3, now));
     assert_eq!(load(&here, 1, now).requests, 0);
 }
@@ -293,16 +293,16 @@
     let peer = Holder::Peer(vm(1));
     cluster.grant(&peer, 1, flight(1, 10.0, 1), 1, now);
     assert!(
-        cluster.hear(&vm(1), &[], 1, now),
+        cluster.merge_flights(&vm(1), &[], 1, now),
         "it has received the grant and announces no attempt"
     );
     cluster.grant(&peer, 2, flight(1, 10.0, 1), 2, now);
-    cluster.take_back(&peer, 2, now);
+    cluster.release_grant(&peer, 2, now);
     assert_eq!(load(&cluster, 1, now).requests, 0);
     cluster.grant(&peer, 3, flight(1, 10.0, 1), 3, now);
-    assert!(!cluster.forget_grants(now + Duration::from_millis(900)));
+    assert!(!cluster.expire_grants(now + Duration::from_millis(900)));
     assert!(
-        cluster.forget_grants(now + Duration::from_millis(1_000)),
+        cluster.expire_grants(now + Duration::from_millis(1_000)),
         "it was not announced in time"
     );
     assert_eq!(load(&cluster, 1, now).requests, 0);
@@ -344,11 +344,11 @@
                     entered.push((number, false, reserved));
                 }
                 Step::Began(i) if i < entered.len() => {
-                    cluster.began(entered[i].0, now);
+                    cluster.record_first_event(entered[i].0, now);
                     entered[i].1 = true;
                 }
                 Step::Leave(i) if i < entered.len() => {
-                    cluster.leave(entered.remove(i).0, now);
+                    cluster.end_attempt(entered.remove(i).0, now);
                 }
                 Step::Began(_) | Step::Leave(_) => {}
             }
--- a/request/tests/board/restarts.rs
+++ b/request/tests/board/restarts.rs
@@ -22,7 +22,7 @@
     let number = enter(&mut cluster, flight(1, 80.0, 200_000), now);
     cluster.note(&upstream(1), Outcome::Failed(Failure::Silent), now);
     cluster.mark_leaving(cluster.tag_of(&upstream(1)));
-    let told = cluster.told(now);
+    let told = cluster.announced_flights(now);
     let before = cluster.tag_of(&upstream(1));
     assert!(cluster.list(started(1, 200, 2)));
     let known = cluster.get(&upstream(1)).unwrap();
@@ -34,11 +34,11 @@
     );
     let mut other = Cluster::default();
     other.list(started(1, 200, 2));
-    other.hear(&"vm-2".parse().unwrap(), &told, 0, now);
-    assert_eq!(other.under_way(), 0);
+    other.merge_flights(&"vm-2".parse().unwrap(), &told, 0, now);
+    assert_eq!(other.in_flight(), 0);
     // The end of an attempt at the previous incarnation does not change the load of this one.
     enter(&mut cluster, flight(1, 10.0, 9_000), now);
-    cluster.leave(number, now);
+    cluster.end_attempt(number, now);
     assert_eq!(cluster.load(cluster.get(&upstream(1)).unwrap(), None, now).requests, 1);
 }
 
--- a/request/tests/cold.rs
+++ b/request/tests/cold.rs
@@ -166,7 +166,7 @@
             let requirements =
                 Requirements { offset: vm * 7 + number as usize, ..requirements(at, vms) };
             let placement = placement::place(&cluster, &service(), &requirements, at).unwrap();
-            cluster.enter(number, placement.flight.clone(), at);
+            cluster.begin_attempt(number, placement.flight.clone(), at);
             sent.entry(placement.flight.upstream).or_default().push(at);
         }
     }
@@ -184,9 +184,9 @@
     let mut here = cluster(1, 1, now);
     for number in 0..14 {
         let placement = placement::place(&there, &service(), &requirements(now, 1), now).unwrap();
-        there.enter(number, placement.flight.clone(), now);
+        there.begin_attempt(number, placement.flight.clone(), now);
     }
-    here.hear(&"vm-2".parse().unwrap(), &there.told(now), 0, now);
-    assert_eq!(here.begun(&upstream(0), now), 14);
+    here.merge_flights(&"vm-2".parse().unwrap(), &there.announced_flights(now), 0, now);
+    assert_eq!(here.sent_recently(&upstream(0), now), 14);
     assert!(placement::place(&here, &service(), &requirements(now, 1), now).is_err());
 }
--- a/request/tests/line.rs
+++ b/request/tests/line.rs
@@ -125,7 +125,7 @@
     let placed = placement::line(cluster, &service(), &ENGINE, line, now);
     for (_, placement) in &placed {
         let number = cluster.number();
-        cluster.enter(number, placement.flight.clone(), now);
+        cluster.begin_attempt(number, placement.flight.clone(), now);
     }
     placed
 }
--- a/request/tests/patterns/crash.rs
+++ b/request/tests/patterns/crash.rs
@@ -141,7 +141,7 @@
         let name = placement.flight.upstream.as_str();
         let engine = name[2..4].parse().unwrap();
         let alone = placement.flight.alone.is_some();
-        self.cluster.enter(number, placement.flight, self.now);
+        self.cluster.begin_attempt(number, placement.flight, self.now);
         request.state = State::Runs { engine, number, since: self.now, alone };
         Ok(())
     }
@@ -162,7 +162,7 @@
                 Err(_) => true,
             },
             State::Runs { number, since, .. } if !request.deadly && self.now - since >= ANSWER => {
-                self.cluster.leave(number, self.now);
+                self.cluster.end_attempt(number, self.now);
                 self.cluster.quarantine.answered(request.fingerprint, self.now);
                 self.score.served += 1;
                 false
@@ -181,7 +181,7 @@
             if engine != ended {
                 return true;
             }
-            cluster.leave(number, now);
+            cluster.end_attempt(number, now);
             cluster.quarantine.ended(request.fingerprint, Ending { upstream, alone }, now);
             score.cut += usize::from(!request.deadly);
             request.attempts += 1;
--- a/request/tests/patterns/play.rs
+++ b/request/tests/patterns/play.rs
@@ -266,7 +266,7 @@
             return;
         }
         let flight = placement.flight.clone();
-        self.cluster.enter(number, flight.clone(), now);
+        self.cluster.begin_attempt(number, flight.clone(), now);
         let helpers = flight.helpers.iter().map(|helping| &helping.upstream);
         let all: Vec<&id::Upstream> = helpers.chain([&flight.upstream]).collect();
         self.requests[index].parts = all.len();
@@ -328,11 +328,11 @@
         }
         if request.first.is_none() {
             request.first = Some(now);
-            self.cluster.began(number, now);
+            self.cluster.record_first_event(number, now);
         }
         request.left = request.left.saturating_sub(1);
         if request.left == 0 {
-            self.cluster.leave(number, now);
+            self.cluster.end_attempt(number, now);
         }
         request.left > 0
     }
--- a/request/tests/placement.rs
+++ b/request/tests/placement.rs
@@ -94,7 +94,7 @@
 
 fn begin(cluster: &mut Cluster, flight: Flight, now: Instant) -> u64 {
     let number = cluster.number();
-    cluster.enter(number, flight, now);
+    cluster.begin_attempt(number, flight, now);
     number
 }
 
@@ -143,7 +143,7 @@
             assert_eq!(placement.flight.upstream, upstream(n / 16), "request {n}");
             number
         };
-        cluster.began(number, now);
+        cluster.record_first_event(number, now);
     }
 }
 
@@ -410,7 +410,7 @@
         let engine = usize::from(placement.flight.upstream == upstream(1));
         sent[engine] += 1;
         let number = begin(&mut cluster, placement.flight, at);
-        cluster.leave(number, at + Duration::from_millis(100));
+        cluster.end_attempt(number, at + Duration::from_millis(100));
     }
     assert!((3..=6).contains(&sent[0]), "{sent:?}");
 }
--- a/request/tests/rate_limits/fleet.rs
+++ b/request/tests/rate_limits/fleet.rs
@@ -288,7 +288,7 @@
         let upstream = (0..UPSTREAMS).find(|index| upstream(*index) == *id).unwrap();
         let now = self.now;
         let of = &mut self.vms[vm];
-        of.cluster.enter(number, flight(id), now);
+        of.cluster.begin_attempt(number, flight(id), now);
         let was_told = of.told[upstream].is_some_and(|told| told + TOLD <= now);
         let is_calm = !of.cut && of.disturbed.is_none_or(|at| at + EXCUSED < now);
         self.arrivals[upstream].push(Arrival { at: now, counts: was_told && is_calm });
@@ -329,7 +329,7 @@
             }
             let limit = if number.is_multiple_of(2) { limit } else { self.limits[index] };
             let of = &mut self.vms[vm];
-            of.cluster.leave(number, now);
+            of.cluster.end_attempt(number, now);
             let tag = Tag::of(upstream(index).as_str());
             let news = of.cluster.observe_limit(tag, limit, sent, &vm_name(vm), now);
             if limit.is_some() {
@@ -351,7 +351,7 @@
             let now = self.now;
             let of = &mut self.vms[vm].cluster;
             let (limits, sent, flights) =
-                (of.announced_limits(now), of.announced_dispatches(now), of.told(now));
+                (of.announced_limits(now), of.announced_dispatches(now), of.announced_flights(now));
             for scheduler in (0..SCHEDULERS.min(self.vms.len())).filter(|index| *index != vm) {
                 if !self.reaches(vm, scheduler) {
                     continue;
@@ -361,7 +361,7 @@
                     cluster.merge_limit(*told, &vm_name(vm), now);
                 });
                 cluster.merge_dispatches(&vm_name(vm), &sent, now);
-                cluster.hear(&vm_name(vm), &flights, u64::MAX, now);
+                cluster.merge_flights(&vm_name(vm), &flights, u64::MAX, now);
             }
         }
         // Schedulers tell all others what limits they know.
--- a/request/tests/scheduler.rs
+++ b/request/tests/scheduler.rs
@@ -155,7 +155,7 @@
     fleet.after(25);
     let (again, grant_again) = placed(fleet.ask(key(1, 1), requirements.clone()));
     assert_eq!((placement.flight, grant), (again.flight, grant_again));
-    assert_eq!(fleet.cluster.under_way(), 1);
+    assert_eq!(fleet.cluster.in_flight(), 1);
     let (_, next) = placed(fleet.ask(key(1, 2), requirements));
     assert!(next > grant, "each place has a higher number");
 }
@@ -226,7 +226,7 @@
     let placed = fleet.look();
     assert_eq!(placed.iter().map(|(key, _)| key.clone()).collect::<Vec<_>>(), [key(2, 1)]);
     fleet.cancel(&key(2, 1));
-    assert_eq!(fleet.cluster.under_way(), 0, "its engines are free again");
+    assert_eq!(fleet.cluster.in_flight(), 0, "its engines are free again");
 }
 
 #[test]
@@ -315,7 +315,7 @@
         fleet.after(2_000);
         fleet.look();
         prop_assert_eq!(fleet.scheduler.waiting(), 0);
-        prop_assert_eq!(fleet.cluster.under_way(), 0);
+        prop_assert_eq!(fleet.cluster.in_flight(), 0);
     }
 }
 
@@ -360,7 +360,7 @@
         fleet.ask(key(0, 1), requirements.clone());
         fleet.ask(key(1, 1), requirements.clone());
         fleet.look();
-        assert_eq!(fleet.cluster.under_way(), 1);
+        assert_eq!(fleet.cluster.in_flight(), 1);
         assert!(matches!(fleet.ask(key(1, 1), requirements.clone()), Answer::Waits));
         // The first ends its upstream: the second is told so, and so is the next that comes.
         let ending = Ending { upstream: Tag::of("i-000"), alone: true };
