--- a/daemon/src/fleet/beats.rs
+++ b/daemon/src/fleet/beats.rs
@@ -172,7 +172,7 @@
         cluster.peer_lost(&state.vm, now);
     }
     let Some(work) = &state.work else { return };
-    cluster.hear_outcomes(&state.vm, &work.outcomes, now);
+    cluster.merge_outcomes(&state.vm, &work.outcomes, now);
     cluster.hear_reports(&work.reports, now);
     cluster.quarantine.hear(&work.suspects, now);
     cluster.merge_dispatches(&state.vm, &work.dispatches, now);
--- a/daemon/src/fleet/ending.rs
+++ b/daemon/src/fleet/ending.rs
@@ -60,7 +60,7 @@
     let ending = Ending { upstream: start, alone };
     let mut cluster = job.process.cluster.lock().unwrap();
     if cluster.tag_of(&upstream) == start {
-        cluster.note(&upstream, Outcome::Failed(Cause::Silent), now);
+        cluster.record_outcome(&upstream, Outcome::Failed(Cause::Silent), now);
     }
     let held = cluster.quarantine.ended(job.fingerprint, ending, now);
     let known = cluster.quarantine.ended_under(job.fingerprint) as u32;
--- a/daemon/src/fleet/tell.rs
+++ b/daemon/src/fleet/tell.rs
@@ -147,7 +147,7 @@
     let mut cluster = process.cluster.lock().unwrap();
     Work {
         flights: cluster.announced_flights(now),
-        outcomes: cluster.told_outcomes(now),
+        outcomes: cluster.announced_outcomes(now),
         reports: cluster.told_reports(now),
         suspects: cluster.quarantine.told(round == Round::All, now),
         dispatches: cluster.announced_dispatches(now),
--- a/request/src/cluster.rs
+++ b/request/src/cluster.rs
@@ -35,7 +35,7 @@
 pub use limits::Dispatch;
 pub use listed::{Listed, Restart};
 pub use load::{INTERACTIVE_PAUSE_MS, Load};
-pub use outcomes::Ended;
+pub use outcomes::AttemptOutcome;
 pub use upstream::Upstream;
 
 /// Most removed upstreams that are remembered. No message is delayed for as long as it takes for this many
@@ -58,8 +58,8 @@
     quarantined: BTreeMap<Fingerprint, Quarantined>,
     /// Requests that the directory listed as quarantined and that have been released.
     released: VecDeque<Fingerprint>,
-    outcomes: VecDeque<(Instant, Ended)>,
-    heard_outcomes: HashMap<id::Vm, u64>,
+    outcomes: VecDeque<(Instant, AttemptOutcome)>,
+    merged_outcomes: HashMap<id::Vm, u64>,
     own_dispatches: limits::OwnDispatches,
     /// Number of upstreams with a rate limit.
     limited: usize,
@@ -288,7 +288,7 @@
 
     /// Drops the state of a peer that is down or has restarted, its in-flight attempts included.
     pub fn peer_lost(&mut self, vm: &id::Vm, now: Instant) {
-        self.heard_outcomes.remove(vm);
+        self.merged_outcomes.remove(vm);
         self.flights.clear_peer(vm, now);
     }
 }
--- a/request/src/cluster/outcomes.rs
+++ b/request/src/cluster/outcomes.rs
@@ -10,14 +10,14 @@
 use crate::tag::Tag;
 
 /// How long an outcome is announced: several heartbeats, so that one of them arrives.
-const OUTCOME_TOLD: Duration = Duration::from_millis(700);
+const OUTCOME_ANNOUNCE_WINDOW: Duration = Duration::from_millis(700);
 
 /// Most outcomes that are announced. More within the announcement window add no information.
-const MOST_OUTCOMES: usize = 64;
+const MAX_OUTCOMES: usize = 64;
 
 /// The outcome of an attempt, as announced to peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ended {
+pub struct AttemptOutcome {
     number: u64,
     upstream: Tag,
     outcome: Outcome,
@@ -25,37 +25,38 @@
 
 impl Cluster {
     /// Records the outcome of an attempt of this VM at an upstream.
-    pub fn note(&mut self, id: &id::Upstream, outcome: Outcome, now: Instant) {
+    pub fn record_outcome(&mut self, id: &id::Upstream, outcome: Outcome, now: Instant) {
         let Some(upstream) = self.upstreams.get_mut(id) else { return };
         upstream.record_outcome(outcome, now);
         self.next += 1;
-        let ended = Ended { number: self.next, upstream: upstream.tag, outcome };
-        if self.outcomes.len() == MOST_OUTCOMES {
+        let attempt = AttemptOutcome { number: self.next, upstream: upstream.tag, outcome };
+        if self.outcomes.len() == MAX_OUTCOMES {
             self.outcomes.pop_front();
         }
-        self.outcomes.push_back((now, ended));
+        self.outcomes.push_back((now, attempt));
     }
 
     /// The recent outcomes, as announced to peers.
-    pub fn told_outcomes(&mut self, now: Instant) -> Vec<Ended> {
-        let old = |at: &Instant| now.saturating_duration_since(*at) > OUTCOME_TOLD;
-        while self.outcomes.front().is_some_and(|(at, _)| old(at)) {
+    pub fn announced_outcomes(&mut self, now: Instant) -> Vec<AttemptOutcome> {
+        let is_old = |at: &Instant| now.saturating_duration_since(*at) > OUTCOME_ANNOUNCE_WINDOW;
+        while self.outcomes.front().is_some_and(|(at, _)| is_old(at)) {
             self.outcomes.pop_front();
         }
-        self.outcomes.iter().map(|(_, ended)| *ended).collect()
+        self.outcomes.iter().map(|(_, attempt)| *attempt).collect()
     }
 
     /// Merges the outcomes that a peer announced, each of them once.
-    pub fn hear_outcomes(&mut self, vm: &id::Vm, told: &[Ended], now: Instant) {
-        let through = self.heard_outcomes.get(vm).copied().unwrap_or(0);
-        for ended in told.iter().filter(|ended| ended.number > through) {
-            let upstream = self.tags.get(&ended.upstream).and_then(|id| self.upstreams.get_mut(id));
+    pub fn merge_outcomes(&mut self, vm: &id::Vm, announced: &[AttemptOutcome], now: Instant) {
+        let last_merged = self.merged_outcomes.get(vm).copied().unwrap_or(0);
+        for attempt in announced.iter().filter(|attempt| attempt.number > last_merged) {
+            let upstream =
+                self.tags.get(&attempt.upstream).and_then(|id| self.upstreams.get_mut(id));
             if let Some(upstream) = upstream {
-                upstream.record_outcome(ended.outcome, now);
+                upstream.record_outcome(attempt.outcome, now);
             }
         }
-        if let Some(last) = told.last() {
-            self.heard_outcomes.insert(vm.clone(), through.max(last.number));
+        if let Some(last) = announced.last() {
+            self.merged_outcomes.insert(vm.clone(), last_merged.max(last.number));
         }
     }
 }
--- a/request/src/message.rs
+++ b/request/src/message.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::budget::Charge;
-use crate::cluster::{Dispatch, Ended, Load, Restart};
+use crate::cluster::{AttemptOutcome, Dispatch, Load, Restart};
 use crate::fingerprint::Fingerprint;
 use crate::placement::{Rejection, Requirements};
 use crate::rate_limit::Limit;
@@ -128,7 +128,7 @@
     /// Its attempts.
     pub flights: Vec<flight::Announcement>,
     /// How attempts of late have ended.
-    pub outcomes: Vec<Ended>,
+    pub outcomes: Vec<AttemptOutcome>,
     /// The reports that it has of engines.
     pub reports: Vec<report::Announcement>,
     /// What it learnt of requests under which upstreams ended.
--- a/request/tests/board.rs
+++ b/request/tests/board.rs
@@ -223,13 +223,13 @@
         let at = now + Duration::from_millis(ms);
         cluster.get(&upstream(1)).unwrap().suspicion.avoided(at)
     };
-    cluster.note(&upstream(1), Outcome::Failed(Failure::Full), now);
+    cluster.record_outcome(&upstream(1), Outcome::Failed(Failure::Full), now);
     assert!(!avoided(&cluster, 0), "a single refusal is not enough");
-    cluster.note(&upstream(1), Outcome::Failed(Failure::Silent), now);
+    cluster.record_outcome(&upstream(1), Outcome::Failed(Failure::Silent), now);
     assert!(avoided(&cluster, 0));
     assert!(!avoided(&cluster, 5_000));
-    cluster.note(&upstream(1), Outcome::Answered, now);
-    cluster.note(&upstream(1), Outcome::Answered, now);
+    cluster.record_outcome(&upstream(1), Outcome::Answered, now);
+    cluster.record_outcome(&upstream(1), Outcome::Answered, now);
     assert!(!avoided(&cluster, 0));
 }
 
@@ -238,9 +238,9 @@
     let (mut here, mut there, now) = (Cluster::default(), Cluster::default(), Instant::now());
     here.list(listed(1));
     there.list(listed(1));
-    here.note(&upstream(1), Outcome::Failed(Failure::Broken), now);
+    here.record_outcome(&upstream(1), Outcome::Failed(Failure::Broken), now);
     for _ in 0..3 {
-        there.hear_outcomes(&vm(1), &here.told_outcomes(now), now);
+        there.merge_outcomes(&vm(1), &here.announced_outcomes(now), now);
     }
     assert_eq!(
         there.get(&upstream(1)).unwrap().suspicion.weight(now),
@@ -248,7 +248,7 @@
         "announced three times"
     );
     let later = now + Duration::from_secs(1);
-    assert!(here.told_outcomes(later).is_empty(), "no longer announced");
+    assert!(here.announced_outcomes(later).is_empty(), "no longer announced");
 }
 
 #[test]
