--- a/daemon/src/fleet/reports.rs
+++ b/daemon/src/fleet/reports.rs
@@ -108,7 +108,7 @@
         }
     }
     let observed = Observed { report: answer.as_ref().ok().copied(), at };
-    let before = process.cluster.lock().unwrap().observe(&listed.id, observed);
+    let before = process.cluster.lock().unwrap().record_report(&listed.id, observed);
     log_change(&process, &listed.id, before, &answer);
     process.tell.notify_one();
 }
--- a/daemon/src/fleet/tell.rs
+++ b/daemon/src/fleet/tell.rs
@@ -148,7 +148,7 @@
     Work {
         flights: cluster.announced_flights(now),
         outcomes: cluster.announced_outcomes(now),
-        reports: cluster.told_reports(now),
+        reports: cluster.announced_reports(now),
         suspects: cluster.quarantine.told(round == Round::All, now),
         dispatches: cluster.announced_dispatches(now),
     }
--- a/request/src/cluster/upstream.rs
+++ b/request/src/cluster/upstream.rs
@@ -9,7 +9,7 @@
 use crate::tag::Tag;
 
 /// How long a report is fresh. An engine whose reports are no longer fetched counts as healthy again.
-pub(super) const REPORT_LASTS: Duration = Duration::from_millis(2_500);
+pub(super) const REPORT_FRESHNESS_WINDOW: Duration = Duration::from_millis(2_500);
 
 /// The state of one upstream, as recorded by this VM.
 #[derive(Debug, Clone)]
@@ -40,8 +40,8 @@
 impl Upstream {
     /// Measured over expected time of its engine by a fresh report, at least 1; 1 without one.
     pub fn slowdown(&self, now: Instant) -> f64 {
-        let fresh = |o: &Observed| now.saturating_duration_since(o.at) < REPORT_LASTS;
-        let report = self.observed.filter(fresh).and_then(|o| o.report);
+        let is_fresh = |o: &Observed| now.saturating_duration_since(o.at) < REPORT_FRESHNESS_WINDOW;
+        let report = self.observed.filter(is_fresh).and_then(|o| o.report);
         report.map_or(1.0, |report| report.slowdown.max(1.0))
     }
 
@@ -75,7 +75,7 @@
 
     /// Whether it did not respond to the latest request for a report, if that is fresh.
     pub fn is_unresponsive(&self, now: Instant) -> bool {
-        let fresh = |o: &Observed| now.saturating_duration_since(o.at) < REPORT_LASTS;
-        self.observed.is_some_and(|o| o.report.is_none() && fresh(&o))
+        let is_fresh = |o: &Observed| now.saturating_duration_since(o.at) < REPORT_FRESHNESS_WINDOW;
+        self.observed.is_some_and(|o| o.report.is_none() && is_fresh(&o))
     }
 }
--- a/request/tests/line.rs
+++ b/request/tests/line.rs
@@ -200,7 +200,7 @@
 }
 
 fn observe(cluster: &mut Cluster, i: usize, report: Option<Report>, at: Instant) {
-    cluster.observe(&upstream(i), Observed { report, at });
+    cluster.record_report(&upstream(i), Observed { report, at });
 }
 
 #[test]
@@ -220,7 +220,7 @@
     let (mut here, mut there) = (cluster(6), cluster(6));
     let now = Instant::now();
     observe(&mut here, 5, None, now);
-    there.hear_reports(&here.told_reports(now), now);
+    there.merge_reports(&here.announced_reports(now), now);
     let placed = place(&mut there, &[requirements(182_000, now)], now);
     assert!(!engines(&placed[0].1).contains(&upstream(5)), "{placed:?}");
 }
@@ -234,11 +234,11 @@
     observe(&mut here, 0, report(3.0), now);
     observe(&mut there, 0, report(1.0), now + Duration::from_millis(600));
     let later = now + Duration::from_millis(650);
-    there.hear_reports(&here.told_reports(later), later);
+    there.merge_reports(&here.announced_reports(later), later);
     assert_eq!(there.get(&upstream(0)).unwrap().slowdown(later), 1.0);
-    here.hear_reports(&there.told_reports(later), later);
+    here.merge_reports(&there.announced_reports(later), later);
     assert_eq!(here.get(&upstream(0)).unwrap().slowdown(later), 1.0);
-    assert!(here.told_reports(later).is_empty(), "who asked last tells");
+    assert!(here.announced_reports(later).is_empty(), "who asked last tells");
 }
 
 proptest! {
--- a/request/tests/patterns/play.rs
+++ b/request/tests/patterns/play.rs
@@ -138,7 +138,7 @@
         let dark: Vec<id::Upstream> = self.engines.keys().rev().take(engines).cloned().collect();
         for id in dark {
             self.engines.get_mut(&id).unwrap().dark = true;
-            self.cluster.observe(&id, Observed { report: None, at: self.start });
+            self.cluster.record_report(&id, Observed { report: None, at: self.start });
         }
     }
 
