--- a/daemon/src/fleet/beats.rs
+++ b/daemon/src/fleet/beats.rs
@@ -169,7 +169,7 @@
     }
     let mut cluster = process.cluster.lock().unwrap();
     if news == News::Renewed {
-        cluster.peer_lost(&state.vm, now);
+        cluster.remove_peer(&state.vm, now);
     }
     let Some(work) = &state.work else { return };
     cluster.merge_outcomes(&state.vm, &work.outcomes, now);
@@ -213,7 +213,7 @@
 
 fn drop_silent<D: Dialect>(process: &Process<D>, now: Instant) {
     for vm in process.peers.drop_silent(now) {
-        process.cluster.lock().unwrap().peer_lost(&vm, now);
+        process.cluster.lock().unwrap().remove_peer(&vm, now);
         log::event(&process.log, Event::MemberDown, vm);
     }
 }
--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -279,9 +279,9 @@
     let known = cluster.get(&id).is_some();
     let changed = match provenance {
         Provenance::Sound | Provenance::Lapsed => cluster.list(listed),
-        Provenance::Copy => cluster.list_copy(listed),
+        Provenance::Copy => cluster.list_restored(listed),
     };
-    cluster.note_cold(&id, cold, process.now());
+    cluster.set_cold(&id, cold, process.now());
     let restarted = known && cluster.tag_of(&id) != before;
     drop(cluster);
     process.unreadable.forget(id.as_str());
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -236,7 +236,7 @@
         requirements: &'a Requirements,
         until: Until,
     ) -> Open<'a, D> {
-        let number = process.cluster.lock().unwrap().number();
+        let number = process.cluster.lock().unwrap().next_number();
         let answers = process.questions.open(number);
         Open { process, service, requirements, until, number, answers, asked: None }
     }
--- a/daemon/src/fleet/members.rs
+++ b/daemon/src/fleet/members.rs
@@ -14,7 +14,7 @@
     let vm = member.vm.clone();
     let Some(news) = process.peers.list(member) else { return false };
     if news == News::Renewed {
-        process.cluster.lock().unwrap().peer_lost(&vm, process.now());
+        process.cluster.lock().unwrap().remove_peer(&vm, process.now());
     }
     process.tell.notify_one();
     true
@@ -32,7 +32,7 @@
     let now = process.now();
     let Some(withdrawal) = process.peers.withdraw(vm, now) else { return false };
     if withdrawal == Withdrawal::Gone {
-        process.cluster.lock().unwrap().peer_lost(vm, now);
+        process.cluster.lock().unwrap().remove_peer(vm, now);
     }
     log::event(&process.log, Event::MemberLeaving, vm);
     true
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -325,7 +325,7 @@
     /// What this VM knows of the directory.
     pub fn listing(&self) -> Listing {
         let cluster = self.cluster.lock().unwrap();
-        let upstreams = cluster.relayed(self.now()).collect();
+        let upstreams = cluster.peer_listings(self.now()).collect();
         let held = cluster.quarantined().cloned().collect();
         let halls = cluster.halls().clone();
         drop(cluster);
--- a/request/src/cluster.rs
+++ b/request/src/cluster.rs
@@ -40,7 +40,7 @@
 
 /// Most removed upstreams that are remembered. No message is delayed for as long as it takes for this many
 /// upstreams to be removed.
-const ENDED: usize = 1_024;
+const MAX_REMOVED: usize = 1_024;
 
 /// The upstreams and in-flight attempts, as this VM has received them.
 #[derive(Debug, Default)]
@@ -48,7 +48,7 @@
     upstreams: BTreeMap<id::Upstream, Upstream>,
     halls: Halls,
     /// Removed upstreams, each with the revision at which it was absent.
-    ended: VecDeque<(id::Upstream, Revision)>,
+    removed: VecDeque<(id::Upstream, Revision)>,
     restarts: VecDeque<(Instant, Restart)>,
     tags: HashMap<Tag, id::Upstream>,
     flights: flights::Flights,
@@ -62,8 +62,8 @@
     merged_outcomes: HashMap<id::Vm, u64>,
     own_dispatches: limits::OwnDispatches,
     /// Number of upstreams with a rate limit.
-    limited: usize,
-    next: u64,
+    limited_count: usize,
+    last_number: u64,
     /// The digest of the listings, cached until one changes, since every heartbeat includes it.
     digest: Cell<Option<u64>>,
 }
@@ -73,44 +73,44 @@
     /// all state of the one before.
     pub fn list(&mut self, listed: Listed) -> bool {
         self.digest.set(None);
-        let Some(known) = self.upstreams.get_mut(&listed.id) else {
+        let Some(current) = self.upstreams.get_mut(&listed.id) else {
             self.insert(listed);
             return true;
         };
-        known.unlisted = None;
-        if listed.is_other_incarnation(&known.listed) {
+        current.unlisted = None;
+        if listed.is_other_incarnation(&current.listed) {
             // The entry of the previous incarnation, read again after the upstream itself reported its restart.
-            let is_late = listed.revision <= known.listed.revision;
-            if is_late && listed.born < known.listed.born {
+            let is_late = listed.revision <= current.listed.revision;
+            if is_late && listed.born < current.listed.born {
                 return false;
             }
-            self.forget(&listed.id.clone());
+            self.take_upstream(&listed.id.clone());
             self.insert(listed);
             return true;
         }
-        let changed = !listed.is_equivalent(&known.listed);
+        let changed = !listed.is_equivalent(&current.listed);
         // A start time reported by the upstream itself is kept until the directory lists one.
-        let born = listed.born.or(known.listed.born);
-        known.drained = self.halls.is_drained(&listed.hall);
-        known.listed = Listed { born, ..listed };
+        let born = listed.born.or(current.listed.born);
+        current.drained = self.halls.is_drained(&listed.hall);
+        current.listed = Listed { born, ..listed };
         changed
     }
 
     /// Applies a listing of a directory that was restored from an older copy. Upstreams removed since that copy
     /// stay removed, earlier incarnations are ignored, and leaving upstreams stay leaving: the upstreams that
     /// still run write their entries again. Returns whether the listing has changed.
-    pub fn list_copy(&mut self, listed: Listed) -> bool {
-        if self.ended.iter().any(|(id, _)| *id == listed.id) {
+    pub fn list_restored(&mut self, listed: Listed) -> bool {
+        if self.removed.iter().any(|(id, _)| *id == listed.id) {
             return false;
         }
-        let Some(known) = self.upstreams.get(&listed.id).map(|known| &known.listed) else {
+        let Some(current) = self.upstreams.get(&listed.id).map(|current| &current.listed) else {
             return self.list(listed);
         };
-        let is_other = listed.is_other_incarnation(known);
-        if is_other && listed.born < known.born {
+        let is_other = listed.is_other_incarnation(current);
+        if is_other && listed.born < current.born {
             return false;
         }
-        let leaving = listed.leaving || !is_other && known.leaving;
+        let leaving = listed.leaving || !is_other && current.leaving;
         self.list(Listed { leaving, ..listed })
     }
 
@@ -133,36 +133,36 @@
         self.upstreams.insert(id, upstream);
     }
 
-    fn forget(&mut self, id: &id::Upstream) -> Option<Upstream> {
-        let known = self.upstreams.remove(id)?;
-        self.tags.remove(&known.tag);
+    fn take_upstream(&mut self, id: &id::Upstream) -> Option<Upstream> {
+        let upstream = self.upstreams.remove(id)?;
+        self.tags.remove(&upstream.tag);
         self.flights.clear_upstream(id);
-        self.limited -= usize::from(known.is_limited());
-        Some(known)
+        self.limited_count -= usize::from(upstream.is_limited());
+        Some(upstream)
     }
 
     /// The tag of the current incarnation of an upstream, or of its id if the upstream is unknown.
     pub fn tag_of(&self, id: &id::Upstream) -> Tag {
-        self.upstreams.get(id).map_or_else(|| Tag::of(id.as_str()), |known| known.tag)
+        self.upstreams.get(id).map_or_else(|| Tag::of(id.as_str()), |current| current.tag)
     }
 
     /// Removes an upstream that is absent from the listings at a revision. Returns whether it was known.
     pub fn remove(&mut self, id: &id::Upstream, revision: Revision) -> bool {
         self.digest.set(None);
-        let known = self.forget(id).is_some();
-        if known {
-            self.end(id.clone(), revision);
+        let was_listed = self.take_upstream(id).is_some();
+        if was_listed {
+            self.record_removal(id.clone(), revision);
         }
-        known
+        was_listed
     }
 
     /// All listings, as sent to a peer. Only upstreams that were removed or unreadable and came back carry a
     /// revision, since only these need it: with a revision in each entry, 3,000 upstreams take 49 kB in place
     /// of 37 for each VM that reads them.
-    pub fn relayed(&self, now: Instant) -> impl Iterator<Item = Listed> {
+    pub fn peer_listings(&self, now: Instant) -> impl Iterator<Item = Listed> {
         self.upstreams.values().map(move |upstream| {
             let listed = &upstream.listed;
-            let came_back = self.ended.iter().any(|(id, _)| *id == listed.id);
+            let came_back = self.removed.iter().any(|(id, _)| *id == listed.id);
             let revision = if came_back { listed.revision } else { Revision::default() };
             let cold = upstream.cold_until.map(|until| until.saturating_duration_since(now));
             let cold_ms = cold.map_or(0, |left| left.as_millis() as u32);
@@ -171,7 +171,7 @@
     }
 
     /// Sets for how much longer an upstream is cold.
-    pub fn note_cold(&mut self, id: &id::Upstream, left: Duration, now: Instant) {
+    pub fn set_cold(&mut self, id: &id::Upstream, left: Duration, now: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.cold_until = (!left.is_zero()).then(|| now + left);
         }
@@ -180,31 +180,31 @@
     /// Whether a listing received from a peer may be applied. Only a higher revision restores a removed upstream
     /// or ends the leaving of one.
     pub fn accepts(&self, listed: &Listed) -> bool {
-        let ended = self.ended.iter().find(|(id, _)| *id == listed.id);
-        if ended.is_some_and(|(_, revision)| listed.revision <= *revision) {
+        let removed = self.removed.iter().find(|(id, _)| *id == listed.id);
+        if removed.is_some_and(|(_, revision)| listed.revision <= *revision) {
             return false;
         }
-        let Some(known) = self.upstreams.get(&listed.id).map(|known| &known.listed) else {
+        let Some(current) = self.upstreams.get(&listed.id).map(|current| &current.listed) else {
             return true;
         };
-        if listed.is_other_incarnation(known) {
-            let ordered =
-                listed.revision != known.revision && !listed.revision.min(known.revision).is_none();
+        if listed.is_other_incarnation(current) {
+            let ordered = listed.revision != current.revision
+                && !listed.revision.min(current.revision).is_none();
             return if ordered {
-                listed.revision > known.revision
+                listed.revision > current.revision
             } else {
-                listed.born > known.born
+                listed.born > current.born
             };
         }
-        listed.leaving || !known.leaving || listed.revision > known.revision
+        listed.leaving || !current.leaving || listed.revision > current.revision
     }
 
-    fn end(&mut self, id: id::Upstream, revision: Revision) {
-        self.ended.retain(|(known, _)| *known != id);
-        if self.ended.len() >= ENDED {
-            self.ended.pop_front();
+    fn record_removal(&mut self, id: id::Upstream, revision: Revision) {
+        self.removed.retain(|(removed, _)| *removed != id);
+        if self.removed.len() >= MAX_REMOVED {
+            self.removed.pop_front();
         }
-        self.ended.push_back((id, revision));
+        self.removed.push_back((id, revision));
     }
 
     /// Marks an upstream whose listing lapsed while the directory was unavailable. It may still run, and is kept
@@ -276,9 +276,9 @@
     }
 
     /// Allocates a number for an attempt, unique within this process.
-    pub fn number(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    pub fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
     /// The upstream with this tag.
@@ -287,7 +287,7 @@
     }
 
     /// Drops the state of a peer that is down or has restarted, its in-flight attempts included.
-    pub fn peer_lost(&mut self, vm: &id::Vm, now: Instant) {
+    pub fn remove_peer(&mut self, vm: &id::Vm, now: Instant) {
         self.merged_outcomes.remove(vm);
         self.flights.clear_peer(vm, now);
     }
--- a/request/src/cluster/limits.rs
+++ b/request/src/cluster/limits.rs
@@ -12,7 +12,7 @@
 use crate::tag::Tag;
 
 /// How long a dispatch is included in heartbeats: several of them, since some are lost.
-const ANNOUNCE_FOR: Duration = Duration::from_secs(1);
+const ANNOUNCE_WINDOW: Duration = Duration::from_secs(1);
 
 /// Most dispatches in a heartbeat.
 const MAX_DISPATCHES: usize = 64;
@@ -45,9 +45,9 @@
         self.sent.push_back((now, upstream, number));
     }
 
-    fn forget(&mut self, now: Instant) {
+    fn expire(&mut self, now: Instant) {
         let is_old =
-            |(at, ..): &(Instant, Tag, u64)| now.saturating_duration_since(*at) > ANNOUNCE_FOR;
+            |(at, ..): &(Instant, Tag, u64)| now.saturating_duration_since(*at) > ANNOUNCE_WINDOW;
         while self.sent.front().is_some_and(is_old) {
             self.sent.pop_front();
         }
@@ -59,37 +59,37 @@
     /// limit has changed.
     pub fn observe_limit(
         &mut self,
-        instance: Tag,
+        incarnation: Tag,
         rate: Option<Rate>,
         sent: Instant,
         own: &id::Vm,
         now: Instant,
     ) -> Option<id::Upstream> {
-        let id = self.tags.get(&instance)?;
+        let id = self.tags.get(&incarnation)?;
         let upstream = self.upstreams.get_mut(id)?;
         let was_limited = upstream.is_limited();
-        let is_news = rate_limit::observe(&mut upstream.rate_limit, rate, sent, own, now);
+        let has_changed = rate_limit::observe(&mut upstream.rate_limit, rate, sent, own, now);
         let is_limited = upstream.is_limited();
         let id = id.clone();
         self.count_limited(&id, was_limited, is_limited);
-        is_news.then_some(id)
+        has_changed.then_some(id)
     }
 
     /// Merges a limit announced by a peer. Returns none for an unknown upstream.
     pub fn merge_limit(
         &mut self,
-        told: Entry,
+        announced: Entry,
         from: &id::Vm,
         now: Instant,
     ) -> Option<(Merge, id::Upstream)> {
-        let id = self.tags.get(&told.upstream)?;
+        let id = self.tags.get(&announced.upstream)?;
         let upstream = self.upstreams.get_mut(id)?;
         let was_limited = upstream.is_limited();
-        let heard = rate_limit::merge(&mut upstream.rate_limit, told.limit, from, now);
+        let merge = rate_limit::merge(&mut upstream.rate_limit, announced.limit, from, now);
         let is_limited = upstream.is_limited();
         let id = id.clone();
         self.count_limited(&id, was_limited, is_limited);
-        Some((heard, id))
+        Some((merge, id))
     }
 
     fn count_limited(&mut self, id: &id::Upstream, was_limited: bool, is_limited: bool) {
@@ -98,18 +98,18 @@
         }
         self.flights.set_limited(id, is_limited);
         match is_limited {
-            true => self.limited += 1,
-            false => self.limited -= 1,
+            true => self.limited_count += 1,
+            false => self.limited_count -= 1,
         }
     }
 
     /// Limits to include in heartbeats.
     pub fn announced_limits(&self, now: Instant) -> Vec<Entry> {
-        let told = |u: &Upstream| {
+        let announced = |u: &Upstream| {
             let known = u.rate_limit.as_ref().filter(|known| known.is_announced(now))?;
             Some(Entry { upstream: u.tag, limit: known.limit })
         };
-        self.upstreams.values().filter_map(told).take(MAX_LIMITS).collect()
+        self.upstreams.values().filter_map(announced).take(MAX_LIMITS).collect()
     }
 
     /// The limit of an upstream, if it ever named one.
@@ -131,7 +131,7 @@
         if !self.upstreams.get(id).is_some_and(Upstream::is_limited) {
             return;
         }
-        let number = self.number();
+        let number = self.next_number();
         self.flights.record_dispatch(id, &Holder::Own, number, now);
         self.record_own_dispatch(id, number, now);
     }
@@ -145,19 +145,19 @@
 
     /// Dispatches to include in heartbeats.
     pub fn announced_dispatches(&mut self, now: Instant) -> Vec<Dispatch> {
-        self.own_dispatches.forget(now);
-        let told = |(at, upstream, number): &(Instant, Tag, u64)| Dispatch {
+        self.own_dispatches.expire(now);
+        let announcement = |(at, upstream, number): &(Instant, Tag, u64)| Dispatch {
             upstream: *upstream,
             number: *number,
             age_ms: now.saturating_duration_since(*at).as_millis() as u32,
         };
-        self.own_dispatches.sent.iter().map(told).collect()
+        self.own_dispatches.sent.iter().map(announcement).collect()
     }
 
     /// Counts the dispatches that a peer has announced.
-    pub fn merge_dispatches(&mut self, vm: &id::Vm, told: &[Dispatch], now: Instant) {
+    pub fn merge_dispatches(&mut self, vm: &id::Vm, announced: &[Dispatch], now: Instant) {
         let holder = Holder::Peer(vm.clone());
-        for sent in told {
+        for sent in announced {
             let Some(id) = self.tags.get(&sent.upstream) else { continue };
             let age = Duration::from_millis(u64::from(sent.age_ms));
             let at = now.checked_sub(age).unwrap_or(now);
@@ -166,7 +166,7 @@
     }
 
     /// Whether both the rate limit and the bound for cold upstreams allow one more request.
-    pub fn takes_more(&self, upstream: &Upstream, cold: Option<Bound>, now: Instant) -> bool {
+    pub fn allows_request(&self, upstream: &Upstream, cold: Option<Bound>, now: Instant) -> bool {
         let dispatches = self.flights.dispatches(&upstream.listed.id);
         let allows =
             |bound: Bound| dispatches.is_none_or(|dispatches| dispatches.allows(bound, now));
@@ -191,7 +191,7 @@
 
     /// Number of upstreams with a rate limit.
     pub fn limited_count(&self) -> usize {
-        self.limited
+        self.limited_count
     }
 }
 
--- a/request/src/cluster/outcomes.rs
+++ b/request/src/cluster/outcomes.rs
@@ -28,8 +28,8 @@
     pub fn record_outcome(&mut self, id: &id::Upstream, outcome: Outcome, now: Instant) {
         let Some(upstream) = self.upstreams.get_mut(id) else { return };
         upstream.record_outcome(outcome, now);
-        self.next += 1;
-        let attempt = AttemptOutcome { number: self.next, upstream: upstream.tag, outcome };
+        self.last_number += 1;
+        let attempt = AttemptOutcome { number: self.last_number, upstream: upstream.tag, outcome };
         if self.outcomes.len() == MAX_OUTCOMES {
             self.outcomes.pop_front();
         }
--- a/request/src/cluster/restarts.rs
+++ b/request/src/cluster/restarts.rs
@@ -32,7 +32,7 @@
         if born <= known {
             return false;
         }
-        let Some(previous) = self.forget(id) else { return false };
+        let Some(previous) = self.take_upstream(id) else { return false };
         self.insert(Listed { born: Some(born), ..previous.listed });
         self.digest.set(None);
         if self.restarts.len() == MAX_RESTARTS {
--- a/request/src/placement/candidate.rs
+++ b/request/src/placement/candidate.rs
@@ -157,7 +157,7 @@
         return false;
     }
     let cold = service.cold_per_s.map(|per_s| Bound::cold(per_s, schedulers));
-    cluster.takes_more(upstream, cold, now)
+    cluster.allows_request(upstream, cold, now)
 }
 
 /// Those that did not fail of late and are not left to a request that runs alone, or all where there are
--- a/request/tests/board.rs
+++ b/request/tests/board.rs
@@ -51,7 +51,7 @@
 
 /// Adds an attempt of the VM that owns this cluster state.
 fn enter(cluster: &mut Cluster, flight: Flight, now: Instant) -> u64 {
-    let number = cluster.number();
+    let number = cluster.next_number();
     cluster.begin_attempt(number, flight, now);
     number
 }
@@ -186,7 +186,7 @@
     one.end_attempt(first, now);
     assert!(tell(&one, &mut cluster, 1, 0, now), "an ended attempt frees capacity");
     assert_eq!(load(&cluster, 1, now).requests, 1);
-    cluster.peer_lost(&vm(2), now);
+    cluster.remove_peer(&vm(2), now);
     assert_eq!(load(&cluster, 1, now).requests, 0);
     assert_eq!(load(&cluster, 2, now).requests, 1);
 }
@@ -307,7 +307,7 @@
     );
     assert_eq!(load(&cluster, 1, now).requests, 0);
     cluster.grant(&peer, 4, flight(1, 10.0, 1), 4, now);
-    cluster.peer_lost(&vm(1), now);
+    cluster.remove_peer(&vm(1), now);
     assert_eq!(load(&cluster, 1, now).requests, 0);
 }
 
--- a/request/tests/board/restarts.rs
+++ b/request/tests/board/restarts.rs
@@ -102,12 +102,12 @@
     cluster.remove(&upstream(2), 7.into());
     cluster.list(Listed { revision: 8.into(), ..listed(2) });
     let told: Vec<u64> =
-        cluster.relayed(Instant::now()).map(|listed| listed.revision.number).collect();
+        cluster.peer_listings(Instant::now()).map(|listed| listed.revision.number).collect();
     assert_eq!(told, [0, 8]);
     let mut peer = Cluster::default();
     peer.list(listed(2));
     peer.remove(&upstream(2), 7.into());
-    assert!(cluster.relayed(Instant::now()).all(|listed| peer.accepts(&listed)));
+    assert!(cluster.peer_listings(Instant::now()).all(|listed| peer.accepts(&listed)));
     let gone = Listed { leaving: true, ..listed(1) };
     peer.list(Listed { revision: 5.into(), ..listed(1) });
     assert!(peer.accepts(&gone), "a leaving upstream is accepted without a revision");
@@ -183,7 +183,7 @@
                 Listed { revision, ..entry.clone() }
             };
             copy.values().for_each(|entry| {
-                cluster.list_copy(restored(entry));
+                cluster.list_restored(restored(entry));
             });
             for i in 1..4 {
                 let (known, so) = (cluster.get(&upstream(i)), now.get(&i));
--- a/request/tests/cold.rs
+++ b/request/tests/cold.rs
@@ -52,7 +52,7 @@
             cold_ms: 0,
         });
     }
-    (0..cold).for_each(|i| cluster.note_cold(&upstream(i), COLD, now));
+    (0..cold).for_each(|i| cluster.set_cold(&upstream(i), COLD, now));
     cluster
 }
 
--- a/request/tests/line.rs
+++ b/request/tests/line.rs
@@ -124,7 +124,7 @@
     let line = Line { turns: &turns, demand: 0.0, offset: 0, kept: 0 };
     let placed = placement::line(cluster, &service(), &ENGINE, line, now);
     for (_, placement) in &placed {
-        let number = cluster.number();
+        let number = cluster.next_number();
         cluster.begin_attempt(number, placement.flight.clone(), now);
     }
     placed
--- a/request/tests/patterns/crash.rs
+++ b/request/tests/patterns/crash.rs
@@ -137,7 +137,7 @@
             charge: Charge::Free,
         };
         let placement = placement::place(&self.cluster, &self.service, &requirements, self.now)?;
-        let number = self.cluster.number();
+        let number = self.cluster.next_number();
         let name = placement.flight.upstream.as_str();
         let engine = name[2..4].parse().unwrap();
         let alone = placement.flight.alone.is_some();
--- a/request/tests/patterns/play.rs
+++ b/request/tests/patterns/play.rs
@@ -222,7 +222,7 @@
     }
 
     fn ask(&mut self, index: usize, now: Instant) {
-        let number = self.cluster.number();
+        let number = self.cluster.next_number();
         self.by_number.insert(number, index);
         self.ask_as(number, index, now);
     }
--- a/request/tests/placement.rs
+++ b/request/tests/placement.rs
@@ -93,7 +93,7 @@
 }
 
 fn begin(cluster: &mut Cluster, flight: Flight, now: Instant) -> u64 {
-    let number = cluster.number();
+    let number = cluster.next_number();
     cluster.begin_attempt(number, flight, now);
     number
 }
--- a/request/tests/rate_limits/incident.rs
+++ b/request/tests/rate_limits/incident.rs
@@ -54,7 +54,7 @@
                 self.vms[vm % count].disturbed = Some(self.now);
                 for other in 0..count {
                     let now = self.now;
-                    self.vms[other].cluster.peer_lost(&vm_name(vm % count), now);
+                    self.vms[other].cluster.remove_peer(&vm_name(vm % count), now);
                 }
             }
             Incident::Freeze { vm, ms } => {
--- a/request/tests/scheduler.rs
+++ b/request/tests/scheduler.rs
@@ -380,7 +380,7 @@
     suspect(&mut fleet, &requirements);
     placed(fleet.ask(key(0, 1), requirements.clone()));
     assert!(matches!(fleet.ask(key(1, 1), requirements.clone()), Answer::Waits));
-    fleet.cluster.peer_lost(&vm(0), fleet.now);
+    fleet.cluster.remove_peer(&vm(0), fleet.now);
     let again = fleet.look();
     assert_eq!(again.len(), 1);
     assert_eq!(again[0].0, key(1, 1));
