--- a/request/tests/board.rs
+++ b/request/tests/board.rs
@@ -57,7 +57,7 @@
 }
 
 /// Announces the flights of `here`, the state of VM number `from`, to `there`.
-fn tell(here: &Cluster, there: &mut Cluster, from: usize, granted: u64, now: Instant) -> bool {
+fn announce(here: &Cluster, there: &mut Cluster, from: usize, granted: u64, now: Instant) -> bool {
     there.merge_flights(&vm(from), &here.announced_flights(now), granted, now)
 }
 
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn one_that_leaves_is_closed_whoever_says_so() {
+fn a_leaving_upstream_is_not_open_whoever_reports_it() {
     let mut cluster = Cluster::default();
     (1..=3).for_each(|i| {
         cluster.list(listed(i));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn what_ended_does_not_come_back_by_a_peers_word() {
+fn a_peer_does_not_restore_a_removed_upstream() {
     let mut cluster = Cluster::default();
     cluster.list(listed(1));
     assert!(cluster.accepts(&listed(1)));
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn what_is_leaving_does_not_stay_by_a_peers_word() {
+fn a_peer_does_not_revert_a_leaving_upstream() {
     let mut cluster = Cluster::default();
     cluster.list(leaving(1));
     assert!(!cluster.accepts(&listed(1)));
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn one_whose_listing_lapsed_is_kept_for_a_while() {
+fn an_upstream_with_a_lapsed_listing_is_kept_for_the_grace_period() {
     let (mut cluster, now) = (Cluster::default(), Instant::now());
     let grace = Duration::from_secs(2);
     cluster.list(listed(1));
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn an_attempt_counts_from_its_entry_to_its_end() {
+fn an_attempt_counts_until_it_ends() {
     let (mut cluster, now) = (Cluster::default(), Instant::now());
     cluster.list(listed(1));
     let number = enter(&mut cluster, flight(1, 100.0, 5_000), now);
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn reads_are_played_one_after_the_other() {
+fn prefills_run_one_after_the_other() {
     let (mut cluster, now) = (Cluster::default(), Instant::now());
     enter(&mut cluster, flight(1, 100.0, 0), now);
     enter(&mut cluster, flight(1, 50.0, 0), now);
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn helpers_read_their_part_and_hold_their_memory_until_the_end() {
+fn helpers_read_their_part_and_reserve_memory_until_the_end() {
     let (mut cluster, now) = (Cluster::default(), Instant::now());
     let helpers = vec![
         Helper { upstream: upstream(2), reserved: 40_000 },
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_peers_word_replaces_the_one_before_it() {
+fn an_announcement_of_a_peer_replaces_its_previous_one() {
     let (mut cluster, now) = (Cluster::default(), Instant::now());
     let (mut one, mut two) = (Cluster::default(), Cluster::default());
     for cluster in [&mut cluster, &mut one, &mut two] {
@@ -180,11 +180,11 @@
     let first = enter(&mut one, flight(1, 10.0, 1), now);
     enter(&mut one, flight(2, 10.0, 1), now);
     enter(&mut two, flight(1, 10.0, 1), now);
-    assert!(!tell(&one, &mut cluster, 1, 0, now), "a new attempt frees no capacity");
-    tell(&two, &mut cluster, 2, 0, now);
+    assert!(!announce(&one, &mut cluster, 1, 0, now), "a new attempt frees no capacity");
+    announce(&two, &mut cluster, 2, 0, now);
     assert_eq!(load(&cluster, 1, now).requests, 2);
     one.end_attempt(first, now);
-    assert!(tell(&one, &mut cluster, 1, 0, now), "an ended attempt frees capacity");
+    assert!(announce(&one, &mut cluster, 1, 0, now), "an ended attempt frees capacity");
     assert_eq!(load(&cluster, 1, now).requests, 1);
     cluster.remove_peer(&vm(2), now);
     assert_eq!(load(&cluster, 1, now).requests, 0);
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn what_is_told_counts_at_the_peer_as_it_does_here() {
+fn announced_flights_add_the_same_load_on_the_peer() {
     let now = Instant::now();
     let (mut here, mut there) = (Cluster::default(), Cluster::default());
     (1..=3).for_each(|i| {
@@ -205,18 +205,18 @@
     ];
     let number = enter(&mut here, Flight { helpers, ..flight(1, 80.0, 200_000) }, now);
     let later = now + Duration::from_millis(30);
-    tell(&here, &mut there, 1, 0, later);
+    announce(&here, &mut there, 1, 0, later);
     assert_eq!(there.loads(None, later), here.loads(None, later));
     here.record_first_event(number, later);
-    assert!(tell(&here, &mut there, 1, 0, later), "a finished prefill frees capacity");
+    assert!(announce(&here, &mut there, 1, 0, later), "a finished prefill frees capacity");
     assert_eq!(there.loads(None, later), here.loads(None, later));
     let mut stranger = Cluster::default();
-    tell(&here, &mut stranger, 1, 0, later);
+    announce(&here, &mut stranger, 1, 0, later);
     assert!(stranger.loads(None, later).is_empty(), "the upstream is unknown there");
 }
 
 #[test]
-fn suspicion_fades_and_an_answer_halves_it() {
+fn suspicion_decays_and_a_success_halves_it() {
     let (mut cluster, now) = (Cluster::default(), Instant::now());
     cluster.list(listed(1));
     let avoided = |cluster: &Cluster, ms: u64| {
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn what_a_peer_met_counts_once_here_too() {
+fn an_announced_outcome_counts_once_on_the_peer() {
     let (mut here, mut there, now) = (Cluster::default(), Cluster::default(), Instant::now());
     here.list(listed(1));
     there.list(listed(1));
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn a_departure_is_told_until_the_directory_tells_it() {
+fn a_leaving_upstream_is_announced_until_the_directory_lists_it() {
     let (mut here, mut there) = (Cluster::default(), Cluster::default());
     here.list(listed(1));
     here.mark_leaving(here.tag_of(&upstream(1)));
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn a_place_that_is_given_counts_until_its_vm_tells_of_it() {
+fn a_grant_counts_until_its_vm_announces_the_attempt() {
     let (mut here, mut there, now) = (Cluster::default(), Cluster::default(), Instant::now());
     here.list(listed(1));
     there.list(listed(1));
@@ -280,15 +280,15 @@
     assert!(!here.merge_flights(&vm(1), &[], 2, now), "it has not received its grant yet");
     assert_eq!(load(&here, 1, now).requests, 1);
     there.begin_attempt(7, flight(1, 10.0, 1), now);
-    tell(&there, &mut here, 1, 3, now);
+    announce(&there, &mut here, 1, 3, now);
     assert_eq!(load(&here, 1, now).requests, 1, "not counted twice");
     there.end_attempt(7, now);
-    assert!(tell(&there, &mut here, 1, 3, now));
+    assert!(announce(&there, &mut here, 1, 3, now));
     assert_eq!(load(&here, 1, now).requests, 0);
 }
 
 #[test]
-fn a_place_that_is_not_used_is_free_again() {
+fn an_unused_grant_is_released() {
     let (mut cluster, now) = (Cluster::default(), Instant::now());
     let peer = Holder::Peer(vm(1));
     cluster.grant(&peer, 1, flight(1, 10.0, 1), 1, now);
@@ -358,7 +358,7 @@
             cluster.list(listed(i));
             peer.list(listed(i));
         });
-        tell(&cluster, &mut peer, 1, 0, now);
+        announce(&cluster, &mut peer, 1, 0, now);
         prop_assert_eq!(peer.loads(None, now), cluster.loads(None, now));
         let loads = cluster.loads(None, now);
         let requests: u32 = loads.values().map(|l| l.requests).sum();
--- a/request/tests/board/restarts.rs
+++ b/request/tests/board/restarts.rs
@@ -16,13 +16,13 @@
 }
 
 #[test]
-fn a_later_start_ends_all_that_was_believed_of_the_one_before() {
+fn a_later_incarnation_discards_the_state_of_the_previous_one() {
     let (mut cluster, now) = (Cluster::default(), Instant::now());
     cluster.list(started(1, 100, 1));
     let number = enter(&mut cluster, flight(1, 80.0, 200_000), now);
     cluster.record_outcome(&upstream(1), Outcome::Failed(Failure::Silent), now);
     cluster.mark_leaving(cluster.tag_of(&upstream(1)));
-    let told = cluster.announced_flights(now);
+    let announced = cluster.announced_flights(now);
     let before = cluster.tag_of(&upstream(1));
     assert!(cluster.list(started(1, 200, 2)));
     let known = cluster.get(&upstream(1)).unwrap();
@@ -34,7 +34,7 @@
     );
     let mut other = Cluster::default();
     other.list(started(1, 200, 2));
-    other.merge_flights(&"vm-2".parse().unwrap(), &told, 0, now);
+    other.merge_flights(&"vm-2".parse().unwrap(), &announced, 0, now);
     assert_eq!(other.in_flight(), 0);
     // The end of an attempt at the previous incarnation does not change the load of this one.
     enter(&mut cluster, flight(1, 10.0, 9_000), now);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_earlier_start_that_is_heard_late_and_the_same_one_change_nothing() {
+fn an_earlier_or_equal_start_time_is_ignored() {
     let (mut cluster, now) = (Cluster::default(), Instant::now());
     cluster.list(started(1, 100, 1));
     assert!(
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn an_upstream_whose_clock_went_back_is_renewed_by_its_entry() {
+fn a_restart_after_the_clock_went_back_is_detected_by_its_entry() {
     let (mut cluster, now) = (Cluster::default(), Instant::now());
     cluster.list(started(1, 200, 1));
     let before = cluster.tag_of(&upstream(1));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn an_upstream_whose_entry_was_bad_comes_back_by_a_newer_one_alone() {
+fn a_removed_upstream_comes_back_only_by_a_newer_revision() {
     let mut cluster = Cluster::default();
     cluster.list(Listed { revision: 1.into(), ..listed(1) });
     cluster.remove(&upstream(1), 2.into());
@@ -82,28 +82,28 @@
     /// Listings of three incarnations arrive from peers in any order and repeatedly: the newest one wins, so all
     /// cluster states converge.
     #[test]
-    fn clusters_agree_on_the_newest_start(words in prop::collection::vec(0..3_usize, 0..20)) {
-        let starts = [started(1, 100, 1), started(1, 300, 4), started(1, 200, 6)];
+    fn clusters_converge_to_the_newest_incarnation(received in prop::collection::vec(0..3_usize, 0..20)) {
+        let incarnations = [started(1, 100, 1), started(1, 300, 4), started(1, 200, 6)];
         let mut cluster = Cluster::default();
-        for word in words.into_iter().chain(0..3) {
-            if cluster.accepts(&starts[word]) {
-                cluster.list(starts[word].clone());
+        for index in received.into_iter().chain(0..3) {
+            if cluster.accepts(&incarnations[index]) {
+                cluster.list(incarnations[index].clone());
             }
         }
-        prop_assert_eq!(&cluster.get(&upstream(1)).unwrap().listed, &starts[2]);
+        prop_assert_eq!(&cluster.get(&upstream(1)).unwrap().listed, &incarnations[2]);
     }
 }
 
 #[test]
-fn peers_are_told_a_revision_only_of_what_came_back() {
+fn peer_listings_carry_a_revision_only_for_restored_upstreams() {
     let mut cluster = Cluster::default();
     cluster.list(Listed { revision: 5.into(), ..listed(1) });
     cluster.list(Listed { revision: 6.into(), ..listed(2) });
     cluster.remove(&upstream(2), 7.into());
     cluster.list(Listed { revision: 8.into(), ..listed(2) });
-    let told: Vec<u64> =
+    let revisions: Vec<u64> =
         cluster.peer_listings(Instant::now()).map(|listed| listed.revision.number).collect();
-    assert_eq!(told, [0, 8]);
+    assert_eq!(revisions, [0, 8]);
     let mut peer = Cluster::default();
     peer.list(listed(2));
     peer.remove(&upstream(2), 7.into());
@@ -115,31 +115,31 @@
 
 /// An event in the life of an upstream.
 #[derive(Debug, Clone, Copy)]
-enum Turn {
+enum Event {
     Starts,
     Leaves,
     Ends,
 }
 
-fn turn() -> impl Strategy<Value = (usize, Turn)> {
-    (1..4_usize, prop_oneof![Just(Turn::Starts), Just(Turn::Leaves), Just(Turn::Ends)])
+fn event() -> impl Strategy<Value = (usize, Event)> {
+    (1..4_usize, prop_oneof![Just(Event::Starts), Just(Event::Leaves), Just(Event::Ends)])
 }
 
 /// The entries of a directory after these events, each written at the next revision number of one era.
-fn entries(turns: &[(usize, Turn)]) -> BTreeMap<usize, Listed> {
+fn entries(events: &[(usize, Event)]) -> BTreeMap<usize, Listed> {
     let mut entries = BTreeMap::new();
-    for (number, (upstream, turn)) in (1..).zip(turns) {
-        match turn {
-            Turn::Starts => {
+    for (number, (upstream, event)) in (1..).zip(events) {
+        match event {
+            Event::Starts => {
                 entries.insert(*upstream, started(*upstream, number * 10, number));
             }
-            Turn::Leaves => {
+            Event::Leaves => {
                 if let Some(entry) = entries.get_mut(upstream) {
                     entry.leaving = true;
                     entry.revision = number.into();
                 }
             }
-            Turn::Ends => {
+            Event::Ends => {
                 entries.remove(upstream);
             }
         }
@@ -148,10 +148,10 @@
 }
 
 /// A cluster state that has received each of these events from the directory.
-fn heard(turns: &[(usize, Turn)]) -> Cluster {
+fn received(events: &[(usize, Event)]) -> Cluster {
     let mut cluster = Cluster::default();
-    for through in 1..=turns.len() {
-        let entries = entries(&turns[..through]);
+    for through in 1..=events.len() {
+        let entries = entries(&events[..through]);
         for i in 1..4 {
             match entries.get(&i) {
                 Some(entry) => {
@@ -170,14 +170,14 @@
     /// The directory is restored once or twice, each time from an older copy: no removed upstream and no earlier
     /// incarnation comes back, and the state is right once the running upstreams have written their entries again.
     #[test]
-    fn a_copy_of_any_age_brings_nothing_back(
-        turns in prop::collection::vec(turn(), 1..24),
+    fn a_restored_copy_of_any_age_brings_nothing_back(
+        events in prop::collection::vec(event(), 1..24),
         ages in prop::collection::vec(0..24_usize, 1..3),
     ) {
-        let mut cluster = heard(&turns);
-        let now = entries(&turns);
+        let mut cluster = received(&events);
+        let now = entries(&events);
         for (era, age) in (1..).zip(ages) {
-            let copy = entries(&turns[..turns.len().saturating_sub(age)]);
+            let copy = entries(&events[..events.len().saturating_sub(age)]);
             let restored = |entry: &Listed| {
                 let revision = Revision { era, number: entry.revision.number };
                 Listed { revision, ..entry.clone() }
@@ -186,11 +186,11 @@
                 cluster.list_restored(restored(entry));
             });
             for i in 1..4 {
-                let (known, so) = (cluster.get(&upstream(i)), now.get(&i));
-                prop_assert_eq!(known.is_some(), so.is_some(), "upstream {}", i);
-                let Some((known, so)) = known.zip(so) else { continue };
-                prop_assert_eq!(known.listed.born, so.born);
-                prop_assert_eq!(known.is_open(), !so.leaving);
+                let (current, expected) = (cluster.get(&upstream(i)), now.get(&i));
+                prop_assert_eq!(current.is_some(), expected.is_some(), "upstream {}", i);
+                let Some((current, expected)) = current.zip(expected) else { continue };
+                prop_assert_eq!(current.listed.born, expected.born);
+                prop_assert_eq!(current.is_open(), !expected.leaving);
             }
         }
         let era = 3;
