--- a/request/tests/cold.rs
+++ b/request/tests/cold.rs
@@ -18,7 +18,7 @@
 const PER_S: f64 = 14.0;
 
 /// Requests a second under which a cold upstream crashes, less a margin.
-const MOST: usize = 26;
+const MAX_PER_S: usize = 26;
 
 const COLD: Duration = Duration::from_secs(3);
 
@@ -77,7 +77,7 @@
 
 /// Requests placements at this interval for two seconds; each request takes 50 ms. Returns when requests were sent,
 /// by upstream.
-fn played(
+fn simulate(
     cluster: &mut Cluster,
     start: Instant,
     every: Duration,
@@ -106,7 +106,7 @@
 }
 
 /// The largest number of these times within a second.
-fn most_in_a_second(times: &[Instant]) -> usize {
+fn max_in_a_second(times: &[Instant]) -> usize {
     let within = |from: &Instant| {
         times.iter().filter(|at| *at >= from && **at < *from + Duration::from_secs(1)).count()
     };
@@ -114,39 +114,39 @@
 }
 
 #[test]
-fn a_cold_upstream_gets_no_more_than_it_bears_however_many_ask() {
+fn a_cold_upstream_gets_no_more_than_it_can_take_under_overload() {
     let now = Instant::now();
     let mut cluster = cluster(4, 4, now);
-    let sent = played(&mut cluster, now, Duration::from_millis(2));
+    let sent = simulate(&mut cluster, now, Duration::from_millis(2));
     for i in 0..4 {
-        let most = most_in_a_second(&sent[&upstream(i)]);
+        let most = max_in_a_second(&sent[&upstream(i)]);
         assert!(most <= PER_S as usize && most > PER_S as usize / 2, "{most}");
     }
 }
 
 #[test]
-fn those_that_are_warm_take_the_load_while_they_have_room() {
+fn warm_upstreams_take_the_load_while_they_have_room() {
     let now = Instant::now();
     let mut cluster = cluster(4, 2, now);
-    let sent = played(&mut cluster, now, Duration::from_millis(10));
+    let sent = simulate(&mut cluster, now, Duration::from_millis(10));
     assert_eq!(sent.values().map(Vec::len).sum::<usize>(), 200, "none is queued");
     let cold: usize = (0..2).filter_map(|i| sent.get(&upstream(i))).map(Vec::len).sum();
     assert!(cold <= 2 * 2 * PER_S as usize, "{cold}");
 }
 
 #[test]
-fn it_is_used_like_any_other_once_it_is_warm() {
+fn a_warm_upstream_is_used_without_a_bound() {
     let now = Instant::now();
     let mut cluster = cluster(1, 1, now);
-    let sent = played(&mut cluster, now + COLD, Duration::from_millis(2));
+    let sent = simulate(&mut cluster, now + COLD, Duration::from_millis(2));
     assert_eq!(sent[&upstream(0)].len(), 1_000);
 }
 
 #[test]
-fn a_request_waits_where_all_bear_no_more() {
+fn placement_is_rejected_as_full_when_all_cold_upstreams_are_at_capacity() {
     let now = Instant::now();
     let mut cluster = cluster(1, 1, now);
-    played(&mut cluster, now, Duration::from_millis(2));
+    simulate(&mut cluster, now, Duration::from_millis(2));
     let later = now + Duration::from_millis(1_999);
     let placed = placement::place(&cluster, &service(), &requirements(later, 1), later);
     assert!(matches!(placed, Err(Rejection::Full)), "{placed:?}");
@@ -154,7 +154,7 @@
 
 /// Without a scheduler, 91 VMs place requests independently and receive no announcements of the others in time.
 #[test]
-fn vms_that_each_place_for_themselves_divide_what_a_cold_upstream_bears() {
+fn vms_without_a_scheduler_share_the_capacity_of_a_cold_upstream() {
     let now = Instant::now();
     let vms = 91;
     let mut sent: HashMap<id::Upstream, Vec<Instant>> = HashMap::new();
@@ -171,14 +171,14 @@
         }
     }
     for i in 0..20 {
-        let most = sent.get(&upstream(i)).map_or(0, |times| most_in_a_second(times));
-        assert!(most <= MOST, "{most} at {i}");
+        let most = sent.get(&upstream(i)).map_or(0, |times| max_in_a_second(times));
+        assert!(most <= MAX_PER_S, "{most} at {i}");
     }
 }
 
 /// Requests that a peer placed itself count too, once it has announced them.
 #[test]
-fn requests_that_a_peer_tells_of_count() {
+fn requests_announced_by_a_peer_count() {
     let now = Instant::now();
     let mut there = cluster(1, 1, now);
     let mut here = cluster(1, 1, now);
