--- a/request/src/cluster.rs
+++ b/request/src/cluster.rs
@@ -146,7 +146,7 @@
         self.upstreams.get(id).map_or_else(|| Tag::of(id.as_str()), |current| current.tag)
     }
 
-    /// Removes an upstream that is absent from the listings at a revision. Returns whether it was known.
+    /// Removes an upstream that is absent from the listings at a revision. Returns whether it was listed.
     pub fn remove(&mut self, id: &id::Upstream, revision: Revision) -> bool {
         self.digest.set(None);
         let was_listed = self.take_upstream(id).is_some();
--- a/request/src/cluster/flights.rs
+++ b/request/src/cluster/flights.rs
@@ -129,7 +129,7 @@
         true
     }
 
-    /// Removes a flight. Returns whether it was known.
+    /// Removes a flight. Returns whether it existed.
     fn end(&mut self, holder: &Holder, number: u64, now: Instant) -> bool {
         let entry = self.by_holder.get_mut(holder).and_then(|flights| flights.remove(&number));
         let Some(Entry { serial, tracked, .. }) = entry else { return false };
