--- a/request/src/cluster/limits.rs
+++ b/request/src/cluster/limits.rs
@@ -106,8 +106,8 @@
     /// Limits to include in heartbeats.
     pub fn announced_limits(&self, now: Instant) -> Vec<Entry> {
         let announced = |u: &Upstream| {
-            let known = u.rate_limit.as_ref().filter(|known| known.is_announced(now))?;
-            Some(Entry { upstream: u.tag, limit: known.limit })
+            let state = u.rate_limit.as_ref().filter(|state| state.is_announced(now))?;
+            Some(Entry { upstream: u.tag, limit: state.limit })
         };
         self.upstreams.values().filter_map(announced).take(MAX_LIMITS).collect()
     }
@@ -119,10 +119,10 @@
 
     /// Whether a grant may be used that the scheduler made under this limit. It must not if this VM has a later one.
     pub fn may_send(&self, id: &id::Upstream, granted: Option<Limit>) -> bool {
-        let Some(known) = self.limit_of(id) else { return true };
+        let Some(state) = self.limit_of(id) else { return true };
         match granted {
-            Some(granted) => !known.limit.supersedes(granted),
-            None => known.limit.rate.is_none(),
+            Some(granted) => !state.limit.supersedes(granted),
+            None => state.limit.rate.is_none(),
         }
     }
 
@@ -197,9 +197,9 @@
 
 /// Bounds of a named rate. The burst starts out spent, since earlier requests may not have been counted here.
 fn named_bounds(upstream: &Upstream, now: Instant) -> impl Iterator<Item = Bound> {
-    let known = upstream.rate_limit.as_ref();
+    let state = upstream.rate_limit.as_ref();
     let named =
-        known.and_then(|known| Some((known.limited_since, Bound::named(known.limit.rate?))));
+        state.and_then(|state| Some((state.limited_since, Bound::named(state.limit.rate?))));
     let bounds = named.map(|(since, [burst, sustained])| {
         let is_new = now.saturating_duration_since(since) < burst.window;
         let count = if is_new { 0 } else { burst.count };
--- a/request/src/cluster/reports.rs
+++ b/request/src/cluster/reports.rs
@@ -30,7 +30,7 @@
             let Some(id) = self.tags.get(&announcement.upstream) else { continue };
             let Some(upstream) = self.upstreams.get_mut(id) else { continue };
             let observed = Observed::from_announcement(announcement, now);
-            if upstream.observed.is_none_or(|known| known.at < observed.at) {
+            if upstream.observed.is_none_or(|current| current.at < observed.at) {
                 upstream.observed = Some(observed);
                 upstream.is_own_report = false;
             }
--- a/request/src/cluster/restarts.rs
+++ b/request/src/cluster/restarts.rs
@@ -26,10 +26,10 @@
     /// it. Requests sent meanwhile are refused or run there, and a prompt split among several upstreams that
     /// counts on memory of the previous incarnation is refused and placed anew.
     pub fn observe_restart(&mut self, id: &id::Upstream, born: u64, now: Instant) -> bool {
-        let Some(known) = self.upstreams.get(id).and_then(|known| known.listed.born) else {
+        let Some(current) = self.upstreams.get(id).and_then(|current| current.listed.born) else {
             return false;
         };
-        if born <= known {
+        if born <= current {
             return false;
         }
         let Some(previous) = self.take_upstream(id) else { return false };
--- a/request/src/cluster/upstream.rs
+++ b/request/src/cluster/upstream.rs
@@ -70,7 +70,7 @@
 
     /// Whether it has a rate limit.
     pub fn is_limited(&self) -> bool {
-        self.rate_limit.as_ref().is_some_and(|known| known.limit.rate.is_some())
+        self.rate_limit.as_ref().is_some_and(|state| state.limit.rate.is_some())
     }
 
     /// Whether it did not respond to the latest request for a report, if that is fresh.
--- a/request/src/flight.rs
+++ b/request/src/flight.rs
@@ -103,16 +103,16 @@
     /// The flight that a peer announced; none if its upstream is unknown here. Unknown helpers are omitted.
     pub fn from_announcement(
         announced: &Announcement,
-        known: impl Fn(Tag) -> Option<id::Upstream>,
+        resolve: impl Fn(Tag) -> Option<id::Upstream>,
         now: Instant,
     ) -> Option<Tracked> {
         let helper = |(tag, reserved): &(Tag, u64)| {
-            let upstream = known(*tag)?;
+            let upstream = resolve(*tag)?;
             Some((Helper { upstream, reserved: *reserved }, *tag))
         };
         let (helpers, helper_tags) = announced.helpers.iter().filter_map(helper).unzip();
         let flight = Flight {
-            upstream: known(announced.upstream)?,
+            upstream: resolve(announced.upstream)?,
             helpers,
             part_ms: announced.part_ms,
             memory: announced.memory,
--- a/request/tests/board/restarts.rs
+++ b/request/tests/board/restarts.rs
@@ -25,11 +25,11 @@
     let announced = cluster.announced_flights(now);
     let before = cluster.tag_of(&upstream(1));
     assert!(cluster.list(started(1, 200, 2)));
-    let known = cluster.get(&upstream(1)).unwrap();
-    assert!(known.is_open() && known.suspicion.weight(now) == 0.0);
-    assert_eq!(cluster.load(known, None, now), Load::default());
+    let current = cluster.get(&upstream(1)).unwrap();
+    assert!(current.is_open() && current.suspicion.weight(now) == 0.0);
+    assert_eq!(cluster.load(current, None, now), Load::default());
     assert_ne!(
-        known.tag, before,
+        current.tag, before,
         "announcements about the previous incarnation do not apply to this one"
     );
     let mut other = Cluster::default();
