--- a/daemon/src/fleet/beats.rs
+++ b/daemon/src/fleet/beats.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use foldlock_base::prelude::*;
-use foldlock_request::cluster::Start;
+use foldlock_request::cluster::Restart;
 use foldlock_request::dialect::Dialect;
 use foldlock_request::directory::Directory;
 use foldlock_request::message::{self, Beat, Message, State};
@@ -158,7 +158,7 @@
     }
     hear_steps(process, state);
     catch_up::start(process, directory);
-    for Start { upstream, born } in &state.starts {
+    for Restart { upstream, born } in &state.starts {
         reports::renewed(process, upstream, *born, &state.vm);
     }
     for start in &state.departures {
@@ -169,15 +169,15 @@
     }
     let mut cluster = process.cluster.lock().unwrap();
     if news == News::Renewed {
-        cluster.peer_lost(&state.vm, now);
+        cluster.remove_peer(&state.vm, now);
     }
     let Some(work) = &state.work else { return };
-    cluster.hear_outcomes(&state.vm, &work.outcomes, now);
-    cluster.hear_reports(&work.reports, now);
+    cluster.merge_outcomes(&state.vm, &work.outcomes, now);
+    cluster.merge_reports(&work.reports, now);
     cluster.quarantine.hear(&work.suspects, now);
     cluster.merge_dispatches(&state.vm, &work.dispatches, now);
     let granted = if of_this_start { beat.granted } else { 0 };
-    let room = cluster.hear(&state.vm, &work.flights, granted, now);
+    let room = cluster.merge_flights(&state.vm, &work.flights, granted, now);
     drop(cluster);
     if room || !work.suspects.is_empty() {
         process.room.notify_one();
@@ -213,7 +213,7 @@
 
 fn drop_silent<D: Dialect>(process: &Process<D>, now: Instant) {
     for vm in process.peers.drop_silent(now) {
-        process.cluster.lock().unwrap().peer_lost(&vm, now);
+        process.cluster.lock().unwrap().remove_peer(&vm, now);
         log::event(&process.log, Event::MemberDown, vm);
     }
 }
--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -153,7 +153,7 @@
     let age = process.fresh.age(process.moment()).map_or(-1, |age| age.as_millis() as i64);
     metrics.age_ms.set(age);
     let cluster = process.cluster.lock().unwrap();
-    metrics.flights.set(cluster.own().count() as i64);
+    metrics.flights.set(cluster.own_attempts().count() as i64);
     metrics.unread.set(process.unread.bytes() as i64);
     metrics.limited_upstreams.set(cluster.limited_count() as i64);
     metrics.suspects.set(cluster.quarantine.suspects(now).count() as i64);
@@ -209,8 +209,8 @@
                 "rests_ms": rests.left(u.tag, moment).map(|left| left.as_millis() as u64),
                 "rate_limit": rate_limit(&cluster, u, now),
                 "suspicion": u.suspicion.weight(now), "requests": load.requests,
-                "writers": load.writers, "memory": load.memory, "backlog_ms": load.backlog_ms,
-                "pace": u.pace(now), "silent": u.silent(now),
+                "writers": load.decoding, "memory": load.memory, "backlog_ms": load.backlog_ms,
+                "pace": u.slowdown(now), "silent": u.is_unresponsive(now),
             })
         })
         .collect();
@@ -224,7 +224,7 @@
             })
         })
         .collect();
-    let held: Vec<_> = cluster.held().collect();
+    let held: Vec<_> = cluster.quarantined().collect();
     let drained: Vec<_> = cluster.halls().drained().collect();
     json!({
         "drained_halls": drained,
@@ -234,7 +234,7 @@
         "config": process.config,
         "ready": process.ready(),
         "stopping": process.stopping.is_cancelled(),
-        "requests": cluster.own().count(),
+        "requests": cluster.own_attempts().count(),
         "directory": process.at(),
         "version": process.version(),
         "settings_age_ms": process.fresh.age(process.moment()).map(|age| age.as_millis() as u64),
--- a/daemon/src/fleet/tell.rs
+++ b/daemon/src/fleet/tell.rs
@@ -113,10 +113,10 @@
     let (digest, starts, departures, rate_limits) = {
         let mut cluster = process.cluster.lock().unwrap();
         let (departures, rate_limits) = match round {
-            Round::All => (cluster.departures(), cluster.announced_limits(now)),
+            Round::All => (cluster.announced_leaving(), cluster.announced_limits(now)),
             _ => (Vec::new(), Vec::new()),
         };
-        (cluster.digest(), cluster.told_starts(now), departures, rate_limits)
+        (cluster.digest(), cluster.announced_restarts(now), departures, rate_limits)
     };
     State {
         stamp: process.peers.stamp(process.moment()),
@@ -146,9 +146,9 @@
 fn work<D: Dialect>(process: &Process<D>, round: Round, now: Instant) -> Work {
     let mut cluster = process.cluster.lock().unwrap();
     Work {
-        flights: cluster.told(now),
-        outcomes: cluster.told_outcomes(now),
-        reports: cluster.told_reports(now),
+        flights: cluster.announced_flights(now),
+        outcomes: cluster.announced_outcomes(now),
+        reports: cluster.announced_reports(now),
         suspects: cluster.quarantine.told(round == Round::All, now),
         dispatches: cluster.announced_dispatches(now),
     }
--- a/request/src/cluster.rs
+++ b/request/src/cluster.rs
@@ -1,19 +1,18 @@
-//! The cluster state: every upstream that is known, and every attempt that is under way at one, of this VM
-//! and of the VMs that tell it theirs.
+//! The cluster state: all upstreams, and the in-flight attempts at them of this VM and of the peers that
+//! announce theirs.
 //!
-//! What a VM tells is the whole of its attempts each time, so a lost message costs accuracy for one
-//! interval and nothing else; what is kept for each upstream changes only with what begins and ends
-//! there.
+//! A VM announces all of its attempts each time, so a lost message costs accuracy for one heartbeat interval
+//! and nothing else. The load of each upstream is updated incrementally as attempts begin and end.
 
 mod flights;
 mod halls;
-mod held;
 mod limits;
 mod listed;
 mod load;
 mod outcomes;
+mod quarantined;
 mod reports;
-mod starts;
+mod restarts;
 mod upstream;
 
 use std::cell::Cell;
@@ -34,84 +33,84 @@
 pub use flights::Holder;
 pub use halls::{Hall, Halls};
 pub use limits::Dispatch;
-pub use listed::{Listed, Start};
-pub use load::{BRISK_MS, Load};
-pub use outcomes::Ended;
+pub use listed::{Listed, Restart};
+pub use load::{INTERACTIVE_PAUSE_MS, Load};
+pub use outcomes::AttemptOutcome;
 pub use upstream::Upstream;
 
-/// Ended upstreams that are remembered: no message is on its way for as long as this many upstreams take
-/// to end.
-const ENDED: usize = 1_024;
+/// Most removed upstreams that are remembered. No message is delayed for as long as it takes for this many
+/// upstreams to be removed.
+const MAX_REMOVED: usize = 1_024;
 
-/// The cluster state.
+/// The upstreams and in-flight attempts, as this VM has received them.
 #[derive(Debug, Default)]
 pub struct Cluster {
     upstreams: BTreeMap<id::Upstream, Upstream>,
     halls: Halls,
-    /// Those that are gone, with the revision up to which that is known.
-    ended: VecDeque<(id::Upstream, Revision)>,
-    starts: VecDeque<(Instant, Start)>,
+    /// Removed upstreams, each with the revision at which it was absent.
+    removed: VecDeque<(id::Upstream, Revision)>,
+    restarts: VecDeque<(Instant, Restart)>,
     tags: HashMap<Tag, id::Upstream>,
     flights: flights::Flights,
-    /// Requests under which upstreams ended.
+    /// Requests during which upstreams crashed.
     pub quarantine: Quarantine,
-    /// Those of them that the directory lists.
-    held: BTreeMap<Fingerprint, Quarantined>,
-    /// Those that it listed once and that were let go.
+    /// Quarantined requests that the directory lists.
+    quarantined: BTreeMap<Fingerprint, Quarantined>,
+    /// Requests that the directory listed as quarantined and that have been released.
     released: VecDeque<Fingerprint>,
-    outcomes: VecDeque<(Instant, Ended)>,
-    heard_outcomes: HashMap<id::Vm, u64>,
+    outcomes: VecDeque<(Instant, AttemptOutcome)>,
+    merged_outcomes: HashMap<id::Vm, u64>,
     own_dispatches: limits::OwnDispatches,
-    /// The upstreams that name a rate limit.
-    limited: usize,
-    next: u64,
-    /// The digest of the listings, until one changes: it is asked for with each beat.
+    /// Number of upstreams with a rate limit.
+    limited_count: usize,
+    last_number: u64,
+    /// The digest of the listings, cached until one changes, since every heartbeat includes it.
     digest: Cell<Option<u64>>,
 }
 
 impl Cluster {
-    /// Takes a listing. Answers whether it is new or says something new. A later start ends all that was
-    /// believed of the one before it.
+    /// Applies a listing. Returns whether it is new or has changed. A later incarnation of the upstream discards
+    /// all state of the one before.
     pub fn list(&mut self, listed: Listed) -> bool {
         self.digest.set(None);
-        let Some(known) = self.upstreams.get_mut(&listed.id) else {
+        let Some(current) = self.upstreams.get_mut(&listed.id) else {
             self.insert(listed);
             return true;
         };
-        known.unlisted = None;
-        if listed.is_other_start(&known.listed) {
-            // The entry of the start before, read again after the upstream told of its new one.
-            let is_late = listed.revision <= known.listed.revision;
-            if is_late && listed.born < known.listed.born {
+        current.unlisted = None;
+        if listed.is_other_incarnation(&current.listed) {
+            // The entry of the previous incarnation, read again after the upstream itself reported its restart.
+            let is_late = listed.revision <= current.listed.revision;
+            if is_late && listed.born < current.listed.born {
                 return false;
             }
-            self.forget(&listed.id.clone());
+            self.take_upstream(&listed.id.clone());
             self.insert(listed);
             return true;
         }
-        let changed = !listed.says_the_same(&known.listed);
-        // A start that the upstream itself told stays known until the directory tells one.
-        let born = listed.born.or(known.listed.born);
-        known.drained = self.halls.is_drained(&listed.hall);
-        known.listed = Listed { born, ..listed };
+        let changed = !listed.is_equivalent(&current.listed);
+        // A start time reported by the upstream itself is kept until the directory lists one.
+        let born = listed.born.or(current.listed.born);
+        current.drained = self.halls.is_drained(&listed.hall);
+        current.listed = Listed { born, ..listed };
         changed
     }
 
-    /// Takes a listing of a directory that has come back from a copy of itself, which is older than what is
-    /// known. What ended since does not come back, nor an earlier start, and who leaves goes on leaving;
-    /// their own words reach the directory again. Answers whether it says something new.
-    pub fn list_copy(&mut self, listed: Listed) -> bool {
-        if self.ended.iter().any(|(id, _)| *id == listed.id) {
+    /// Applies a listing of a directory that was restored from an older copy. Upstreams removed since that copy
+    /// stay removed, earlier incarnations are ignored, and leaving upstreams stay leaving: the upstreams that
+    /// still run write their entries again. Returns whether the listing has changed.
+    pub fn list_restored(&mut self, listed: Listed) -> bool {
+        if self.removed.iter().any(|(id, _)| *id == listed.id) {
             return false;
         }
-        let Some(known) = self.upstreams.get(&listed.id).map(|known| &known.listed) else {
+        let Some(current) = self.upstreams.get(&listed.id).map(|current| &current.listed) else {
             return self.list(listed);
         };
-        let is_other = listed.is_other_start(known);
-        if is_other && listed.born < known.born {
+        let is_other = listed.is_other_incarnation(current);
+        if is_other && listed.born < current.born {
             return false;
         }
-        let leaving = listed.leaving || !is_other && known.leaving;
+        let leaving = listed.leaving || !is_other && current.leaving;
         self.list(Listed { leaving, ..listed })
     }
 
@@ -122,11 +121,11 @@
         let upstream = Upstream {
             listed,
             tag,
-            told_leaving: false,
+            reported_leaving: false,
             drained,
             suspicion: Suspicion::default(),
             observed: None,
-            asked: false,
+            is_own_report: false,
             cold_until: None,
             rate_limit: None,
             unlisted: None,
@@ -134,36 +133,36 @@
         self.upstreams.insert(id, upstream);
     }
 
-    fn forget(&mut self, id: &id::Upstream) -> Option<Upstream> {
-        let known = self.upstreams.remove(id)?;
-        self.tags.remove(&known.tag);
-        self.flights.restarted(id);
-        self.limited -= usize::from(known.is_limited());
-        Some(known)
+    fn take_upstream(&mut self, id: &id::Upstream) -> Option<Upstream> {
+        let upstream = self.upstreams.remove(id)?;
+        self.tags.remove(&upstream.tag);
+        self.flights.clear_upstream(id);
+        self.limited_count -= usize::from(upstream.is_limited());
+        Some(upstream)
     }
 
-    /// How VMs name the start of an upstream that is known here.
+    /// The tag of the current incarnation of an upstream, or of its id if the upstream is unknown.
     pub fn tag_of(&self, id: &id::Upstream) -> Tag {
-        self.upstreams.get(id).map_or_else(|| Tag::of(id.as_str()), |known| known.tag)
+        self.upstreams.get(id).map_or_else(|| Tag::of(id.as_str()), |current| current.tag)
     }
 
-    /// Forgets an upstream that is gone by what is known up to a revision. Answers whether it was known.
+    /// Removes an upstream that is absent from the listings at a revision. Returns whether it was listed.
     pub fn remove(&mut self, id: &id::Upstream, revision: Revision) -> bool {
         self.digest.set(None);
-        let known = self.forget(id).is_some();
-        if known {
-            self.end(id.clone(), revision);
+        let was_listed = self.take_upstream(id).is_some();
+        if was_listed {
+            self.record_removal(id.clone(), revision);
         }
-        known
+        was_listed
     }
 
-    /// All listings as a peer is told of them. A revision goes with those alone that were gone or bad before
-    /// and came back, since only these need it: with one for each entry, what 3,000 upstreams take is 49
-    /// kB in place of 37, for each VM that reads it.
-    pub fn relayed(&self, now: Instant) -> impl Iterator<Item = Listed> {
+    /// All listings, as sent to a peer. Only upstreams that were removed or unreadable and came back carry a
+    /// revision, since only these need it: with a revision in each entry, 3,000 upstreams take 49 kB in place
+    /// of 37 for each VM that reads them.
+    pub fn peer_listings(&self, now: Instant) -> impl Iterator<Item = Listed> {
         self.upstreams.values().map(move |upstream| {
             let listed = &upstream.listed;
-            let came_back = self.ended.iter().any(|(id, _)| *id == listed.id);
+            let came_back = self.removed.iter().any(|(id, _)| *id == listed.id);
             let revision = if came_back { listed.revision } else { Revision::default() };
             let cold = upstream.cold_until.map(|until| until.saturating_duration_since(now));
             let cold_ms = cold.map_or(0, |left| left.as_millis() as u32);
@@ -171,53 +170,52 @@
         })
     }
 
-    /// An upstream was said to be cold for so much longer.
-    pub fn note_cold(&mut self, id: &id::Upstream, left: Duration, now: Instant) {
+    /// Sets for how much longer an upstream is cold.
+    pub fn set_cold(&mut self, id: &id::Upstream, left: Duration, now: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.cold_until = (!left.is_zero()).then(|| now + left);
         }
     }
 
-    /// Whether a peer's word of a listing may be taken: nothing that ended comes back but by a higher
-    /// revision, and nothing that is leaving stays but by one.
+    /// Whether a listing received from a peer may be applied. Only a higher revision restores a removed upstream
+    /// or ends the leaving of one.
     pub fn accepts(&self, listed: &Listed) -> bool {
-        let ended = self.ended.iter().find(|(id, _)| *id == listed.id);
-        if ended.is_some_and(|(_, revision)| listed.revision <= *revision) {
+        let removed = self.removed.iter().find(|(id, _)| *id == listed.id);
+        if removed.is_some_and(|(_, revision)| listed.revision <= *revision) {
             return false;
         }
-        let Some(known) = self.upstreams.get(&listed.id).map(|known| &known.listed) else {
+        let Some(current) = self.upstreams.get(&listed.id).map(|current| &current.listed) else {
             return true;
         };
-        if listed.is_other_start(known) {
-            let ordered =
-                listed.revision != known.revision && !listed.revision.min(known.revision).is_none();
+        if listed.is_other_incarnation(current) {
+            let ordered = listed.revision != current.revision
+                && !listed.revision.min(current.revision).is_none();
             return if ordered {
-                listed.revision > known.revision
+                listed.revision > current.revision
             } else {
-                listed.born > known.born
+                listed.born > current.born
             };
         }
-        listed.leaving || !known.leaving || listed.revision > known.revision
+        listed.leaving || !current.leaving || listed.revision > current.revision
     }
 
-    fn end(&mut self, id: id::Upstream, revision: Revision) {
-        self.ended.retain(|(known, _)| *known != id);
-        if self.ended.len() >= ENDED {
-            self.ended.pop_front();
+    fn record_removal(&mut self, id: id::Upstream, revision: Revision) {
+        self.removed.retain(|(removed, _)| *removed != id);
+        if self.removed.len() >= MAX_REMOVED {
+            self.removed.pop_front();
         }
-        self.ended.push_back((id, revision));
+        self.removed.push_back((id, revision));
     }
 
-    /// The listing of an upstream ended while the directory was away: it may still live, and is
-    /// kept until [`Cluster::expire`].
+    /// Marks an upstream whose listing lapsed while the directory was unavailable. It may still run, and is kept
+    /// until [`Cluster::expire`].
     pub fn unlist(&mut self, id: &id::Upstream, now: Instant) {
         if let Some(upstream) = self.upstreams.get_mut(id) {
             upstream.unlisted.get_or_insert(now);
         }
     }
 
-    /// Forgets upstreams that have been without a listing for `grace`, as is known up to a revision, and
-    /// names them.
+    /// Removes upstreams that have had no listing for `grace`, as of a revision, and returns their ids.
     pub fn expire(
         &mut self,
         grace: Duration,
@@ -235,12 +233,12 @@
         gone
     }
 
-    /// An upstream by id.
+    /// The upstream with this id.
     pub fn get(&self, id: &id::Upstream) -> Option<&Upstream> {
         self.upstreams.get(id)
     }
 
-    /// All listings, in the order of their ids.
+    /// All listings, ordered by id.
     pub fn listings(&self) -> impl Iterator<Item = &Listed> {
         self.upstreams.values().map(|u| &u.listed)
     }
@@ -257,30 +255,30 @@
         self.upstreams.keys()
     }
 
-    /// The upstreams of a service that take new work, in the order of their ids, which is the same
-    /// on all VMs.
+    /// The upstreams of a service that accept new requests, ordered by id, so that the order is the same on all
+    /// VMs.
     pub fn open<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Upstream> {
         self.upstreams.values().filter(move |u| u.listed.service == service && u.is_open())
     }
 
-    /// A digest of all listings: two cluster states with the same have the same.
+    /// A digest of all listings, equal on VMs with the same listings.
     pub fn digest(&self) -> u64 {
         if let Some(digest) = self.digest.get() {
             return digest;
         }
         let mut hasher = Xxh3::new();
         self.listings().for_each(|listed| listed.hash(&mut hasher));
-        self.held().for_each(|entry| entry.hash(&mut hasher));
+        self.quarantined().for_each(|entry| entry.hash(&mut hasher));
         self.halls.drained().for_each(|hall| hall.name.hash(&mut hasher));
         let digest = hasher.finish();
         self.digest.set(Some(digest));
         digest
     }
 
-    /// A number for an attempt, never used again.
-    pub fn number(&mut self) -> u64 {
-        self.next += 1;
-        self.next
+    /// Allocates a number for an attempt, unique within this process.
+    pub fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
     /// The upstream with this tag.
@@ -288,9 +286,9 @@
         self.upstreams.get(self.tags.get(&tag)?)
     }
 
-    /// A peer is no longer heard, or has started anew: what it had under way ends with it.
-    pub fn peer_lost(&mut self, vm: &id::Vm, now: Instant) {
-        self.heard_outcomes.remove(vm);
-        self.flights.lost(vm, now);
+    /// Drops the state of a peer that is down or has restarted, its in-flight attempts included.
+    pub fn remove_peer(&mut self, vm: &id::Vm, now: Instant) {
+        self.merged_outcomes.remove(vm);
+        self.flights.clear_peer(vm, now);
     }
 }
--- a/request/src/cluster/halls.rs
+++ b/request/src/cluster/halls.rs
@@ -1,5 +1,5 @@
-//! Data halls that an operator has drained: nothing new is sent to the upstreams of such a hall until it
-//! is taken back.
+//! Data halls that an operator has drained. The upstreams of a drained hall get no new requests until it is
+//! undrained.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -9,37 +9,38 @@
 use super::{Cluster, Upstream};
 use crate::revision::Revision;
 
-/// Halls that are remembered at most. A name that nobody has is kept like any other.
-const MOST_HALLS: usize = 256;
+/// Most halls that are remembered. Names are not checked, so those of no existing hall count too.
+const MAX_HALLS: usize = 256;
 
-/// What is known of one hall: the newest word of the directory.
+/// The newest state of a hall in the directory.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hall {
-    /// Its name.
+    /// The hall's name.
     pub name: String,
-    /// Whether it is drained; else it has been taken back.
+    /// Whether it is drained; otherwise it has been undrained.
     pub drained: bool,
-    /// The directory's revision of this word. Of two words of one hall the higher is the newer one, whoever
-    /// brings it.
+    /// The directory's revision of this state. Of two states of one hall the one with the higher revision is
+    /// newer, whatever its source.
     pub revision: Revision,
 }
 
-/// All halls of which the directory said something.
+/// All halls that the directory has listed as drained or undrained.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Halls {
     halls: BTreeMap<String, Hall>,
-    /// The revision of the newest whole read: a hall that it did not list was not drained then.
-    read_at: Revision,
+    /// The revision of the newest full sync. A hall that it did not list was not drained at that revision.
+    #[serde(rename = "read_at")]
+    synced_at: Revision,
 }
 
 impl Halls {
-    /// Takes a word of a hall. Answers whether it is drained or taken back by it.
-    pub fn note(&mut self, hall: Hall) -> bool {
+    /// Applies a state of a hall if it is newer. Returns whether the hall became drained or undrained.
+    pub fn update(&mut self, hall: Hall) -> bool {
         match self.halls.entry(hall.name.clone()) {
             Entry::Vacant(entry) => {
                 let drained = hall.drained;
                 entry.insert(hall);
-                self.forget_one();
+                self.evict_one();
                 drained
             }
             Entry::Occupied(mut entry) => {
@@ -51,29 +52,29 @@
         }
     }
 
-    /// A whole read, of this revision, listed these halls as drained: all others are not. Names those that
-    /// are taken back by it.
-    pub fn read(&mut self, drained: &[&str], at: Revision) -> Vec<String> {
-        self.read_at = self.read_at.max(at);
+    /// Applies a full sync at this revision, which listed these halls as drained and so all others as undrained.
+    /// Returns the names of the halls that became undrained.
+    pub fn sync(&mut self, drained: &[&str], at: Revision) -> Vec<String> {
+        self.synced_at = self.synced_at.max(at);
         let unlisted = |hall: &&mut Hall| {
             hall.drained && hall.revision < at && !drained.contains(&hall.name.as_str())
         };
-        let take_back = |hall: &mut Hall| {
+        let undrain = |hall: &mut Hall| {
             *hall = Hall { drained: false, revision: at, ..hall.clone() };
             hall.name.clone()
         };
-        self.halls.values_mut().filter(unlisted).map(take_back).collect()
+        self.halls.values_mut().filter(unlisted).map(undrain).collect()
     }
 
-    /// Takes what a peer knows. Answers the halls that are drained or taken back by it.
-    pub fn merge(&mut self, told: &Halls) -> Vec<Hall> {
-        let mut news: Vec<Hall> =
-            told.halls.values().filter(|hall| self.note((*hall).clone())).cloned().collect();
-        let known: Vec<&str> = told.halls.keys().map(String::as_str).collect();
-        for name in self.read(&known, told.read_at) {
-            news.extend(self.halls.get(&name).cloned());
+    /// Merges the halls of a peer. Returns those that became drained or undrained.
+    pub fn merge(&mut self, announced: &Halls) -> Vec<Hall> {
+        let mut changed: Vec<Hall> =
+            announced.halls.values().filter(|hall| self.update((*hall).clone())).cloned().collect();
+        let listed: Vec<&str> = announced.halls.keys().map(String::as_str).collect();
+        for name in self.sync(&listed, announced.synced_at) {
+            changed.extend(self.halls.get(&name).cloned());
         }
-        news
+        changed
     }
 
     /// Whether a hall is drained.
@@ -81,65 +82,65 @@
         self.halls.get(name).is_some_and(|hall| hall.drained)
     }
 
-    /// The halls that are drained, in the order of their names.
+    /// The drained halls, ordered by name.
     pub fn drained(&self) -> impl Iterator<Item = &Hall> {
         self.halls.values().filter(|hall| hall.drained)
     }
 
-    /// Forgets the hall that was taken back first, where there are too many.
-    fn forget_one(&mut self) {
-        if self.halls.len() <= MOST_HALLS {
+    /// Drops the hall that was undrained first if there are too many.
+    fn evict_one(&mut self) {
+        if self.halls.len() <= MAX_HALLS {
             return;
         }
-        let open = self.halls.values().filter(|hall| !hall.drained);
-        let first = open.min_by_key(|hall| hall.revision).map(|hall| hall.name.clone());
-        if let Some(name) = first {
+        let undrained = self.halls.values().filter(|hall| !hall.drained);
+        let oldest = undrained.min_by_key(|hall| hall.revision).map(|hall| hall.name.clone());
+        if let Some(name) = oldest {
             self.halls.remove(&name);
         }
     }
 }
 
 impl Cluster {
-    /// The directory says that a hall is drained, or taken back. Answers whether that is news.
-    pub fn note_hall(&mut self, hall: Hall) -> bool {
-        let news = self.halls.note(hall);
-        if news {
-            self.halls_changed();
+    /// Applies a change of a hall in the directory. Returns whether the hall became drained or undrained.
+    pub fn update_hall(&mut self, hall: Hall) -> bool {
+        let changed = self.halls.update(hall);
+        if changed {
+            self.apply_halls();
         }
-        news
+        changed
     }
 
-    /// A whole read of the directory, of this revision, listed these halls as drained. Names those that are
-    /// taken back by it.
-    pub fn read_halls(&mut self, drained: &[&str], at: Revision) -> Vec<String> {
-        let taken_back = self.halls.read(drained, at);
-        self.halls_changed();
-        taken_back
+    /// Applies a full sync of the directory at this revision, which listed these halls as drained. Returns the
+    /// names of the halls that became undrained.
+    pub fn sync_halls(&mut self, drained: &[&str], at: Revision) -> Vec<String> {
+        let undrained = self.halls.sync(drained, at);
+        self.apply_halls();
+        undrained
     }
 
-    /// Takes what a peer knows of halls. Answers what is news in that.
-    pub fn hear_halls(&mut self, told: &Halls) -> Vec<Hall> {
-        let news = self.halls.merge(told);
-        self.halls_changed();
-        news
+    /// Merges the halls of a peer. Returns those that became drained or undrained.
+    pub fn merge_halls(&mut self, announced: &Halls) -> Vec<Hall> {
+        let changed = self.halls.merge(announced);
+        self.apply_halls();
+        changed
     }
 
-    /// What is known of halls.
+    /// The drained and undrained halls.
     pub fn halls(&self) -> &Halls {
         &self.halls
     }
 
-    fn halls_changed(&mut self) {
+    fn apply_halls(&mut self) {
         self.digest.set(None);
         for upstream in self.upstreams.values_mut() {
             upstream.drained = self.halls.is_drained(&upstream.listed.hall);
         }
     }
 
-    /// Whether a service has upstreams that would take new work, and all of them are in drained halls.
+    /// Whether a service has upstreams that are not leaving, and all of these are in drained halls.
     pub fn is_drained(&self, service: &str) -> bool {
-        let staying = |u: &&Upstream| u.listed.service == service && !u.is_leaving();
-        let mut staying = self.upstreams.values().filter(staying).peekable();
-        staying.peek().is_some() && staying.all(|upstream| upstream.drained)
+        let remaining = |u: &&Upstream| u.listed.service == service && !u.is_leaving();
+        let mut remaining = self.upstreams.values().filter(remaining).peekable();
+        remaining.peek().is_some() && remaining.all(|upstream| upstream.drained)
     }
 }
--- a/request/src/cluster/reports.rs
+++ b/request/src/cluster/reports.rs
@@ -1,37 +1,38 @@
-//! Reports of engines, asked for by this VM or heard from a peer.
+//! Reports of engines, fetched by this VM or received from a peer.
 
 use std::time::Instant;
 
 use foldlock_base::id;
 
 use super::Cluster;
-use super::upstream::REPORT_LASTS;
+use super::upstream::REPORT_FRESHNESS_WINDOW;
 use crate::report::{self, Observed};
 
 impl Cluster {
-    /// This VM asked an engine for its report. Answers what was known before.
-    pub fn observe(&mut self, id: &id::Upstream, observed: Observed) -> Option<Observed> {
+    /// Records a report that this VM fetched from an engine. Returns the previous one.
+    pub fn record_report(&mut self, id: &id::Upstream, observed: Observed) -> Option<Observed> {
         let upstream = self.upstreams.get_mut(id)?;
-        upstream.asked = true;
+        upstream.is_own_report = true;
         upstream.observed.replace(observed)
     }
 
-    /// The reports that this VM asked for and that still count, as peers are told of them.
-    pub fn told_reports(&self, now: Instant) -> Vec<report::Told> {
-        let fresh = |o: &Observed| now.saturating_duration_since(o.at) < REPORT_LASTS;
-        let asked = self.upstreams.values().filter(|u| u.asked);
-        asked.filter_map(|u| u.observed.filter(fresh).map(|o| o.told(u.tag, now))).collect()
+    /// The reports that this VM fetched and that are fresh, as announced to peers.
+    pub fn announced_reports(&self, now: Instant) -> Vec<report::Announcement> {
+        let is_fresh = |o: &Observed| now.saturating_duration_since(o.at) < REPORT_FRESHNESS_WINDOW;
+        let own = self.upstreams.values().filter(|u| u.is_own_report);
+        own.filter_map(|u| u.observed.filter(is_fresh).map(|o| o.announcement(u.tag, now)))
+            .collect()
     }
 
-    /// Takes the reports that a peer has, where they are newer.
-    pub fn hear_reports(&mut self, told: &[report::Told], now: Instant) {
-        for told in told {
-            let Some(id) = self.tags.get(&told.upstream) else { continue };
+    /// Merges the reports that a peer announced, where they are newer.
+    pub fn merge_reports(&mut self, announced: &[report::Announcement], now: Instant) {
+        for announcement in announced {
+            let Some(id) = self.tags.get(&announcement.upstream) else { continue };
             let Some(upstream) = self.upstreams.get_mut(id) else { continue };
-            let observed = Observed::heard(told, now);
-            if upstream.observed.is_none_or(|known| known.at < observed.at) {
+            let observed = Observed::from_announcement(announcement, now);
+            if upstream.observed.is_none_or(|current| current.at < observed.at) {
                 upstream.observed = Some(observed);
-                upstream.asked = false;
+                upstream.is_own_report = false;
             }
         }
     }
--- a/request/tests/cold.rs
+++ b/request/tests/cold.rs
@@ -1,5 +1,5 @@
-//! A whole hall comes back cold: its upstreams are slow for some seconds, and end under more than some requests
-//! a second. The load of the fleet must not fall on them at once.
+//! Cold upstreams are slow for some seconds and crash under more than some requests a second. When a whole data
+//! hall restarts, the load of the fleet must not reach its upstreams at once.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -14,11 +14,11 @@
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::{Bounds, Service, Table};
 
-/// What a cold upstream bears a second.
+/// Requests a second that a cold upstream can take.
 const PER_S: f64 = 14.0;
 
-/// What ends it, with some to spare.
-const MOST: usize = 26;
+/// Requests a second under which a cold upstream crashes, less a margin.
+const MAX_PER_S: usize = 26;
 
 const COLD: Duration = Duration::from_secs(3);
 
@@ -36,7 +36,7 @@
     format!("i-{i:02}").parse().unwrap()
 }
 
-/// A cluster state of upstreams, of which the first ones are cold.
+/// A cluster state of upstreams, the first `cold` of them cold.
 fn cluster(upstreams: usize, cold: usize, now: Instant) -> Cluster {
     let mut cluster = Cluster::default();
     for i in 0..upstreams {
@@ -52,7 +52,7 @@
             cold_ms: 0,
         });
     }
-    (0..cold).for_each(|i| cluster.note_cold(&upstream(i), COLD, now));
+    (0..cold).for_each(|i| cluster.set_cold(&upstream(i), COLD, now));
     cluster
 }
 
@@ -75,9 +75,9 @@
     }
 }
 
-/// Asks for placements at this pace for two seconds; each answer takes 50 ms. Gives when each upstream was sent
-/// requests.
-fn played(
+/// Requests placements at this interval for two seconds; each request takes 50 ms. Returns when requests were sent,
+/// by upstream.
+fn simulate(
     cluster: &mut Cluster,
     start: Instant,
     every: Duration,
@@ -105,8 +105,8 @@
     sent
 }
 
-/// The most of these moments within a second.
-fn most_in_a_second(times: &[Instant]) -> usize {
+/// The largest number of these times within a second.
+fn max_in_a_second(times: &[Instant]) -> usize {
     let within = |from: &Instant| {
         times.iter().filter(|at| *at >= from && **at < *from + Duration::from_secs(1)).count()
     };
@@ -114,79 +114,79 @@
 }
 
 #[test]
-fn a_cold_upstream_gets_no_more_than_it_bears_however_many_ask() {
+fn a_cold_upstream_gets_no_more_than_it_can_take_under_overload() {
     let now = Instant::now();
     let mut cluster = cluster(4, 4, now);
-    let sent = played(&mut cluster, now, Duration::from_millis(2));
+    let sent = simulate(&mut cluster, now, Duration::from_millis(2));
     for i in 0..4 {
-        let most = most_in_a_second(&sent[&upstream(i)]);
+        let most = max_in_a_second(&sent[&upstream(i)]);
         assert!(most <= PER_S as usize && most > PER_S as usize / 2, "{most}");
     }
 }
 
 #[test]
-fn those_that_are_warm_take_the_load_while_they_have_room() {
+fn warm_upstreams_take_the_load_while_they_have_room() {
     let now = Instant::now();
     let mut cluster = cluster(4, 2, now);
-    let sent = played(&mut cluster, now, Duration::from_millis(10));
-    assert_eq!(sent.values().map(Vec::len).sum::<usize>(), 200, "none waits");
+    let sent = simulate(&mut cluster, now, Duration::from_millis(10));
+    assert_eq!(sent.values().map(Vec::len).sum::<usize>(), 200, "none is queued");
     let cold: usize = (0..2).filter_map(|i| sent.get(&upstream(i))).map(Vec::len).sum();
     assert!(cold <= 2 * 2 * PER_S as usize, "{cold}");
 }
 
 #[test]
-fn it_is_used_like_any_other_once_it_is_warm() {
+fn a_warm_upstream_is_used_without_a_bound() {
     let now = Instant::now();
     let mut cluster = cluster(1, 1, now);
-    let sent = played(&mut cluster, now + COLD, Duration::from_millis(2));
+    let sent = simulate(&mut cluster, now + COLD, Duration::from_millis(2));
     assert_eq!(sent[&upstream(0)].len(), 1_000);
 }
 
 #[test]
-fn a_request_waits_where_all_bear_no_more() {
+fn placement_is_rejected_as_full_when_all_cold_upstreams_are_at_capacity() {
     let now = Instant::now();
     let mut cluster = cluster(1, 1, now);
-    played(&mut cluster, now, Duration::from_millis(2));
+    simulate(&mut cluster, now, Duration::from_millis(2));
     let later = now + Duration::from_millis(1_999);
     let placed = placement::place(&cluster, &service(), &requirements(later, 1), later);
     assert!(matches!(placed, Err(Rejection::Full)), "{placed:?}");
 }
 
-/// The scheduler is not heard: 91 VMs place for themselves, and none hears of the others in time.
+/// Without a scheduler, 91 VMs place requests independently and receive no announcements of the others in time.
 #[test]
-fn vms_that_each_place_for_themselves_divide_what_a_cold_upstream_bears() {
+fn vms_without_a_scheduler_share_the_capacity_of_a_cold_upstream() {
     let now = Instant::now();
     let vms = 91;
     let mut sent: HashMap<id::Upstream, Vec<Instant>> = HashMap::new();
     for vm in 0..vms {
         let mut cluster = cluster(60, 20, now);
         for number in 0..4_u64 {
-            // Some 200 requests a second of all, each at the VM that its caller found.
+            // Some 200 requests a second in total, spread over the VMs by their callers.
             let at = now + Duration::from_millis(250 * number + vm as u64);
             let requirements =
                 Requirements { offset: vm * 7 + number as usize, ..requirements(at, vms) };
             let placement = placement::place(&cluster, &service(), &requirements, at).unwrap();
-            cluster.enter(number, placement.flight.clone(), at);
+            cluster.begin_attempt(number, placement.flight.clone(), at);
             sent.entry(placement.flight.upstream).or_default().push(at);
         }
     }
     for i in 0..20 {
-        let most = sent.get(&upstream(i)).map_or(0, |times| most_in_a_second(times));
-        assert!(most <= MOST, "{most} at {i}");
+        let most = sent.get(&upstream(i)).map_or(0, |times| max_in_a_second(times));
+        assert!(most <= MAX_PER_S, "{most} at {i}");
     }
 }
 
-/// A peer's requests that this VM did not place count as well.
+/// Requests that a peer placed itself count too, once it has announced them.
 #[test]
-fn requests_that_a_peer_tells_of_count() {
+fn requests_announced_by_a_peer_count() {
     let now = Instant::now();
     let mut there = cluster(1, 1, now);
     let mut here = cluster(1, 1, now);
     for number in 0..14 {
         let placement = placement::place(&there, &service(), &requirements(now, 1), now).unwrap();
-        there.enter(number, placement.flight.clone(), now);
+        there.begin_attempt(number, placement.flight.clone(), now);
     }
-    here.hear(&"vm-2".parse().unwrap(), &there.told(now), 0, now);
-    assert_eq!(here.begun(&upstream(0), now), 14);
+    here.merge_flights(&"vm-2".parse().unwrap(), &there.announced_flights(now), 0, now);
+    assert_eq!(here.sent_recently(&upstream(0), now), 14);
     assert!(placement::place(&here, &service(), &requirements(now, 1), now).is_err());
 }
--- a/request/tests/line.rs
+++ b/request/tests/line.rs
@@ -124,8 +124,8 @@
     let line = Line { turns: &turns, demand: 0.0, offset: 0, kept: 0 };
     let placed = placement::line(cluster, &service(), &ENGINE, line, now);
     for (_, placement) in &placed {
-        let number = cluster.number();
-        cluster.enter(number, placement.flight.clone(), now);
+        let number = cluster.next_number();
+        cluster.begin_attempt(number, placement.flight.clone(), now);
     }
     placed
 }
@@ -194,19 +194,19 @@
             assert!(refusals > 0, "a group of so many holds one of them");
             return;
         };
-        prompt.avoid.push(Tag::of(flight.left_out(suspect).as_str()));
+        prompt.avoid.push(Tag::of(flight.excluded_after(suspect).as_str()));
     }
     panic!("three refusals named three engines, and the next group holds one of them");
 }
 
 fn observe(cluster: &mut Cluster, i: usize, report: Option<Report>, at: Instant) {
-    cluster.observe(&upstream(i), Observed { report, at });
+    cluster.record_report(&upstream(i), Observed { report, at });
 }
 
 #[test]
 fn a_slow_engine_is_left_out_of_a_group() {
     let (mut cluster, now) = (cluster(6), Instant::now());
-    let slow = Report { pace: 5.0, running: 0, waiting: 0, memory: Tokens(0), born: None };
+    let slow = Report { slowdown: 5.0, running: 0, waiting: 0, memory: Tokens(0), born: None };
     observe(&mut cluster, 4, Some(slow), now);
     let placed = place(&mut cluster, &[requirements(182_000, now)], now);
     assert!(!engines(&placed[0].1).contains(&upstream(4)), "{placed:?}");
@@ -220,7 +220,7 @@
     let (mut here, mut there) = (cluster(6), cluster(6));
     let now = Instant::now();
     observe(&mut here, 5, None, now);
-    there.hear_reports(&here.told_reports(now), now);
+    there.merge_reports(&here.announced_reports(now), now);
     let placed = place(&mut there, &[requirements(182_000, now)], now);
     assert!(!engines(&placed[0].1).contains(&upstream(5)), "{placed:?}");
 }
@@ -230,15 +230,15 @@
     let (mut here, mut there) = (cluster(2), cluster(2));
     let now = Instant::now();
     let report =
-        |pace| Some(Report { pace, running: 1, waiting: 0, memory: Tokens(9), born: None });
+        |slowdown| Some(Report { slowdown, running: 1, waiting: 0, memory: Tokens(9), born: None });
     observe(&mut here, 0, report(3.0), now);
     observe(&mut there, 0, report(1.0), now + Duration::from_millis(600));
     let later = now + Duration::from_millis(650);
-    there.hear_reports(&here.told_reports(later), later);
-    assert_eq!(there.get(&upstream(0)).unwrap().pace(later), 1.0);
-    here.hear_reports(&there.told_reports(later), later);
-    assert_eq!(here.get(&upstream(0)).unwrap().pace(later), 1.0);
-    assert!(here.told_reports(later).is_empty(), "who asked last tells");
+    there.merge_reports(&here.announced_reports(later), later);
+    assert_eq!(there.get(&upstream(0)).unwrap().slowdown(later), 1.0);
+    here.merge_reports(&there.announced_reports(later), later);
+    assert_eq!(here.get(&upstream(0)).unwrap().slowdown(later), 1.0);
+    assert!(here.announced_reports(later).is_empty(), "who asked last tells");
 }
 
 proptest! {
