--- a/request/src/scheduler.rs
+++ b/request/src/scheduler.rs
@@ -1,8 +1,10 @@
-//! The scheduler: one VM that places the requests of all, one after the other, by what all tell it.
+//! The scheduler: one VM that places the requests of all VMs, one after the other, from the state
+//! that they announce.
 //!
-//! What two VMs place without having heard of each other lies on the same engines; one that places
-//! for all has no such moment. It keeps nothing that lasts: another VM takes over with what it is
-//! told, and a VM that hears no scheduler places its own requests by what it knows.
+//! Two VMs that place requests concurrently, before either has announced its own, choose the same
+//! engines. A single scheduler has no such race. It keeps no durable state: another VM takes over
+//! from what the VMs announce, and a VM that reaches no scheduler places its own requests from its
+//! local state.
 
 mod backlog;
 
@@ -20,32 +22,33 @@
 
 use backlog::Backlog;
 
-/// How long a request waits without a word of its VM, which asks again several times in this time:
-/// its caller has left, or its VM has ended or asks elsewhere.
+/// Time after which a queued request is dropped if its VM has not repeated the grant request. A VM
+/// repeats it several times within this time, so the caller has left, or the VM has stopped or asks
+/// another scheduler.
 const ASK_LASTS: Duration = Duration::from_millis(600);
 
-/// How long a placement that was given is kept for a VM that asks again since it did not hear of it.
+/// How long a grant is kept for a VM that repeats its request because the reply was lost.
 const PLACED_LASTS: Duration = Duration::from_millis(600);
 
-/// A request that waits or was placed.
+/// Identifies a request that is queued or was granted a placement.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key {
-    /// The VM that has it.
+    /// The VM that received the request.
     pub holder: Holder,
-    /// The start of that VM's process.
+    /// The incarnation of that VM.
     pub incarnation: u64,
-    /// The number that the VM gave it.
+    /// The number that the VM assigned to the request.
     pub number: u64,
 }
 
-/// The answer to a VM.
+/// The reply to a grant request.
 #[derive(Debug, Clone)]
 pub enum Answer {
-    /// There is a placement, given by the message with this number.
+    /// A placement, with the number of the grant.
     Placed(Box<Placement>, u64),
-    /// It waits for one.
+    /// The request is queued.
     Waits,
-    /// There is none, and waiting brings none.
+    /// There is no placement, and queueing would not help.
     Rejected(Rejection),
 }
 
@@ -57,7 +60,7 @@
     heard: Instant,
 }
 
-/// A request that gets a placement, and what that is to the budget.
+/// A request that gets a placement, with its charge to the retry budget.
 struct Charged {
     key: Key,
     service: Tag,
@@ -71,7 +74,7 @@
     at: Instant,
 }
 
-/// A long prompt that was asked for.
+/// A long prompt for which a placement was requested.
 #[derive(Debug)]
 struct Asked {
     at: Instant,
@@ -79,7 +82,7 @@
     read_ms: f64,
 }
 
-/// The scheduler.
+/// Places the requests of all VMs.
 #[derive(Debug, Default)]
 pub struct Scheduler {
     waiters: Vec<Waiter>,
@@ -88,17 +91,17 @@
     grants: HashMap<Holder, u64>,
     pressure: Pressure,
     backlog: Backlog,
-    /// The fleet's retry budget, as far as this VM schedules it.
+    /// The fleet's retry budget, for requests that this VM schedules.
     pub budget: Budget,
 }
 
 impl Scheduler {
-    /// A scheduler that nothing has asked yet.
+    /// Creates a scheduler without requests.
     pub fn new(figures: Figures) -> Scheduler {
         Scheduler { budget: Budget::new(figures), ..Scheduler::default() }
     }
 
-    /// A VM asks for a placement, for the first time or again.
+    /// Handles a grant request of a VM, the first one or a repeated one.
     pub fn ask(
         &mut self,
         cluster: &mut Cluster,
@@ -113,7 +116,7 @@
         }
         if let Some(waiter) = self.waiters.iter_mut().find(|waiter| waiter.key == key) {
             waiter.heard = now;
-            // A rest that was asked for meanwhile, or is over.
+            // An upstream may have asked for a backoff meanwhile, or its backoff may have ended.
             waiter.requirements.avoid = requirements.avoid;
             return Answer::Waits;
         }
@@ -172,7 +175,7 @@
         Answer::Waits
     }
 
-    /// A VM asks no more for this placement.
+    /// Removes a request that no longer needs a placement, and releases its grant.
     pub fn cancel(&mut self, cluster: &mut Cluster, key: &Key, now: Instant) {
         self.waiters.retain(|waiter| waiter.key != *key);
         if self.placed.remove(key).is_some() {
@@ -180,12 +183,12 @@
         }
     }
 
-    /// Whether anything waits.
+    /// Whether the queue is empty.
     pub fn is_idle(&self) -> bool {
         self.waiters.is_empty()
     }
 
-    /// The requests that wait.
+    /// The number of queued requests.
     pub fn waiting(&self) -> usize {
         self.waiters.len()
     }
@@ -194,7 +197,8 @@
         self.waiters.iter().filter(|waiter| waiter.service == service).count()
     }
 
-    /// Places what waits and has a placement now.
+    /// Grants placements to queued requests where possible, and rejects those that can no longer be
+    /// served.
     pub fn look(
         &mut self,
         cluster: &mut Cluster,
@@ -271,7 +275,7 @@
         }
     }
 
-    /// Queued requests of a service, by due time.
+    /// Queued requests of a service, earliest deadline first.
     fn due(&self, service: Tag, of: impl Fn(&Waiter) -> bool) -> Vec<Key> {
         let waiters = self.waiters.iter().filter(|waiter| waiter.service == service && of(waiter));
         let mut due: Vec<(Instant, &Key)> = waiters
@@ -283,7 +287,7 @@
         due.into_iter().map(|(_, key)| key.clone()).collect()
     }
 
-    /// Tells those that wait and are kept from all upstreams by now.
+    /// Rejects queued requests that have been quarantined meanwhile.
     fn turn_away(&mut self, cluster: &Cluster, now: Instant, answers: &mut Vec<(Key, Answer)>) {
         self.waiters.retain(|waiter| {
             match runs_alone(cluster, waiter.requirements.fingerprint, now) {
@@ -296,7 +300,7 @@
         });
     }
 
-    /// Tells those that wait for a service whose halls have all been drained.
+    /// Rejects the queued requests of a service whose data halls have all been drained.
     fn turn_away_all(&mut self, service: Tag, answers: &mut Vec<(Key, Answer)>) {
         self.waiters.retain(|waiter| {
             if waiter.service == service {
@@ -306,7 +310,7 @@
         });
     }
 
-    /// Short requests, the one that is due first before the others.
+    /// Places short requests, earliest deadline first.
     fn place_short(
         &mut self,
         cluster: &mut Cluster,
@@ -327,7 +331,7 @@
         }
     }
 
-    /// Long prompts, by their line.
+    /// Places long prompts in the order of the long queue.
     fn place_long(
         &mut self,
         cluster: &mut Cluster,
@@ -361,7 +365,7 @@
             })
             .collect();
         for (charged, fingerprint, mut placement) in placed {
-            // Of two copies in one line the first runs alone, and the other waits for it.
+            // Of two copies in the queue, the first runs isolated and the other stays queued.
             let Ok(alone) = runs_alone(cluster, fingerprint, now) else { continue };
             placement.flight.alone = alone.then_some(fingerprint);
             let key = charged.key.clone();
@@ -370,13 +374,13 @@
         }
     }
 
-    /// The engines that the long prompts of late keep busy in the mean.
+    /// The mean number of engines that recent long prompts keep busy.
     fn demand(&self, service: Tag) -> f64 {
         let of = self.asked.iter().filter(|asked| asked.service == service);
         of.map(|asked| asked.read_ms).sum::<f64>() / (DEMAND_WINDOW.as_secs_f64() * 1e3)
     }
 
-    /// Gives a placement, unless the budget has no token left for it.
+    /// Grants a placement, unless the retry budget has no token left for it.
     fn give(
         &mut self,
         cluster: &mut Cluster,
@@ -397,7 +401,7 @@
         Answer::Placed(Box::new(placement), grant)
     }
 
-    /// Forgets what is asked for no more.
+    /// Drops queued requests that were not repeated in time, expired grants and outdated demand.
     fn forget(&mut self, cluster: &mut Cluster, now: Instant) {
         let age = |at: Instant| now.saturating_duration_since(at);
         self.waiters
--- a/request/src/scheduler/backlog.rs
+++ b/request/src/scheduler/backlog.rs
@@ -36,8 +36,8 @@
 }
 
 impl Backlog {
-    /// Rejects a request that would wait too long behind `ahead` others. A request that is queued already gets one turn
-    /// of tolerance.
+    /// Rejects a request that would wait too long behind `ahead` others. A request that is already
+    /// queued is allowed one more service interval of the queue.
     pub(super) fn check(
         &mut self,
         service: Tag,
@@ -56,7 +56,8 @@
         Err(Rejection::Limited { after_ms })
     }
 
-    /// Hands out one retry time per turn behind the queue, and wraps around at the longest spread.
+    /// Hands out one retry time per service interval behind the queue, and wraps around at the
+    /// longest spread.
     fn come_back(&mut self, service: Tag, rate: Rate, wait: Duration, now: Instant) -> Duration {
         let first = wait.min(LONGEST_SPREAD);
         let next = self.next.entry(service).or_insert(now);
