--- a/request/src/placement.rs
+++ b/request/src/placement.rs
@@ -1,11 +1,12 @@
-//! Where a request runs.
+//! Chooses the upstreams on which a request runs.
 //!
-//! Short prompts fill engines one after the other; long prompts are read in even parts by the engines
-//! at the other end of that order. So the border between the two moves with the demand, and few long
-//! reads fall beside short answers.
+//! Short prompts fill engines one after the other. Long prompts are split into equal parts and read
+//! by the engines at the other end of that order. The boundary between the two thus moves with the
+//! demand, and few long prefills run on engines with short responses.
 //!
-//! A short prompt opens one engine more only where it were late on those that write already: an
-//! engine with a single short answer is lost to long prompts for as long as that answer lasts.
+//! A short prompt opens another engine only if it would be late on those that are already decoding:
+//! an engine with a single short response is lost to long prompts for as long as that response
+//! lasts.
 
 mod candidate;
 mod group;
@@ -30,75 +31,78 @@
 use candidate::{Candidate, candidates, rejection};
 pub use group::{DEMAND_WINDOW, Line, Turn, is_too_long, line};
 
-/// The part of the objective within which a short prompt's first event has to be predicted for an
-/// engine to be filled further before others are compared.
+/// Share of the objective within which a short prompt's first event must be predicted for an engine
+/// to be filled further before other engines are compared.
 const IN_TIME: f64 = 0.6;
 
-/// The part of the objective beyond which a short prompt goes to an engine without short answers
-/// rather than beside others: one prediction in ten is a third too low.
+/// Share of the objective beyond which a short prompt goes to an engine without short responses
+/// instead of sharing one: one prediction in ten is a third too low.
 const BESIDE: f64 = 0.85;
 
-/// The part of the objective within which the first event of the prompt has to come that waits longest
-/// for the pass that would read this one, too: each read that is added holds up those before it. Where
-/// many short prompts come at once, one in ten was late without it.
+/// Share of the objective within which the first event must come of the prompt that waits longest
+/// for the pass that would read the new one too: each added prefill delays those before it. Without
+/// this limit, one in ten was late where many short prompts arrive at once.
 const FIRST: f64 = 0.9;
 
-/// A prompt that is read in this part of its objective stays whole on one engine.
+/// A prompt whose prefill takes at most this share of its objective is not split.
 const WHOLE: f64 = 0.55;
 
-/// What is to be placed.
+/// What a request needs of a placement.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Requirements {
-    /// The prompt.
+    /// The length of the prompt.
     pub prompt: Tokens,
-    /// Memory for prompt and answer.
+    /// Engine memory for prompt and response.
     pub memory: Tokens,
-    /// The time from its arrival within which its first event is in time.
+    /// Latency target for the first event, from arrival.
     pub objective: Duration,
-    /// The longest pause of a stream in time; none for whole answers.
+    /// The longest acceptable pause between events of a stream; none for responses that are sent
+    /// whole.
     pub pause: Option<Duration>,
     /// When the request arrived.
     pub arrived: Instant,
-    /// The time from its arrival after which it is of no use to be placed.
+    /// Time from arrival after which the request is no longer placed.
     pub limit: Duration,
-    /// Upstreams that failed this request, and those that asked its VM for a rest.
+    /// Upstreams that failed this request, and those whose backoff for its VM has not ended.
     pub avoid: Vec<Tag>,
-    /// Upstreams to which its VM has a connection, which come first among equals.
+    /// Upstreams to which its VM has a connection; preferred among equals.
     pub connected: Vec<Tag>,
-    /// The hall whose upstreams come first.
+    /// The data hall whose upstreams are preferred.
     pub hall: String,
-    /// How long a first event may take for which several engines hold memory.
+    /// The longest acceptable time to the first event while several engines reserve memory for it.
     pub hold_limit: Duration,
-    /// By which it is known again when it comes again.
+    /// Identifies copies of the same request.
     pub fingerprint: Fingerprint,
-    /// How far on in the order of upstreams to begin: VMs that each place their own begin anywhere,
-    /// so that they do not all meet at the first.
+    /// Where to begin in the order of upstreams. VMs that place their own requests begin at
+    /// different offsets, so that they do not all choose the first upstream.
     pub offset: usize,
-    /// The VMs that may place at the same time without hearing of each other: what a cold upstream bears is
-    /// divided among them. One where a VM places for all.
+    /// The number of VMs that may place requests concurrently without knowing each other's
+    /// placements. The capacity of a cold upstream is divided among them. One where a scheduler
+    /// places all requests.
     pub schedulers: usize,
-    /// What it is to the fleet's retry budget.
+    /// Its charge to the fleet's retry budget.
     pub charge: Charge,
 }
 
 impl Requirements {
-    /// The longest pause, milliseconds.
+    /// The longest acceptable pause, milliseconds.
     fn pause_ms(&self) -> u32 {
         self.pause.map_or(u32::MAX, |pause| pause.as_millis() as u32)
     }
 
-    /// Whether its answer has short pauses.
+    /// Whether its response is interactive.
     fn is_brisk(&self) -> bool {
         self.pause_ms() <= BRISK_MS
     }
 
-    /// Milliseconds left for a first event in time; negative once it is late.
+    /// Milliseconds until the deadline of the first event; negative once it has passed.
     fn left_ms(&self, now: Instant) -> f64 {
         let waited = now.saturating_duration_since(self.arrived);
         (self.objective.as_secs_f64() - waited.as_secs_f64()) * 1e3
     }
 
-    /// Milliseconds of reading if this is a long prompt, which waits in the line; none for others.
+    /// Prefill time in milliseconds if this is a long prompt, which goes through the long queue;
+    /// none for others.
     pub fn long_read_ms(&self, engine: &Engine) -> Option<f64> {
         let read = forecast::read_ms(engine, self.prompt.0);
         let objective = self.objective.as_secs_f64() * 1e3;
@@ -107,7 +111,8 @@
     }
 }
 
-/// The longest pause with which a route's streams are in time; none for whole answers.
+/// The longest acceptable pause between events of a route's streams; none for responses that are
+/// sent whole.
 pub fn pause(route: &Route) -> Option<Duration> {
     match route.shape {
         Shape::Events { pause } => Some(pause),
@@ -115,39 +120,41 @@
     }
 }
 
-/// A placement.
+/// The upstreams on which a request runs.
 #[derive(Debug, Clone)]
 pub struct Placement {
-    /// How it counts in the cluster state.
+    /// The in-flight attempt to record in the cluster state.
     pub flight: Flight,
-    /// The predicted time to the first event, milliseconds; 0 where there is no model.
+    /// The predicted time to the first event, milliseconds; 0 where the service has no engine
+    /// model.
     pub predicted_ms: f64,
-    /// The load that decided it.
+    /// The load of the upstream at the time of the decision.
     pub load: Load,
-    /// The helpers with the most ahead, and their loads.
+    /// The helpers with the largest backlog, and their loads.
     pub slowest: Vec<(id::Upstream, Load)>,
-    /// The upstreams among which it was chosen.
+    /// The number of candidates among which it was chosen.
     pub open: usize,
-    /// Upstreams that were at their rate limits.
+    /// The number of upstreams that were at their rate limits.
     pub limited: usize,
     /// The upstream's rate limit as known to the VM that granted the placement.
     pub limit: Option<Limit>,
 }
 
-/// Why there is no placement.
+/// Why a request was not placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Rejection {
-    /// No upstream of the service is known to be open.
+    /// No upstream of the service is available.
     Closed,
     /// All upstreams of the service are in data halls that an operator has drained.
     Drained,
-    /// All have as much as they take; it may change soon.
+    /// All upstreams are at capacity; this may change soon.
     Full,
-    /// The request is longer than all engines of the service together read in time.
+    /// The prompt is too long for all engines of the service together to read in time.
     TooLarge,
-    /// All upstreams of the service asked the VM for a rest, the first of them for this long.
+    /// All upstreams of the service asked the VM for a backoff; the first of them ends after this
+    /// time.
     Resting {
-        /// Milliseconds.
+        /// Remaining time, milliseconds.
         left_ms: u64,
     },
     /// All upstreams of the service are rate-limited, and the request would queue for too long.
@@ -155,11 +162,11 @@
         /// Retry-After, milliseconds.
         after_ms: u64,
     },
-    /// The fleet's retry budget for the service is spent.
+    /// The fleet's retry budget for the service is exhausted.
     OverBudget(Exhausted),
-    /// The request ended upstreams and is kept from all for this long.
+    /// The request crashed upstreams and is quarantined for this time.
     Quarantined {
-        /// Milliseconds.
+        /// Remaining time, milliseconds.
         left_ms: u64,
     },
 }
@@ -167,29 +174,27 @@
 impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Rejection::Closed => f.write_str("no upstream takes requests now"),
+            Rejection::Closed => f.write_str("no upstream is available"),
             Rejection::Drained => {
                 f.write_str("an operator has drained the data halls of all upstreams")
             }
-            Rejection::Full => f.write_str("all upstreams have as much as they take"),
-            Rejection::TooLarge => {
-                f.write_str("a prompt this long is beyond all upstreams together")
-            }
+            Rejection::Full => f.write_str("all upstreams are at capacity"),
+            Rejection::TooLarge => f.write_str("the prompt is too long for all upstreams together"),
             Rejection::Resting { left_ms } => {
-                write!(f, "all upstreams asked for a rest, the first for {left_ms} ms more")
+                write!(f, "all upstreams asked for a backoff, the first ends in {left_ms} ms")
             }
             Rejection::Limited { after_ms } => {
-                write!(f, "all upstreams are at their rate limits, come back in {after_ms} ms")
+                write!(f, "all upstreams are at their rate limits, retry in {after_ms} ms")
             }
-            Rejection::OverBudget(_) => f.write_str("the fleet's retry budget is spent"),
+            Rejection::OverBudget(_) => f.write_str("the fleet's retry budget is exhausted"),
             Rejection::Quarantined { left_ms } => {
-                write!(f, "the request is kept from all upstreams for {left_ms} ms more")
+                write!(f, "the request is quarantined for {left_ms} ms more")
             }
         }
     }
 }
 
-/// Finds a placement for a request that does not wait in a line of others.
+/// Finds a placement for a request that is not queued with others.
 pub fn place(
     cluster: &Cluster,
     service: &Service,
@@ -218,8 +223,8 @@
     Ok(placement)
 }
 
-/// Finds a placement for a long prompt on a single rate-limited upstream, if all are limited or one is due for a probe. Limited
-/// upstreams take no parts of a split prompt.
+/// Finds a placement for a long prompt on a single rate-limited upstream, if all upstreams are
+/// limited or one is due for a probe. Limited upstreams take no parts of a split prompt.
 pub fn place_whole(
     cluster: &Cluster,
     service: &Service,
@@ -238,7 +243,8 @@
     Ok(placement)
 }
 
-/// Whether a request is to run alone, if it may run now at all: one copy at a time does.
+/// Whether a request has to run isolated. Fails if it may not run now: it is quarantined, or
+/// another copy already runs isolated.
 pub fn runs_alone(
     cluster: &Cluster,
     fingerprint: Fingerprint,
@@ -252,7 +258,8 @@
     }
 }
 
-/// The placement of a request that runs alone: where least is under way, which is nothing as a rule.
+/// Places a request on the upstream with the fewest attempts and prefill parts in flight. For an
+/// isolated request that is usually an idle one.
 fn apart(
     requirements: &Requirements,
     engine: Option<&Engine>,
@@ -313,7 +320,7 @@
     Ok(placed(requirements, best, &[], read, predicted, open))
 }
 
-/// The engine among those that `may` whose first event is predicted soonest.
+/// The eligible engine with the earliest predicted first event.
 fn least(
     candidates: &[Candidate<'_>],
     engine: &Engine,
@@ -329,7 +336,7 @@
         .map(|(index, _)| index)
 }
 
-/// Helpers that are named in the record of a decision.
+/// Maximum number of helpers that are named in the record of a decision.
 const NAMED: usize = 4;
 
 fn slowest(helpers: &[(&Candidate<'_>, u64)]) -> Vec<(id::Upstream, Load)> {
--- a/request/src/placement/candidate.rs
+++ b/request/src/placement/candidate.rs
@@ -1,4 +1,4 @@
-//! The upstreams that may take a request, and what would become of it there.
+//! The upstreams that may take a request, with predictions of its latency there.
 
 use std::time::{Duration, Instant};
 
@@ -9,24 +9,25 @@
 use crate::forecast;
 use crate::pace::Bound;
 
-/// Kept from a pause, milliseconds, for one more short prompt that comes in.
+/// Reserved from each pause, milliseconds, for one more short prompt that arrives.
 const PAUSE_MARGIN_MS: f64 = 30.0;
 
 /// Longest time without a request to a rate-limited upstream while there is traffic.
 const PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Answers with short pauses beside which parts of any length are read: a single one would keep its
-/// engine from long prompts for as long as it lasts.
+/// Maximum number of interactive responses on an engine that still reads parts of any length. With
+/// zero, a single such response would keep its engine from long prompts for as long as it lasts.
 const LONE: u32 = 1;
 
-/// An upstream, and what is under way there.
+/// An upstream with its current load.
 #[derive(Clone)]
 pub(super) struct Candidate<'a> {
     pub(super) upstream: &'a Upstream,
     pub(super) load: Load,
-    /// How many times longer its work takes than its figures say.
+    /// Measured over expected time of its work.
     pub(super) pace: f64,
-    /// Whether it is rate-limited and due for a probe, since only an answer shows whether the limit has ended.
+    /// Whether it is rate-limited and due for a probe, since only a response shows whether the
+    /// limit has ended.
     pub(super) is_due: bool,
 }
 
@@ -46,16 +47,16 @@
         }
     }
 
-    /// When the first event of a prompt comes that is sent now: at the end of the pass that reads it,
-    /// which begins when the one that runs is over.
+    /// The predicted time to the first event of a prompt that is sent now. The event comes at the
+    /// end of the pass that reads the prompt, which begins when the running pass has ended.
     pub(super) fn predicted_ms(&self, engine: &Engine, part_ms: f64) -> f64 {
         let writers = self.load.writers + 1;
         let pass = forecast::pass_ms(engine, writers, self.load.memory);
         self.load.pass_ms + (self.load.next_ms + part_ms + pass) * self.pace
     }
 
-    /// What a new read waits for: reads that came before it and, where some request writes, the
-    /// rest of the pass that runs.
+    /// The delay before a new prefill begins: earlier prefills and, if the engine is decoding, the
+    /// rest of the running pass.
     pub(super) fn ahead_ms(&self, engine: &Engine) -> f64 {
         let load = &self.load;
         let pass = forecast::pass_ms(engine, load.writers, load.memory);
@@ -63,13 +64,13 @@
         running * self.pace + load.backlog_ms
     }
 
-    /// The milliseconds of reading that one pass may hold so that no answer here pauses for too
-    /// long, with one more whose pause is `pause_ms`.
+    /// Prefill milliseconds that fit into one pass without too long a pause for any response on
+    /// this engine, including a new one with `pause_ms`.
     pub(super) fn allowance_ms(&self, engine: &Engine, pause_ms: u32) -> f64 {
         self.allowed_ms(engine, self.load.pause_ms.map_or(pause_ms, |ms| ms.min(pause_ms)))
     }
 
-    /// The longest part of a long prompt that may be read here.
+    /// The longest part of a long prompt that may be read on this engine.
     pub(super) fn part_allowance_ms(&self, engine: &Engine) -> f64 {
         let pause_ms = if self.is_crowded() { self.load.pause_ms } else { self.load.calm_ms };
         self.allowed_ms(engine, pause_ms.unwrap_or(u32::MAX))
@@ -80,12 +81,12 @@
         (f64::from(pause_ms) - PAUSE_MARGIN_MS) / self.pace - pass
     }
 
-    /// Whether too many answers with short pauses are under way here for parts of any length.
+    /// Whether the engine has too many interactive responses for parts of any length.
     pub(super) fn is_crowded(&self) -> bool {
         self.load.brisk > LONE
     }
 
-    /// Whether an answer with short pauses is under way here.
+    /// Whether the engine has an interactive response in flight.
     pub(super) fn is_brisk(&self) -> bool {
         self.load.pause_ms.is_some_and(|ms| ms <= BRISK_MS)
     }
@@ -96,7 +97,7 @@
     }
 }
 
-/// Why no upstream is a candidate.
+/// The reason why no upstream is a candidate.
 pub(super) fn rejection(
     cluster: &Cluster,
     service: &Service,
@@ -111,8 +112,8 @@
     if cluster.open(&service.name).any(left) { Rejection::Full } else { Rejection::Closed }
 }
 
-/// The upstreams that take new work, those that are to be trusted alone if there are any, the asker's
-/// hall first; and the number of those at their rate limits.
+/// The upstreams that accept new requests, only healthy ones if there are any, those in the
+/// caller's data hall first; and the number of upstreams at their rate limits.
 pub(super) fn candidates<'a>(
     cluster: &'a Cluster,
     service: &'a Service,
@@ -143,8 +144,8 @@
     upstream.is_limited() && cluster.sent_within(&upstream.listed.id, PROBE_INTERVAL, now) == 0
 }
 
-/// Whether an upstream takes one more request, by its rate limit or while it is cold. Without a scheduler the requests
-/// of other VMs are unknown, so a limited upstream takes none.
+/// Whether an upstream accepts one more request, by its rate limit or while it is cold. Without a
+/// scheduler the requests of other VMs are unknown, so a limited upstream accepts none.
 pub(super) fn bears_more(
     cluster: &Cluster,
     service: &Service,
@@ -159,8 +160,8 @@
     cluster.takes_more(upstream, cold, now)
 }
 
-/// Those that did not fail of late and are not left to a request that runs alone, or all where there are
-/// no others.
+/// The upstreams that have not failed recently and run no isolated request; all of them if there
+/// are no others.
 pub(super) fn trusted<'a>(
     cluster: &Cluster,
     open: Vec<&'a Upstream>,
--- a/request/src/placement/group.rs
+++ b/request/src/placement/group.rs
@@ -1,8 +1,9 @@
-//! Groups of engines for long prompts: which of them answers, and which hold memory for it.
+//! Groups of engines for long prompts: which engine generates the response, and which reserve
+//! memory for it.
 //!
-//! The prompts of a line take their turn: one is placed if its engines are free now, else it is
-//! planned on the engines that are done with it soonest. So no part is put on one that is unread, and
-//! first events come when they are predicted.
+//! The queued prompts are taken in order. A prompt is placed if its engines are free now, and
+//! otherwise planned on the engines that finish it soonest. Thus no part is sent to an engine with
+//! an unread part, and first events come when they are predicted.
 
 use std::cmp::Reverse;
 use std::time::{Duration, Instant};
@@ -16,61 +17,65 @@
 use crate::forecast;
 use crate::line::{self, Capacity, Waiting};
 
-/// The longest part, milliseconds, where all engines were busy of late: all that comes meanwhile
-/// waits for it. Twice that where none was, so that the longest prompts find a placement on a calm fleet.
+/// The longest part, milliseconds, where all engines were busy recently: everything that arrives
+/// meanwhile waits for it. Up to twice that where engines were idle, so that the longest prompts
+/// can be placed on an idle fleet.
 const MOST_PART_MS: f64 = 1_000.0;
 
-/// The time over which the demand of long prompts is taken: the mix of lengths turns within some
-/// seconds.
+/// The window over which the demand of long prompts is measured: the mix of lengths changes within
+/// a few seconds.
 pub const DEMAND_WINDOW: Duration = Duration::from_millis(2_000);
 
-/// The most prompts of the line that are planned before one's own: beyond it their engines are busy
-/// for longer than callers wait.
+/// The maximum number of queued prompts that are planned in one run: later ones would find their
+/// engines busy for longer than callers wait.
 const MOST_PLANNED: usize = 32;
 
-/// How many times what other long prompts ask for has to be left to them for one to be read in longer parts.
+/// The remaining engines must cover the demand of other long prompts by this factor for a prompt to
+/// be read in longer parts.
 const TO_SPARE: f64 = 1.5;
 
-/// The part of the time for a first event whose prompt several engines hold that may be predicted.
+/// Share of the reservation timeout within which the first event must be predicted of a prompt for
+/// which several engines reserve memory.
 const HOLD_MARGIN: f64 = 0.85;
 
-/// The part of an engine's free memory that is asked for: what other VMs have just placed there
-/// takes the rest.
+/// Share of an engine's free memory that is used: requests that other VMs have just placed there
+/// may take the rest.
 const SPARE: f64 = 0.97;
 
-/// The least memory worth setting aside at one engine, tokens.
+/// The smallest useful reservation on one engine, tokens.
 const LEAST_HELD: u64 = 8_000;
 
-/// Which engine answers, and which set memory aside for it: indices and tokens.
+/// The engine that generates the response, and the engines that reserve memory for it: indices and
+/// tokens.
 struct Holding {
     main: usize,
     holders: Vec<(usize, u64)>,
 }
 
-/// A long prompt that waits for its turn.
+/// A queued long prompt.
 #[derive(Debug, Clone, Copy)]
 pub struct Turn<'a> {
-    /// What is asked for.
+    /// What the prompt needs.
     pub requirements: &'a Requirements,
-    /// By which the caller knows it.
+    /// Index that is returned with the placement.
     pub index: usize,
 }
 
-/// The long prompts that wait for the engines of one service.
+/// The queued long prompts of one service.
 #[derive(Debug, Clone, Copy)]
 pub struct Line<'a> {
-    /// The prompts, in no order.
+    /// The prompts, in any order.
     pub turns: &'a [Turn<'a>],
-    /// The engines that long prompts kept busy of late.
+    /// The mean number of engines that long prompts recently kept busy.
     pub demand: f64,
-    /// How far on in the order of engines to begin, as [`Requirements::offset`].
+    /// Where to begin in the order of engines, as [`Requirements::offset`].
     pub offset: usize,
-    /// Engines that are kept free for short prompts, which find none in time.
+    /// The number of engines to keep free for short prompts that were not placed in time.
     pub kept: usize,
 }
 
-/// Places those prompts of a line whose engines are free now, each by the index of its turn. The
-/// others are planned, so that nobody takes the engines that one before it needs.
+/// Places those queued prompts whose engines are free now, each with its index. The others are
+/// planned, so that no later prompt takes the engines that an earlier one needs.
 pub fn line(
     cluster: &Cluster,
     service: &Service,
@@ -129,8 +134,9 @@
     Some((share, placement))
 }
 
-/// The longest part of a prompt that is read by these engines. Where the engines that are left suffice for what
-/// other long prompts ask for, nothing waits for it, and it may take the time that its first event has.
+/// The longest part of a prompt that these engines may read. Where the remaining engines cover the
+/// demand of other long prompts, nothing waits for it, and it may take all the time until the
+/// deadline of its first event.
 fn longest_part_ms(readers: &Readers<'_>, demand: f64, prompt: Prompt, share: &Share) -> f64 {
     let usual_ms = MOST_PART_MS * (1.0 + idle(readers, demand));
     let apart = readers.all().iter().filter(|r| r.apart).count() as f64;
@@ -138,8 +144,8 @@
     if left >= demand * TO_SPARE { usual_ms.max(prompt.left_ms) } else { usual_ms }
 }
 
-/// Whether a prompt is too long for a service's engines even if all of them were idle: its parts would be longer
-/// than any that are placed, or than memory may be held for it.
+/// Whether a prompt is too long for a service's engines even if all of them were idle: its parts
+/// would be longer than the longest part allowed, or would take longer than memory may be reserved.
 pub fn is_too_long(
     cluster: &Cluster,
     service: &Service,
@@ -160,7 +166,8 @@
     read_ms / engines as f64 > most_ms
 }
 
-/// What the other long prompts ask for, engines: a prompt's own reading is not in its way.
+/// The demand of the other long prompts, in engines: a prompt does not compete with its own
+/// prefill.
 fn demand_of_others(
     line: &Line<'_>,
     prompt: Prompt,
@@ -172,7 +179,7 @@
     (line.demand - own).max(0.0)
 }
 
-/// The prompts of a line in the order of their turns.
+/// The prompts in the order of the long queue.
 fn in_order(
     turns: &[Turn<'_>],
     engine: &Engine,
@@ -190,7 +197,7 @@
     line::order(waiting, capacity(readers), now)
 }
 
-/// The engines apart from short answers.
+/// The capacity of the engines for long prompts.
 fn capacity(readers: &Readers<'_>) -> Capacity {
     let apart = || readers.all().iter().filter(|r| r.apart);
     let busy_ms: f64 = apart().map(|r| r.free_ms).sum();
@@ -201,14 +208,14 @@
     }
 }
 
-/// The part of the engines apart from short answers that long prompts left idle of late.
+/// The share of the engines for long prompts that was idle recently.
 fn idle(readers: &Readers<'_>, demand: f64) -> f64 {
     let apart = readers.all().iter().filter(|r| r.apart).count() as f64;
     (1.0 - demand / apart.max(1.0)).clamp(0.0, 1.0)
 }
 
-/// When an engine has read a part, beside the part itself: where some request writes, a part is done
-/// with the pass that reads it.
+/// The delay of a prefill in addition to its own time. On an engine that is decoding, a part is
+/// finished at the end of the pass that reads it.
 fn read_ms(candidate: &Candidate<'_>, engine: &Engine) -> f64 {
     let load = &candidate.load;
     let pass = forecast::pass_ms(engine, load.writers, load.memory);
@@ -216,7 +223,7 @@
     candidate.ahead_ms(engine) + pass
 }
 
-/// The placement of a prompt at the engines that share it, if they have the memory.
+/// The placement of a prompt on the engines that share it, if they have enough memory.
 fn group(
     requirements: &Requirements,
     engine: &Engine,
@@ -246,7 +253,7 @@
     Some(placed(requirements, main, &helpers, share.part_ms, predicted_ms, open))
 }
 
-/// The engine that answers, among those with the memory.
+/// The engine that generates the response, among those with enough memory.
 fn main_engine(engine: &Engine, readers: &[&Reader<'_>], memory: u64) -> Option<usize> {
     readers
         .iter()
@@ -256,8 +263,8 @@
         .map(|(index, _)| index)
 }
 
-/// Spreads a prompt over the memory of several engines: the one with the most room answers, the
-/// others set aside what it lacks.
+/// Splits the memory of a prompt over several engines: the one with the most free memory generates
+/// the response, the others reserve the missing memory.
 fn spread(readers: &[&Reader<'_>], engine: &Engine, memory: u64) -> Option<Holding> {
     let free = |c: &Candidate<'_>| {
         let left = engine.memory.0.saturating_sub(c.load.memory);
--- a/request/src/placement/share.rs
+++ b/request/src/placement/share.rs
@@ -1,7 +1,9 @@
-//! Which engines read a long prompt, and when: in even parts, done as soon as possible.
+//! Splits the prefill of a long prompt over engines: which engines read it, and when, in equal
+//! parts, finished as early as possible.
 //!
-//! The reading is the same however many engines share it, so more of them are done sooner; but each
-//! part is read inside the passes of its engine, so engines apart from short answers come first.
+//! The total prefill work does not depend on how many engines share it, so more engines finish
+//! sooner. But each part is read inside the passes of its engine, so engines without short
+//! responses come first.
 
 use std::cmp::Ordering;
 
@@ -11,76 +13,79 @@
 use super::{Placement, Requirements};
 use crate::forecast;
 
-/// The shortest part of a long read, milliseconds: under it the steps of each pass cost more than
-/// the split gains.
+/// The shortest part of a long prefill, milliseconds: below it, the decode steps of each pass cost
+/// more than splitting gains.
 const LEAST_PART_MS: f64 = 25.0;
 
-/// The most engines that read one prompt: the one that answers and 16 helpers, the platform's limit.
+/// The maximum number of engines that read one prompt: the one that generates the response and 16
+/// helpers, the platform's limit.
 pub(super) const MOST_ENGINES: usize = 17;
 
-/// The most reading that an engine may have ahead, milliseconds, to take a part now: under one short
-/// prompt's.
+/// The largest prefill backlog, milliseconds, with which an engine may take a part now: less than
+/// one short prompt takes.
 const FREE_MS: f64 = 20.0;
 
-/// The most parts of other prompts that an engine may still have to read to take one more: it reads
-/// the newest part first, so each one that is added holds up all that came before it.
+/// The maximum number of unread parts of other prompts with which an engine may take one more: it
+/// reads the newest part first, so each added part delays all earlier ones.
 const MOST_UNREAD: u32 = 3;
 
-/// The part of the time left for a first event within which engines apart from short answers have to
-/// be done; else the prompt is read beside them.
+/// Share of the time left for the first event within which engines without short responses must
+/// finish; otherwise engines with short responses read the prompt too.
 const IN_TIME: f64 = 0.8;
 
-/// How much later than by waiting a prompt may be done to be placed at once, milliseconds: under one
-/// part's cost in steps.
+/// How much later than by waiting a prompt may finish if it is placed at once, milliseconds: less
+/// than the decode steps that one part costs.
 const WORTH_WAITING_MS: f64 = 20.0;
 
-/// A usual part, milliseconds, by which engines that are slow are put back in the order.
+/// A typical part, milliseconds, which ranks slow engines later in the order.
 const USUAL_PART_MS: f64 = 100.0;
 
-/// How much sooner an engine that answers nothing has to be free to be the one that answers,
-/// milliseconds. An engine that plays steps anyway loses nothing by one writer more; one with a single
-/// writer cannot read parts longer than that one's pauses may be, and reads each with a pass of steps. So long
-/// answers write on a few engines, and not on all of them.
+/// How much earlier than others an engine without requests must be free to be chosen to generate
+/// the response, milliseconds. An engine that is decoding already loses nothing by one more
+/// request. An engine with a single request cannot read parts longer than the pauses that this
+/// request allows, and reads each of them with a pass of decode steps. This keeps long responses on
+/// a few engines instead of all.
 const WRITERS_APART_MS: f64 = 200.0;
 
-/// The same for each request more that it answers, milliseconds.
+/// The same for each additional request that the engine is serving, milliseconds.
 const FULLER_MS: f64 = 10.0;
 
-/// An engine, with what the prompts before this one in the line will read there.
+/// An engine, with the planned prefills of prompts that are earlier in the queue.
 pub(super) struct Reader<'a> {
     /// The engine and its load.
     pub(super) candidate: Candidate<'a>,
-    /// Whether it is apart from short answers, but for a lone one.
+    /// Whether long prompts are preferably read here: it has at most one interactive response and
+    /// is not kept for short prompts.
     pub(super) apart: bool,
-    /// When it is free of all that is planned, milliseconds from now.
+    /// When the engine has finished all planned prefills, milliseconds from now.
     pub(super) free_ms: f64,
-    /// When the first read that is planned begins there; infinite while none is.
+    /// When the first planned prefill begins, milliseconds from now; infinite if there is none.
     planned_ms: f64,
-    /// What the steps of its writers add to a read, milliseconds. Without it parts come to lie on
-    /// parts that are unread.
+    /// What the decode steps of its requests add to a prefill, milliseconds. Without it, parts
+    /// would be sent to engines with unread parts.
     steps_ms: f64,
-    /// The longest part that fits between the answers here, milliseconds.
+    /// The longest part that the responses on this engine allow, milliseconds.
     most_ms: f64,
-    /// Whether it is kept for short prompts.
+    /// Whether it is kept free for short prompts.
     kept: bool,
 }
 
-/// Engines that read one prompt in even parts.
+/// Engines that read one prompt in equal parts.
 pub(super) struct Share {
-    /// When the last of them is done, milliseconds from now.
+    /// When the last engine finishes, milliseconds from now.
     pub(super) done_ms: f64,
-    /// Milliseconds that each reads.
+    /// The prefill time of each part, milliseconds.
     pub(super) part_ms: f64,
-    /// Their indices.
+    /// The indices of the engines.
     pub(super) engines: Vec<usize>,
 }
 
 /// A prompt to be read.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Prompt {
-    /// Milliseconds of reading on one engine.
+    /// Prefill time on one engine, milliseconds.
     pub(super) read_ms: f64,
-    /// Milliseconds left for a first event in time; negative once it is late.
+    /// Milliseconds until the deadline of the first event; negative once it has passed.
     pub(super) left_ms: f64,
 }
 
@@ -99,35 +104,36 @@
         }
     }
 
-    /// When it is done with a part that follows what is planned, milliseconds from now.
+    /// When the engine finishes a part that follows the planned prefills, milliseconds from now.
     fn done_ms(&self, part_ms: f64) -> f64 {
         self.free_ms + self.takes_ms(part_ms)
     }
 
-    /// How long a part takes here, milliseconds.
+    /// How long the engine takes for a part, milliseconds.
     fn takes_ms(&self, part_ms: f64) -> f64 {
         part_ms * self.candidate.pace + self.steps_ms
     }
 
-    /// When it would be done with a usual part.
+    /// When the engine would finish a part of typical length, milliseconds from now.
     fn ready_ms(&self) -> f64 {
         self.done_ms(USUAL_PART_MS)
     }
 
-    /// Whether a part fits between the answers here.
+    /// Whether the responses on this engine allow a part of this length.
     fn fits(&self, part_ms: f64) -> bool {
         !self.kept && self.candidate.load.helping < MOST_UNREAD && part_ms <= self.most_ms
     }
 
-    /// Whether a part fits that begins now and ends before what is planned.
+    /// Whether a part can begin now and end before the first planned prefill.
     fn fits_now(&self, part_ms: f64) -> bool {
         self.candidate.load.backlog_ms <= FREE_MS
             && self.takes_ms(part_ms) <= self.planned_ms
             && self.fits(part_ms)
     }
 
-    /// Orders engines by how well they answer: those apart from short answers first, then those that
-    /// are free soonest, one that writes anyway preferred.
+    /// Orders engines by how well suited they are to generate the response: engines for long
+    /// prompts first, then those that are free soonest, with a preference for engines that are
+    /// decoding already.
     pub(super) fn compare_to_answer(&self, other: &Reader<'_>) -> Ordering {
         let rank = |reader: &Reader<'_>| {
             let load = &reader.candidate.load;
@@ -138,16 +144,16 @@
     }
 }
 
-/// The engines among which a line of prompts is divided.
+/// The engines over which queued prompts are split.
 pub(super) struct Readers<'a> {
     all: Vec<Reader<'a>>,
-    /// Indices, those that are ready soonest first. Kept in order, a prompt finds its engines in one
-    /// walk for each number of parts, whatever the number of engines.
+    /// Indices, those that are ready soonest first. With this order, the engines for a prompt are
+    /// found in one pass for each number of parts, however many engines there are.
     order: Vec<usize>,
 }
 
 impl<'a> Readers<'a> {
-    /// Engines with their load, those first that are to be taken first.
+    /// Creates the plan from engines with their load, preferred ones first.
     pub(super) fn new(candidates: Vec<Candidate<'a>>, engine: &Engine) -> Readers<'a> {
         let all: Vec<Reader<'a>> =
             candidates.into_iter().map(|candidate| Reader::new(candidate, engine)).collect();
@@ -156,7 +162,8 @@
         readers
     }
 
-    /// Keeps engines for short prompts: of those apart from short answers the ones that are free first.
+    /// Keeps engines free for short prompts: of the engines for long prompts, those that are free
+    /// soonest.
     pub(super) fn keep(&mut self, engines: usize) {
         let apart = self.order.iter().copied().filter(|index| self.all[*index].apart);
         let kept: Vec<usize> = apart.take(engines).collect();
@@ -166,7 +173,7 @@
         }
     }
 
-    /// All engines, by their index.
+    /// All engines, by index.
     pub(super) fn all(&self) -> &[Reader<'a>] {
         &self.all
     }
@@ -176,8 +183,8 @@
         self.order.sort_by(|a, b| all[*a].ready_ms().total_cmp(&all[*b].ready_ms()));
     }
 
-    /// The engines that are done with a prompt soonest, among those that `may` read a part of that
-    /// many milliseconds; one of those that can answer it is among them, if any can.
+    /// The engines that finish a prompt soonest, among those that `may` read a part of that many
+    /// milliseconds. Includes an engine that can generate the response, if there is one.
     fn soonest(
         &self,
         read_ms: f64,
@@ -207,7 +214,7 @@
         shares.min_by(|a, b| a.done_ms.total_cmp(&b.done_ms))
     }
 
-    /// The engines that can answer, the best first.
+    /// The engines that can generate the response, best first.
     fn answering(&self, can_answer: impl Fn(&Reader<'_>) -> bool) -> Vec<usize> {
         let can = |index: &usize| can_answer(&self.all[*index]);
         let mut answering: Vec<usize> = (0..self.all.len()).filter(can).collect();
@@ -215,8 +222,8 @@
         answering
     }
 
-    /// The share that is done soonest, begun now or later, and whether it is of engines apart from
-    /// short answers only: beside these a prompt is read only where the others are too late.
+    /// The share that finishes soonest, begun now or later, and whether it has only engines for
+    /// long prompts: the others are used only where these would finish too late.
     fn any(
         &self,
         prompt: Prompt,
@@ -239,9 +246,9 @@
     }
 
     /// Plans a prompt that cannot begin now: its engines are busy until they have read it. A prompt
-    /// whose parts would be too long is passed over.
+    /// whose parts would be too long is skipped.
     pub(super) fn plan(&mut self, prompt: Prompt, most_part_ms: f64) {
-        // Which engine answers is decided when its turn comes.
+        // The engine that generates the response is chosen when the prompt is placed.
         let Some((share, _)) = self.any(prompt, |_| true, |_| false) else { return };
         if share.part_ms > most_part_ms {
             return;
@@ -255,8 +262,8 @@
         self.sort();
     }
 
-    /// The share of a prompt that begins now, unless it is done sooner by waiting for engines that
-    /// are busy.
+    /// The share of a prompt that can begin now, unless waiting for busy engines would finish it
+    /// sooner.
     pub(super) fn now(
         &self,
         prompt: Prompt,
@@ -270,7 +277,7 @@
         (share.done_ms <= best.done_ms + WORTH_WAITING_MS).then_some(share)
     }
 
-    /// A prompt begins: its engines read it from now on.
+    /// Records that the engines of a share begin to read a prompt.
     pub(super) fn begin(
         &mut self,
         share: &Share,
