--- a/request/src/line.rs
+++ b/request/src/line.rs
@@ -1,66 +1,66 @@
-//! The line of long prompts that wait for engines: the order in which they take their turn.
+//! The queue of long prompts and the order in which they are placed.
 //!
-//! The prompt whose turn it is takes the engines that it needs, and the next ones plan behind it, so
-//! that no two of them are read on one another.
+//! The first prompt takes the engines that it needs, and the next ones are planned after it, so
+//! that no two of them are read on the same engine at once.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
 
-/// A long prompt that waits.
+/// A queued long prompt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Waiting {
-    /// When it arrived.
+    /// When the prompt arrived.
     pub arrived: Instant,
-    /// Milliseconds of reading on one engine.
+    /// Prefill time on one engine, milliseconds.
     pub read_ms: f64,
-    /// The time from its arrival within which its first event is in time.
+    /// Latency target for the first event, from arrival.
     pub objective: Duration,
-    /// The time from its arrival after which it is of no use to be placed.
+    /// Time from arrival after which the prompt is no longer placed.
     pub limit: Duration,
-    /// Its index among those that wait.
+    /// Its index among the queued prompts.
     pub index: usize,
 }
 
 impl Waiting {
-    /// The one that arrived first, and of those that arrived together the shorter one, first.
+    /// Orders by arrival; shorter prompts first among those that arrived together.
     fn compare_arrival(&self, other: &Waiting) -> Ordering {
         let arrived = self.arrived.cmp(&other.arrived);
         arrived.then(self.read_ms.total_cmp(&other.read_ms))
     }
 
-    /// The one whose first event is due first, first.
+    /// Orders by the deadline of the first event, then by arrival.
     fn compare_pressing(&self, other: &Waiting) -> Ordering {
         let due = (self.arrived + self.objective).cmp(&(other.arrived + other.objective));
         due.then_with(|| self.compare_arrival(other))
     }
 
-    /// Milliseconds from `now` until the moment `after` its arrival; negative once that is past.
+    /// Milliseconds from `now` until the time `after` the arrival; negative once that has passed.
     pub fn left_ms(&self, after: Duration, now: Instant) -> f64 {
         after.as_secs_f64() * 1e3 - now.saturating_duration_since(self.arrived).as_secs_f64() * 1e3
     }
 }
 
-/// What the line may use.
+/// The engines that are available to the queue.
 #[derive(Debug, Clone, Copy)]
 pub struct Capacity {
-    /// The engines that read long prompts.
+    /// The number of engines that read long prompts, weighted by speed.
     pub engines: f64,
-    /// The most of them that read one prompt.
+    /// The maximum number of engines that read one prompt.
     pub most: f64,
-    /// Milliseconds until they are free, in the mean.
+    /// Mean time until the engines are free, milliseconds.
     pub busy_ms: f64,
 }
 
-/// From so long before the last moment at which it can be served on, a prompt goes first,
-/// milliseconds: the longest usual wait for engines that are reading.
+/// A prompt goes first when less than this is left until its queue timeout, milliseconds: the
+/// longest usual wait for engines that are busy with prefills.
 const LAST_CALL_MS: f64 = 500.0;
 
-/// Orders a line: prompts about to run out of time, then those whose first event can be in time,
-/// the most pressing first, then the rest by their arrival.
+/// Sorts the queue: first the prompts that are about to time out, then those whose first event can
+/// be in time, earliest deadline first, then the rest by arrival.
 ///
-/// Where not all can be in time, the longest are put back (Moore and Hodgson's rule): each of them
-/// keeps several others waiting.
+/// Where not all can be in time, the longest are deprioritized (Moore and Hodgson's rule): each of
+/// them delays several others.
 pub fn order(line: Vec<Waiting>, capacity: Capacity, now: Instant) -> Vec<Waiting> {
     let (mut last, mut rest): (Vec<Waiting>, Vec<Waiting>) =
         line.into_iter().partition(|w| w.left_ms(w.limit, now) <= LAST_CALL_MS);
@@ -76,7 +76,7 @@
     order
 }
 
-/// A prompt among those in time, ordered by its reading.
+/// A prompt that can be in time, ordered by its prefill time.
 #[derive(PartialEq)]
 struct Longest {
     read_ms: f64,
@@ -97,7 +97,8 @@
     }
 }
 
-/// Which of the prompts, sorted by the time they have, cannot be in time or keep others from it.
+/// The prompts, of a queue sorted by deadline, that cannot be in time or prevent others from being
+/// in time.
 fn put_back(line: &[Waiting], capacity: Capacity, now: Instant) -> Vec<usize> {
     let engines = capacity.engines.max(1.0);
     let most = capacity.most.clamp(1.0, engines);
