--- a/request/src/forecast.rs
+++ b/request/src/forecast.rs
@@ -1,8 +1,8 @@
-//! What an engine will take for a prompt, worked out from the figures that its operator states.
+//! Predicts how long an engine takes for a prompt, from the figures that its operator states.
 //!
-//! An engine works in passes. While some request writes, a pass plays `stride` steps, each of which
-//! yields one token for each writer; prompts are read in between. So a writer's pause between two
-//! events is one pass, and a long read beside it stretches that pause.
+//! An engine works in passes. While requests are decoding, a pass runs `stride` steps, each of
+//! which yields one token per request; prompts are read in between. So the pause between two events
+//! of a request is one pass, and a long prefill in it makes that pause longer.
 
 use foldlock_version::routes::Engine;
 
@@ -12,16 +12,16 @@
 /// Tokens in a thousand, the unit of [`Engine::per_context_ms`].
 const THOUSAND: f64 = 1e3;
 
-/// Milliseconds to read a prompt of `tokens` with nothing beside it: the tokens themselves and the
-/// pairs of each token with those before it.
+/// Milliseconds to read a prompt of `tokens` on an idle engine: the tokens themselves and the pairs
+/// of each token with those before it.
 pub fn read_ms(engine: &Engine, tokens: u64) -> f64 {
     let tokens = tokens as f64;
     let pairs = tokens * tokens / 2.0;
     tokens / engine.read_per_ms + pairs / MILLION * engine.pairs_ms
 }
 
-/// Milliseconds of the steps of one pass with `writers` requests that hold `context` tokens
-/// together; the reads of that pass come on top.
+/// Milliseconds of the decode steps of one pass with `writers` requests that together hold
+/// `context` tokens, without the prefills of that pass.
 pub fn pass_ms(engine: &Engine, writers: u32, context: u64) -> f64 {
     let step = engine.step_ms
         + f64::from(writers) * engine.per_request_ms
--- a/request/src/health.rs
+++ b/request/src/health.rs
@@ -1,12 +1,12 @@
-//! How an upstream does by this VM's own experience: failures keep it out for a while, requests
-//! overdue make it look as slow as it is.
+//! The health of an upstream as this VM observes it: after a failure it gets no requests for a
+//! while.
 
 use std::time::{Duration, Instant};
 
-/// How long the first failure keeps an upstream out.
+/// How long an upstream gets no requests after its first failure.
 const FIRST_PENALTY: Duration = Duration::from_millis(250);
 
-/// How long repeated failures keep it out at most.
+/// The maximum of that time after repeated failures.
 const MAX_PENALTY: Duration = Duration::from_secs(8);
 
 /// An upstream's health.
@@ -18,22 +18,22 @@
 }
 
 impl Health {
-    /// Whether it may be given a request. After a penalty one request may try it.
+    /// Whether a request may be sent to it. After a penalty, one request at a time may probe it.
     pub fn usable(&self, now: Instant) -> bool {
         self.until.is_none_or(|until| now >= until && !self.probing)
     }
 
-    /// A request was sent to it.
+    /// Records that a request was sent to the upstream.
     pub fn sent(&mut self) {
         self.probing = self.until.is_some();
     }
 
-    /// It did what it was asked.
+    /// Records a successful request.
     pub fn succeeded(&mut self) {
         *self = Health::default();
     }
 
-    /// It failed: out for a time that doubles with each failure in a row.
+    /// Records a failure. The penalty doubles with each failure in a row.
     pub fn failed(&mut self, now: Instant) {
         let penalty = FIRST_PENALTY * 2u32.saturating_pow(self.failures.min(16));
         self.failures += 1;
@@ -41,7 +41,7 @@
         self.probing = false;
     }
 
-    /// A request ended in a way that says nothing of the upstream.
+    /// Records a request whose end says nothing about the upstream's health.
     pub fn undecided(&mut self) {
         self.probing = false;
     }
--- a/request/src/speed.rs
+++ b/request/src/speed.rs
@@ -1,27 +1,29 @@
-//! The speed of an engine, learnt from what it did: least squares with forgetting on the time to
-//! the first token, held near a prior as long as samples say little.
+//! Learns the speed of an engine: least squares with exponential forgetting on the time to the
+//! first token, regularised by a prior while there are few samples.
 
 use serde::Serialize;
 
-/// What the time to the first token depends on.
+/// The quantities on which the time to the first token depends.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Work {
-    /// Prompt tokens that are computed before the first token: those queued ahead and the own.
+    /// Prompt tokens that are computed before the first token: those queued ahead and those of the
+    /// prompt itself.
     pub tokens: f64,
-    /// Token pairs of the own prompt: the part that grows with the square of the length.
+    /// Token pairs of the prompt itself: the part that grows with the square of the length.
     pub pairs: f64,
-    /// 1 where long prompts share the engine, 0 where none does.
+    /// 1 if the engine serves long prompts at the same time, otherwise 0.
     pub long: f64,
 }
 
 impl Work {
-    /// The work of `uncached` tokens behind `cached` ones and `queued` of others.
+    /// The work of a prompt with `uncached` tokens after `cached` ones, behind `queued` tokens of
+    /// other prompts.
     pub fn new(queued: f64, uncached: f64, cached: f64, long: u32) -> Work {
         let pairs = uncached * (cached + uncached / 2.0);
         Work { tokens: queued + uncached, pairs, long: f64::from(long.min(1)) }
     }
 
-    /// The factors in units that keep the sums of similar size.
+    /// The factors, scaled so that their sums have a similar size.
     fn factors(self) -> Vector {
         [1.0, self.tokens / TOKENS_UNIT, self.pairs / PAIRS_UNIT, self.long]
     }
@@ -33,22 +35,21 @@
 
 type Vector = [f64; N];
 
-/// How much a sample counts after the next one.
+/// Weight of a sample relative to the next one.
 const FORGETTING: f64 = 0.98;
 
-/// The seconds of each factor before anything is learnt: 2 ms, 20 µs a token, 0.05 ns a pair,
-/// nothing beside a long prompt. Faster than engines are, so that one of which little is known is
-/// tried.
+/// The seconds per factor without samples: 2 ms, 20 µs per token, 0.05 ns per pair, nothing for
+/// concurrent long prompts. Faster than real engines, so that an engine with few samples is tried.
 const PRIOR: Vector = [0.002, 0.020, 0.050, 0.0];
 
-/// How many samples of one unit the prior counts as.
+/// The number of samples of one unit that the prior counts as.
 const PRIOR_WEIGHT: f64 = 0.2;
 
-/// A sample may be this many times its prediction at most, so that one freeze does not undo the
-/// model.
+/// The largest ratio of a sample to its prediction, so that one stall of an engine does not distort
+/// the model.
 const CLIP: f64 = 20.0;
 
-/// The learnt model.
+/// The model of one engine.
 #[derive(Debug, Clone, Serialize)]
 pub struct Model {
     weights: Vector,
@@ -73,18 +74,18 @@
         dot(&self.weights, &work.factors())
     }
 
-    /// Seconds a prompt token, without the part that grows with the square.
+    /// Seconds per prompt token, without the part that grows with the square.
     pub fn seconds_per_token(&self) -> f64 {
         self.weights[1] / TOKENS_UNIT
     }
 
-    /// Samples learnt from.
+    /// The number of samples that the model has learnt from.
     pub fn samples(&self) -> u64 {
         self.samples
     }
 
-    /// Makes what was learnt count half, so that an engine that was not used for a while, perhaps
-    /// since it was slow, is tried again.
+    /// Halves the weight of all samples, so that an engine that was not used for a while, perhaps
+    /// because it was slow, is tried again.
     pub fn fade(&mut self) {
         for row in &mut self.products {
             *row = row.map(|cell| cell / 2.0);
@@ -93,7 +94,7 @@
         self.solve();
     }
 
-    /// Learns from one request.
+    /// Adds the time to the first token of one request.
     pub fn learn(&mut self, work: Work, seconds: f64) {
         let x = work.factors();
         let seconds = seconds.min(self.predict(work).max(PRIOR[0]) * CLIP);
@@ -107,7 +108,7 @@
         self.solve();
     }
 
-    /// Solves for weights that are not negative: factors that come out negative are left out.
+    /// Solves for weights that are not negative: factors with a negative weight are excluded.
     fn solve(&mut self) {
         let mut used = [true; N];
         loop {
@@ -122,8 +123,8 @@
         }
     }
 
-    /// Solves with the prior as ridge, which keeps the system well-conditioned; factors that are
-    /// not used get no weight.
+    /// Solves with the prior as a ridge term, which keeps the system well-conditioned; excluded
+    /// factors get weight 0.
     fn solve_for(&self, used: &[bool; N]) -> Vector {
         let mut a = self.products;
         let mut b = self.seconds;
@@ -143,7 +144,7 @@
     }
 }
 
-/// Solves a positive definite system by elimination, which needs no pivots then.
+/// Solves a positive definite system by elimination, which needs no pivoting.
 fn eliminate(mut a: [Vector; N], mut b: Vector) -> Vector {
     for i in 0..N {
         for k in i + 1..N {
