--- a/request/tests/line.rs
+++ b/request/tests/line.rs
@@ -1,4 +1,4 @@
-//! The line of long prompts: its order, and how prompts are placed by it.
+//! The queue of long prompts: its order, and the placement of queued prompts.
 
 use std::time::{Duration, Instant};
 
@@ -114,7 +114,7 @@
     }
 }
 
-/// Places what has a placement now, and enters it as under way.
+/// Places the prompts that can be placed now, and records them as in flight.
 fn place(cluster: &mut Cluster, prompts: &[Requirements], now: Instant) -> Vec<(usize, Placement)> {
     let turns: Vec<Turn<'_>> = prompts
         .iter()
@@ -156,7 +156,7 @@
     assert!(engines(one).iter().all(|engine| !engines(two).contains(engine)));
 }
 
-/// Whether a prompt has a placement on idle engines, of which other long prompts ask for so many.
+/// Whether a prompt can be placed on idle engines, of which other long prompts need `demand`.
 fn has_place(engines: usize, demand: f64, prompt: &Requirements, now: Instant) -> bool {
     let turns = [Turn { requirements: prompt, index: 0 }];
     let line = Line { turns: &turns, demand, offset: 0, kept: 0 };
@@ -164,8 +164,9 @@
     placed.iter().all(|(_, placement)| placement.predicted_ms < 4_000.0) && !placed.is_empty()
 }
 
-/// The pattern: a calm day, and a prompt whose parts are long on as many engines as may share it. It is in time
-/// if it is placed at once, and waits for nothing but itself.
+/// Guards against long delays of the longest prompts on an idle fleet. The parts of such a prompt
+/// exceed the usual limit even on the maximum number of engines, but it is in time if it is placed
+/// at once, and no other prompt waits for it.
 #[test]
 fn the_longest_prompt_of_a_calm_day_is_read_at_once_where_enough_engines_are_left() {
     let now = Instant::now();
@@ -178,9 +179,10 @@
     assert!(!has_place(20, own + 11.0, &longest, now));
 }
 
-/// The pattern: many VMs have died, and three engines of 24 are full of parts that nobody alive knows
-/// of. A group of 17 holds one of them as a rule. Each refusal names the first of them, and three
-/// refusals are what a request is tried for at once on a route with one attempt.
+/// Guards against retries that never avoid full engines. Many VMs have crashed, and three of 24
+/// engines are full of parts that no running VM has recorded. A group of 17 usually includes one of
+/// them. Each refusal names the first of them, and a route with one attempt allows three refusals
+/// in a row.
 #[test]
 fn a_group_without_the_engines_at_fault_is_found_in_three_refusals() {
     let now = Instant::now();
@@ -242,7 +244,7 @@
 }
 
 proptest! {
-    /// All that waits is in the order once, and the same whichever way it was heard.
+    /// The order contains each queued prompt once, and does not depend on the order of the input.
     #[test]
     fn a_line_is_ordered_alike_however_it_is_heard(
         prompts in prop::collection::vec((0_u64..12_000, 100_u32..40_000, 0_usize..3), 1..24),
@@ -264,7 +266,7 @@
         let mut sorted = one.clone();
         sorted.sort_unstable();
         prop_assert_eq!(sorted, (0..line.len()).collect::<Vec<_>>());
-        // Two prompts that arrived and end alike may change places; nothing else may.
+        // Only prompts with equal arrival, prefill time and objective may swap.
         let key = |index: &usize| {
             let w = &line[*index];
             (w.arrived, w.read_ms.to_bits(), w.objective)
@@ -276,8 +278,8 @@
         );
     }
 
-    /// Whatever waits, the first in line is placed on an idle fleet, and nobody is placed on an
-    /// engine that has more than a short prompt's reading ahead.
+    /// For any queue, at least one prompt is placed on an idle fleet, and no part is placed on an
+    /// engine with a larger backlog than a short prompt.
     #[test]
     fn someone_is_always_served_and_no_part_lies_on_another(
         tokens in prop::collection::vec(30_000_u64..300_000, 1..12),
--- a/request/tests/placement.rs
+++ b/request/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where requests of unlike lengths run.
+//! Placement of requests of different lengths.
 
 use std::time::{Duration, Instant};
 
@@ -28,7 +28,7 @@
     usual_answer: Tokens(1_303),
 };
 
-/// What callers of a kind of request want, milliseconds.
+/// Latency targets of a kind of request, milliseconds.
 #[derive(Clone, Copy)]
 struct Route {
     objective: u64,
@@ -98,7 +98,7 @@
     number
 }
 
-/// Places a request and enters it as under way.
+/// Places a request and records it as in flight.
 fn enter(
     cluster: &mut Cluster,
     requirements: &Requirements,
@@ -117,8 +117,8 @@
     assert!(ms(266_000) > 3.0 * ms(133_000));
 }
 
-/// Many VMs that each send a plain request now and then: each goes back to where it has a connection, unless another
-/// upstream has less to do.
+/// Many VMs that each send a plain request now and then: each uses an upstream to which it has a
+/// connection, unless another upstream has fewer requests.
 #[test]
 fn a_plain_request_goes_to_a_connected_upstream_among_equals() {
     let (mut cluster, now) = (cluster(9), Instant::now());
@@ -318,8 +318,8 @@
 }
 
 proptest! {
-    /// Whatever is asked for, no engine gets more memory or requests than it has, no engine stands
-    /// twice in a group, and the memory adds up.
+    /// For any sequence of requests, no engine gets more memory or requests than it has, no engine
+    /// occurs twice in a group, and the memory adds up.
     #[test]
     fn no_engine_is_overfilled(
         engines in 1usize..20,
@@ -349,7 +349,7 @@
     }
 }
 
-/// The first engines name a limit of so many requests a second.
+/// The first engines announce a limit of so many requests per second.
 fn limit(cluster: &mut Cluster, engines: usize, per_s: f64, now: Instant) {
     for i in 0..engines {
         let tag = Tag::of(upstream(i).as_str());
@@ -358,7 +358,7 @@
     }
 }
 
-/// Guards against parts that reach an engine beyond the requests that it takes.
+/// Guards against parts of split prompts that exceed an engine's rate limit.
 #[test]
 fn engines_that_name_a_rate_limit_read_no_part_for_others() {
     let now = Instant::now();
@@ -375,7 +375,8 @@
     }
 }
 
-/// Guards against long prompts that wait for nothing where no engine may read for another.
+/// Guards against long prompts that are queued without end where no engine may read parts for
+/// another.
 #[test]
 fn a_long_prompt_stays_whole_where_all_engines_name_rate_limits() {
     let now = Instant::now();
@@ -392,11 +393,12 @@
     }
     let fifth = placement::place_whole(&cluster, &service, &prompt, later);
     assert!(matches!(fifth, Err(Rejection::Full)), "each takes one in half a second: {fifth:?}");
-    // What only several of them hold is known not to be servable.
+    // A prompt that needs the memory of several engines cannot be served by them.
     assert!(placement::is_too_long(&cluster, &service, &ENGINE, &requirements(LONG, 300_000)));
 }
 
-/// Guards against a limit that is believed for ever, since its engine gets nothing while others have room.
+/// Guards against a rate limit that is never probed again because its engine gets no requests while
+/// others have room.
 #[test]
 fn an_engine_that_names_a_rate_limit_is_asked_again_while_others_have_room() {
     let now = Instant::now();
--- a/request/tests/scheduler.rs
+++ b/request/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! One VM that places the requests of all: what waits, what is asked again, what is given up.
+//! One VM that places the requests of all: queued, repeated and cancelled requests.
 
 use std::time::{Duration, Instant};
 
@@ -170,11 +170,12 @@
         *reading.entry(placement.flight.upstream).or_insert(0_u32) += 1;
         assert!(placement.predicted_ms <= 0.85 * 400.0, "{}", placement.predicted_ms);
     }
-    // One is read at once, and five fit into the pass after it without a pause of over 250 ms.
+    // One prompt is read at once, and five fit into the following pass without a pause of over 250
+    // ms.
     assert!(reading.values().all(|reads| *reads <= 6), "{reading:?}");
 }
 
-/// The number of the VM of a key.
+/// The index of the VM of a key.
 fn vm_of(key: &Key) -> usize {
     let Holder::Peer(found) = &key.holder else { panic!("{key:?}") };
     (0..10).find(|i| vm(*i) == *found).unwrap()
@@ -253,8 +254,9 @@
     assert!(second > first);
 }
 
-/// Several engines have to hold this prompt, and would be silent for longer than they may be trusted with it: it is
-/// told so at once, and not after most of its caller's time.
+/// Guards against prompts that are rejected only after most of their caller's time. Several engines
+/// would have to reserve memory for this prompt for longer than the reservation timeout, so it is
+/// rejected at once.
 #[test]
 fn a_prompt_beyond_all_engines_together_is_refused_at_once() {
     let now = Instant::now();
@@ -286,8 +288,8 @@
 }
 
 proptest! {
-    /// Whoever asks, cancels or falls silent, in whichever order: no engine gets more requests or
-    /// memory than it has, and what ended leaves nothing behind.
+    /// Requests, cancellations and VMs that stop requesting, in any order: no engine gets more
+    /// requests or memory than it has, and finished requests leave no state behind.
     #[test]
     fn no_engine_is_overfilled_and_nothing_stays(
         steps in prop::collection::vec((0_usize..6, 0_u64..30, 1_000_u64..400_000, 0_u64..200, 0_u8..4), 1..80),
@@ -319,7 +321,7 @@
     }
 }
 
-/// Two upstreams ended under a request: it may be the cause, or have been beside the one that is.
+/// Two upstreams crashed during a request: it may be the cause, or have run beside the cause.
 fn suspect(fleet: &mut Fleet, requirements: &Requirements) {
     for upstream in ["i-900", "i-901"] {
         let ending = Ending { upstream: Tag::of(upstream), alone: false };
@@ -362,7 +364,7 @@
         fleet.look();
         assert_eq!(fleet.cluster.under_way(), 1);
         assert!(matches!(fleet.ask(key(1, 1), requirements.clone()), Answer::Waits));
-        // The first ends its upstream: the second is told so, and so is the next that comes.
+        // The first copy crashes its upstream: the queued copy is rejected, and so is the next one.
         let ending = Ending { upstream: Tag::of("i-000"), alone: true };
         fleet.cluster.quarantine.ended(requirements.fingerprint, ending, fleet.now);
         let answers = fleet.scheduler.look(&mut fleet.cluster, &fleet.table, fleet.now);
--- a/request/tests/speed.rs
+++ b/request/tests/speed.rs
@@ -9,7 +9,7 @@
 }
 
 proptest! {
-    /// Whatever is sampled, predictions stay finite, not negative and within what was sampled.
+    /// For any samples, predictions stay finite, not negative and bounded by the samples.
     #[test]
     fn stays_bounded(samples in prop::collection::vec((work(), 0.0..100.0), 1..600)) {
         let mut model = Model::default();
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Many samples of the same small work do not move it away from what they say.
+    /// Many samples of the same small work converge to the observed time.
     #[test]
     fn settles_on_the_same_work(tokens in 1.0..100.0, seconds in 0.01..2.0) {
         let mut model = Model::default();
@@ -31,7 +31,7 @@
         prop_assert!((model.predict(work) - seconds).abs() < 0.1 * seconds + 0.002);
     }
 
-    /// An engine whose time is linear in its work is learnt within a tenth.
+    /// An engine whose time is linear in its work is learnt with an error of at most a tenth.
     #[test]
     fn learns_a_linear_engine(
         base in 0.001..0.05,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// An engine that slows to a tenth is noticed within twenty requests.
+    /// An engine that slows to a tenth is detected within twenty requests.
     #[test]
     fn notices_a_slow_engine(tokens in 500.0..4_000.0) {
         let mut model = Model::default();
