--- a/request/src/lib.rs
+++ b/request/src/lib.rs
@@ -16,7 +16,7 @@
 pub mod health;
 pub mod held;
 pub mod limit;
-pub mod line;
+pub mod long_queue;
 pub mod memory;
 pub mod message;
 pub mod notice;
--- a/request/src/placement/group.rs
+++ b/request/src/placement/group.rs
@@ -15,7 +15,7 @@
 use super::{Placement, Requirements, placed};
 use crate::cluster::{Cluster, Upstream};
 use crate::forecast;
-use crate::line::{self, Capacity, Waiting};
+use crate::long_queue::{self, Capacity, Entry};
 
 /// The longest part, milliseconds, where all engines were busy recently: everything that arrives
 /// meanwhile waits for it. Up to twice that where engines were idle, so that the longest prompts
@@ -95,9 +95,9 @@
     readers.keep(line.kept);
     let most_part_ms = MOST_PART_MS * (1.0 + idle(&readers, line.demand));
     let mut placed = Vec::new();
-    for waiting in in_order(line.turns, engine, &readers, now).into_iter().take(MOST_PLANNED) {
-        let turn = &line.turns[waiting.index];
-        let prompt = Prompt { read_ms: waiting.read_ms, left_ms: turn.requirements.left_ms(now) };
+    for entry in in_order(line.turns, engine, &readers, now).into_iter().take(MOST_PLANNED) {
+        let turn = &line.turns[entry.index];
+        let prompt = Prompt { read_ms: entry.prefill_ms, left_ms: turn.requirements.left_ms(now) };
         let bears =
             |u: &Upstream| bears_more(cluster, service, u, turn.requirements.schedulers, now);
         let demand = demand_of_others(&line, prompt, turn.requirements, now);
@@ -185,16 +185,16 @@
     engine: &Engine,
     readers: &Readers<'_>,
     now: Instant,
-) -> Vec<Waiting> {
-    let waiting = |(index, turn): (usize, &Turn<'_>)| Waiting {
+) -> Vec<Entry> {
+    let entry = |(index, turn): (usize, &Turn<'_>)| Entry {
         arrived: turn.requirements.arrived,
-        read_ms: forecast::read_ms(engine, turn.requirements.prompt.0),
+        prefill_ms: forecast::read_ms(engine, turn.requirements.prompt.0),
         objective: turn.requirements.objective,
-        limit: turn.requirements.limit,
+        queue_timeout: turn.requirements.limit,
         index,
     };
-    let waiting = turns.iter().enumerate().map(waiting).collect();
-    line::order(waiting, capacity(readers), now)
+    let entries = turns.iter().enumerate().map(entry).collect();
+    long_queue::order(entries, capacity(readers), now)
 }
 
 /// The capacity of the engines for long prompts.
@@ -203,7 +203,7 @@
     let busy_ms: f64 = apart().map(|r| r.free_ms).sum();
     Capacity {
         engines: apart().map(|r| 1.0 / r.candidate.pace).sum(),
-        most: MOST_ENGINES as f64,
+        max_per_prompt: MOST_ENGINES as f64,
         busy_ms: busy_ms / (apart().count() as f64).max(1.0),
     }
 }
--- a/request/tests/line.rs
+++ b/request/tests/line.rs
@@ -7,7 +7,7 @@
 use foldlock_request::budget::Charge;
 use foldlock_request::cluster::{Cluster, Listed};
 use foldlock_request::fingerprint::Fingerprint;
-use foldlock_request::line::{Capacity, Waiting, order};
+use foldlock_request::long_queue::{Capacity, Entry, order};
 use foldlock_request::placement::{self, Line, Placement, Requirements, Turn};
 use foldlock_request::report::{Observed, Report};
 use foldlock_request::tag::Tag;
@@ -27,44 +27,44 @@
     usual_answer: Tokens(1_266),
 };
 
-const TEN: Capacity = Capacity { engines: 10.0, most: 10.0, busy_ms: 0.0 };
+const TEN: Capacity = Capacity { engines: 10.0, max_per_prompt: 10.0, busy_ms: 0.0 };
 
 /// A prompt that arrived `age_ms` ago.
-fn waiting(index: usize, age_ms: u64, read_ms: f64, objective_ms: u64) -> (Instant, Waiting) {
+fn entry(index: usize, age_ms: u64, prefill_ms: f64, objective_ms: u64) -> (Instant, Entry) {
     let now = Instant::now();
-    let waiting = Waiting {
+    let entry = Entry {
         arrived: now.checked_sub(Duration::from_millis(age_ms)).unwrap(),
-        read_ms,
+        prefill_ms,
         objective: Duration::from_millis(objective_ms),
-        limit: Duration::from_secs(12),
+        queue_timeout: Duration::from_secs(12),
         index,
     };
-    (now, waiting)
+    (now, entry)
 }
 
-fn indices(line: Vec<Waiting>, capacity: Capacity, now: Instant) -> Vec<usize> {
+fn indices(line: Vec<Entry>, capacity: Capacity, now: Instant) -> Vec<usize> {
     order(line, capacity, now).into_iter().map(|w| w.index).collect()
 }
 
 #[test]
 fn the_most_pressing_goes_first() {
-    let (now, calm) = waiting(1, 500, 2_000.0, 3_000);
-    let (_, pressing) = waiting(2, 100, 400.0, 1_500);
+    let (now, calm) = entry(1, 500, 2_000.0, 3_000);
+    let (_, pressing) = entry(2, 100, 400.0, 1_500);
     assert_eq!(indices(vec![calm, pressing], TEN, now), [2, 1]);
 }
 
 #[test]
 fn the_longest_is_put_back_where_not_all_can_be_in_time() {
-    let (now, long) = waiting(1, 1_000, 18_000.0, 3_000);
-    let (_, second) = waiting(2, 900, 9_000.0, 3_000);
-    let (_, third) = waiting(3, 800, 8_000.0, 3_000);
+    let (now, long) = entry(1, 1_000, 18_000.0, 3_000);
+    let (_, second) = entry(2, 900, 9_000.0, 3_000);
+    let (_, third) = entry(3, 800, 8_000.0, 3_000);
     assert_eq!(indices(vec![long, second, third], TEN, now), [2, 3, 1]);
 }
 
 #[test]
 fn a_prompt_about_to_run_out_of_time_goes_before_all() {
-    let (now, last) = waiting(1, 11_600, 20_000.0, 3_000);
-    let (_, fresh) = waiting(2, 0, 400.0, 1_500);
+    let (now, last) = entry(1, 11_600, 20_000.0, 3_000);
+    let (_, fresh) = entry(2, 0, 400.0, 1_500);
     assert_eq!(indices(vec![fresh, last], TEN, now), [1, 2]);
 }
 
@@ -252,16 +252,16 @@
         engines in 1_u32..60,
     ) {
         let now = Instant::now();
-        let line: Vec<Waiting> = prompts.iter().enumerate().map(|(i, (age, read, class))| {
+        let line: Vec<Entry> = prompts.iter().enumerate().map(|(i, (age, read, class))| {
             let age = age + i as u64;
             let objective = [1_500, 3_000, 4_000][*class];
-            let mut prompt = waiting(i, 0, f64::from(*read), objective).1;
+            let mut prompt = entry(i, 0, f64::from(*read), objective).1;
             prompt.arrived = now.checked_sub(Duration::from_millis(age)).unwrap();
             prompt
         }).collect();
         let mut turned = line.clone();
         turned.rotate_left(turn.index(line.len()));
-        let capacity = Capacity { engines: f64::from(engines), most: 17.0, busy_ms: 30.0 };
+        let capacity = Capacity { engines: f64::from(engines), max_per_prompt: 17.0, busy_ms: 30.0 };
         let one = indices(line.clone(), capacity, now);
         let mut sorted = one.clone();
         sorted.sort_unstable();
@@ -269,7 +269,7 @@
         // Only prompts with equal arrival, prefill time and objective may swap.
         let key = |index: &usize| {
             let w = &line[*index];
-            (w.arrived, w.read_ms.to_bits(), w.objective)
+            (w.arrived, w.prefill_ms.to_bits(), w.objective)
         };
         let other = indices(turned, capacity, now);
         prop_assert_eq!(
