--- a/daemon/src/fleet/gate.rs
+++ b/daemon/src/fleet/gate.rs
@@ -129,7 +129,7 @@
     requirements: &Requirements,
 ) -> Option<(&'a Engine, f64)> {
     let engine = job.service.engine.as_ref()?;
-    Some((engine, requirements.long_read_ms(engine)?))
+    Some((engine, requirements.long_prefill_ms(engine)?))
 }
 
 /// The time that a long prompt needs from its placement to the end of its answer, if that is no longer than usual. A
--- a/request/src/forecast.rs
+++ b/request/src/forecast.rs
@@ -14,17 +14,17 @@
 
 /// Milliseconds to read a prompt of `tokens` on an idle engine: the tokens themselves and the pairs
 /// of each token with those before it.
-pub fn read_ms(engine: &Engine, tokens: u64) -> f64 {
+pub fn prefill_ms(engine: &Engine, tokens: u64) -> f64 {
     let tokens = tokens as f64;
     let pairs = tokens * tokens / 2.0;
     tokens / engine.read_per_ms + pairs / MILLION * engine.pairs_ms
 }
 
-/// Milliseconds of the decode steps of one pass with `writers` requests that together hold
+/// Milliseconds of the decode steps of one pass with `decoding` requests that together hold
 /// `context` tokens, without the prefills of that pass.
-pub fn pass_ms(engine: &Engine, writers: u32, context: u64) -> f64 {
+pub fn pass_ms(engine: &Engine, decoding: u32, context: u64) -> f64 {
     let step = engine.step_ms
-        + f64::from(writers) * engine.per_request_ms
+        + f64::from(decoding) * engine.per_request_ms
         + context as f64 / THOUSAND * engine.per_context_ms;
     step * f64::from(engine.stride)
 }
--- a/request/src/placement.rs
+++ b/request/src/placement.rs
@@ -103,11 +103,12 @@
 
     /// Prefill time in milliseconds if this is a long prompt, which goes through the long queue;
     /// none for others.
-    pub fn long_read_ms(&self, engine: &Engine) -> Option<f64> {
-        let read = forecast::read_ms(engine, self.prompt.0);
+    pub fn long_prefill_ms(&self, engine: &Engine) -> Option<f64> {
+        let prefill_ms = forecast::prefill_ms(engine, self.prompt.0);
         let objective = self.objective.as_secs_f64() * 1e3;
-        let short = read <= objective * WHOLE && self.is_brisk() && self.memory <= engine.memory;
-        (!short).then_some(read)
+        let short =
+            prefill_ms <= objective * WHOLE && self.is_brisk() && self.memory <= engine.memory;
+        (!short).then_some(prefill_ms)
     }
 }
 
@@ -207,7 +208,8 @@
         return Err(rejection(cluster, service, requirements, now));
     }
     let engine = service.engine.as_ref();
-    let Some(engine) = engine.filter(|engine| requirements.long_read_ms(engine).is_some()) else {
+    let Some(engine) = engine.filter(|engine| requirements.long_prefill_ms(engine).is_some())
+    else {
         let placement = match engine {
             _ if alone => apart(requirements, engine, candidates),
             Some(engine) => short(requirements, engine, candidates),
@@ -270,9 +272,10 @@
     let under_way = |c: &Candidate<'_>| (c.load.requests + c.load.helping, c.load.memory);
     let best = candidates.into_iter().filter(has_room).min_by_key(under_way);
     let best = best.ok_or(Rejection::Full)?;
-    let read_ms = engine.map_or(0.0, |engine| forecast::read_ms(engine, requirements.prompt.0));
-    let predicted_ms = engine.map_or(0.0, |engine| best.predicted_ms(engine, read_ms));
-    let mut placement = placed(requirements, &best, &[], read_ms, predicted_ms, open);
+    let prefill_ms =
+        engine.map_or(0.0, |engine| forecast::prefill_ms(engine, requirements.prompt.0));
+    let predicted_ms = engine.map_or(0.0, |engine| best.predicted_ms(engine, prefill_ms));
+    let mut placement = placed(requirements, &best, &[], prefill_ms, predicted_ms, open);
     placement.flight.alone = Some(requirements.fingerprint);
     Ok(placement)
 }
@@ -297,27 +300,27 @@
     engine: &Engine,
     candidates: Vec<Candidate<'_>>,
 ) -> Result<Placement, Rejection> {
-    let read = forecast::read_ms(engine, requirements.prompt.0);
+    let prefill_ms = forecast::prefill_ms(engine, requirements.prompt.0);
     let objective = requirements.objective.as_secs_f64() * 1e3;
     let open = candidates.len();
     let memory = requirements.memory.0;
     let fits = |c: &Candidate<'_>, part: f64| {
         c.has_room(memory, engine)
-            && c.load.next_ms + read <= c.allowance_ms(engine, requirements.pause_ms())
-            && c.predicted_ms(engine, read) <= objective * part
-            && c.load.waited_ms + c.predicted_ms(engine, read) <= objective * FIRST
+            && c.load.next_ms + prefill_ms <= c.allowance_ms(engine, requirements.pause_ms())
+            && c.predicted_ms(engine, prefill_ms) <= objective * part
+            && c.load.waited_ms + c.predicted_ms(engine, prefill_ms) <= objective * FIRST
     };
     let index = candidates
         .iter()
         .position(|c| c.is_due && fits(c, BESIDE))
         .or_else(|| candidates.iter().position(|c| c.is_brisk() && fits(c, IN_TIME)))
-        .or_else(|| least(&candidates, engine, read, |c| c.is_brisk() && fits(c, BESIDE)))
+        .or_else(|| least(&candidates, engine, prefill_ms, |c| c.is_brisk() && fits(c, BESIDE)))
         .or_else(|| candidates.iter().position(|c| fits(c, BESIDE)))
-        .or_else(|| least(&candidates, engine, read, |c| c.has_room(memory, engine)))
+        .or_else(|| least(&candidates, engine, prefill_ms, |c| c.has_room(memory, engine)))
         .ok_or(Rejection::Full)?;
     let best = &candidates[index];
-    let predicted = best.predicted_ms(engine, read);
-    Ok(placed(requirements, best, &[], read, predicted, open))
+    let predicted = best.predicted_ms(engine, prefill_ms);
+    Ok(placed(requirements, best, &[], prefill_ms, predicted, open))
 }
 
 /// The eligible engine with the earliest predicted first event.
--- a/request/src/placement/group.rs
+++ b/request/src/placement/group.rs
@@ -97,7 +97,8 @@
     let mut placed = Vec::new();
     for entry in in_order(line.turns, engine, &readers, now).into_iter().take(MOST_PLANNED) {
         let turn = &line.turns[entry.index];
-        let prompt = Prompt { read_ms: entry.prefill_ms, left_ms: turn.requirements.left_ms(now) };
+        let prompt =
+            Prompt { prefill_ms: entry.prefill_ms, left_ms: turn.requirements.left_ms(now) };
         let bears =
             |u: &Upstream| bears_more(cluster, service, u, turn.requirements.schedulers, now);
         let demand = demand_of_others(&line, prompt, turn.requirements, now);
@@ -152,7 +153,7 @@
     engine: &Engine,
     requirements: &Requirements,
 ) -> bool {
-    let Some(read_ms) = requirements.long_read_ms(engine) else { return false };
+    let Some(prefill_ms) = requirements.long_prefill_ms(engine) else { return false };
     if cluster.limited_rate(&service.name).is_some() && requirements.memory > engine.memory {
         return true;
     }
@@ -163,7 +164,7 @@
     } else {
         (MOST_PART_MS * 2.0).max(requirements.objective.as_secs_f64() * 1e3)
     };
-    read_ms / engines as f64 > most_ms
+    prefill_ms / engines as f64 > most_ms
 }
 
 /// The demand of the other long prompts, in engines: a prompt does not compete with its own
@@ -175,7 +176,7 @@
     now: Instant,
 ) -> f64 {
     let counted = now.saturating_duration_since(requirements.arrived) < DEMAND_WINDOW;
-    let own = if counted { prompt.read_ms / (DEMAND_WINDOW.as_secs_f64() * 1e3) } else { 0.0 };
+    let own = if counted { prompt.prefill_ms / (DEMAND_WINDOW.as_secs_f64() * 1e3) } else { 0.0 };
     (line.demand - own).max(0.0)
 }
 
@@ -188,7 +189,7 @@
 ) -> Vec<Entry> {
     let entry = |(index, turn): (usize, &Turn<'_>)| Entry {
         arrived: turn.requirements.arrived,
-        prefill_ms: forecast::read_ms(engine, turn.requirements.prompt.0),
+        prefill_ms: forecast::prefill_ms(engine, turn.requirements.prompt.0),
         objective: turn.requirements.objective,
         queue_timeout: turn.requirements.limit,
         index,
@@ -216,7 +217,7 @@
 
 /// The delay of a prefill in addition to its own time. On an engine that is decoding, a part is
 /// finished at the end of the pass that reads it.
-fn read_ms(candidate: &Candidate<'_>, engine: &Engine) -> f64 {
+fn prefill_delay_ms(candidate: &Candidate<'_>, engine: &Engine) -> f64 {
     let load = &candidate.load;
     let pass = forecast::pass_ms(engine, load.writers, load.memory);
     let pass = if load.writers > 0 { pass * candidate.pace } else { 0.0 };
@@ -241,10 +242,10 @@
         .map(|index| (&of[index].candidate, held(index).map_or(0, |(_, tokens)| *tokens)))
         .collect();
     let main = &of[main].candidate;
-    let done = |c: &Candidate<'_>| read_ms(c, engine) + share.part_ms * c.pace;
-    let read = helpers.iter().map(|(c, _)| done(c)).fold(done(main), f64::max);
+    let done = |c: &Candidate<'_>| prefill_delay_ms(c, engine) + share.part_ms * c.pace;
+    let finish_ms = helpers.iter().map(|(c, _)| done(c)).fold(done(main), f64::max);
     let pass = forecast::pass_ms(engine, main.load.writers + 1, main.load.memory);
-    let predicted_ms = read + pass * main.pace;
+    let predicted_ms = finish_ms + pass * main.pace;
     let hold_limit_ms = requirements.hold_limit.as_secs_f64() * 1e3 * HOLD_MARGIN;
     if !holders.is_empty() && predicted_ms > hold_limit_ms {
         return None;
--- a/request/src/placement/share.rs
+++ b/request/src/placement/share.rs
@@ -84,7 +84,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Prompt {
     /// Prefill time on one engine, milliseconds.
-    pub(super) read_ms: f64,
+    pub(super) prefill_ms: f64,
     /// Milliseconds until the deadline of the first event; negative once it has passed.
     pub(super) left_ms: f64,
 }
@@ -187,14 +187,14 @@
     /// milliseconds. Includes an engine that can generate the response, if there is one.
     fn soonest(
         &self,
-        read_ms: f64,
+        prefill_ms: f64,
         may: impl Fn(&Reader<'_>, f64) -> bool,
         can_answer: impl Fn(&Reader<'_>) -> bool,
     ) -> Option<Share> {
-        let useful = ((read_ms / LEAST_PART_MS) as usize).clamp(1, MOST_ENGINES);
+        let useful = ((prefill_ms / LEAST_PART_MS) as usize).clamp(1, MOST_ENGINES);
         let answering = self.answering(can_answer);
         let share = |parts: usize| {
-            let part_ms = read_ms / parts as f64;
+            let part_ms = prefill_ms / parts as f64;
             let may = |index: &usize| may(&self.all[*index], part_ms);
             let free = self.order.iter().copied().filter(may);
             let mut engines: Vec<usize> = free.take(parts).collect();
@@ -230,15 +230,15 @@
         may: impl Fn(&Reader<'_>) -> bool,
         can_answer: impl Fn(&Reader<'_>) -> bool,
     ) -> Option<(Share, bool)> {
-        let Prompt { read_ms, left_ms } = prompt;
+        let Prompt { prefill_ms, left_ms } = prompt;
         let apart = |r: &Reader<'_>, part_ms: f64| r.apart && r.fits(part_ms) && may(r);
-        let apart = self.soonest(read_ms, apart, &can_answer);
+        let apart = self.soonest(prefill_ms, apart, &can_answer);
         if let Some(share) = apart.as_ref()
             && share.done_ms <= left_ms * IN_TIME
         {
             return apart.map(|share| (share, true));
         }
-        let all = self.soonest(read_ms, |r, part_ms| r.fits(part_ms) && may(r), can_answer);
+        let all = self.soonest(prefill_ms, |r, part_ms| r.fits(part_ms) && may(r), can_answer);
         match (apart, all) {
             (Some(apart), Some(all)) if apart.done_ms <= all.done_ms => Some((apart, true)),
             (_, all) => all.map(|all| (all, false)),
@@ -273,7 +273,7 @@
         let (best, apart) = self.any(prompt, &may, &can_answer)?;
         let now =
             |r: &Reader<'_>, part_ms: f64| (r.apart || !apart) && r.fits_now(part_ms) && may(r);
-        let share = self.soonest(prompt.read_ms, now, can_answer)?;
+        let share = self.soonest(prompt.prefill_ms, now, can_answer)?;
         (share.done_ms <= best.done_ms + WORTH_WAITING_MS).then_some(share)
     }
 
--- a/request/src/scheduler.rs
+++ b/request/src/scheduler.rs
@@ -79,7 +79,7 @@
 struct Asked {
     at: Instant,
     service: Tag,
-    read_ms: f64,
+    prefill_ms: f64,
 }
 
 /// Places the requests of all VMs.
@@ -132,7 +132,8 @@
         if let Err(exhausted) = self.budget.check(service, requirements.charge, now) {
             return Answer::Rejected(Rejection::OverBudget(exhausted));
         }
-        let read_ms = found.engine.as_ref().and_then(|engine| requirements.long_read_ms(engine));
+        let prefill_ms =
+            found.engine.as_ref().and_then(|engine| requirements.long_prefill_ms(engine));
         if found
             .engine
             .as_ref()
@@ -141,8 +142,8 @@
             return Answer::Rejected(Rejection::TooLarge);
         }
         let limited_rate = cluster.limited_rate(&found.name);
-        if let Some(read_ms) = read_ms {
-            self.asked.push_back(Asked { at: now, service, read_ms });
+        if let Some(prefill_ms) = prefill_ms {
+            self.asked.push_back(Asked { at: now, service, prefill_ms });
         } else {
             // Queued requests go first.
             let must_queue = limited_rate.is_some() && self.waiting_for(service) > 0;
@@ -377,7 +378,7 @@
     /// The mean number of engines that recent long prompts keep busy.
     fn demand(&self, service: Tag) -> f64 {
         let of = self.asked.iter().filter(|asked| asked.service == service);
-        of.map(|asked| asked.read_ms).sum::<f64>() / (DEMAND_WINDOW.as_secs_f64() * 1e3)
+        of.map(|asked| asked.prefill_ms).sum::<f64>() / (DEMAND_WINDOW.as_secs_f64() * 1e3)
     }
 
     /// Grants a placement, unless the retry budget has no token left for it.
@@ -424,7 +425,7 @@
         service
             .engine
             .as_ref()
-            .is_some_and(|engine| self.requirements.long_read_ms(engine).is_some())
+            .is_some_and(|engine| self.requirements.long_prefill_ms(engine).is_some())
     }
 }
 
--- a/request/tests/placement.rs
+++ b/request/tests/placement.rs
@@ -111,7 +111,7 @@
 
 #[test]
 fn reading_grows_with_the_square_of_long_prompts() {
-    let ms = |tokens| forecast::read_ms(&ENGINE, tokens);
+    let ms = |tokens| forecast::prefill_ms(&ENGINE, tokens);
     assert!((ms(5_000) - 26.0).abs() < 1.0, "{}", ms(5_000));
     assert!((ms(133_000) - 1_866.0).abs() < 10.0, "{}", ms(133_000));
     assert!(ms(266_000) > 3.0 * ms(133_000));
