--- a/request/src/scheduler.rs
+++ b/request/src/scheduler.rs
@@ -155,11 +155,11 @@
             match placed {
                 Ok(placement) => {
                     let objective_ms = requirements.objective.as_secs_f64() * 1e3;
-                    self.pressure.placed(placement.predicted_ms / objective_ms, now);
+                    self.pressure.on_placed(placement.predicted_ms / objective_ms, now);
                     let charged = Charged { key, service, charge: requirements.charge };
                     return self.give(cluster, charged, placement, now);
                 }
-                Err(Rejection::Full) => self.pressure.waits(now),
+                Err(Rejection::Full) => self.pressure.on_queued(now),
                 Err(rejection) => return Answer::Rejected(rejection),
             }
         }
@@ -408,7 +408,7 @@
         self.waiters
             .retain(|waiter| waiter.key.holder == Holder::Own || age(waiter.heard) < ASK_LASTS);
         self.placed.retain(|_, placed| age(placed.at) < PLACED_LASTS);
-        self.pressure.forget(now);
+        self.pressure.expire(now);
         while self.asked.front().is_some_and(|asked| age(asked.at) > DEMAND_WINDOW) {
             self.asked.pop_front();
         }
