--- a/daemon/src/engines.rs
+++ b/daemon/src/engines.rs
@@ -287,7 +287,7 @@
         let local = inner.engines.get_mut(&candidate.engine).expect("candidates are engines");
         local.own = local.own.plus(load);
         local.flights.insert(slot, Pending { sent: now, predicted, class: requirements.class });
-        local.health.sent();
+        local.health.on_sent();
         Flight {
             client: local.client.clone(),
             engines: self.clone(),
@@ -317,7 +317,7 @@
             own: l.own,
             fleet: l.fleet(now),
             leaving: l.is_leaving(now),
-            usable: l.health.usable(now),
+            usable: l.health.is_usable(now),
             home_age_ms: l.home.as_ref().map(|(_, at)| (now - *at).as_millis() as u64),
             speed: l.speed.clone(),
         };
@@ -358,8 +358,9 @@
             .filter(|(_, l)| wanted.requirements.memory.0 <= l.entry.memory_tokens)
             .filter(|(_, l)| !l.is_leaving(now))
             .collect();
-        let rank =
-            |(id, l): &(&id::Upstream, &Local)| (wanted.avoid.contains(id), !l.health.usable(now));
+        let rank = |(id, l): &(&id::Upstream, &Local)| {
+            (wanted.avoid.contains(id), !l.health.is_usable(now))
+        };
         let Some(best) = serving.iter().map(rank).min() else { return Vec::new() };
         serving.iter().filter(|s| rank(s) == best).map(|(id, _)| *id).collect()
     }
--- a/daemon/src/engines/flight.rs
+++ b/daemon/src/engines/flight.rs
@@ -44,7 +44,7 @@
         self.load = self.load.minus(prefill);
         self.engines.with(&self.engine, |local| {
             local.own = local.own.minus(prefill);
-            local.health.succeeded();
+            local.health.on_success();
             if local.flights.remove(&slot).is_some() {
                 local.speed.learn(work, seconds);
                 local.learnt_at = now;
@@ -61,7 +61,7 @@
         let slot = self.slot;
         self.engines.with(&self.engine, |local| {
             local.own = local.own.minus(prefill);
-            local.health.succeeded();
+            local.health.on_success();
             local.flights.remove(&slot);
         });
     }
@@ -70,7 +70,7 @@
     pub fn failed(&self) {
         let now = self.engines.clock.now();
         self.engines.with(&self.engine, |local| {
-            local.health.failed(now);
+            local.health.on_failure(now);
             local.affinity.clear();
         });
     }
@@ -87,7 +87,7 @@
         self.engines.with(&self.engine, |local| {
             local.own = local.own.minus(load);
             if local.flights.remove(&slot).is_some() {
-                local.health.undecided();
+                local.health.on_inconclusive();
             }
         });
     }
--- a/daemon/src/plain.rs
+++ b/daemon/src/plain.rs
@@ -69,7 +69,7 @@
         let mut usable = |server: &id::Upstream| {
             let local = table.entry(server.clone()).or_default();
             let leaving = local.leaving_at.is_some_and(|at| now < at + LEAVING_KEPT);
-            (!leaving && local.health.usable(now) && !unusable(server))
+            (!leaving && local.health.is_usable(now) && !unusable(server))
                 .then_some((local.outstanding, rand::random::<u32>()))
         };
         let (_, server) = service
@@ -79,7 +79,7 @@
             .min_by_key(|(load, _)| *load)?;
         let local = table.entry(server.clone()).or_default();
         local.outstanding += 1;
-        local.health.sent();
+        local.health.on_sent();
         Some(Flight { servers: self, server: server.clone() })
     }
 }
@@ -280,13 +280,13 @@
     fn judge(&self, server: &id::Upstream, end: &End) {
         let now = self.caller.process.clock.now();
         self.caller.process.servers.with(server, |local| match end {
-            End::Answered(_) => local.health.succeeded(),
-            End::Broken(_) => local.health.failed(now),
+            End::Answered(_) => local.health.on_success(),
+            End::Broken(_) => local.health.on_failure(now),
             End::NotRun { why, .. } if why == LEAVING => {
-                local.health.undecided();
+                local.health.on_inconclusive();
                 local.leaving_at = Some(now);
             }
-            End::NotRun { .. } => local.health.failed(now),
+            End::NotRun { .. } => local.health.on_failure(now),
         });
     }
 }
--- a/request/src/health.rs
+++ b/request/src/health.rs
@@ -19,22 +19,22 @@
 
 impl Health {
     /// Whether a request may be sent to it. After a penalty, one request at a time may probe it.
-    pub fn usable(&self, now: Instant) -> bool {
+    pub fn is_usable(&self, now: Instant) -> bool {
         self.until.is_none_or(|until| now >= until && !self.probing)
     }
 
     /// Records that a request was sent to the upstream.
-    pub fn sent(&mut self) {
+    pub fn on_sent(&mut self) {
         self.probing = self.until.is_some();
     }
 
     /// Records a successful request.
-    pub fn succeeded(&mut self) {
+    pub fn on_success(&mut self) {
         *self = Health::default();
     }
 
     /// Records a failure. The penalty doubles with each failure in a row.
-    pub fn failed(&mut self, now: Instant) {
+    pub fn on_failure(&mut self, now: Instant) {
         let penalty = FIRST_PENALTY * 2u32.saturating_pow(self.failures.min(16));
         self.failures += 1;
         self.until = Some(now + penalty.min(MAX_PENALTY));
@@ -42,7 +42,7 @@
     }
 
     /// Records a request whose end says nothing about the upstream's health.
-    pub fn undecided(&mut self) {
+    pub fn on_inconclusive(&mut self) {
         self.probing = false;
     }
 }
--- a/request/tests/limits.rs
+++ b/request/tests/limits.rs
@@ -166,16 +166,16 @@
         let clock = Manual::default();
         let mut health = Health::default();
         for _ in 0..failures {
-            prop_assert!(health.usable(clock.now()));
-            health.sent();
-            health.failed(clock.now());
-            prop_assert!(!health.usable(clock.now()));
+            prop_assert!(health.is_usable(clock.now()));
+            health.on_sent();
+            health.on_failure(clock.now());
+            prop_assert!(!health.is_usable(clock.now()));
             clock.advance(Duration::from_secs(8));
         }
-        prop_assert!(health.usable(clock.now()));
-        health.sent();
-        prop_assert!(!health.usable(clock.now()), "the probe is on its way");
-        health.succeeded();
-        prop_assert!(health.usable(clock.now()));
+        prop_assert!(health.is_usable(clock.now()));
+        health.on_sent();
+        prop_assert!(!health.is_usable(clock.now()), "the probe is on its way");
+        health.on_success();
+        prop_assert!(health.is_usable(clock.now()));
     }
 }
