--- a/daemon/src/engines.rs
+++ b/daemon/src/engines.rs
@@ -240,7 +240,7 @@
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
         for local in inner.engines.values_mut().filter(|l| now >= l.learnt_at + FADE) {
-            local.speed.fade();
+            local.speed.decay();
             local.learnt_at = now;
         }
     }
--- a/request/src/speed.rs
+++ b/request/src/speed.rs
@@ -29,14 +29,14 @@
     }
 }
 
-const N: usize = 4;
+const FACTORS: usize = 4;
 const TOKENS_UNIT: f64 = 1_000.0;
 const PAIRS_UNIT: f64 = 1e9;
 
-type Vector = [f64; N];
+type Vector = [f64; FACTORS];
 
 /// Weight of a sample relative to the next one.
-const FORGETTING: f64 = 0.98;
+const DECAY: f64 = 0.98;
 
 /// The seconds per factor without samples: 2 ms, 20 µs per token, 0.05 ns per pair, nothing for
 /// concurrent long prompts. Faster than real engines, so that an engine with few samples is tried.
@@ -47,7 +47,7 @@
 
 /// The largest ratio of a sample to its prediction, so that one stall of an engine does not distort
 /// the model.
-const CLIP: f64 = 20.0;
+const MAX_SAMPLE_RATIO: f64 = 20.0;
 
 /// The model of one engine.
 #[derive(Debug, Clone, Serialize)]
@@ -55,7 +55,7 @@
     weights: Vector,
     /// Decayed sums of the factors' products.
     #[serde(skip)]
-    products: [Vector; N],
+    products: [Vector; FACTORS],
     /// Decayed sums of the factors times the seconds.
     #[serde(skip)]
     seconds: Vector,
@@ -64,7 +64,12 @@
 
 impl Default for Model {
     fn default() -> Self {
-        Model { weights: PRIOR, products: [[0.0; N]; N], seconds: [0.0; N], samples: 0 }
+        Model {
+            weights: PRIOR,
+            products: [[0.0; FACTORS]; FACTORS],
+            seconds: [0.0; FACTORS],
+            samples: 0,
+        }
     }
 }
 
@@ -86,7 +91,7 @@
 
     /// Halves the weight of all samples, so that an engine that was not used for a while, perhaps
     /// because it was slow, is tried again.
-    pub fn fade(&mut self) {
+    pub fn decay(&mut self) {
         for row in &mut self.products {
             *row = row.map(|cell| cell / 2.0);
         }
@@ -97,12 +102,12 @@
     /// Adds the time to the first token of one request.
     pub fn learn(&mut self, work: Work, seconds: f64) {
         let x = work.factors();
-        let seconds = seconds.min(self.predict(work).max(PRIOR[0]) * CLIP);
-        for i in 0..N {
-            for j in 0..N {
-                self.products[i][j] = self.products[i][j] * FORGETTING + x[i] * x[j];
+        let seconds = seconds.min(self.predict(work).max(PRIOR[0]) * MAX_SAMPLE_RATIO);
+        for i in 0..FACTORS {
+            for j in 0..FACTORS {
+                self.products[i][j] = self.products[i][j] * DECAY + x[i] * x[j];
             }
-            self.seconds[i] = self.seconds[i] * FORGETTING + x[i] * seconds;
+            self.seconds[i] = self.seconds[i] * DECAY + x[i] * seconds;
         }
         self.samples += 1;
         self.solve();
@@ -110,10 +115,10 @@
 
     /// Solves for weights that are not negative: factors with a negative weight are excluded.
     fn solve(&mut self) {
-        let mut used = [true; N];
+        let mut used = [true; FACTORS];
         loop {
             let weights = self.solve_for(&used);
-            match (0..N).find(|i| used[*i] && weights[*i] < 0.0) {
+            match (0..FACTORS).find(|i| used[*i] && weights[*i] < 0.0) {
                 Some(negative) => used[negative] = false,
                 None => {
                     self.weights = weights;
@@ -125,14 +130,14 @@
 
     /// Solves with the prior as a ridge term, which keeps the system well-conditioned; excluded
     /// factors get weight 0.
-    fn solve_for(&self, used: &[bool; N]) -> Vector {
+    fn solve_for(&self, used: &[bool; FACTORS]) -> Vector {
         let mut a = self.products;
         let mut b = self.seconds;
-        for i in 0..N {
+        for i in 0..FACTORS {
             a[i][i] += PRIOR_WEIGHT;
             b[i] += PRIOR_WEIGHT * PRIOR[i];
             if !used[i] {
-                a[i] = [0.0; N];
+                a[i] = [0.0; FACTORS];
                 for row in &mut a {
                     row[i] = 0.0;
                 }
@@ -145,9 +150,9 @@
 }
 
 /// Solves a positive definite system by elimination, which needs no pivoting.
-fn eliminate(mut a: [Vector; N], mut b: Vector) -> Vector {
-    for i in 0..N {
-        for k in i + 1..N {
+fn eliminate(mut a: [Vector; FACTORS], mut b: Vector) -> Vector {
+    for i in 0..FACTORS {
+        for k in i + 1..FACTORS {
             let factor = a[k][i] / a[i][i];
             let above = a[i];
             for (cell, above) in a[k].iter_mut().zip(above).skip(i) {
@@ -156,9 +161,9 @@
             b[k] -= factor * b[i];
         }
     }
-    let mut x = [0.0; N];
-    for i in (0..N).rev() {
-        let known: f64 = (i + 1..N).map(|j| a[i][j] * x[j]).sum();
+    let mut x = [0.0; FACTORS];
+    for i in (0..FACTORS).rev() {
+        let known: f64 = (i + 1..FACTORS).map(|j| a[i][j] * x[j]).sum();
         x[i] = (b[i] - known) / a[i][i];
     }
     x
