--- a/request/src/placement.rs
+++ b/request/src/placement.rs
@@ -33,19 +33,19 @@
 
 /// Share of the objective within which a short prompt's first event must be predicted for an engine
 /// to be filled further before other engines are compared.
-const IN_TIME: f64 = 0.6;
+const FILL_SHARE: f64 = 0.6;
 
 /// Share of the objective beyond which a short prompt goes to an engine without short responses
 /// instead of sharing one: one prediction in ten is a third too low.
-const BESIDE: f64 = 0.85;
+const MAX_PREDICTED_SHARE: f64 = 0.85;
 
 /// Share of the objective within which the first event must come of the prompt that waits longest
 /// for the pass that would read the new one too: each added prefill delays those before it. Without
 /// this limit, one in ten was late where many short prompts arrive at once.
-const FIRST: f64 = 0.9;
+const OLDEST_WAIT_SHARE: f64 = 0.9;
 
 /// A prompt whose prefill takes at most this share of its objective is not split.
-const WHOLE: f64 = 0.55;
+const UNSPLIT_SHARE: f64 = 0.55;
 
 /// What a request needs of a placement.
 #[derive(Debug, Clone, PartialEq)]
@@ -91,7 +91,7 @@
     }
 
     /// Whether its response is interactive.
-    fn is_brisk(&self) -> bool {
+    fn is_interactive(&self) -> bool {
         self.pause_ms() <= BRISK_MS
     }
 
@@ -106,8 +106,9 @@
     pub fn long_prefill_ms(&self, engine: &Engine) -> Option<f64> {
         let prefill_ms = forecast::prefill_ms(engine, self.prompt.0);
         let objective = self.objective.as_secs_f64() * 1e3;
-        let short =
-            prefill_ms <= objective * WHOLE && self.is_brisk() && self.memory <= engine.memory;
+        let short = prefill_ms <= objective * UNSPLIT_SHARE
+            && self.is_interactive()
+            && self.memory <= engine.memory;
         (!short).then_some(prefill_ms)
     }
 }
@@ -202,7 +203,7 @@
     requirements: &Requirements,
     now: Instant,
 ) -> Result<Placement, Rejection> {
-    let alone = runs_alone(cluster, requirements.fingerprint, now)?;
+    let isolated = runs_alone(cluster, requirements.fingerprint, now)?;
     let (candidates, limited) = candidates(cluster, service, requirements, now);
     if candidates.is_empty() {
         return Err(rejection(cluster, service, requirements, now));
@@ -211,9 +212,9 @@
     let Some(engine) = engine.filter(|engine| requirements.long_prefill_ms(engine).is_some())
     else {
         let placement = match engine {
-            _ if alone => apart(requirements, engine, candidates),
-            Some(engine) => short(requirements, engine, candidates),
-            None => plain(requirements, candidates),
+            _ if isolated => place_on_least_busy(requirements, engine, candidates),
+            Some(engine) => place_short(requirements, engine, candidates),
+            None => place_without_model(requirements, candidates),
         };
         return placement.map(|placement| Placement { limited, ..placement });
     };
@@ -221,7 +222,7 @@
     let line = Line { turns: &turns, demand: 0.0, offset: requirements.offset, kept: 0 };
     let placed = group::line(cluster, service, engine, line, now).pop();
     let (_, mut placement) = placed.ok_or(Rejection::Full)?;
-    placement.flight.alone = alone.then_some(requirements.fingerprint);
+    placement.flight.alone = isolated.then_some(requirements.fingerprint);
     Ok(placement)
 }
 
@@ -233,15 +234,15 @@
     requirements: &Requirements,
     now: Instant,
 ) -> Result<Placement, Rejection> {
-    let alone = runs_alone(cluster, requirements.fingerprint, now)?;
+    let isolated = runs_alone(cluster, requirements.fingerprint, now)?;
     let all = cluster.limited_rate(&service.name).is_some();
     let (mut candidates, _) = candidates(cluster, service, requirements, now);
-    candidates.retain(|c| c.upstream.is_limited() && (all || c.is_due));
-    let mut placement = apart(requirements, service.engine.as_ref(), candidates)?;
+    candidates.retain(|c| c.upstream.is_limited() && (all || c.probe_due));
+    let mut placement = place_on_least_busy(requirements, service.engine.as_ref(), candidates)?;
     if !all && placement.predicted_ms > requirements.left_ms(now) {
         return Err(Rejection::Full);
     }
-    placement.flight.alone = alone.then_some(requirements.fingerprint);
+    placement.flight.alone = isolated.then_some(requirements.fingerprint);
     Ok(placement)
 }
 
@@ -262,40 +263,40 @@
 
 /// Places a request on the upstream with the fewest attempts and prefill parts in flight. For an
 /// isolated request that is usually an idle one.
-fn apart(
+fn place_on_least_busy(
     requirements: &Requirements,
     engine: Option<&Engine>,
     candidates: Vec<Candidate<'_>>,
 ) -> Result<Placement, Rejection> {
     let open = candidates.len();
     let has_room = |c: &Candidate<'_>| engine.is_none_or(|e| c.has_room(requirements.memory.0, e));
-    let under_way = |c: &Candidate<'_>| (c.load.requests + c.load.helping, c.load.memory);
-    let best = candidates.into_iter().filter(has_room).min_by_key(under_way);
+    let in_flight = |c: &Candidate<'_>| (c.load.requests + c.load.helping, c.load.memory);
+    let best = candidates.into_iter().filter(has_room).min_by_key(in_flight);
     let best = best.ok_or(Rejection::Full)?;
     let prefill_ms =
         engine.map_or(0.0, |engine| forecast::prefill_ms(engine, requirements.prompt.0));
     let predicted_ms = engine.map_or(0.0, |engine| best.predicted_ms(engine, prefill_ms));
-    let mut placement = placed(requirements, &best, &[], prefill_ms, predicted_ms, open);
+    let mut placement = build_placement(requirements, &best, &[], prefill_ms, predicted_ms, open);
     placement.flight.alone = Some(requirements.fingerprint);
     Ok(placement)
 }
 
-fn plain(
+fn place_without_model(
     requirements: &Requirements,
     candidates: Vec<Candidate<'_>>,
 ) -> Result<Placement, Rejection> {
     let open = candidates.len();
-    let relative =
+    let utilization =
         |c: &Candidate<'_>| f64::from(c.load.requests) / f64::from(c.upstream.listed.slots.max(1));
     let is_new = |c: &Candidate<'_>| !requirements.connected.contains(&c.upstream.tag);
     let compare = |a: &Candidate<'_>, b: &Candidate<'_>| {
-        relative(a).total_cmp(&relative(b)).then(is_new(a).cmp(&is_new(b)))
+        utilization(a).total_cmp(&utilization(b)).then(is_new(a).cmp(&is_new(b)))
     };
     let best = candidates.into_iter().min_by(compare).ok_or(Rejection::Closed)?;
-    Ok(placed(requirements, &best, &[], 0.0, 0.0, open))
+    Ok(build_placement(requirements, &best, &[], 0.0, 0.0, open))
 }
 
-fn short(
+fn place_short(
     requirements: &Requirements,
     engine: &Engine,
     candidates: Vec<Candidate<'_>>,
@@ -304,27 +305,32 @@
     let objective = requirements.objective.as_secs_f64() * 1e3;
     let open = candidates.len();
     let memory = requirements.memory.0;
-    let fits = |c: &Candidate<'_>, part: f64| {
+    let fits = |c: &Candidate<'_>, share: f64| {
         c.has_room(memory, engine)
-            && c.load.next_ms + prefill_ms <= c.allowance_ms(engine, requirements.pause_ms())
-            && c.predicted_ms(engine, prefill_ms) <= objective * part
-            && c.load.waited_ms + c.predicted_ms(engine, prefill_ms) <= objective * FIRST
+            && c.load.next_ms + prefill_ms <= c.prefill_budget_ms(engine, requirements.pause_ms())
+            && c.predicted_ms(engine, prefill_ms) <= objective * share
+            && c.load.waited_ms + c.predicted_ms(engine, prefill_ms)
+                <= objective * OLDEST_WAIT_SHARE
     };
     let index = candidates
         .iter()
-        .position(|c| c.is_due && fits(c, BESIDE))
-        .or_else(|| candidates.iter().position(|c| c.is_brisk() && fits(c, IN_TIME)))
-        .or_else(|| least(&candidates, engine, prefill_ms, |c| c.is_brisk() && fits(c, BESIDE)))
-        .or_else(|| candidates.iter().position(|c| fits(c, BESIDE)))
-        .or_else(|| least(&candidates, engine, prefill_ms, |c| c.has_room(memory, engine)))
+        .position(|c| c.probe_due && fits(c, MAX_PREDICTED_SHARE))
+        .or_else(|| candidates.iter().position(|c| c.is_interactive() && fits(c, FILL_SHARE)))
+        .or_else(|| {
+            soonest(&candidates, engine, prefill_ms, |c| {
+                c.is_interactive() && fits(c, MAX_PREDICTED_SHARE)
+            })
+        })
+        .or_else(|| candidates.iter().position(|c| fits(c, MAX_PREDICTED_SHARE)))
+        .or_else(|| soonest(&candidates, engine, prefill_ms, |c| c.has_room(memory, engine)))
         .ok_or(Rejection::Full)?;
     let best = &candidates[index];
     let predicted = best.predicted_ms(engine, prefill_ms);
-    Ok(placed(requirements, best, &[], prefill_ms, predicted, open))
+    Ok(build_placement(requirements, best, &[], prefill_ms, predicted, open))
 }
 
 /// The eligible engine with the earliest predicted first event.
-fn least(
+fn soonest(
     candidates: &[Candidate<'_>],
     engine: &Engine,
     part_ms: f64,
@@ -340,15 +346,19 @@
 }
 
 /// Maximum number of helpers that are named in the record of a decision.
-const NAMED: usize = 4;
+const MAX_NAMED_HELPERS: usize = 4;
 
-fn slowest(helpers: &[(&Candidate<'_>, u64)]) -> Vec<(id::Upstream, Load)> {
+fn busiest_helpers(helpers: &[(&Candidate<'_>, u64)]) -> Vec<(id::Upstream, Load)> {
     let mut order: Vec<&Candidate<'_>> = helpers.iter().map(|(c, _)| *c).collect();
     order.sort_by(|a, b| b.load.backlog_ms.total_cmp(&a.load.backlog_ms));
-    order.into_iter().take(NAMED).map(|c| (c.upstream.listed.id.clone(), c.load.clone())).collect()
+    order
+        .into_iter()
+        .take(MAX_NAMED_HELPERS)
+        .map(|c| (c.upstream.listed.id.clone(), c.load.clone()))
+        .collect()
 }
 
-fn placed(
+fn build_placement(
     requirements: &Requirements,
     best: &Candidate<'_>,
     helpers: &[(&Candidate<'_>, u64)],
@@ -374,7 +384,7 @@
         },
         predicted_ms,
         load: best.load.clone(),
-        slowest: slowest(helpers),
+        slowest: busiest_helpers(helpers),
         open,
         limited: 0,
         limit: best.upstream.rate_limit.as_ref().map(|known| known.limit),
--- a/request/src/placement/candidate.rs
+++ b/request/src/placement/candidate.rs
@@ -17,7 +17,7 @@
 
 /// Maximum number of interactive responses on an engine that still reads parts of any length. With
 /// zero, a single such response would keep its engine from long prompts for as long as it lasts.
-const LONE: u32 = 1;
+const MAX_INTERACTIVE_BESIDE_PARTS: u32 = 1;
 
 /// An upstream with its current load.
 #[derive(Clone)]
@@ -25,10 +25,10 @@
     pub(super) upstream: &'a Upstream,
     pub(super) load: Load,
     /// Measured over expected time of its work.
-    pub(super) pace: f64,
+    pub(super) slowdown: f64,
     /// Whether it is rate-limited and due for a probe, since only a response shows whether the
     /// limit has ended.
-    pub(super) is_due: bool,
+    pub(super) probe_due: bool,
 }
 
 impl<'a> Candidate<'a> {
@@ -42,52 +42,52 @@
         Candidate {
             upstream,
             load,
-            pace: upstream.pace(now),
-            is_due: is_due(cluster, upstream, now),
+            slowdown: upstream.pace(now),
+            probe_due: probe_due(cluster, upstream, now),
         }
     }
 
     /// The predicted time to the first event of a prompt that is sent now. The event comes at the
     /// end of the pass that reads the prompt, which begins when the running pass has ended.
     pub(super) fn predicted_ms(&self, engine: &Engine, part_ms: f64) -> f64 {
-        let writers = self.load.writers + 1;
-        let pass = forecast::pass_ms(engine, writers, self.load.memory);
-        self.load.pass_ms + (self.load.next_ms + part_ms + pass) * self.pace
+        let decoding = self.load.writers + 1;
+        let pass = forecast::pass_ms(engine, decoding, self.load.memory);
+        self.load.pass_ms + (self.load.next_ms + part_ms + pass) * self.slowdown
     }
 
     /// The delay before a new prefill begins: earlier prefills and, if the engine is decoding, the
     /// rest of the running pass.
-    pub(super) fn ahead_ms(&self, engine: &Engine) -> f64 {
+    pub(super) fn queueing_delay_ms(&self, engine: &Engine) -> f64 {
         let load = &self.load;
         let pass = forecast::pass_ms(engine, load.writers, load.memory);
         let running = if load.writers > 0 { pass / 2.0 } else { 0.0 };
-        running * self.pace + load.backlog_ms
+        running * self.slowdown + load.backlog_ms
     }
 
     /// Prefill milliseconds that fit into one pass without too long a pause for any response on
     /// this engine, including a new one with `pause_ms`.
-    pub(super) fn allowance_ms(&self, engine: &Engine, pause_ms: u32) -> f64 {
-        self.allowed_ms(engine, self.load.pause_ms.map_or(pause_ms, |ms| ms.min(pause_ms)))
+    pub(super) fn prefill_budget_ms(&self, engine: &Engine, pause_ms: u32) -> f64 {
+        self.pass_budget_ms(engine, self.load.pause_ms.map_or(pause_ms, |ms| ms.min(pause_ms)))
     }
 
     /// The longest part of a long prompt that may be read on this engine.
-    pub(super) fn part_allowance_ms(&self, engine: &Engine) -> f64 {
+    pub(super) fn max_part_ms(&self, engine: &Engine) -> f64 {
         let pause_ms = if self.is_crowded() { self.load.pause_ms } else { self.load.calm_ms };
-        self.allowed_ms(engine, pause_ms.unwrap_or(u32::MAX))
+        self.pass_budget_ms(engine, pause_ms.unwrap_or(u32::MAX))
     }
 
-    pub(super) fn allowed_ms(&self, engine: &Engine, pause_ms: u32) -> f64 {
+    pub(super) fn pass_budget_ms(&self, engine: &Engine, pause_ms: u32) -> f64 {
         let pass = forecast::pass_ms(engine, self.load.writers + 1, self.load.memory);
-        (f64::from(pause_ms) - PAUSE_MARGIN_MS) / self.pace - pass
+        (f64::from(pause_ms) - PAUSE_MARGIN_MS) / self.slowdown - pass
     }
 
     /// Whether the engine has too many interactive responses for parts of any length.
     pub(super) fn is_crowded(&self) -> bool {
-        self.load.brisk > LONE
+        self.load.brisk > MAX_INTERACTIVE_BESIDE_PARTS
     }
 
     /// Whether the engine has an interactive response in flight.
-    pub(super) fn is_brisk(&self) -> bool {
+    pub(super) fn is_interactive(&self) -> bool {
         self.load.pause_ms.is_some_and(|ms| ms <= BRISK_MS)
     }
 
@@ -107,8 +107,8 @@
     if cluster.is_drained(&service.name) {
         return Rejection::Drained;
     }
-    let is_paced = |u: &Upstream| u.is_cold(now) || u.is_limited();
-    let left = |u: &Upstream| is_paced(u) && !requirements.avoid.contains(&u.tag);
+    let takes_few = |u: &Upstream| u.is_cold(now) || u.is_limited();
+    let left = |u: &Upstream| takes_few(u) && !requirements.avoid.contains(&u.tag);
     if cluster.open(&service.name).any(left) { Rejection::Full } else { Rejection::Closed }
 }
 
@@ -121,10 +121,10 @@
     now: Instant,
 ) -> (Vec<Candidate<'a>>, usize) {
     let open = cluster.open(&service.name).filter(|u| !requirements.avoid.contains(&u.tag));
-    let (open, spent): (Vec<&Upstream>, Vec<&Upstream>) =
-        open.partition(|u| bears_more(cluster, service, u, requirements.schedulers, now));
-    let limited = spent.into_iter().filter(|u| u.is_limited()).count();
-    let mut candidates = trusted(cluster, open, now);
+    let (open, at_limit): (Vec<&Upstream>, Vec<&Upstream>) =
+        open.partition(|u| accepts_more(cluster, service, u, requirements.schedulers, now));
+    let limited = at_limit.into_iter().filter(|u| u.is_limited()).count();
+    let mut candidates = healthy(cluster, open, now);
     if !candidates.is_empty() {
         let offset = requirements.offset % candidates.len();
         candidates.rotate_left(offset);
@@ -140,13 +140,13 @@
     (upstream.is_limited(), upstream.is_cold(now))
 }
 
-fn is_due(cluster: &Cluster, upstream: &Upstream, now: Instant) -> bool {
+fn probe_due(cluster: &Cluster, upstream: &Upstream, now: Instant) -> bool {
     upstream.is_limited() && cluster.sent_within(&upstream.listed.id, PROBE_INTERVAL, now) == 0
 }
 
 /// Whether an upstream accepts one more request, by its rate limit or while it is cold. Without a
 /// scheduler the requests of other VMs are unknown, so a limited upstream accepts none.
-pub(super) fn bears_more(
+pub(super) fn accepts_more(
     cluster: &Cluster,
     service: &Service,
     upstream: &Upstream,
@@ -162,17 +162,17 @@
 
 /// The upstreams that have not failed recently and run no isolated request; all of them if there
 /// are no others.
-pub(super) fn trusted<'a>(
+pub(super) fn healthy<'a>(
     cluster: &Cluster,
     open: Vec<&'a Upstream>,
     now: Instant,
 ) -> Vec<&'a Upstream> {
-    let sound = |u: &&Upstream| {
+    let is_healthy = |u: &&Upstream| {
         u.unlisted.is_none()
             && !u.suspicion.avoided(now)
             && !u.silent(now)
             && !cluster.is_left_alone(&u.listed.id)
     };
-    let trusted: Vec<&Upstream> = open.iter().copied().filter(sound).collect();
-    if trusted.is_empty() { open } else { trusted }
+    let healthy: Vec<&Upstream> = open.iter().copied().filter(is_healthy).collect();
+    if healthy.is_empty() { open } else { healthy }
 }
--- a/request/src/placement/group.rs
+++ b/request/src/placement/group.rs
@@ -10,9 +10,9 @@
 
 use foldlock_version::routes::{Engine, Service};
 
-use super::candidate::{Candidate, bears_more, trusted};
-use super::share::{MOST_ENGINES, Prompt, Reader, Readers, Share};
-use super::{Placement, Requirements, placed};
+use super::candidate::{Candidate, accepts_more, healthy};
+use super::share::{EnginePlan, EnginePlans, MAX_ENGINES, Prompt, Share};
+use super::{Placement, Requirements, build_placement};
 use crate::cluster::{Cluster, Upstream};
 use crate::forecast;
 use crate::long_queue::{self, Capacity, Entry};
@@ -20,7 +20,7 @@
 /// The longest part, milliseconds, where all engines were busy recently: everything that arrives
 /// meanwhile waits for it. Up to twice that where engines were idle, so that the longest prompts
 /// can be placed on an idle fleet.
-const MOST_PART_MS: f64 = 1_000.0;
+const MAX_PART_MS: f64 = 1_000.0;
 
 /// The window over which the demand of long prompts is measured: the mix of lengths changes within
 /// a few seconds.
@@ -28,28 +28,28 @@
 
 /// The maximum number of queued prompts that are planned in one run: later ones would find their
 /// engines busy for longer than callers wait.
-const MOST_PLANNED: usize = 32;
+const MAX_PLANNED: usize = 32;
 
 /// The remaining engines must cover the demand of other long prompts by this factor for a prompt to
 /// be read in longer parts.
-const TO_SPARE: f64 = 1.5;
+const SPARE_CAPACITY_FACTOR: f64 = 1.5;
 
 /// Share of the reservation timeout within which the first event must be predicted of a prompt for
 /// which several engines reserve memory.
-const HOLD_MARGIN: f64 = 0.85;
+const RESERVATION_SHARE: f64 = 0.85;
 
 /// Share of an engine's free memory that is used: requests that other VMs have just placed there
 /// may take the rest.
-const SPARE: f64 = 0.97;
+const FREE_MEMORY_SHARE: f64 = 0.97;
 
 /// The smallest useful reservation on one engine, tokens.
-const LEAST_HELD: u64 = 8_000;
+const MIN_RESERVED_TOKENS: u64 = 8_000;
 
 /// The engine that generates the response, and the engines that reserve memory for it: indices and
 /// tokens.
-struct Holding {
+struct MemorySplit {
     main: usize,
-    holders: Vec<(usize, u64)>,
+    reservations: Vec<(usize, u64)>,
 }
 
 /// A queued long prompt.
@@ -85,64 +85,68 @@
 ) -> Vec<(usize, Placement)> {
     // Parts of split prompts would count against the rate limit.
     let unlimited = cluster.open(&service.name).filter(|upstream| !upstream.is_limited());
-    let open = trusted(cluster, unlimited.collect(), now);
+    let open = healthy(cluster, unlimited.collect(), now);
     let candidate = |upstream| Candidate::new(cluster, upstream, Some(engine), now);
     let mut candidates: Vec<Candidate<'_>> = open.into_iter().map(candidate).collect();
     candidates.reverse();
     let offset = line.offset % candidates.len().max(1);
     candidates.rotate_left(offset);
-    let mut readers = Readers::new(candidates, engine);
-    readers.keep(line.kept);
-    let most_part_ms = MOST_PART_MS * (1.0 + idle(&readers, line.demand));
+    let mut plans = EnginePlans::new(candidates, engine);
+    plans.keep_for_short(line.kept);
+    let max_part_ms = MAX_PART_MS * (1.0 + idle_share(&plans, line.demand));
     let mut placed = Vec::new();
-    for entry in in_order(line.turns, engine, &readers, now).into_iter().take(MOST_PLANNED) {
+    for entry in queue_order(line.turns, engine, &plans, now).into_iter().take(MAX_PLANNED) {
         let turn = &line.turns[entry.index];
         let prompt =
             Prompt { prefill_ms: entry.prefill_ms, left_ms: turn.requirements.left_ms(now) };
-        let bears =
-            |u: &Upstream| bears_more(cluster, service, u, turn.requirements.schedulers, now);
+        let accepts =
+            |u: &Upstream| accepts_more(cluster, service, u, turn.requirements.schedulers, now);
         let demand = demand_of_others(&line, prompt, turn.requirements, now);
-        let most_ms = |share: &Share| longest_part_ms(&readers, demand, prompt, share);
-        match turn_now(turn.requirements, engine, &readers, prompt, most_ms, bears) {
+        let max_ms = |share: &Share| longest_part_ms(&plans, demand, prompt, share);
+        match place_now(turn.requirements, engine, &plans, prompt, max_ms, accepts) {
             Some((share, placement)) => {
-                readers.begin(&share, &placement, turn.requirements);
+                plans.start(&share, &placement, turn.requirements);
                 placed.push((turn.index, placement));
             }
-            None => readers.plan(prompt, most_part_ms),
+            None => plans.plan_later(prompt, max_part_ms),
         }
     }
     placed
 }
 
 /// The placement of a prompt whose engines are free now.
-fn turn_now(
+fn place_now(
     requirements: &Requirements,
     engine: &Engine,
-    readers: &Readers<'_>,
+    plans: &EnginePlans<'_>,
     prompt: Prompt,
-    most_part_ms: impl Fn(&Share) -> f64,
-    bears: impl Fn(&Upstream) -> bool,
+    max_part_ms: impl Fn(&Share) -> f64,
+    accepts: impl Fn(&Upstream) -> bool,
 ) -> Option<(Share, Placement)> {
-    let may = |r: &Reader<'_>| !requirements.avoid.contains(&r.candidate.upstream.tag);
-    let can_answer = |r: &Reader<'_>| {
-        r.candidate.has_room(requirements.memory.0, engine) && bears(r.candidate.upstream)
+    let may = |r: &EnginePlan<'_>| !requirements.avoid.contains(&r.candidate.upstream.tag);
+    let can_be_main = |r: &EnginePlan<'_>| {
+        r.candidate.has_room(requirements.memory.0, engine) && accepts(r.candidate.upstream)
     };
-    let share = readers.now(prompt, may, can_answer)?;
-    if share.part_ms > most_part_ms(&share) {
+    let share = plans.share_now(prompt, may, can_be_main)?;
+    if share.part_ms > max_part_ms(&share) {
         return None;
     }
-    let placement = group(requirements, engine, readers, &share)?;
+    let placement = place_group(requirements, engine, plans, &share)?;
     Some((share, placement))
 }
 
 /// The longest part of a prompt that these engines may read. Where the remaining engines cover the
 /// demand of other long prompts, nothing waits for it, and it may take all the time until the
 /// deadline of its first event.
-fn longest_part_ms(readers: &Readers<'_>, demand: f64, prompt: Prompt, share: &Share) -> f64 {
-    let usual_ms = MOST_PART_MS * (1.0 + idle(readers, demand));
-    let apart = readers.all().iter().filter(|r| r.apart).count() as f64;
-    let left = apart - share.engines.len() as f64;
-    if left >= demand * TO_SPARE { usual_ms.max(prompt.left_ms) } else { usual_ms }
+fn longest_part_ms(plans: &EnginePlans<'_>, demand: f64, prompt: Prompt, share: &Share) -> f64 {
+    let usual_max_ms = MAX_PART_MS * (1.0 + idle_share(plans, demand));
+    let for_long = plans.all().iter().filter(|r| r.for_long).count() as f64;
+    let left = for_long - share.engines.len() as f64;
+    if left >= demand * SPARE_CAPACITY_FACTOR {
+        usual_max_ms.max(prompt.left_ms)
+    } else {
+        usual_max_ms
+    }
 }
 
 /// Whether a prompt is too long for a service's engines even if all of them were idle: its parts
@@ -158,13 +162,13 @@
         return true;
     }
     let unlimited = cluster.open(&service.name).filter(|upstream| !upstream.is_limited());
-    let engines = unlimited.count().clamp(1, MOST_ENGINES);
-    let most_ms = if requirements.memory > engine.memory {
-        requirements.hold_limit.as_secs_f64() * 1e3 * HOLD_MARGIN
+    let engines = unlimited.count().clamp(1, MAX_ENGINES);
+    let max_ms = if requirements.memory > engine.memory {
+        requirements.hold_limit.as_secs_f64() * 1e3 * RESERVATION_SHARE
     } else {
-        (MOST_PART_MS * 2.0).max(requirements.objective.as_secs_f64() * 1e3)
+        (MAX_PART_MS * 2.0).max(requirements.objective.as_secs_f64() * 1e3)
     };
-    prefill_ms / engines as f64 > most_ms
+    prefill_ms / engines as f64 > max_ms
 }
 
 /// The demand of the other long prompts, in engines: a prompt does not compete with its own
@@ -175,16 +179,17 @@
     requirements: &Requirements,
     now: Instant,
 ) -> f64 {
-    let counted = now.saturating_duration_since(requirements.arrived) < DEMAND_WINDOW;
-    let own = if counted { prompt.prefill_ms / (DEMAND_WINDOW.as_secs_f64() * 1e3) } else { 0.0 };
+    let is_counted = now.saturating_duration_since(requirements.arrived) < DEMAND_WINDOW;
+    let own =
+        if is_counted { prompt.prefill_ms / (DEMAND_WINDOW.as_secs_f64() * 1e3) } else { 0.0 };
     (line.demand - own).max(0.0)
 }
 
 /// The prompts in the order of the long queue.
-fn in_order(
+fn queue_order(
     turns: &[Turn<'_>],
     engine: &Engine,
-    readers: &Readers<'_>,
+    plans: &EnginePlans<'_>,
     now: Instant,
 ) -> Vec<Entry> {
     let entry = |(index, turn): (usize, &Turn<'_>)| Entry {
@@ -195,24 +200,24 @@
         index,
     };
     let entries = turns.iter().enumerate().map(entry).collect();
-    long_queue::order(entries, capacity(readers), now)
+    long_queue::order(entries, capacity(plans), now)
 }
 
 /// The capacity of the engines for long prompts.
-fn capacity(readers: &Readers<'_>) -> Capacity {
-    let apart = || readers.all().iter().filter(|r| r.apart);
-    let busy_ms: f64 = apart().map(|r| r.free_ms).sum();
+fn capacity(plans: &EnginePlans<'_>) -> Capacity {
+    let for_long = || plans.all().iter().filter(|r| r.for_long);
+    let busy_ms: f64 = for_long().map(|r| r.free_ms).sum();
     Capacity {
-        engines: apart().map(|r| 1.0 / r.candidate.pace).sum(),
-        max_per_prompt: MOST_ENGINES as f64,
-        busy_ms: busy_ms / (apart().count() as f64).max(1.0),
+        engines: for_long().map(|r| 1.0 / r.candidate.slowdown).sum(),
+        max_per_prompt: MAX_ENGINES as f64,
+        busy_ms: busy_ms / (for_long().count() as f64).max(1.0),
     }
 }
 
 /// The share of the engines for long prompts that was idle recently.
-fn idle(readers: &Readers<'_>, demand: f64) -> f64 {
-    let apart = readers.all().iter().filter(|r| r.apart).count() as f64;
-    (1.0 - demand / apart.max(1.0)).clamp(0.0, 1.0)
+fn idle_share(plans: &EnginePlans<'_>, demand: f64) -> f64 {
+    let for_long = plans.all().iter().filter(|r| r.for_long).count() as f64;
+    (1.0 - demand / for_long.max(1.0)).clamp(0.0, 1.0)
 }
 
 /// The delay of a prefill in addition to its own time. On an engine that is decoding, a part is
@@ -220,74 +225,74 @@
 fn prefill_delay_ms(candidate: &Candidate<'_>, engine: &Engine) -> f64 {
     let load = &candidate.load;
     let pass = forecast::pass_ms(engine, load.writers, load.memory);
-    let pass = if load.writers > 0 { pass * candidate.pace } else { 0.0 };
-    candidate.ahead_ms(engine) + pass
+    let pass = if load.writers > 0 { pass * candidate.slowdown } else { 0.0 };
+    candidate.queueing_delay_ms(engine) + pass
 }
 
 /// The placement of a prompt on the engines that share it, if they have enough memory.
-fn group(
+fn place_group(
     requirements: &Requirements,
     engine: &Engine,
-    readers: &Readers<'_>,
+    plans: &EnginePlans<'_>,
     share: &Share,
 ) -> Option<Placement> {
-    let of: Vec<&Reader<'_>> = share.engines.iter().map(|index| &readers.all()[*index]).collect();
-    let Holding { main, holders } = match main_engine(engine, &of, requirements.memory.0) {
-        Some(main) => Holding { main, holders: Vec::new() },
-        None => spread(&of, engine, requirements.memory.0)?,
+    let of: Vec<&EnginePlan<'_>> = share.engines.iter().map(|index| &plans.all()[*index]).collect();
+    let MemorySplit { main, reservations } = match main_engine(engine, &of, requirements.memory.0) {
+        Some(main) => MemorySplit { main, reservations: Vec::new() },
+        None => split_memory(&of, engine, requirements.memory.0)?,
     };
-    let held = |index: usize| holders.iter().find(|(holder, _)| *holder == index);
+    let reserved = |index: usize| reservations.iter().find(|(engine, _)| *engine == index);
     let others = (0..of.len()).filter(|index| *index != main);
     let helpers: Vec<(&Candidate<'_>, u64)> = others
-        .map(|index| (&of[index].candidate, held(index).map_or(0, |(_, tokens)| *tokens)))
+        .map(|index| (&of[index].candidate, reserved(index).map_or(0, |(_, tokens)| *tokens)))
         .collect();
     let main = &of[main].candidate;
-    let done = |c: &Candidate<'_>| prefill_delay_ms(c, engine) + share.part_ms * c.pace;
+    let done = |c: &Candidate<'_>| prefill_delay_ms(c, engine) + share.part_ms * c.slowdown;
     let finish_ms = helpers.iter().map(|(c, _)| done(c)).fold(done(main), f64::max);
     let pass = forecast::pass_ms(engine, main.load.writers + 1, main.load.memory);
-    let predicted_ms = finish_ms + pass * main.pace;
-    let hold_limit_ms = requirements.hold_limit.as_secs_f64() * 1e3 * HOLD_MARGIN;
-    if !holders.is_empty() && predicted_ms > hold_limit_ms {
+    let predicted_ms = finish_ms + pass * main.slowdown;
+    let hold_limit_ms = requirements.hold_limit.as_secs_f64() * 1e3 * RESERVATION_SHARE;
+    if !reservations.is_empty() && predicted_ms > hold_limit_ms {
         return None;
     }
-    let open = readers.all().len();
-    Some(placed(requirements, main, &helpers, share.part_ms, predicted_ms, open))
+    let open = plans.all().len();
+    Some(build_placement(requirements, main, &helpers, share.part_ms, predicted_ms, open))
 }
 
 /// The engine that generates the response, among those with enough memory.
-fn main_engine(engine: &Engine, readers: &[&Reader<'_>], memory: u64) -> Option<usize> {
-    readers
+fn main_engine(engine: &Engine, plans: &[&EnginePlan<'_>], memory: u64) -> Option<usize> {
+    plans
         .iter()
         .enumerate()
         .filter(|(_, r)| r.candidate.has_room(memory, engine))
-        .min_by(|(_, a), (_, b)| a.compare_to_answer(b))
+        .min_by(|(_, a), (_, b)| a.compare_as_main(b))
         .map(|(index, _)| index)
 }
 
 /// Splits the memory of a prompt over several engines: the one with the most free memory generates
 /// the response, the others reserve the missing memory.
-fn spread(readers: &[&Reader<'_>], engine: &Engine, memory: u64) -> Option<Holding> {
+fn split_memory(plans: &[&EnginePlan<'_>], engine: &Engine, memory: u64) -> Option<MemorySplit> {
     let free = |c: &Candidate<'_>| {
         let left = engine.memory.0.saturating_sub(c.load.memory);
-        (left as f64 * SPARE) as u64
+        (left as f64 * FREE_MEMORY_SHARE) as u64
     };
-    let mut order: Vec<usize> = (0..readers.len()).collect();
-    order.sort_by_key(|index| Reverse(free(&readers[*index].candidate)));
-    let takes = |c: &Candidate<'_>| c.load.requests < c.upstream.listed.slots;
-    let main = order.iter().copied().find(|i| takes(&readers[*i].candidate))?;
-    let mut missing = memory.saturating_sub(free(&readers[main].candidate));
-    let mut holders = Vec::new();
+    let mut order: Vec<usize> = (0..plans.len()).collect();
+    order.sort_by_key(|index| Reverse(free(&plans[*index].candidate)));
+    let has_slot = |c: &Candidate<'_>| c.load.requests < c.upstream.listed.slots;
+    let main = order.iter().copied().find(|i| has_slot(&plans[*i].candidate))?;
+    let mut missing = memory.saturating_sub(free(&plans[main].candidate));
+    let mut reservations = Vec::new();
     for index in order.into_iter().filter(|index| *index != main) {
-        if missing == 0 || holders.len() + 1 == MOST_ENGINES {
+        if missing == 0 || reservations.len() + 1 == MAX_ENGINES {
             break;
         }
-        let room = free(&readers[index].candidate);
-        if room < LEAST_HELD {
+        let room = free(&plans[index].candidate);
+        if room < MIN_RESERVED_TOKENS {
             continue;
         }
-        let held = room.min(missing.max(LEAST_HELD));
-        missing = missing.saturating_sub(held);
-        holders.push((index, held));
+        let reserved = room.min(missing.max(MIN_RESERVED_TOKENS));
+        missing = missing.saturating_sub(reserved);
+        reservations.push((index, reserved));
     }
-    (missing == 0).then_some(Holding { main, holders })
+    (missing == 0).then_some(MemorySplit { main, reservations })
 }
--- a/request/src/placement/share.rs
+++ b/request/src/placement/share.rs
@@ -15,48 +15,48 @@
 
 /// The shortest part of a long prefill, milliseconds: below it, the decode steps of each pass cost
 /// more than splitting gains.
-const LEAST_PART_MS: f64 = 25.0;
+const MIN_PART_MS: f64 = 25.0;
 
 /// The maximum number of engines that read one prompt: the one that generates the response and 16
 /// helpers, the platform's limit.
-pub(super) const MOST_ENGINES: usize = 17;
+pub(super) const MAX_ENGINES: usize = 17;
 
 /// The largest prefill backlog, milliseconds, with which an engine may take a part now: less than
 /// one short prompt takes.
-const FREE_MS: f64 = 20.0;
+const MAX_BACKLOG_MS: f64 = 20.0;
 
 /// The maximum number of unread parts of other prompts with which an engine may take one more: it
 /// reads the newest part first, so each added part delays all earlier ones.
-const MOST_UNREAD: u32 = 3;
+const MAX_UNREAD_PARTS: u32 = 3;
 
 /// Share of the time left for the first event within which engines without short responses must
 /// finish; otherwise engines with short responses read the prompt too.
-const IN_TIME: f64 = 0.8;
+const IN_TIME_SHARE: f64 = 0.8;
 
 /// How much later than by waiting a prompt may finish if it is placed at once, milliseconds: less
 /// than the decode steps that one part costs.
-const WORTH_WAITING_MS: f64 = 20.0;
+const MAX_IMMEDIATE_LOSS_MS: f64 = 20.0;
 
 /// A typical part, milliseconds, which ranks slow engines later in the order.
-const USUAL_PART_MS: f64 = 100.0;
+const TYPICAL_PART_MS: f64 = 100.0;
 
 /// How much earlier than others an engine without requests must be free to be chosen to generate
 /// the response, milliseconds. An engine that is decoding already loses nothing by one more
 /// request. An engine with a single request cannot read parts longer than the pauses that this
 /// request allows, and reads each of them with a pass of decode steps. This keeps long responses on
 /// a few engines instead of all.
-const WRITERS_APART_MS: f64 = 200.0;
+const IDLE_PENALTY_MS: f64 = 200.0;
 
 /// The same for each additional request that the engine is serving, milliseconds.
-const FULLER_MS: f64 = 10.0;
+const PER_REQUEST_BONUS_MS: f64 = 10.0;
 
 /// An engine, with the planned prefills of prompts that are earlier in the queue.
-pub(super) struct Reader<'a> {
+pub(super) struct EnginePlan<'a> {
     /// The engine and its load.
     pub(super) candidate: Candidate<'a>,
     /// Whether long prompts are preferably read here: it has at most one interactive response and
     /// is not kept for short prompts.
-    pub(super) apart: bool,
+    pub(super) for_long: bool,
     /// When the engine has finished all planned prefills, milliseconds from now.
     pub(super) free_ms: f64,
     /// When the first planned prefill begins, milliseconds from now; infinite if there is none.
@@ -65,9 +65,9 @@
     /// would be sent to engines with unread parts.
     steps_ms: f64,
     /// The longest part that the responses on this engine allow, milliseconds.
-    most_ms: f64,
+    max_part_ms: f64,
     /// Whether it is kept free for short prompts.
-    kept: bool,
+    short_only: bool,
 }
 
 /// Engines that read one prompt in equal parts.
@@ -89,92 +89,94 @@
     pub(super) left_ms: f64,
 }
 
-impl<'a> Reader<'a> {
-    fn new(candidate: Candidate<'a>, engine: &Engine) -> Reader<'a> {
+impl<'a> EnginePlan<'a> {
+    fn new(candidate: Candidate<'a>, engine: &Engine) -> EnginePlan<'a> {
         let load = &candidate.load;
-        let pass_ms = forecast::pass_ms(engine, load.writers, load.memory) * candidate.pace;
-        Reader {
-            apart: !candidate.is_crowded(),
+        let pass_ms = forecast::pass_ms(engine, load.writers, load.memory) * candidate.slowdown;
+        EnginePlan {
+            for_long: !candidate.is_crowded(),
             free_ms: load.backlog_ms,
             planned_ms: f64::INFINITY,
             steps_ms: if load.writers > 0 { pass_ms } else { 0.0 },
-            most_ms: candidate.part_allowance_ms(engine),
-            kept: false,
+            max_part_ms: candidate.max_part_ms(engine),
+            short_only: false,
             candidate,
         }
     }
 
     /// When the engine finishes a part that follows the planned prefills, milliseconds from now.
     fn done_ms(&self, part_ms: f64) -> f64 {
-        self.free_ms + self.takes_ms(part_ms)
+        self.free_ms + self.part_time_ms(part_ms)
     }
 
     /// How long the engine takes for a part, milliseconds.
-    fn takes_ms(&self, part_ms: f64) -> f64 {
-        part_ms * self.candidate.pace + self.steps_ms
+    fn part_time_ms(&self, part_ms: f64) -> f64 {
+        part_ms * self.candidate.slowdown + self.steps_ms
     }
 
     /// When the engine would finish a part of typical length, milliseconds from now.
     fn ready_ms(&self) -> f64 {
-        self.done_ms(USUAL_PART_MS)
+        self.done_ms(TYPICAL_PART_MS)
     }
 
     /// Whether the responses on this engine allow a part of this length.
     fn fits(&self, part_ms: f64) -> bool {
-        !self.kept && self.candidate.load.helping < MOST_UNREAD && part_ms <= self.most_ms
+        !self.short_only
+            && self.candidate.load.helping < MAX_UNREAD_PARTS
+            && part_ms <= self.max_part_ms
     }
 
     /// Whether a part can begin now and end before the first planned prefill.
     fn fits_now(&self, part_ms: f64) -> bool {
-        self.candidate.load.backlog_ms <= FREE_MS
-            && self.takes_ms(part_ms) <= self.planned_ms
+        self.candidate.load.backlog_ms <= MAX_BACKLOG_MS
+            && self.part_time_ms(part_ms) <= self.planned_ms
             && self.fits(part_ms)
     }
 
     /// Orders engines by how well suited they are to generate the response: engines for long
     /// prompts first, then those that are free soonest, with a preference for engines that are
     /// decoding already.
-    pub(super) fn compare_to_answer(&self, other: &Reader<'_>) -> Ordering {
-        let rank = |reader: &Reader<'_>| {
-            let load = &reader.candidate.load;
-            let apart_ms = if load.requests > 0 { 0.0 } else { WRITERS_APART_MS };
-            reader.free_ms + apart_ms - FULLER_MS * f64::from(load.requests)
+    pub(super) fn compare_as_main(&self, other: &EnginePlan<'_>) -> Ordering {
+        let rank = |plan: &EnginePlan<'_>| {
+            let load = &plan.candidate.load;
+            let idle_ms = if load.requests > 0 { 0.0 } else { IDLE_PENALTY_MS };
+            plan.free_ms + idle_ms - PER_REQUEST_BONUS_MS * f64::from(load.requests)
         };
-        other.apart.cmp(&self.apart).then(rank(self).total_cmp(&rank(other)))
+        other.for_long.cmp(&self.for_long).then(rank(self).total_cmp(&rank(other)))
     }
 }
 
 /// The engines over which queued prompts are split.
-pub(super) struct Readers<'a> {
-    all: Vec<Reader<'a>>,
+pub(super) struct EnginePlans<'a> {
+    all: Vec<EnginePlan<'a>>,
     /// Indices, those that are ready soonest first. With this order, the engines for a prompt are
     /// found in one pass for each number of parts, however many engines there are.
     order: Vec<usize>,
 }
 
-impl<'a> Readers<'a> {
+impl<'a> EnginePlans<'a> {
     /// Creates the plan from engines with their load, preferred ones first.
-    pub(super) fn new(candidates: Vec<Candidate<'a>>, engine: &Engine) -> Readers<'a> {
-        let all: Vec<Reader<'a>> =
-            candidates.into_iter().map(|candidate| Reader::new(candidate, engine)).collect();
-        let mut readers = Readers { order: (0..all.len()).collect(), all };
-        readers.sort();
-        readers
+    pub(super) fn new(candidates: Vec<Candidate<'a>>, engine: &Engine) -> EnginePlans<'a> {
+        let all: Vec<EnginePlan<'a>> =
+            candidates.into_iter().map(|candidate| EnginePlan::new(candidate, engine)).collect();
+        let mut plans = EnginePlans { order: (0..all.len()).collect(), all };
+        plans.sort();
+        plans
     }
 
     /// Keeps engines free for short prompts: of the engines for long prompts, those that are free
     /// soonest.
-    pub(super) fn keep(&mut self, engines: usize) {
-        let apart = self.order.iter().copied().filter(|index| self.all[*index].apart);
-        let kept: Vec<usize> = apart.take(engines).collect();
+    pub(super) fn keep_for_short(&mut self, engines: usize) {
+        let for_long = self.order.iter().copied().filter(|index| self.all[*index].for_long);
+        let kept: Vec<usize> = for_long.take(engines).collect();
         for index in kept {
-            self.all[index].kept = true;
-            self.all[index].apart = false;
+            self.all[index].short_only = true;
+            self.all[index].for_long = false;
         }
     }
 
     /// All engines, by index.
-    pub(super) fn all(&self) -> &[Reader<'a>] {
+    pub(super) fn all(&self) -> &[EnginePlan<'a>] {
         &self.all
     }
 
@@ -188,11 +190,11 @@
     fn soonest(
         &self,
         prefill_ms: f64,
-        may: impl Fn(&Reader<'_>, f64) -> bool,
-        can_answer: impl Fn(&Reader<'_>) -> bool,
+        may: impl Fn(&EnginePlan<'_>, f64) -> bool,
+        can_be_main: impl Fn(&EnginePlan<'_>) -> bool,
     ) -> Option<Share> {
-        let useful = ((prefill_ms / LEAST_PART_MS) as usize).clamp(1, MOST_ENGINES);
-        let answering = self.answering(can_answer);
+        let max_parts = ((prefill_ms / MIN_PART_MS) as usize).clamp(1, MAX_ENGINES);
+        let main_candidates = self.main_candidates(can_be_main);
         let share = |parts: usize| {
             let part_ms = prefill_ms / parts as f64;
             let may = |index: &usize| may(&self.all[*index], part_ms);
@@ -201,95 +203,99 @@
             if engines.len() < parts {
                 return None;
             }
-            if let Some(answers) = answering.iter().copied().find(may)
-                && !engines.contains(&answers)
+            if let Some(main) = main_candidates.iter().copied().find(may)
+                && !engines.contains(&main)
             {
-                engines[parts - 1] = answers;
+                engines[parts - 1] = main;
             }
             let done = |index: &usize| self.all[*index].done_ms(part_ms);
             let done_ms = engines.iter().map(done).fold(0.0, f64::max);
             Some(Share { done_ms, part_ms, engines })
         };
-        let shares = (1..=useful.min(self.all.len())).filter_map(share);
+        let shares = (1..=max_parts.min(self.all.len())).filter_map(share);
         shares.min_by(|a, b| a.done_ms.total_cmp(&b.done_ms))
     }
 
     /// The engines that can generate the response, best first.
-    fn answering(&self, can_answer: impl Fn(&Reader<'_>) -> bool) -> Vec<usize> {
-        let can = |index: &usize| can_answer(&self.all[*index]);
-        let mut answering: Vec<usize> = (0..self.all.len()).filter(can).collect();
-        answering.sort_by(|a, b| self.all[*a].compare_to_answer(&self.all[*b]));
-        answering
+    fn main_candidates(&self, can_be_main: impl Fn(&EnginePlan<'_>) -> bool) -> Vec<usize> {
+        let can = |index: &usize| can_be_main(&self.all[*index]);
+        let mut main_candidates: Vec<usize> = (0..self.all.len()).filter(can).collect();
+        main_candidates.sort_by(|a, b| self.all[*a].compare_as_main(&self.all[*b]));
+        main_candidates
     }
 
     /// The share that finishes soonest, begun now or later, and whether it has only engines for
     /// long prompts: the others are used only where these would finish too late.
-    fn any(
+    fn best_share(
         &self,
         prompt: Prompt,
-        may: impl Fn(&Reader<'_>) -> bool,
-        can_answer: impl Fn(&Reader<'_>) -> bool,
+        may: impl Fn(&EnginePlan<'_>) -> bool,
+        can_be_main: impl Fn(&EnginePlan<'_>) -> bool,
     ) -> Option<(Share, bool)> {
         let Prompt { prefill_ms, left_ms } = prompt;
-        let apart = |r: &Reader<'_>, part_ms: f64| r.apart && r.fits(part_ms) && may(r);
-        let apart = self.soonest(prefill_ms, apart, &can_answer);
-        if let Some(share) = apart.as_ref()
-            && share.done_ms <= left_ms * IN_TIME
+        let is_candidate =
+            |r: &EnginePlan<'_>, part_ms: f64| r.for_long && r.fits(part_ms) && may(r);
+        let separate = self.soonest(prefill_ms, is_candidate, &can_be_main);
+        if let Some(share) = separate.as_ref()
+            && share.done_ms <= left_ms * IN_TIME_SHARE
         {
-            return apart.map(|share| (share, true));
+            return separate.map(|share| (share, true));
         }
-        let all = self.soonest(prefill_ms, |r, part_ms| r.fits(part_ms) && may(r), can_answer);
-        match (apart, all) {
-            (Some(apart), Some(all)) if apart.done_ms <= all.done_ms => Some((apart, true)),
+        let all = self.soonest(prefill_ms, |r, part_ms| r.fits(part_ms) && may(r), can_be_main);
+        match (separate, all) {
+            (Some(separate), Some(all)) if separate.done_ms <= all.done_ms => {
+                Some((separate, true))
+            }
             (_, all) => all.map(|all| (all, false)),
         }
     }
 
     /// Plans a prompt that cannot begin now: its engines are busy until they have read it. A prompt
     /// whose parts would be too long is skipped.
-    pub(super) fn plan(&mut self, prompt: Prompt, most_part_ms: f64) {
+    pub(super) fn plan_later(&mut self, prompt: Prompt, max_part_ms: f64) {
         // The engine that generates the response is chosen when the prompt is placed.
-        let Some((share, _)) = self.any(prompt, |_| true, |_| false) else { return };
-        if share.part_ms > most_part_ms {
+        let Some((share, _)) = self.best_share(prompt, |_| true, |_| false) else { return };
+        if share.part_ms > max_part_ms {
             return;
         }
         for index in &share.engines {
-            let reader = &mut self.all[*index];
-            let begins = share.done_ms - share.part_ms * reader.candidate.pace;
-            reader.planned_ms = reader.planned_ms.min(begins);
-            reader.free_ms = share.done_ms;
+            let plan = &mut self.all[*index];
+            let begins = share.done_ms - share.part_ms * plan.candidate.slowdown;
+            plan.planned_ms = plan.planned_ms.min(begins);
+            plan.free_ms = share.done_ms;
         }
         self.sort();
     }
 
     /// The share of a prompt that can begin now, unless waiting for busy engines would finish it
     /// sooner.
-    pub(super) fn now(
+    pub(super) fn share_now(
         &self,
         prompt: Prompt,
-        may: impl Fn(&Reader<'_>) -> bool,
-        can_answer: impl Fn(&Reader<'_>) -> bool,
+        may: impl Fn(&EnginePlan<'_>) -> bool,
+        can_be_main: impl Fn(&EnginePlan<'_>) -> bool,
     ) -> Option<Share> {
-        let (best, apart) = self.any(prompt, &may, &can_answer)?;
-        let now =
-            |r: &Reader<'_>, part_ms: f64| (r.apart || !apart) && r.fits_now(part_ms) && may(r);
-        let share = self.soonest(prompt.prefill_ms, now, can_answer)?;
-        (share.done_ms <= best.done_ms + WORTH_WAITING_MS).then_some(share)
+        let (best, separate_only) = self.best_share(prompt, &may, &can_be_main)?;
+        let now = |r: &EnginePlan<'_>, part_ms: f64| {
+            (r.for_long || !separate_only) && r.fits_now(part_ms) && may(r)
+        };
+        let share = self.soonest(prompt.prefill_ms, now, can_be_main)?;
+        (share.done_ms <= best.done_ms + MAX_IMMEDIATE_LOSS_MS).then_some(share)
     }
 
     /// Records that the engines of a share begin to read a prompt.
-    pub(super) fn begin(
+    pub(super) fn start(
         &mut self,
         share: &Share,
         placement: &Placement,
         requirements: &Requirements,
     ) {
         for index in &share.engines {
-            let reader = &mut self.all[*index];
-            reader.free_ms = reader.done_ms(share.part_ms);
-            let load = &mut reader.candidate.load;
-            load.backlog_ms = reader.free_ms;
-            let id = &reader.candidate.upstream.listed.id;
+            let plan = &mut self.all[*index];
+            plan.free_ms = plan.done_ms(share.part_ms);
+            let load = &mut plan.candidate.load;
+            load.backlog_ms = plan.free_ms;
+            let id = &plan.candidate.upstream.listed.id;
             if *id == placement.flight.upstream {
                 load.requests += 1;
                 load.memory += placement.flight.memory;
@@ -303,7 +309,7 @@
                     placement.flight.helpers.iter().find(|helping| helping.upstream == *id);
                 load.memory += helping.map_or(0, |helping| helping.held);
             }
-            reader.apart = !reader.candidate.is_crowded();
+            plan.for_long = !plan.candidate.is_crowded();
         }
         self.sort();
     }
