--- a/request/src/placement.rs
+++ b/request/src/placement.rs
@@ -29,7 +29,7 @@
 use crate::tag::Tag;
 
 use candidate::{Candidate, candidates, rejection};
-pub use group::{DEMAND_WINDOW, Line, Turn, is_too_long, line};
+pub use group::{DEMAND_WINDOW, LongPrompt, LongQueue, is_too_long, place_long};
 
 /// Share of the objective within which a short prompt's first event must be predicted for an engine
 /// to be filled further before other engines are compared.
@@ -218,9 +218,10 @@
         };
         return placement.map(|placement| Placement { limited, ..placement });
     };
-    let turns = [Turn { requirements, index: 0 }];
-    let line = Line { turns: &turns, demand: 0.0, offset: requirements.offset, kept: 0 };
-    let placed = group::line(cluster, service, engine, line, now).pop();
+    let prompts = [LongPrompt { requirements, index: 0 }];
+    let queue =
+        LongQueue { prompts: &prompts, demand: 0.0, offset: requirements.offset, short_only: 0 };
+    let placed = place_long(cluster, service, engine, queue, now).pop();
     let (_, mut placement) = placed.ok_or(Rejection::Full)?;
     placement.flight.alone = isolated.then_some(requirements.fingerprint);
     Ok(placement)
--- a/request/src/placement/group.rs
+++ b/request/src/placement/group.rs
@@ -54,7 +54,7 @@
 
 /// A queued long prompt.
 #[derive(Debug, Clone, Copy)]
-pub struct Turn<'a> {
+pub struct LongPrompt<'a> {
     /// What the prompt needs.
     pub requirements: &'a Requirements,
     /// Index that is returned with the placement.
@@ -63,24 +63,24 @@
 
 /// The queued long prompts of one service.
 #[derive(Debug, Clone, Copy)]
-pub struct Line<'a> {
+pub struct LongQueue<'a> {
     /// The prompts, in any order.
-    pub turns: &'a [Turn<'a>],
+    pub prompts: &'a [LongPrompt<'a>],
     /// The mean number of engines that long prompts recently kept busy.
     pub demand: f64,
     /// Where to begin in the order of engines, as [`Requirements::offset`].
     pub offset: usize,
     /// The number of engines to keep free for short prompts that were not placed in time.
-    pub kept: usize,
+    pub short_only: usize,
 }
 
 /// Places those queued prompts whose engines are free now, each with its index. The others are
 /// planned, so that no later prompt takes the engines that an earlier one needs.
-pub fn line(
+pub fn place_long(
     cluster: &Cluster,
     service: &Service,
     engine: &Engine,
-    line: Line<'_>,
+    queue: LongQueue<'_>,
     now: Instant,
 ) -> Vec<(usize, Placement)> {
     // Parts of split prompts would count against the rate limit.
@@ -89,24 +89,24 @@
     let candidate = |upstream| Candidate::new(cluster, upstream, Some(engine), now);
     let mut candidates: Vec<Candidate<'_>> = open.into_iter().map(candidate).collect();
     candidates.reverse();
-    let offset = line.offset % candidates.len().max(1);
+    let offset = queue.offset % candidates.len().max(1);
     candidates.rotate_left(offset);
     let mut plans = EnginePlans::new(candidates, engine);
-    plans.keep_for_short(line.kept);
-    let max_part_ms = MAX_PART_MS * (1.0 + idle_share(&plans, line.demand));
+    plans.keep_for_short(queue.short_only);
+    let max_part_ms = MAX_PART_MS * (1.0 + idle_share(&plans, queue.demand));
     let mut placed = Vec::new();
-    for entry in queue_order(line.turns, engine, &plans, now).into_iter().take(MAX_PLANNED) {
-        let turn = &line.turns[entry.index];
+    for entry in queue_order(queue.prompts, engine, &plans, now).into_iter().take(MAX_PLANNED) {
+        let long = &queue.prompts[entry.index];
         let prompt =
-            Prompt { prefill_ms: entry.prefill_ms, left_ms: turn.requirements.left_ms(now) };
+            Prompt { prefill_ms: entry.prefill_ms, left_ms: long.requirements.left_ms(now) };
         let accepts =
-            |u: &Upstream| accepts_more(cluster, service, u, turn.requirements.schedulers, now);
-        let demand = demand_of_others(&line, prompt, turn.requirements, now);
+            |u: &Upstream| accepts_more(cluster, service, u, long.requirements.schedulers, now);
+        let demand = demand_of_others(&queue, prompt, long.requirements, now);
         let max_ms = |share: &Share| longest_part_ms(&plans, demand, prompt, share);
-        match place_now(turn.requirements, engine, &plans, prompt, max_ms, accepts) {
+        match place_now(long.requirements, engine, &plans, prompt, max_ms, accepts) {
             Some((share, placement)) => {
-                plans.start(&share, &placement, turn.requirements);
-                placed.push((turn.index, placement));
+                plans.start(&share, &placement, long.requirements);
+                placed.push((long.index, placement));
             }
             None => plans.plan_later(prompt, max_part_ms),
         }
@@ -174,7 +174,7 @@
 /// The demand of the other long prompts, in engines: a prompt does not compete with its own
 /// prefill.
 fn demand_of_others(
-    line: &Line<'_>,
+    queue: &LongQueue<'_>,
     prompt: Prompt,
     requirements: &Requirements,
     now: Instant,
@@ -182,24 +182,24 @@
     let is_counted = now.saturating_duration_since(requirements.arrived) < DEMAND_WINDOW;
     let own =
         if is_counted { prompt.prefill_ms / (DEMAND_WINDOW.as_secs_f64() * 1e3) } else { 0.0 };
-    (line.demand - own).max(0.0)
+    (queue.demand - own).max(0.0)
 }
 
 /// The prompts in the order of the long queue.
 fn queue_order(
-    turns: &[Turn<'_>],
+    prompts: &[LongPrompt<'_>],
     engine: &Engine,
     plans: &EnginePlans<'_>,
     now: Instant,
 ) -> Vec<Entry> {
-    let entry = |(index, turn): (usize, &Turn<'_>)| Entry {
-        arrived: turn.requirements.arrived,
-        prefill_ms: forecast::prefill_ms(engine, turn.requirements.prompt.0),
-        objective: turn.requirements.objective,
-        queue_timeout: turn.requirements.limit,
+    let entry = |(index, long): (usize, &LongPrompt<'_>)| Entry {
+        arrived: long.requirements.arrived,
+        prefill_ms: forecast::prefill_ms(engine, long.requirements.prompt.0),
+        objective: long.requirements.objective,
+        queue_timeout: long.requirements.limit,
         index,
     };
-    let entries = turns.iter().enumerate().map(entry).collect();
+    let entries = prompts.iter().enumerate().map(entry).collect();
     long_queue::order(entries, capacity(plans), now)
 }
 
--- a/request/src/scheduler.rs
+++ b/request/src/scheduler.rs
@@ -343,21 +343,24 @@
     ) {
         let Some(engine) = &service.engine else { return };
         let waiters = self.waiters.iter().enumerate();
-        let turns: Vec<placement::Turn<'_>> = waiters
+        let prompts: Vec<placement::LongPrompt<'_>> = waiters
             .filter(|(_, waiter)| waiter.service == tag && waiter.is_long(service))
             .filter(|(_, waiter)| runs_alone(cluster, waiter.requirements.fingerprint, now).is_ok())
-            .map(|(index, waiter)| placement::Turn { requirements: &waiter.requirements, index })
+            .map(|(index, waiter)| placement::LongPrompt {
+                requirements: &waiter.requirements,
+                index,
+            })
             .collect();
-        if turns.is_empty() {
+        if prompts.is_empty() {
             return;
         }
-        let line = placement::Line {
-            turns: &turns,
+        let queue = placement::LongQueue {
+            prompts: &prompts,
             demand: self.demand(tag),
             offset: 0,
-            kept: self.pressure.engines(),
+            short_only: self.pressure.engines(),
         };
-        let placed = placement::line(cluster, service, engine, line, now);
+        let placed = placement::place_long(cluster, service, engine, queue, now);
         let placed: Vec<(Charged, Fingerprint, Placement)> = placed
             .into_iter()
             .map(|(index, placement)| (&self.waiters[index], placement))
--- a/request/tests/line.rs
+++ b/request/tests/line.rs
@@ -8,7 +8,7 @@
 use foldlock_request::cluster::{Cluster, Listed};
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::long_queue::{Capacity, Entry, order};
-use foldlock_request::placement::{self, Line, Placement, Requirements, Turn};
+use foldlock_request::placement::{self, LongPrompt, LongQueue, Placement, Requirements};
 use foldlock_request::report::{Observed, Report};
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::{Engine, Service};
@@ -116,13 +116,13 @@
 
 /// Places the prompts that can be placed now, and records them as in flight.
 fn place(cluster: &mut Cluster, prompts: &[Requirements], now: Instant) -> Vec<(usize, Placement)> {
-    let turns: Vec<Turn<'_>> = prompts
+    let long: Vec<LongPrompt<'_>> = prompts
         .iter()
         .enumerate()
-        .map(|(index, requirements)| Turn { requirements, index })
+        .map(|(index, requirements)| LongPrompt { requirements, index })
         .collect();
-    let line = Line { turns: &turns, demand: 0.0, offset: 0, kept: 0 };
-    let placed = placement::line(cluster, &service(), &ENGINE, line, now);
+    let queue = LongQueue { prompts: &long, demand: 0.0, offset: 0, short_only: 0 };
+    let placed = placement::place_long(cluster, &service(), &ENGINE, queue, now);
     for (_, placement) in &placed {
         let number = cluster.number();
         cluster.enter(number, placement.flight.clone(), now);
@@ -158,9 +158,9 @@
 
 /// Whether a prompt can be placed on idle engines, of which other long prompts need `demand`.
 fn has_place(engines: usize, demand: f64, prompt: &Requirements, now: Instant) -> bool {
-    let turns = [Turn { requirements: prompt, index: 0 }];
-    let line = Line { turns: &turns, demand, offset: 0, kept: 0 };
-    let placed = placement::line(&cluster(engines), &service(), &ENGINE, line, now);
+    let long = [LongPrompt { requirements: prompt, index: 0 }];
+    let queue = LongQueue { prompts: &long, demand, offset: 0, short_only: 0 };
+    let placed = placement::place_long(&cluster(engines), &service(), &ENGINE, queue, now);
     placed.iter().all(|(_, placement)| placement.predicted_ms < 4_000.0) && !placed.is_empty()
 }
 
