--- a/daemon/src/fleet/gate.rs
+++ b/daemon/src/fleet/gate.rs
@@ -81,9 +81,11 @@
     let limit = match read_ms(job, &requirements) {
         Some((engine, read_ms)) => {
             let held = (job.deadline - job.arrived).mul_f64(MAX_QUEUE_SHARE_LONG);
-            requirements.limit =
-                requirements.limit.saturating_sub(last_start(job, engine, read_ms)).min(held);
-            job.arrived + requirements.limit
+            requirements.queue_timeout = requirements
+                .queue_timeout
+                .saturating_sub(last_start(job, engine, read_ms))
+                .min(held);
+            job.arrived + requirements.queue_timeout
         }
         None => started + patience(job),
     };
@@ -91,7 +93,7 @@
     loop {
         if rested(job, begun).await? {
             // Those that refused it have had their rest.
-            requirements.avoid.clear();
+            requirements.excluded.clear();
         }
         match grant_requests::place(&job.process, &job.service, requirements.clone(), until).await {
             Ok(grant) => {
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -177,7 +177,7 @@
                 process.peers.missed(&vm, process.now());
             }
             Ended::Gone(upstream) => {
-                requirements.avoid.push(upstream);
+                requirements.excluded.push(upstream);
                 requirements.charge = Charge::Free;
             }
             // The next request names it, or the scheduler has received the limit by then.
@@ -287,7 +287,7 @@
     /// the scheduler need not know who was told to leave whom alone.
     fn without_resting(&self) -> Requirements {
         let mut requirements = self.requirements.clone();
-        requirements.avoid.extend(notices::resting(self.process));
+        requirements.excluded.extend(notices::resting(self.process));
         requirements
     }
 
--- a/daemon/src/fleet/job.rs
+++ b/daemon/src/fleet/job.rs
@@ -110,7 +110,7 @@
     /// What is asked of the upstreams, those left out that failed it.
     pub fn requirements(&self, avoid: &[id::Upstream], charge: Charge) -> Requirements {
         let cluster = self.process.cluster.lock().unwrap();
-        let avoid = avoid.iter().map(|id| cluster.tag_of(id)).collect();
+        let excluded = avoid.iter().map(|id| cluster.tag_of(id)).collect();
         drop(cluster);
         Requirements {
             prompt: self.terms.prompt,
@@ -118,11 +118,11 @@
             objective: self.route.objective,
             pause: self.pause(),
             arrived: self.arrived,
-            limit: self.deadline.saturating_duration_since(self.arrived),
-            avoid,
+            queue_timeout: self.deadline.saturating_duration_since(self.arrived),
+            excluded,
             connected: self.connected(),
             hall: self.process.member.hall.clone(),
-            hold_limit: self.process.config.fleet.held_silence(),
+            reservation_timeout: self.process.config.fleet.held_silence(),
             fingerprint: self.fingerprint,
             offset: 0,
             schedulers: 1,
--- a/request/src/placement.rs
+++ b/request/src/placement.rs
@@ -62,15 +62,15 @@
     /// When the request arrived.
     pub arrived: Instant,
     /// Time from arrival after which the request is no longer placed.
-    pub limit: Duration,
+    pub queue_timeout: Duration,
     /// Upstreams that failed this request, and those whose backoff for its VM has not ended.
-    pub avoid: Vec<Tag>,
+    pub excluded: Vec<Tag>,
     /// Upstreams to which its VM has a connection; preferred among equals.
     pub connected: Vec<Tag>,
     /// The data hall whose upstreams are preferred.
     pub hall: String,
     /// The longest acceptable time to the first event while several engines reserve memory for it.
-    pub hold_limit: Duration,
+    pub reservation_timeout: Duration,
     /// Identifies copies of the same request.
     pub fingerprint: Fingerprint,
     /// Where to begin in the order of upstreams. VMs that place their own requests begin at
--- a/request/src/placement/candidate.rs
+++ b/request/src/placement/candidate.rs
@@ -108,7 +108,7 @@
         return Rejection::Drained;
     }
     let takes_few = |u: &Upstream| u.is_cold(now) || u.is_limited();
-    let left = |u: &Upstream| takes_few(u) && !requirements.avoid.contains(&u.tag);
+    let left = |u: &Upstream| takes_few(u) && !requirements.excluded.contains(&u.tag);
     if cluster.open(&service.name).any(left) { Rejection::Full } else { Rejection::Closed }
 }
 
@@ -120,7 +120,7 @@
     requirements: &Requirements,
     now: Instant,
 ) -> (Vec<Candidate<'a>>, usize) {
-    let open = cluster.open(&service.name).filter(|u| !requirements.avoid.contains(&u.tag));
+    let open = cluster.open(&service.name).filter(|u| !requirements.excluded.contains(&u.tag));
     let (open, at_limit): (Vec<&Upstream>, Vec<&Upstream>) =
         open.partition(|u| accepts_more(cluster, service, u, requirements.schedulers, now));
     let limited = at_limit.into_iter().filter(|u| u.is_limited()).count();
--- a/request/src/placement/group.rs
+++ b/request/src/placement/group.rs
@@ -123,7 +123,7 @@
     max_part_ms: impl Fn(&Share) -> f64,
     accepts: impl Fn(&Upstream) -> bool,
 ) -> Option<(Share, Placement)> {
-    let may = |r: &EnginePlan<'_>| !requirements.avoid.contains(&r.candidate.upstream.tag);
+    let may = |r: &EnginePlan<'_>| !requirements.excluded.contains(&r.candidate.upstream.tag);
     let can_be_main = |r: &EnginePlan<'_>| {
         r.candidate.has_room(requirements.memory.0, engine) && accepts(r.candidate.upstream)
     };
@@ -164,7 +164,7 @@
     let unlimited = cluster.open(&service.name).filter(|upstream| !upstream.is_limited());
     let engines = unlimited.count().clamp(1, MAX_ENGINES);
     let max_ms = if requirements.memory > engine.memory {
-        requirements.hold_limit.as_secs_f64() * 1e3 * RESERVATION_SHARE
+        requirements.reservation_timeout.as_secs_f64() * 1e3 * RESERVATION_SHARE
     } else {
         (MAX_PART_MS * 2.0).max(requirements.objective.as_secs_f64() * 1e3)
     };
@@ -196,7 +196,7 @@
         arrived: long.requirements.arrived,
         prefill_ms: forecast::prefill_ms(engine, long.requirements.prompt.0),
         objective: long.requirements.objective,
-        queue_timeout: long.requirements.limit,
+        queue_timeout: long.requirements.queue_timeout,
         index,
     };
     let entries = prompts.iter().enumerate().map(entry).collect();
@@ -251,8 +251,8 @@
     let finish_ms = helpers.iter().map(|(c, _)| done(c)).fold(done(main), f64::max);
     let pass = forecast::pass_ms(engine, main.load.writers + 1, main.load.memory);
     let predicted_ms = finish_ms + pass * main.slowdown;
-    let hold_limit_ms = requirements.hold_limit.as_secs_f64() * 1e3 * RESERVATION_SHARE;
-    if !reservations.is_empty() && predicted_ms > hold_limit_ms {
+    let max_predicted_ms = requirements.reservation_timeout.as_secs_f64() * 1e3 * RESERVATION_SHARE;
+    if !reservations.is_empty() && predicted_ms > max_predicted_ms {
         return None;
     }
     let open = plans.all().len();
--- a/request/src/scheduler.rs
+++ b/request/src/scheduler.rs
@@ -117,7 +117,7 @@
         if let Some(waiter) = self.waiters.iter_mut().find(|waiter| waiter.key == key) {
             waiter.heard = now;
             // An upstream may have asked for a backoff meanwhile, or its backoff may have ended.
-            waiter.requirements.avoid = requirements.avoid;
+            waiter.requirements.excluded = requirements.excluded;
             return Answer::Waits;
         }
         let Some(found) = find(table, service) else { return Answer::Rejected(Rejection::Closed) };
--- a/request/src/scheduler/backlog.rs
+++ b/request/src/scheduler/backlog.rs
@@ -25,7 +25,7 @@
     let left = |time: Duration| (requirements.arrived + time).saturating_duration_since(now);
     let in_time = left(requirements.objective);
     let longest = if ahead == 0 { in_time.max(FIRST_WAIT) } else { in_time };
-    longest.min(left(requirements.limit))
+    longest.min(left(requirements.queue_timeout))
 }
 
 /// Retry times handed out to rejected callers, by service.
--- a/request/tests/line.rs
+++ b/request/tests/line.rs
@@ -102,11 +102,11 @@
         objective: Duration::from_millis(3_000),
         pause: Some(Duration::from_millis(1_000)),
         arrived,
-        limit: Duration::from_secs(12),
-        avoid: Vec::new(),
+        queue_timeout: Duration::from_secs(12),
+        excluded: Vec::new(),
         connected: Vec::new(),
         hall: String::new(),
-        hold_limit: Duration::from_millis(2_400),
+        reservation_timeout: Duration::from_millis(2_400),
         fingerprint: Fingerprint::of("", "", "", b""),
         offset: 0,
         schedulers: 1,
@@ -171,7 +171,8 @@
 fn the_longest_prompt_of_a_calm_day_is_read_at_once_where_enough_engines_are_left() {
     let now = Instant::now();
     let objective = Duration::from_millis(4_000);
-    let longest = Requirements { objective, hold_limit: objective, ..requirements(700_000, now) };
+    let longest =
+        Requirements { objective, reservation_timeout: objective, ..requirements(700_000, now) };
     let own = 44_000.0 / 2_000.0;
     assert!(has_place(45, own, &longest, now), "it asks for 22 engines itself");
     assert!(has_place(45, own + 11.0, &longest, now));
@@ -196,7 +197,7 @@
             assert!(refusals > 0, "a group of so many holds one of them");
             return;
         };
-        prompt.avoid.push(Tag::of(flight.left_out(suspect).as_str()));
+        prompt.excluded.push(Tag::of(flight.left_out(suspect).as_str()));
     }
     panic!("three refusals named three engines, and the next group holds one of them");
 }
--- a/request/tests/placement.rs
+++ b/request/tests/placement.rs
@@ -72,11 +72,11 @@
         objective: Duration::from_millis(route.objective),
         pause: Some(Duration::from_millis(route.pause)),
         arrived: Instant::now(),
-        limit: Duration::from_secs(10),
-        avoid: Vec::new(),
+        queue_timeout: Duration::from_secs(10),
+        excluded: Vec::new(),
         connected: Vec::new(),
         hall: String::new(),
-        hold_limit: Duration::from_millis(2_400),
+        reservation_timeout: Duration::from_millis(2_400),
         fingerprint: Fingerprint::of("", "", "", b""),
         offset: 0,
         schedulers: 1,
@@ -251,8 +251,10 @@
         let placed = place(&cluster, &requirements(SHORT, 5_000), now).unwrap();
         begin(&mut cluster, Flight { upstream: upstream(i), writing: true, ..placed.flight }, now);
     }
-    let brief =
-        Requirements { hold_limit: Duration::from_millis(1_500), ..requirements(LONG, 300_000) };
+    let brief = Requirements {
+        reservation_timeout: Duration::from_millis(1_500),
+        ..requirements(LONG, 300_000)
+    };
     assert_eq!(place(&cluster, &brief, now).unwrap_err(), Rejection::Full, "1.3 s on five engines");
     let placed = place(&cluster, &requirements(LONG, 300_000), now).unwrap();
     assert!(placed.flight.holds_memory());
@@ -281,12 +283,12 @@
     cluster.note(&upstream(0), Outcome::Failed(Failure::Silent), now);
     let placed = place(&cluster, &requirements(SHORT, 5_000), now).unwrap();
     assert_eq!(placed.flight.upstream, upstream(1));
-    let avoid = vec![Tag::of("i-01")];
+    let excluded = vec![Tag::of("i-01")];
     let placed =
-        place(&cluster, &Requirements { avoid, ..requirements(SHORT, 5_000) }, now).unwrap();
+        place(&cluster, &Requirements { excluded, ..requirements(SHORT, 5_000) }, now).unwrap();
     assert_eq!(placed.flight.upstream, upstream(0), "better than none");
-    let avoid = vec![Tag::of("i-00"), Tag::of("i-01")];
-    let none = place(&cluster, &Requirements { avoid, ..requirements(SHORT, 5_000) }, now);
+    let excluded = vec![Tag::of("i-00"), Tag::of("i-01")];
+    let none = place(&cluster, &Requirements { excluded, ..requirements(SHORT, 5_000) }, now);
     assert_eq!(none.unwrap_err(), Rejection::Closed);
 }
 
--- a/request/tests/scheduler.rs
+++ b/request/tests/scheduler.rs
@@ -81,11 +81,11 @@
         objective: Duration::from_millis(400),
         pause: Some(Duration::from_millis(250)),
         arrived,
-        limit: Duration::from_secs(10),
-        avoid: Vec::new(),
+        queue_timeout: Duration::from_secs(10),
+        excluded: Vec::new(),
         connected: Vec::new(),
         hall: "a".to_owned(),
-        hold_limit: Duration::from_millis(2_400),
+        reservation_timeout: Duration::from_millis(2_400),
         fingerprint: Fingerprint::of("", "", "", b""),
         offset: 0,
         schedulers: 1,
@@ -99,7 +99,7 @@
         memory: Tokens(tokens + 800),
         objective: Duration::from_millis(3_000),
         pause: Some(Duration::from_millis(1_000)),
-        limit: Duration::from_secs(15),
+        queue_timeout: Duration::from_secs(15),
         ..short(arrived)
     }
 }
@@ -206,7 +206,7 @@
     let requirements = long(60_000, fleet.now);
     for barred in engines {
         assert!(matches!(fleet.ask(key(1, 1), requirements.clone()), Answer::Waits));
-        let asked_again = Requirements { avoid: vec![barred], ..requirements.clone() };
+        let asked_again = Requirements { excluded: vec![barred], ..requirements.clone() };
         assert!(matches!(fleet.ask(key(1, 1), asked_again), Answer::Waits));
         let placed = fleet.look();
         let [(_, placement)] = placed.as_slice() else { panic!("{placed:?}") };
