--- a/daemon/src/fleet/gate.rs
+++ b/daemon/src/fleet/gate.rs
@@ -101,7 +101,7 @@
                 placed(job, &grant, started);
                 return Ok(grant);
             }
-            Err(Rejection::Closed) if job.process.now() < closed && !job.process.closing() => {
+            Err(Rejection::NoUpstream) if job.process.now() < closed && !job.process.closing() => {
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
             Err(rejection) => return Err(rejection),
@@ -118,7 +118,7 @@
     let in_time = job.held() + left < job.route.objective && !job.process.closing();
     let held = begun && left < MAX_BACKOFF_BEGUN;
     if !(in_time || held) {
-        return Err(Rejection::Resting { left_ms: left.as_millis() as u64 });
+        return Err(Rejection::Backoff { left_ms: left.as_millis() as u64 });
     }
     tokio::time::sleep(left).await;
     job.record(Decision::Waited { cause: Cause::Resting, waited_ms: millis(left) });
@@ -191,9 +191,9 @@
     }
     let kind = match rejection {
         Rejection::Quarantined { left_ms } => return quarantined(left_ms, proof),
-        Rejection::Resting { left_ms } => return resting(job, left_ms, proof),
-        Rejection::Limited { after_ms } => return rate_limited(job, after_ms, proof),
-        Rejection::Closed | Rejection::Drained | Rejection::OverBudget(_) => Kind::NoUpstream,
+        Rejection::Backoff { left_ms } => return resting(job, left_ms, proof),
+        Rejection::RateLimited { after_ms } => return rate_limited(job, after_ms, proof),
+        Rejection::NoUpstream | Rejection::Drained | Rejection::OverBudget(_) => Kind::NoUpstream,
         Rejection::Full | Rejection::TooLarge => Kind::Overloaded,
     };
     let long = read_ms(job, &job.requirements(&[], Charge::Free)).is_some();
--- a/daemon/src/fleet/scheduler.rs
+++ b/daemon/src/fleet/scheduler.rs
@@ -57,7 +57,7 @@
     is_client: bool,
     now: Instant,
 ) -> Answer {
-    let Some(settings) = process.settings() else { return Answer::Rejected(Rejection::Closed) };
+    let Some(settings) = process.settings() else { return Answer::Rejected(Rejection::NoUpstream) };
     let vms = process.peers.running_count();
     let mut scheduler = process.scheduler.lock().unwrap();
     let mut cluster = process.cluster.lock().unwrap();
--- a/request/src/placement.rs
+++ b/request/src/placement.rs
@@ -146,7 +146,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Rejection {
     /// No upstream of the service is available.
-    Closed,
+    #[serde(rename = "Closed")]
+    NoUpstream,
     /// All upstreams of the service are in data halls that an operator has drained.
     Drained,
     /// All upstreams are at capacity; this may change soon.
@@ -155,12 +156,14 @@
     TooLarge,
     /// All upstreams of the service asked the VM for a backoff; the first of them ends after this
     /// time.
-    Resting {
+    #[serde(rename = "Resting")]
+    Backoff {
         /// Remaining time, milliseconds.
         left_ms: u64,
     },
     /// All upstreams of the service are rate-limited, and the request would queue for too long.
-    Limited {
+    #[serde(rename = "Limited")]
+    RateLimited {
         /// Retry-After, milliseconds.
         after_ms: u64,
     },
@@ -176,16 +179,16 @@
 impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Rejection::Closed => f.write_str("no upstream is available"),
+            Rejection::NoUpstream => f.write_str("no upstream is available"),
             Rejection::Drained => {
                 f.write_str("an operator has drained the data halls of all upstreams")
             }
             Rejection::Full => f.write_str("all upstreams are at capacity"),
             Rejection::TooLarge => f.write_str("the prompt is too long for all upstreams together"),
-            Rejection::Resting { left_ms } => {
+            Rejection::Backoff { left_ms } => {
                 write!(f, "all upstreams asked for a backoff, the first ends in {left_ms} ms")
             }
-            Rejection::Limited { after_ms } => {
+            Rejection::RateLimited { after_ms } => {
                 write!(f, "all upstreams are at their rate limits, retry in {after_ms} ms")
             }
             Rejection::OverBudget(_) => f.write_str("the fleet's retry budget is exhausted"),
@@ -293,7 +296,7 @@
     let compare = |a: &Candidate<'_>, b: &Candidate<'_>| {
         utilization(a).total_cmp(&utilization(b)).then(is_new(a).cmp(&is_new(b)))
     };
-    let best = candidates.into_iter().min_by(compare).ok_or(Rejection::Closed)?;
+    let best = candidates.into_iter().min_by(compare).ok_or(Rejection::NoUpstream)?;
     Ok(build_placement(requirements, &best, &[], 0.0, 0.0, open))
 }
 
--- a/request/src/placement/candidate.rs
+++ b/request/src/placement/candidate.rs
@@ -109,7 +109,7 @@
     }
     let takes_few = |u: &Upstream| u.is_cold(now) || u.is_limited();
     let left = |u: &Upstream| takes_few(u) && !requirements.excluded.contains(&u.tag);
-    if cluster.open(&service.name).any(left) { Rejection::Full } else { Rejection::Closed }
+    if cluster.open(&service.name).any(left) { Rejection::Full } else { Rejection::NoUpstream }
 }
 
 /// The upstreams that accept new requests, only healthy ones if there are any, those in the
--- a/request/src/scheduler.rs
+++ b/request/src/scheduler.rs
@@ -120,7 +120,9 @@
             waiter.requirements.excluded = requirements.excluded;
             return Answer::Waits;
         }
-        let Some(found) = find(table, service) else { return Answer::Rejected(Rejection::Closed) };
+        let Some(found) = find(table, service) else {
+            return Answer::Rejected(Rejection::NoUpstream);
+        };
         if let Err(held @ Rejection::Quarantined { .. }) =
             runs_alone(cluster, requirements.fingerprint, now)
         {
--- a/request/src/scheduler/backlog.rs
+++ b/request/src/scheduler/backlog.rs
@@ -53,7 +53,7 @@
             return Ok(());
         }
         let after_ms = self.come_back(service, rate, wait, now).as_millis() as u64;
-        Err(Rejection::Limited { after_ms })
+        Err(Rejection::RateLimited { after_ms })
     }
 
     /// Hands out one retry time per service interval behind the queue, and wraps around at the
--- a/request/tests/placement.rs
+++ b/request/tests/placement.rs
@@ -289,7 +289,7 @@
     assert_eq!(placed.flight.upstream, upstream(0), "better than none");
     let excluded = vec![Tag::of("i-00"), Tag::of("i-01")];
     let none = place(&cluster, &Requirements { excluded, ..requirements(SHORT, 5_000) }, now);
-    assert_eq!(none.unwrap_err(), Rejection::Closed);
+    assert_eq!(none.unwrap_err(), Rejection::NoUpstream);
 }
 
 #[test]
--- a/request/tests/rate_limits/fleet.rs
+++ b/request/tests/rate_limits/fleet.rs
@@ -262,7 +262,7 @@
                 }
                 Answer::Waits => return,
                 Answer::Rejected(rejection) => {
-                    assert!(matches!(rejection, Rejection::Limited { .. } | Rejection::Full));
+                    assert!(matches!(rejection, Rejection::RateLimited { .. } | Rejection::Full));
                     break;
                 }
             }
--- a/request/tests/rate_limits/main.rs
+++ b/request/tests/rate_limits/main.rs
@@ -161,7 +161,7 @@
         let key = Key { holder: Holder::Own, incarnation: 1, number };
         let requirements = requirements(now, number);
         match scheduler.ask(&mut cluster, &table, key, Tag::of("plain"), requirements, now) {
-            Answer::Rejected(Rejection::Limited { after_ms: after }) => after_ms.push(after),
+            Answer::Rejected(Rejection::RateLimited { after_ms: after }) => after_ms.push(after),
             answer => assert!(matches!(answer, Answer::Waits), "{answer:?}"),
         }
     }
--- a/request/tests/scheduler.rs
+++ b/request/tests/scheduler.rs
@@ -282,9 +282,12 @@
     let Fleet { scheduler, cluster, table, now } = &mut fleet;
     let answer =
         scheduler.ask(cluster, table, key(1, 1), Tag::of("other"), requirements.clone(), *now);
-    assert!(matches!(answer, Answer::Rejected(Rejection::Closed)), "{answer:?}");
+    assert!(matches!(answer, Answer::Rejected(Rejection::NoUpstream)), "{answer:?}");
     let answer = scheduler.ask(cluster, table, key(1, 2), Tag::of("plain"), requirements, *now);
-    assert!(matches!(answer, Answer::Rejected(Rejection::Closed)), "no upstream of it is listed");
+    assert!(
+        matches!(answer, Answer::Rejected(Rejection::NoUpstream)),
+        "no upstream of it is listed"
+    );
 }
 
 proptest! {
