--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -14,7 +14,7 @@
 use foldlock_request::message::{self, Answered, Asked, Message, Number};
 use foldlock_request::placement::{Placement, Rejection, Requirements};
 use foldlock_request::rate_limit::Entry;
-use foldlock_request::scheduler::Answer;
+use foldlock_request::scheduler::Reply;
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::Service;
 use tokio::sync::mpsc;
@@ -84,11 +84,11 @@
     }
 }
 
-fn decode(cluster: &Cluster, answer: message::Answer) -> Option<Answer> {
+fn decode(cluster: &Cluster, answer: message::Answer) -> Option<Reply> {
     let placed = match answer {
         message::Answer::Placed(placed) => placed,
-        message::Answer::Waits => return Some(Answer::Waits),
-        message::Answer::Rejected(rejection) => return Some(Answer::Rejected(rejection)),
+        message::Answer::Waits => return Some(Reply::Queued),
+        message::Answer::Rejected(rejection) => return Some(Reply::Rejected(rejection)),
     };
     let id = |tag: Tag| cluster.by_tag(tag).map(|upstream| upstream.listed.id.clone());
     let helping = |(tag, held): &(Tag, u64)| Some(Helping { upstream: id(*tag)?, held: *held });
@@ -110,7 +110,7 @@
         limited: placed.limited,
         limit: placed.limit,
     };
-    Some(Answer::Placed(Box::new(placement), placed.grant))
+    Some(Reply::Granted(Box::new(placement), placed.grant))
 }
 
 /// Where the upstream of a flight and its helpers listen, or the first of them that may be sent nothing.
@@ -225,7 +225,7 @@
     requirements: &'a Requirements,
     until: Until,
     number: u64,
-    answers: mpsc::UnboundedReceiver<Answer>,
+    answers: mpsc::UnboundedReceiver<Reply>,
     asked: Option<Scheduler>,
 }
 
@@ -249,7 +249,7 @@
             self.send(&scheduler);
             match self.answer(ANSWER_TIMEOUT).await {
                 None => unanswered += 1,
-                Some(Answer::Waits) => {
+                Some(Reply::Queued) => {
                     unanswered = 0;
                     if let Some(answer) = self.place_in(RENEWAL_INTERVAL).await {
                         return self.ended(answer);
@@ -300,26 +300,26 @@
     }
 
     /// The next answer, if it comes within `time`.
-    async fn answer(&mut self, time: Duration) -> Option<Answer> {
+    async fn answer(&mut self, time: Duration) -> Option<Reply> {
         let until = (self.process.now() + time).min(self.until.limit);
         tokio::time::timeout_at(until.into(), self.answers.recv()).await.ok().flatten()
     }
 
     /// The placement, if there is one within `time`.
-    async fn place_in(&mut self, time: Duration) -> Option<Answer> {
+    async fn place_in(&mut self, time: Duration) -> Option<Reply> {
         let until = self.process.now() + time;
         loop {
             let left = until.saturating_duration_since(self.process.now());
             match self.answer(left).await {
-                Some(Answer::Waits) => {}
+                Some(Reply::Queued) => {}
                 answer => return answer,
             }
         }
     }
 
-    fn ended(&mut self, answer: Answer) -> Ended {
+    fn ended(&mut self, answer: Reply) -> Ended {
         match answer {
-            Answer::Placed(placement, _) => {
+            Reply::Granted(placement, _) => {
                 let by = match self.asked.take() {
                     Some(Scheduler::Peer(vm, address)) => {
                         let limits = rate_limits::unknown_to_scheduler(self.process, &placement);
@@ -333,8 +333,8 @@
                 };
                 self.grant(*placement, Some(by))
             }
-            Answer::Rejected(rejection) => Ended::Rejected(rejection),
-            Answer::Waits => Ended::Later,
+            Reply::Rejected(rejection) => Ended::Rejected(rejection),
+            Reply::Queued => Ended::Later,
         }
     }
 
--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -158,7 +158,7 @@
     metrics.limited_upstreams.set(cluster.limited_count() as i64);
     metrics.suspects.set(cluster.quarantine.suspects(now).count() as i64);
     drop(cluster);
-    metrics.line.set(process.scheduler.lock().unwrap().waiting() as i64);
+    metrics.line.set(process.scheduler.lock().unwrap().queue_len() as i64);
     metrics.peers.set(process.peers.heard(now).len() as i64);
 }
 
@@ -192,7 +192,7 @@
 
 fn dump<D: Dialect>(process: &Process<D>) -> serde_json::Value {
     let now = process.now();
-    let waiting = process.scheduler.lock().unwrap().waiting();
+    let waiting = process.scheduler.lock().unwrap().queue_len();
     let moment = process.moment();
     let cluster = process.cluster.lock().unwrap();
     let rests = process.rests.lock().unwrap();
--- a/daemon/src/fleet/questions.rs
+++ b/daemon/src/fleet/questions.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Mutex;
 
-use foldlock_request::scheduler::Answer;
+use foldlock_request::scheduler::Reply;
 use tokio::sync::mpsc;
 
 use crate::fleet::peers::Scheduler;
@@ -11,14 +11,14 @@
 /// The questions.
 #[derive(Debug, Default)]
 pub struct Questions {
-    open: Mutex<HashMap<u64, mpsc::UnboundedSender<Answer>>>,
+    open: Mutex<HashMap<u64, mpsc::UnboundedSender<Reply>>>,
     /// The VM that was asked last.
     scheduler: Mutex<Option<Scheduler>>,
 }
 
 impl Questions {
     /// Opens a question. Its answers come by what is returned.
-    pub fn open(&self, number: u64) -> mpsc::UnboundedReceiver<Answer> {
+    pub fn open(&self, number: u64) -> mpsc::UnboundedReceiver<Reply> {
         let (sender, answers) = mpsc::unbounded_channel();
         self.open.lock().unwrap().insert(number, sender);
         answers
@@ -30,7 +30,7 @@
     }
 
     /// There is an answer for a request of this VM.
-    pub fn deliver(&self, number: u64, answer: Answer) {
+    pub fn deliver(&self, number: u64, answer: Reply) {
         if let Some(open) = self.open.lock().unwrap().get(&number) {
             // Who asked may have left just now; then the placement is given back.
             let _ = open.send(answer);
--- a/daemon/src/fleet/scheduler.rs
+++ b/daemon/src/fleet/scheduler.rs
@@ -9,7 +9,7 @@
 use foldlock_request::dialect::Dialect;
 use foldlock_request::message::{self, Answered, Asked, Message, Number};
 use foldlock_request::placement::{self, Placement, Rejection, Requirements};
-use foldlock_request::scheduler::{Answer, Key};
+use foldlock_request::scheduler::{Key, Reply};
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::Service;
 
@@ -56,14 +56,14 @@
     requirements: Requirements,
     is_client: bool,
     now: Instant,
-) -> Answer {
-    let Some(settings) = process.settings() else { return Answer::Rejected(Rejection::NoUpstream) };
+) -> Reply {
+    let Some(settings) = process.settings() else { return Reply::Rejected(Rejection::NoUpstream) };
     let vms = process.peers.running_count();
     let mut scheduler = process.scheduler.lock().unwrap();
     let mut cluster = process.cluster.lock().unwrap();
     scheduler.budget.record_contact(&key.holder, is_client, vms, now);
-    let answer = scheduler.ask(&mut cluster, &settings.table, key, service, requirements, now);
-    if matches!(answer, Answer::Waits) {
+    let answer = scheduler.request(&mut cluster, &settings.table, key, service, requirements, now);
+    if matches!(answer, Reply::Queued) {
         process.room.notify_one();
     }
     answer
@@ -133,7 +133,7 @@
     let now = process.now();
     let mut scheduler = process.scheduler.lock().unwrap();
     let mut cluster = process.cluster.lock().unwrap();
-    let answers = scheduler.look(&mut cluster, &settings.table, now);
+    let answers = scheduler.place_queued(&mut cluster, &settings.table, now);
     drop((scheduler, cluster));
     for (Key { holder, incarnation, number }, answer) in answers {
         match holder {
@@ -143,24 +143,24 @@
     }
 }
 
-fn tell<D: Dialect>(process: &Process<D>, vm: &id::Vm, request: Number, answer: Answer) {
+fn tell<D: Dialect>(process: &Process<D>, vm: &id::Vm, request: Number, answer: Reply) {
     // A peer that is listed no more asks elsewhere.
     if let Some(member) = process.peers.member(vm) {
         answered(process, request, member.address, answer);
     }
 }
 
-fn answered<D: Dialect>(process: &Process<D>, request: Number, to: SocketAddr, answer: Answer) {
+fn answered<D: Dialect>(process: &Process<D>, request: Number, to: SocketAddr, answer: Reply) {
     let answer = encode(&process.cluster.lock().unwrap(), answer);
     let message = Message::Answered(Answered { request, answer });
     tell::send(process, &message, to);
 }
 
-fn encode(cluster: &Cluster, answer: Answer) -> message::Answer {
+fn encode(cluster: &Cluster, answer: Reply) -> message::Answer {
     let (placement, grant) = match answer {
-        Answer::Placed(placement, grant) => (placement, grant),
-        Answer::Waits => return message::Answer::Waits,
-        Answer::Rejected(rejection) => return message::Answer::Rejected(rejection),
+        Reply::Granted(placement, grant) => (placement, grant),
+        Reply::Queued => return message::Answer::Waits,
+        Reply::Rejected(rejection) => return message::Answer::Rejected(rejection),
     };
     let tag = |id: &id::Upstream| cluster.tag_of(id);
     let flight = &placement.flight;
--- a/request/src/scheduler.rs
+++ b/request/src/scheduler.rs
@@ -43,11 +43,11 @@
 
 /// The reply to a grant request.
 #[derive(Debug, Clone)]
-pub enum Answer {
+pub enum Reply {
     /// A placement, with the number of the grant.
-    Placed(Box<Placement>, u64),
+    Granted(Box<Placement>, u64),
     /// The request is queued.
-    Waits,
+    Queued,
     /// There is no placement, and queueing would not help.
     Rejected(Rejection),
 }
@@ -102,7 +102,7 @@
     }
 
     /// Handles a grant request of a VM, the first one or a repeated one.
-    pub fn ask(
+    pub fn request(
         &mut self,
         cluster: &mut Cluster,
         table: &Table,
@@ -110,29 +110,29 @@
         service: Tag,
         mut requirements: Requirements,
         now: Instant,
-    ) -> Answer {
+    ) -> Reply {
         if let Some(placed) = self.placed.get(&key) {
-            return Answer::Placed(Box::new(placed.placement.clone()), placed.grant);
+            return Reply::Granted(Box::new(placed.placement.clone()), placed.grant);
         }
         if let Some(waiter) = self.waiters.iter_mut().find(|waiter| waiter.key == key) {
             waiter.heard = now;
             // An upstream may have asked for a backoff meanwhile, or its backoff may have ended.
             waiter.requirements.excluded = requirements.excluded;
-            return Answer::Waits;
+            return Reply::Queued;
         }
         let Some(found) = find(table, service) else {
-            return Answer::Rejected(Rejection::NoUpstream);
+            return Reply::Rejected(Rejection::NoUpstream);
         };
         if let Err(held @ Rejection::Quarantined { .. }) =
             runs_alone(cluster, requirements.fingerprint, now)
         {
-            return Answer::Rejected(held);
+            return Reply::Rejected(held);
         }
         if cluster.is_drained(&found.name) {
-            return Answer::Rejected(Rejection::Drained);
+            return Reply::Rejected(Rejection::Drained);
         }
         if let Err(exhausted) = self.budget.check(service, requirements.charge, now) {
-            return Answer::Rejected(Rejection::OverBudget(exhausted));
+            return Reply::Rejected(Rejection::OverBudget(exhausted));
         }
         let prefill_ms =
             found.engine.as_ref().and_then(|engine| requirements.long_prefill_ms(engine));
@@ -141,7 +141,7 @@
             .as_ref()
             .is_some_and(|e| placement::is_too_long(cluster, found, e, &requirements))
         {
-            return Answer::Rejected(Rejection::TooLarge);
+            return Reply::Rejected(Rejection::TooLarge);
         }
         let limited_rate = cluster.limited_rate(&found.name);
         if let Some(prefill_ms) = prefill_ms {
@@ -162,7 +162,7 @@
                     return self.give(cluster, charged, placement, now);
                 }
                 Err(Rejection::Full) => self.pressure.on_queued(now),
-                Err(rejection) => return Answer::Rejected(rejection),
+                Err(rejection) => return Reply::Rejected(rejection),
             }
         }
         if let Some(rate) = limited_rate {
@@ -170,12 +170,12 @@
             if let Err(limited) =
                 self.backlog.check(service, rate, &requirements, ahead, false, now)
             {
-                return Answer::Rejected(limited);
+                return Reply::Rejected(limited);
             }
         }
         requirements.charge = self.budget.queue(service, requirements.charge);
         self.waiters.push(Waiter { key, service, requirements, heard: now });
-        Answer::Waits
+        Reply::Queued
     }
 
     /// Removes a request that no longer needs a placement, and releases its grant.
@@ -192,7 +192,7 @@
     }
 
     /// The number of queued requests.
-    pub fn waiting(&self) -> usize {
+    pub fn queue_len(&self) -> usize {
         self.waiters.len()
     }
 
@@ -202,32 +202,32 @@
 
     /// Grants placements to queued requests where possible, and rejects those that can no longer be
     /// served.
-    pub fn look(
+    pub fn place_queued(
         &mut self,
         cluster: &mut Cluster,
         table: &Table,
         now: Instant,
-    ) -> Vec<(Key, Answer)> {
+    ) -> Vec<(Key, Reply)> {
         self.forget(cluster, now);
-        let mut answers = Vec::new();
+        let mut replies = Vec::new();
         let mut services: Vec<Tag> = self.waiters.iter().map(|waiter| waiter.service).collect();
         services.sort_unstable();
         services.dedup();
-        self.turn_away(cluster, now, &mut answers);
+        self.turn_away(cluster, now, &mut replies);
         for tag in services {
             let Some(service) = find(table, tag) else { continue };
             if cluster.is_drained(&service.name) {
-                self.turn_away_all(tag, &mut answers);
+                self.turn_away_all(tag, &mut replies);
                 continue;
             }
-            self.place_short(cluster, service, tag, now, &mut answers);
-            self.place_long(cluster, service, tag, now, &mut answers);
+            self.place_short(cluster, service, tag, now, &mut replies);
+            self.place_long(cluster, service, tag, now, &mut replies);
             if cluster.limited_count() > 0 {
-                self.place_whole(cluster, service, tag, now, &mut answers);
-                self.turn_away_late(cluster, service, tag, now, &mut answers);
+                self.place_whole(cluster, service, tag, now, &mut replies);
+                self.turn_away_late(cluster, service, tag, now, &mut replies);
             }
         }
-        answers
+        replies
     }
 
     /// Places long prompts on single rate-limited upstreams.
@@ -237,7 +237,7 @@
         service: &Service,
         tag: Tag,
         now: Instant,
-        answers: &mut Vec<(Key, Answer)>,
+        replies: &mut Vec<(Key, Reply)>,
     ) {
         for key in self.due(tag, |waiter| waiter.is_long(service)) {
             let Some(waiter) = self.waiters.iter().find(|waiter| waiter.key == key) else {
@@ -247,8 +247,8 @@
                 placement::place_whole(cluster, service, &waiter.requirements, now)
             {
                 let charged = waiter.charged();
-                let answer = self.give(cluster, charged, placement, now);
-                answers.push((key, answer));
+                let reply = self.give(cluster, charged, placement, now);
+                replies.push((key, reply));
             }
         }
     }
@@ -260,7 +260,7 @@
         service: &Service,
         tag: Tag,
         now: Instant,
-        answers: &mut Vec<(Key, Answer)>,
+        replies: &mut Vec<(Key, Reply)>,
     ) {
         let Some(rate) = cluster.limited_rate(&service.name) else { return };
         let mut ahead = 0;
@@ -272,7 +272,7 @@
                 Ok(()) => ahead += 1,
                 Err(limited) => {
                     self.waiters.retain(|waiter| waiter.key != key);
-                    answers.push((key, Answer::Rejected(limited)));
+                    replies.push((key, Reply::Rejected(limited)));
                 }
             }
         }
@@ -291,11 +291,11 @@
     }
 
     /// Rejects queued requests that have been quarantined meanwhile.
-    fn turn_away(&mut self, cluster: &Cluster, now: Instant, answers: &mut Vec<(Key, Answer)>) {
+    fn turn_away(&mut self, cluster: &Cluster, now: Instant, replies: &mut Vec<(Key, Reply)>) {
         self.waiters.retain(|waiter| {
             match runs_alone(cluster, waiter.requirements.fingerprint, now) {
                 Err(held @ Rejection::Quarantined { .. }) => {
-                    answers.push((waiter.key.clone(), Answer::Rejected(held)));
+                    replies.push((waiter.key.clone(), Reply::Rejected(held)));
                     false
                 }
                 _ => true,
@@ -304,10 +304,10 @@
     }
 
     /// Rejects the queued requests of a service whose data halls have all been drained.
-    fn turn_away_all(&mut self, service: Tag, answers: &mut Vec<(Key, Answer)>) {
+    fn turn_away_all(&mut self, service: Tag, replies: &mut Vec<(Key, Reply)>) {
         self.waiters.retain(|waiter| {
             if waiter.service == service {
-                answers.push((waiter.key.clone(), Answer::Rejected(Rejection::Drained)));
+                replies.push((waiter.key.clone(), Reply::Rejected(Rejection::Drained)));
             }
             waiter.service != service
         });
@@ -320,7 +320,7 @@
         service: &Service,
         tag: Tag,
         now: Instant,
-        answers: &mut Vec<(Key, Answer)>,
+        replies: &mut Vec<(Key, Reply)>,
     ) {
         for key in self.due(tag, |waiter| !waiter.is_long(service)) {
             let Some(waiter) = self.waiters.iter().find(|waiter| waiter.key == key) else {
@@ -328,8 +328,8 @@
             };
             if let Ok(placement) = placement::place(cluster, service, &waiter.requirements, now) {
                 let charged = waiter.charged();
-                let answer = self.give(cluster, charged, placement, now);
-                answers.push((key, answer));
+                let reply = self.give(cluster, charged, placement, now);
+                replies.push((key, reply));
             }
         }
     }
@@ -341,7 +341,7 @@
         service: &Service,
         tag: Tag,
         now: Instant,
-        answers: &mut Vec<(Key, Answer)>,
+        replies: &mut Vec<(Key, Reply)>,
     ) {
         let Some(engine) = &service.engine else { return };
         let waiters = self.waiters.iter().enumerate();
@@ -375,8 +375,8 @@
             let Ok(alone) = runs_alone(cluster, fingerprint, now) else { continue };
             placement.flight.alone = alone.then_some(fingerprint);
             let key = charged.key.clone();
-            let answer = self.give(cluster, charged, placement, now);
-            answers.push((key, answer));
+            let reply = self.give(cluster, charged, placement, now);
+            replies.push((key, reply));
         }
     }
 
@@ -393,18 +393,18 @@
         charged: Charged,
         placement: Placement,
         now: Instant,
-    ) -> Answer {
+    ) -> Reply {
         let Charged { key, service, charge } = charged;
         self.waiters.retain(|waiter| waiter.key != key);
         if let Err(exhausted) = self.budget.charge(service, charge, now) {
-            return Answer::Rejected(Rejection::OverBudget(exhausted));
+            return Reply::Rejected(Rejection::OverBudget(exhausted));
         }
         let grant = self.grants.entry(key.holder.clone()).or_default();
         *grant += 1;
         let grant = *grant;
         cluster.grant(&key.holder, key.number, placement.flight.clone(), grant, now);
         self.placed.insert(key, Placed { placement: placement.clone(), grant, at: now });
-        Answer::Placed(Box::new(placement), grant)
+        Reply::Granted(Box::new(placement), grant)
     }
 
     /// Drops queued requests that were not repeated in time, expired grants and outdated demand.
--- a/request/tests/cold.rs
+++ b/request/tests/cold.rs
@@ -10,7 +10,7 @@
 use foldlock_request::cluster::{Cluster, Holder, Listed};
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::placement::{self, Rejection, Requirements};
-use foldlock_request::scheduler::{Answer, Key, Scheduler};
+use foldlock_request::scheduler::{Key, Reply, Scheduler};
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::{Bounds, Service, Table};
 
@@ -90,7 +90,7 @@
         if let Some(ended) = number.checked_sub(50 / every.as_millis() as u64) {
             scheduler.cancel(cluster, &key(ended), now);
         }
-        let answer = scheduler.ask(
+        let answer = scheduler.request(
             cluster,
             &table,
             key(number),
@@ -98,7 +98,7 @@
             requirements(now, 1),
             now,
         );
-        if let Answer::Placed(placement, _) = answer {
+        if let Reply::Granted(placement, _) = answer {
             sent.entry(placement.flight.upstream).or_default().push(now);
         }
     }
--- a/request/tests/patterns/play.rs
+++ b/request/tests/patterns/play.rs
@@ -12,7 +12,7 @@
 use foldlock_request::forecast;
 use foldlock_request::placement::{Placement, Requirements};
 use foldlock_request::report::Observed;
-use foldlock_request::scheduler::{Answer, Key, Scheduler};
+use foldlock_request::scheduler::{Key, Reply, Scheduler};
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::{Bounds, Engine as Figures, Service, Table};
 use rand::rngs::StdRng;
@@ -230,9 +230,15 @@
     fn ask_as(&mut self, number: u64, index: usize, now: Instant) {
         let requirements = self.requirements_for(index);
         let (cluster, table) = (&mut self.cluster, &self.table);
-        let answer =
-            self.scheduler.ask(cluster, table, Play::key(number), self.service, requirements, now);
-        if let Answer::Placed(placement, _) = answer {
+        let answer = self.scheduler.request(
+            cluster,
+            table,
+            Play::key(number),
+            self.service,
+            requirements,
+            now,
+        );
+        if let Reply::Granted(placement, _) = answer {
             self.placed(number, *placement, now);
         }
     }
@@ -253,8 +259,8 @@
     }
 
     fn look(&mut self, now: Instant) {
-        for (key, answer) in self.scheduler.look(&mut self.cluster, &self.table, now) {
-            if let Answer::Placed(placement, _) = answer {
+        for (key, answer) in self.scheduler.place_queued(&mut self.cluster, &self.table, now) {
+            if let Reply::Granted(placement, _) = answer {
                 self.placed(key.number, *placement, now);
             }
         }
--- a/request/tests/rate_limits/fleet.rs
+++ b/request/tests/rate_limits/fleet.rs
@@ -11,7 +11,7 @@
 use foldlock_request::flight::Flight;
 use foldlock_request::placement::{Placement, Rejection, Requirements};
 use foldlock_request::rate_limit::Entry;
-use foldlock_request::scheduler::{Answer, Key, Scheduler};
+use foldlock_request::scheduler::{Key, Reply, Scheduler};
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::{Bounds, Service, Table};
 
@@ -243,7 +243,7 @@
             let Some(scheduler) = self.scheduler_of(vm) else { break };
             let key = self.key(vm, scheduler, number);
             let Vm { cluster, scheduler: of, .. } = &mut self.vms[scheduler];
-            let answer = of.ask(
+            let answer = of.request(
                 cluster,
                 &self.table,
                 key.clone(),
@@ -252,16 +252,16 @@
                 self.now,
             );
             match answer {
-                Answer::Placed(placement, _) if self.send(vm, scheduler, number, &placement) => {
+                Reply::Granted(placement, _) if self.send(vm, scheduler, number, &placement) => {
                     return;
                 }
-                Answer::Placed(..) => {
+                Reply::Granted(..) => {
                     let now = self.now;
                     let Vm { cluster, scheduler: of, .. } = &mut self.vms[scheduler];
                     of.cancel(cluster, &key, now);
                 }
-                Answer::Waits => return,
-                Answer::Rejected(rejection) => {
+                Reply::Queued => return,
+                Reply::Rejected(rejection) => {
                     assert!(matches!(rejection, Rejection::RateLimited { .. } | Rejection::Full));
                     break;
                 }
@@ -382,17 +382,17 @@
                 continue;
             }
             let Vm { cluster, scheduler: of, .. } = &mut self.vms[scheduler];
-            for (key, answer) in of.look(cluster, &self.table, self.now) {
+            for (key, answer) in of.place_queued(cluster, &self.table, self.now) {
                 let vm = match &key.holder {
                     Holder::Own => scheduler,
                     Holder::Peer(vm) => vm.as_str()[3..].parse().unwrap(),
                 };
                 let lives = self.vms[vm].incarnation == key.incarnation && !self.is_frozen(vm);
                 match answer {
-                    Answer::Placed(placement, _) if lives && self.reaches(scheduler, vm) => {
+                    Reply::Granted(placement, _) if lives && self.reaches(scheduler, vm) => {
                         self.send(vm, scheduler, key.number, &placement);
                     }
-                    Answer::Rejected(_) => self.refused += 1,
+                    Reply::Rejected(_) => self.refused += 1,
                     _ => {}
                 }
             }
--- a/request/tests/rate_limits/main.rs
+++ b/request/tests/rate_limits/main.rs
@@ -16,7 +16,7 @@
 use foldlock_request::cluster::Holder;
 use foldlock_request::placement::Rejection;
 use foldlock_request::rate_limit::Limit;
-use foldlock_request::scheduler::{Answer, Key, Scheduler};
+use foldlock_request::scheduler::{Key, Reply, Scheduler};
 use foldlock_request::tag::Tag;
 use incident::{Incident, incident};
 use proptest::prelude::*;
@@ -160,9 +160,9 @@
     for number in 0..20 {
         let key = Key { holder: Holder::Own, incarnation: 1, number };
         let requirements = requirements(now, number);
-        match scheduler.ask(&mut cluster, &table, key, Tag::of("plain"), requirements, now) {
-            Answer::Rejected(Rejection::RateLimited { after_ms: after }) => after_ms.push(after),
-            answer => assert!(matches!(answer, Answer::Waits), "{answer:?}"),
+        match scheduler.request(&mut cluster, &table, key, Tag::of("plain"), requirements, now) {
+            Reply::Rejected(Rejection::RateLimited { after_ms: after }) => after_ms.push(after),
+            answer => assert!(matches!(answer, Reply::Queued), "{answer:?}"),
         }
     }
     // Four a second in all: the first may wait for its turn, the others come back at that rate.
--- a/request/tests/scheduler.rs
+++ b/request/tests/scheduler.rs
@@ -9,7 +9,7 @@
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::placement::{Placement, Rejection, Requirements};
 use foldlock_request::quarantine::Ending;
-use foldlock_request::scheduler::{Answer, Key, Scheduler};
+use foldlock_request::scheduler::{Key, Reply, Scheduler};
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::{Bounds, Engine, Service, Table};
 use proptest::prelude::*;
@@ -117,15 +117,15 @@
         Fleet { cluster: cluster(engines), table: table(), scheduler, now: Instant::now() }
     }
 
-    fn ask(&mut self, key: Key, requirements: Requirements) -> Answer {
+    fn request(&mut self, key: Key, requirements: Requirements) -> Reply {
         let model = Tag::of("model");
-        self.scheduler.ask(&mut self.cluster, &self.table, key, model, requirements, self.now)
+        self.scheduler.request(&mut self.cluster, &self.table, key, model, requirements, self.now)
     }
 
-    fn look(&mut self) -> Vec<(Key, Placement)> {
-        let answers = self.scheduler.look(&mut self.cluster, &self.table, self.now);
+    fn place_queued(&mut self) -> Vec<(Key, Placement)> {
+        let answers = self.scheduler.place_queued(&mut self.cluster, &self.table, self.now);
         let placement = |(key, answer)| match answer {
-            Answer::Placed(placement, _) => (key, *placement),
+            Reply::Granted(placement, _) => (key, *placement),
             answer => panic!("{key:?}: {answer:?}"),
         };
         answers.into_iter().map(placement).collect()
@@ -140,9 +140,9 @@
     }
 }
 
-fn placed(answer: Answer) -> (Placement, u64) {
+fn placed(answer: Reply) -> (Placement, u64) {
     match answer {
-        Answer::Placed(placement, grant) => (*placement, grant),
+        Reply::Granted(placement, grant) => (*placement, grant),
         answer => panic!("{answer:?}"),
     }
 }
@@ -151,12 +151,12 @@
 fn who_asks_again_gets_the_same_place() {
     let mut fleet = Fleet::new(3);
     let requirements = short(fleet.now);
-    let (placement, grant) = placed(fleet.ask(key(1, 1), requirements.clone()));
+    let (placement, grant) = placed(fleet.request(key(1, 1), requirements.clone()));
     fleet.after(25);
-    let (again, grant_again) = placed(fleet.ask(key(1, 1), requirements.clone()));
+    let (again, grant_again) = placed(fleet.request(key(1, 1), requirements.clone()));
     assert_eq!((placement.flight, grant), (again.flight, grant_again));
     assert_eq!(fleet.cluster.under_way(), 1);
-    let (_, next) = placed(fleet.ask(key(1, 2), requirements));
+    let (_, next) = placed(fleet.request(key(1, 2), requirements));
     assert!(next > grant, "each place has a higher number");
 }
 
@@ -166,7 +166,7 @@
     let requirements = short(fleet.now);
     let mut reading = std::collections::HashMap::new();
     for i in 0..24 {
-        let (placement, _) = placed(fleet.ask(key(i, 1), requirements.clone()));
+        let (placement, _) = placed(fleet.request(key(i, 1), requirements.clone()));
         *reading.entry(placement.flight.upstream).or_insert(0_u32) += 1;
         assert!(placement.predicted_ms <= 0.85 * 400.0, "{}", placement.predicted_ms);
     }
@@ -185,16 +185,16 @@
 fn a_long_prompt_waits_its_turn_whichever_vm_it_came_to() {
     let mut fleet = Fleet::new(6);
     let (first, second) = (long(190_000, fleet.now), long(190_000, fleet.now));
-    assert!(matches!(fleet.ask(key(1, 1), first), Answer::Waits));
-    assert!(matches!(fleet.ask(key(2, 1), second), Answer::Waits));
-    let placed = fleet.look();
+    assert!(matches!(fleet.request(key(1, 1), first), Reply::Queued));
+    assert!(matches!(fleet.request(key(2, 1), second), Reply::Queued));
+    let placed = fleet.place_queued();
     let [(first, _)] = placed.as_slice() else { panic!("{placed:?}") };
-    assert!(fleet.look().is_empty(), "the engines read that one");
+    assert!(fleet.place_queued().is_empty(), "the engines read that one");
     fleet.after(400);
     let again = long(190_000, fleet.now);
-    assert!(matches!(fleet.ask(key(3 - vm_of(first), 1), again), Answer::Waits));
+    assert!(matches!(fleet.request(key(3 - vm_of(first), 1), again), Reply::Queued));
     fleet.after(400);
-    let placed = fleet.look();
+    let placed = fleet.place_queued();
     let [(second, _)] = placed.as_slice() else { panic!("{placed:?}") };
     assert_ne!(first, second);
 }
@@ -205,10 +205,10 @@
     let engines: Vec<Tag> = fleet.cluster.ids().map(|id| fleet.cluster.tag_of(id)).collect();
     let requirements = long(60_000, fleet.now);
     for barred in engines {
-        assert!(matches!(fleet.ask(key(1, 1), requirements.clone()), Answer::Waits));
+        assert!(matches!(fleet.request(key(1, 1), requirements.clone()), Reply::Queued));
         let asked_again = Requirements { excluded: vec![barred], ..requirements.clone() };
-        assert!(matches!(fleet.ask(key(1, 1), asked_again), Answer::Waits));
-        let placed = fleet.look();
+        assert!(matches!(fleet.request(key(1, 1), asked_again), Reply::Queued));
+        let placed = fleet.place_queued();
         let [(_, placement)] = placed.as_slice() else { panic!("{placed:?}") };
         let used = std::iter::once(&placement.flight.upstream)
             .chain(placement.flight.helpers.iter().map(|helping| &helping.upstream));
@@ -221,10 +221,10 @@
 fn what_asks_no_more_holds_up_nobody() {
     let mut fleet = Fleet::new(6);
     let requirements = long(190_000, fleet.now);
-    fleet.ask(key(1, 1), requirements.clone());
-    fleet.ask(key(2, 1), requirements.clone());
+    fleet.request(key(1, 1), requirements.clone());
+    fleet.request(key(2, 1), requirements.clone());
     fleet.cancel(&key(1, 1));
-    let placed = fleet.look();
+    let placed = fleet.place_queued();
     assert_eq!(placed.iter().map(|(key, _)| key.clone()).collect::<Vec<_>>(), [key(2, 1)]);
     fleet.cancel(&key(2, 1));
     assert_eq!(fleet.cluster.under_way(), 0, "its engines are free again");
@@ -234,23 +234,23 @@
 fn a_vm_that_falls_silent_waits_for_nothing() {
     let mut fleet = Fleet::new(6);
     let requirements = long(190_000, fleet.now);
-    fleet.ask(key(1, 1), requirements.clone());
-    fleet.ask(key(2, 1), requirements.clone());
-    fleet.look();
+    fleet.request(key(1, 1), requirements.clone());
+    fleet.request(key(2, 1), requirements.clone());
+    fleet.place_queued();
     fleet.after(400);
-    fleet.ask(key(2, 1), requirements.clone());
-    fleet.ask(key(1, 1), requirements);
+    fleet.request(key(2, 1), requirements.clone());
+    fleet.request(key(1, 1), requirements);
     fleet.after(700);
-    fleet.look();
-    assert_eq!(fleet.scheduler.waiting(), 0);
+    fleet.place_queued();
+    assert_eq!(fleet.scheduler.queue_len(), 0);
 }
 
 #[test]
 fn a_start_anew_is_another_request() {
     let mut fleet = Fleet::new(3);
-    let (_, first) = placed(fleet.ask(key(1, 1), short(fleet.now)));
+    let (_, first) = placed(fleet.request(key(1, 1), short(fleet.now)));
     let renewed = Key { incarnation: 2, ..key(1, 1) };
-    let (_, second) = placed(fleet.ask(renewed, short(fleet.now)));
+    let (_, second) = placed(fleet.request(renewed, short(fleet.now)));
     assert!(second > first);
 }
 
@@ -269,10 +269,17 @@
     };
     let (mut cluster, mut scheduler) = (cluster(40), Scheduler::default());
     let mut ask = |number, tokens| {
-        scheduler.ask(&mut cluster, &table(), key(1, number), Tag::of("model"), long(tokens), now)
+        scheduler.request(
+            &mut cluster,
+            &table(),
+            key(1, number),
+            Tag::of("model"),
+            long(tokens),
+            now,
+        )
     };
-    assert!(matches!(ask(1, 600_000), Answer::Waits), "its parts take 1.6 s");
-    assert!(matches!(ask(2, 800_000), Answer::Rejected(Rejection::TooLarge)), "and these 2.8 s");
+    assert!(matches!(ask(1, 600_000), Reply::Queued), "its parts take 1.6 s");
+    assert!(matches!(ask(2, 800_000), Reply::Rejected(Rejection::TooLarge)), "and these 2.8 s");
 }
 
 #[test]
@@ -281,11 +288,11 @@
     let requirements = short(fleet.now);
     let Fleet { scheduler, cluster, table, now } = &mut fleet;
     let answer =
-        scheduler.ask(cluster, table, key(1, 1), Tag::of("other"), requirements.clone(), *now);
-    assert!(matches!(answer, Answer::Rejected(Rejection::NoUpstream)), "{answer:?}");
-    let answer = scheduler.ask(cluster, table, key(1, 2), Tag::of("plain"), requirements, *now);
+        scheduler.request(cluster, table, key(1, 1), Tag::of("other"), requirements.clone(), *now);
+    assert!(matches!(answer, Reply::Rejected(Rejection::NoUpstream)), "{answer:?}");
+    let answer = scheduler.request(cluster, table, key(1, 2), Tag::of("plain"), requirements, *now);
     assert!(
-        matches!(answer, Answer::Rejected(Rejection::NoUpstream)),
+        matches!(answer, Reply::Rejected(Rejection::NoUpstream)),
         "no upstream of it is listed"
     );
 }
@@ -303,11 +310,11 @@
             let requirements = if tokens < 20_000 { short(fleet.now) } else { long(tokens, fleet.now) };
             match step {
                 0 | 1 => {
-                    fleet.ask(key(vm, number), requirements);
+                    fleet.request(key(vm, number), requirements);
                 }
                 2 => fleet.cancel(&key(vm, number)),
                 _ => {
-                    fleet.look();
+                    fleet.place_queued();
                 }
             }
             for (id, load) in fleet.cluster.loads(Some(&ENGINE), fleet.now) {
@@ -316,10 +323,10 @@
             }
         }
         fleet.after(2_000);
-        fleet.look();
+        fleet.place_queued();
         fleet.after(2_000);
-        fleet.look();
-        prop_assert_eq!(fleet.scheduler.waiting(), 0);
+        fleet.place_queued();
+        prop_assert_eq!(fleet.scheduler.queue_len(), 0);
         prop_assert_eq!(fleet.cluster.under_way(), 0);
     }
 }
@@ -340,17 +347,17 @@
 fn a_suspect_runs_at_an_upstream_that_is_left_to_it() {
     for suspected in [short as fn(Instant) -> Requirements, |now| long(60_000, now)] {
         let mut fleet = Fleet::new(6);
-        let beside = placed(fleet.ask(key(0, 1), short(fleet.now))).0;
+        let beside = placed(fleet.request(key(0, 1), short(fleet.now))).0;
         let requirements = suspicious(suspected(fleet.now));
         suspect(&mut fleet, &requirements);
-        let alone = match fleet.ask(key(0, 2), requirements.clone()) {
-            Answer::Placed(placement, _) => *placement,
-            _ => fleet.look().pop().expect("there is room").1,
+        let alone = match fleet.request(key(0, 2), requirements.clone()) {
+            Reply::Granted(placement, _) => *placement,
+            _ => fleet.place_queued().pop().expect("there is room").1,
         };
         assert_eq!(alone.flight.alone, Some(requirements.fingerprint));
         assert_ne!(alone.flight.upstream, beside.flight.upstream);
         for number in 3..20 {
-            let other = placed(fleet.ask(key(0, number), short(fleet.now))).0;
+            let other = placed(fleet.request(key(0, number), short(fleet.now))).0;
             assert_ne!(other.flight.upstream, alone.flight.upstream, "nothing is put beside it");
         }
     }
@@ -362,19 +369,19 @@
         let mut fleet = Fleet::new(6);
         let requirements = suspicious(suspected(fleet.now));
         suspect(&mut fleet, &requirements);
-        fleet.ask(key(0, 1), requirements.clone());
-        fleet.ask(key(1, 1), requirements.clone());
-        fleet.look();
+        fleet.request(key(0, 1), requirements.clone());
+        fleet.request(key(1, 1), requirements.clone());
+        fleet.place_queued();
         assert_eq!(fleet.cluster.under_way(), 1);
-        assert!(matches!(fleet.ask(key(1, 1), requirements.clone()), Answer::Waits));
+        assert!(matches!(fleet.request(key(1, 1), requirements.clone()), Reply::Queued));
         // The first copy crashes its upstream: the queued copy is rejected, and so is the next one.
         let ending = Ending { upstream: Tag::of("i-000"), alone: true };
         fleet.cluster.quarantine.ended(requirements.fingerprint, ending, fleet.now);
-        let answers = fleet.scheduler.look(&mut fleet.cluster, &fleet.table, fleet.now);
+        let answers = fleet.scheduler.place_queued(&mut fleet.cluster, &fleet.table, fleet.now);
         let held =
-            |answer: &Answer| matches!(answer, Answer::Rejected(Rejection::Quarantined { .. }));
+            |answer: &Reply| matches!(answer, Reply::Rejected(Rejection::Quarantined { .. }));
         assert!(answers.iter().any(|(waiting, answer)| *waiting == key(1, 1) && held(answer)));
-        assert!(held(&fleet.ask(key(2, 1), requirements.clone())));
+        assert!(held(&fleet.request(key(2, 1), requirements.clone())));
     }
 }
 
@@ -383,10 +390,10 @@
     let mut fleet = Fleet::new(6);
     let requirements = suspicious(short(fleet.now));
     suspect(&mut fleet, &requirements);
-    placed(fleet.ask(key(0, 1), requirements.clone()));
-    assert!(matches!(fleet.ask(key(1, 1), requirements.clone()), Answer::Waits));
+    placed(fleet.request(key(0, 1), requirements.clone()));
+    assert!(matches!(fleet.request(key(1, 1), requirements.clone()), Reply::Queued));
     fleet.cluster.peer_lost(&vm(0), fleet.now);
-    let again = fleet.look();
+    let again = fleet.place_queued();
     assert_eq!(again.len(), 1);
     assert_eq!(again[0].0, key(1, 1));
 }
