--- a/request/src/scheduler.rs
+++ b/request/src/scheduler.rs
@@ -25,10 +25,10 @@
 /// Time after which a queued request is dropped if its VM has not repeated the grant request. A VM
 /// repeats it several times within this time, so the caller has left, or the VM has stopped or asks
 /// another scheduler.
-const ASK_LASTS: Duration = Duration::from_millis(600);
+const QUEUED_REQUEST_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// How long a grant is kept for a VM that repeats its request because the reply was lost.
-const PLACED_LASTS: Duration = Duration::from_millis(600);
+const GRANT_RETENTION: Duration = Duration::from_millis(600);
 
 /// Identifies a request that is queued or was granted a placement.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -53,30 +53,30 @@
 }
 
 #[derive(Debug)]
-struct Waiter {
+struct QueuedRequest {
     key: Key,
     service: Tag,
     requirements: Requirements,
-    heard: Instant,
+    last_requested: Instant,
 }
 
 /// A request that gets a placement, with its charge to the retry budget.
-struct Charged {
+struct ChargedRequest {
     key: Key,
     service: Tag,
     charge: Charge,
 }
 
 #[derive(Debug)]
-struct Placed {
+struct Grant {
     placement: Placement,
-    grant: u64,
+    number: u64,
     at: Instant,
 }
 
 /// A long prompt for which a placement was requested.
 #[derive(Debug)]
-struct Asked {
+struct LongArrival {
     at: Instant,
     service: Tag,
     prefill_ms: f64,
@@ -85,10 +85,10 @@
 /// Places the requests of all VMs.
 #[derive(Debug, Default)]
 pub struct Scheduler {
-    waiters: Vec<Waiter>,
-    placed: HashMap<Key, Placed>,
-    asked: VecDeque<Asked>,
-    grants: HashMap<Holder, u64>,
+    queue: Vec<QueuedRequest>,
+    grants: HashMap<Key, Grant>,
+    long_arrivals: VecDeque<LongArrival>,
+    grant_numbers: HashMap<Holder, u64>,
     pressure: Pressure,
     backlog: Backlog,
     /// The fleet's retry budget, for requests that this VM schedules.
@@ -111,22 +111,22 @@
         mut requirements: Requirements,
         now: Instant,
     ) -> Reply {
-        if let Some(placed) = self.placed.get(&key) {
-            return Reply::Granted(Box::new(placed.placement.clone()), placed.grant);
+        if let Some(grant) = self.grants.get(&key) {
+            return Reply::Granted(Box::new(grant.placement.clone()), grant.number);
         }
-        if let Some(waiter) = self.waiters.iter_mut().find(|waiter| waiter.key == key) {
-            waiter.heard = now;
+        if let Some(queued) = self.queue.iter_mut().find(|queued| queued.key == key) {
+            queued.last_requested = now;
             // An upstream may have asked for a backoff meanwhile, or its backoff may have ended.
-            waiter.requirements.excluded = requirements.excluded;
+            queued.requirements.excluded = requirements.excluded;
             return Reply::Queued;
         }
         let Some(found) = find(table, service) else {
             return Reply::Rejected(Rejection::NoUpstream);
         };
-        if let Err(held @ Rejection::Quarantined { .. }) =
+        if let Err(quarantined @ Rejection::Quarantined { .. }) =
             runs_alone(cluster, requirements.fingerprint, now)
         {
-            return Reply::Rejected(held);
+            return Reply::Rejected(quarantined);
         }
         if cluster.is_drained(&found.name) {
             return Reply::Rejected(Rejection::Drained);
@@ -145,10 +145,10 @@
         }
         let limited_rate = cluster.limited_rate(&found.name);
         if let Some(prefill_ms) = prefill_ms {
-            self.asked.push_back(Asked { at: now, service, prefill_ms });
+            self.long_arrivals.push_back(LongArrival { at: now, service, prefill_ms });
         } else {
             // Queued requests go first.
-            let must_queue = limited_rate.is_some() && self.waiting_for(service) > 0;
+            let must_queue = limited_rate.is_some() && self.queued_for(service) > 0;
             let placed = if must_queue {
                 Err(Rejection::Full)
             } else {
@@ -158,15 +158,15 @@
                 Ok(placement) => {
                     let objective_ms = requirements.objective.as_secs_f64() * 1e3;
                     self.pressure.on_placed(placement.predicted_ms / objective_ms, now);
-                    let charged = Charged { key, service, charge: requirements.charge };
-                    return self.give(cluster, charged, placement, now);
+                    let charged = ChargedRequest { key, service, charge: requirements.charge };
+                    return self.grant(cluster, charged, placement, now);
                 }
                 Err(Rejection::Full) => self.pressure.on_queued(now),
                 Err(rejection) => return Reply::Rejected(rejection),
             }
         }
         if let Some(rate) = limited_rate {
-            let ahead = self.waiting_for(service);
+            let ahead = self.queued_for(service);
             if let Err(limited) =
                 self.backlog.check(service, rate, &requirements, ahead, false, now)
             {
@@ -174,30 +174,30 @@
             }
         }
         requirements.charge = self.budget.queue(service, requirements.charge);
-        self.waiters.push(Waiter { key, service, requirements, heard: now });
+        self.queue.push(QueuedRequest { key, service, requirements, last_requested: now });
         Reply::Queued
     }
 
     /// Removes a request that no longer needs a placement, and releases its grant.
     pub fn cancel(&mut self, cluster: &mut Cluster, key: &Key, now: Instant) {
-        self.waiters.retain(|waiter| waiter.key != *key);
-        if self.placed.remove(key).is_some() {
+        self.queue.retain(|queued| queued.key != *key);
+        if self.grants.remove(key).is_some() {
             cluster.take_back(&key.holder, key.number, now);
         }
     }
 
     /// Whether the queue is empty.
     pub fn is_idle(&self) -> bool {
-        self.waiters.is_empty()
+        self.queue.is_empty()
     }
 
     /// The number of queued requests.
     pub fn queue_len(&self) -> usize {
-        self.waiters.len()
+        self.queue.len()
     }
 
-    fn waiting_for(&self, service: Tag) -> usize {
-        self.waiters.iter().filter(|waiter| waiter.service == service).count()
+    fn queued_for(&self, service: Tag) -> usize {
+        self.queue.iter().filter(|queued| queued.service == service).count()
     }
 
     /// Grants placements to queued requests where possible, and rejects those that can no longer be
@@ -208,23 +208,23 @@
         table: &Table,
         now: Instant,
     ) -> Vec<(Key, Reply)> {
-        self.forget(cluster, now);
+        self.expire(cluster, now);
         let mut replies = Vec::new();
-        let mut services: Vec<Tag> = self.waiters.iter().map(|waiter| waiter.service).collect();
+        let mut services: Vec<Tag> = self.queue.iter().map(|queued| queued.service).collect();
         services.sort_unstable();
         services.dedup();
-        self.turn_away(cluster, now, &mut replies);
+        self.reject_quarantined(cluster, now, &mut replies);
         for tag in services {
             let Some(service) = find(table, tag) else { continue };
             if cluster.is_drained(&service.name) {
-                self.turn_away_all(tag, &mut replies);
+                self.reject_drained(tag, &mut replies);
                 continue;
             }
             self.place_short(cluster, service, tag, now, &mut replies);
             self.place_long(cluster, service, tag, now, &mut replies);
             if cluster.limited_count() > 0 {
                 self.place_whole(cluster, service, tag, now, &mut replies);
-                self.turn_away_late(cluster, service, tag, now, &mut replies);
+                self.reject_late(cluster, service, tag, now, &mut replies);
             }
         }
         replies
@@ -239,22 +239,22 @@
         now: Instant,
         replies: &mut Vec<(Key, Reply)>,
     ) {
-        for key in self.due(tag, |waiter| waiter.is_long(service)) {
-            let Some(waiter) = self.waiters.iter().find(|waiter| waiter.key == key) else {
+        for key in self.keys_by_deadline(tag, |queued| queued.is_long(service)) {
+            let Some(queued) = self.queue.iter().find(|queued| queued.key == key) else {
                 continue;
             };
             if let Ok(placement) =
-                placement::place_whole(cluster, service, &waiter.requirements, now)
+                placement::place_whole(cluster, service, &queued.requirements, now)
             {
-                let charged = waiter.charged();
-                let reply = self.give(cluster, charged, placement, now);
+                let charged = queued.charged();
+                let reply = self.grant(cluster, charged, placement, now);
                 replies.push((key, reply));
             }
         }
     }
 
     /// Rejects queued requests that would wait too long, where all upstreams are rate-limited.
-    fn turn_away_late(
+    fn reject_late(
         &mut self,
         cluster: &Cluster,
         service: &Service,
@@ -264,14 +264,14 @@
     ) {
         let Some(rate) = cluster.limited_rate(&service.name) else { return };
         let mut ahead = 0;
-        for key in self.due(tag, |_| true) {
-            let Some(waiter) = self.waiters.iter().find(|waiter| waiter.key == key) else {
+        for key in self.keys_by_deadline(tag, |_| true) {
+            let Some(queued) = self.queue.iter().find(|queued| queued.key == key) else {
                 continue;
             };
-            match self.backlog.check(tag, rate, &waiter.requirements, ahead, true, now) {
+            match self.backlog.check(tag, rate, &queued.requirements, ahead, true, now) {
                 Ok(()) => ahead += 1,
                 Err(limited) => {
-                    self.waiters.retain(|waiter| waiter.key != key);
+                    self.queue.retain(|queued| queued.key != key);
                     replies.push((key, Reply::Rejected(limited)));
                 }
             }
@@ -279,23 +279,28 @@
     }
 
     /// Queued requests of a service, earliest deadline first.
-    fn due(&self, service: Tag, of: impl Fn(&Waiter) -> bool) -> Vec<Key> {
-        let waiters = self.waiters.iter().filter(|waiter| waiter.service == service && of(waiter));
-        let mut due: Vec<(Instant, &Key)> = waiters
-            .map(|waiter| {
-                (waiter.requirements.arrived + waiter.requirements.objective, &waiter.key)
+    fn keys_by_deadline(&self, service: Tag, of: impl Fn(&QueuedRequest) -> bool) -> Vec<Key> {
+        let queued = self.queue.iter().filter(|queued| queued.service == service && of(queued));
+        let mut by_deadline: Vec<(Instant, &Key)> = queued
+            .map(|queued| {
+                (queued.requirements.arrived + queued.requirements.objective, &queued.key)
             })
             .collect();
-        due.sort();
-        due.into_iter().map(|(_, key)| key.clone()).collect()
+        by_deadline.sort();
+        by_deadline.into_iter().map(|(_, key)| key.clone()).collect()
     }
 
     /// Rejects queued requests that have been quarantined meanwhile.
-    fn turn_away(&mut self, cluster: &Cluster, now: Instant, replies: &mut Vec<(Key, Reply)>) {
-        self.waiters.retain(|waiter| {
-            match runs_alone(cluster, waiter.requirements.fingerprint, now) {
-                Err(held @ Rejection::Quarantined { .. }) => {
-                    replies.push((waiter.key.clone(), Reply::Rejected(held)));
+    fn reject_quarantined(
+        &mut self,
+        cluster: &Cluster,
+        now: Instant,
+        replies: &mut Vec<(Key, Reply)>,
+    ) {
+        self.queue.retain(|queued| {
+            match runs_alone(cluster, queued.requirements.fingerprint, now) {
+                Err(quarantined @ Rejection::Quarantined { .. }) => {
+                    replies.push((queued.key.clone(), Reply::Rejected(quarantined)));
                     false
                 }
                 _ => true,
@@ -304,12 +309,12 @@
     }
 
     /// Rejects the queued requests of a service whose data halls have all been drained.
-    fn turn_away_all(&mut self, service: Tag, replies: &mut Vec<(Key, Reply)>) {
-        self.waiters.retain(|waiter| {
-            if waiter.service == service {
-                replies.push((waiter.key.clone(), Reply::Rejected(Rejection::Drained)));
+    fn reject_drained(&mut self, service: Tag, replies: &mut Vec<(Key, Reply)>) {
+        self.queue.retain(|queued| {
+            if queued.service == service {
+                replies.push((queued.key.clone(), Reply::Rejected(Rejection::Drained)));
             }
-            waiter.service != service
+            queued.service != service
         });
     }
 
@@ -322,13 +327,13 @@
         now: Instant,
         replies: &mut Vec<(Key, Reply)>,
     ) {
-        for key in self.due(tag, |waiter| !waiter.is_long(service)) {
-            let Some(waiter) = self.waiters.iter().find(|waiter| waiter.key == key) else {
+        for key in self.keys_by_deadline(tag, |queued| !queued.is_long(service)) {
+            let Some(queued) = self.queue.iter().find(|queued| queued.key == key) else {
                 continue;
             };
-            if let Ok(placement) = placement::place(cluster, service, &waiter.requirements, now) {
-                let charged = waiter.charged();
-                let reply = self.give(cluster, charged, placement, now);
+            if let Ok(placement) = placement::place(cluster, service, &queued.requirements, now) {
+                let charged = queued.charged();
+                let reply = self.grant(cluster, charged, placement, now);
                 replies.push((key, reply));
             }
         }
@@ -344,12 +349,12 @@
         replies: &mut Vec<(Key, Reply)>,
     ) {
         let Some(engine) = &service.engine else { return };
-        let waiters = self.waiters.iter().enumerate();
-        let prompts: Vec<placement::LongPrompt<'_>> = waiters
-            .filter(|(_, waiter)| waiter.service == tag && waiter.is_long(service))
-            .filter(|(_, waiter)| runs_alone(cluster, waiter.requirements.fingerprint, now).is_ok())
-            .map(|(index, waiter)| placement::LongPrompt {
-                requirements: &waiter.requirements,
+        let queued = self.queue.iter().enumerate();
+        let prompts: Vec<placement::LongPrompt<'_>> = queued
+            .filter(|(_, queued)| queued.service == tag && queued.is_long(service))
+            .filter(|(_, queued)| runs_alone(cluster, queued.requirements.fingerprint, now).is_ok())
+            .map(|(index, queued)| placement::LongPrompt {
+                requirements: &queued.requirements,
                 index,
             })
             .collect();
@@ -363,67 +368,73 @@
             short_only: self.pressure.engines(),
         };
         let placed = placement::place_long(cluster, service, engine, queue, now);
-        let placed: Vec<(Charged, Fingerprint, Placement)> = placed
+        let placed: Vec<(ChargedRequest, Fingerprint, Placement)> = placed
             .into_iter()
-            .map(|(index, placement)| (&self.waiters[index], placement))
-            .map(|(waiter, placement)| {
-                (waiter.charged(), waiter.requirements.fingerprint, placement)
+            .map(|(index, placement)| (&self.queue[index], placement))
+            .map(|(queued, placement)| {
+                (queued.charged(), queued.requirements.fingerprint, placement)
             })
             .collect();
         for (charged, fingerprint, mut placement) in placed {
             // Of two copies in the queue, the first runs isolated and the other stays queued.
-            let Ok(alone) = runs_alone(cluster, fingerprint, now) else { continue };
-            placement.flight.alone = alone.then_some(fingerprint);
+            let Ok(isolated) = runs_alone(cluster, fingerprint, now) else { continue };
+            placement.flight.alone = isolated.then_some(fingerprint);
             let key = charged.key.clone();
-            let reply = self.give(cluster, charged, placement, now);
+            let reply = self.grant(cluster, charged, placement, now);
             replies.push((key, reply));
         }
     }
 
     /// The mean number of engines that recent long prompts keep busy.
     fn demand(&self, service: Tag) -> f64 {
-        let of = self.asked.iter().filter(|asked| asked.service == service);
-        of.map(|asked| asked.prefill_ms).sum::<f64>() / (DEMAND_WINDOW.as_secs_f64() * 1e3)
+        let of_service = self.long_arrivals.iter().filter(|arrival| arrival.service == service);
+        of_service.map(|arrival| arrival.prefill_ms).sum::<f64>()
+            / (DEMAND_WINDOW.as_secs_f64() * 1e3)
     }
 
     /// Grants a placement, unless the retry budget has no token left for it.
-    fn give(
+    fn grant(
         &mut self,
         cluster: &mut Cluster,
-        charged: Charged,
+        charged: ChargedRequest,
         placement: Placement,
         now: Instant,
     ) -> Reply {
-        let Charged { key, service, charge } = charged;
-        self.waiters.retain(|waiter| waiter.key != key);
+        let ChargedRequest { key, service, charge } = charged;
+        self.queue.retain(|queued| queued.key != key);
         if let Err(exhausted) = self.budget.charge(service, charge, now) {
             return Reply::Rejected(Rejection::OverBudget(exhausted));
         }
-        let grant = self.grants.entry(key.holder.clone()).or_default();
-        *grant += 1;
-        let grant = *grant;
-        cluster.grant(&key.holder, key.number, placement.flight.clone(), grant, now);
-        self.placed.insert(key, Placed { placement: placement.clone(), grant, at: now });
-        Reply::Granted(Box::new(placement), grant)
+        let number = self.grant_numbers.entry(key.holder.clone()).or_default();
+        *number += 1;
+        let number = *number;
+        cluster.grant(&key.holder, key.number, placement.flight.clone(), number, now);
+        self.grants.insert(key, Grant { placement: placement.clone(), number, at: now });
+        Reply::Granted(Box::new(placement), number)
     }
 
     /// Drops queued requests that were not repeated in time, expired grants and outdated demand.
-    fn forget(&mut self, cluster: &mut Cluster, now: Instant) {
+    fn expire(&mut self, cluster: &mut Cluster, now: Instant) {
         let age = |at: Instant| now.saturating_duration_since(at);
-        self.waiters
-            .retain(|waiter| waiter.key.holder == Holder::Own || age(waiter.heard) < ASK_LASTS);
-        self.placed.retain(|_, placed| age(placed.at) < PLACED_LASTS);
+        self.queue.retain(|queued| {
+            queued.key.holder == Holder::Own || age(queued.last_requested) < QUEUED_REQUEST_TIMEOUT
+        });
+        self.grants.retain(|_, grant| age(grant.at) < GRANT_RETENTION);
         self.pressure.expire(now);
-        while self.asked.front().is_some_and(|asked| age(asked.at) > DEMAND_WINDOW) {
-            self.asked.pop_front();
+        while self.long_arrivals.front().is_some_and(|arrival| age(arrival.at) > DEMAND_WINDOW) {
+            self.long_arrivals.pop_front();
         }
         cluster.forget_grants(now);
     }
 }
 
-impl Waiter {
-    fn charged(&self) -> Charged {
-        Charged { key: self.key.clone(), service: self.service, charge: self.requirements.charge }
+impl QueuedRequest {
+    fn charged(&self) -> ChargedRequest {
+        ChargedRequest {
+            key: self.key.clone(),
+            service: self.service,
+            charge: self.requirements.charge,
+        }
     }
 
     fn is_long(&self, service: &Service) -> bool {
--- a/request/src/scheduler/backlog.rs
+++ b/request/src/scheduler/backlog.rs
@@ -9,23 +9,23 @@
 use crate::tag::Tag;
 
 /// Longest wait of the request at the head of the queue, even beyond its objective.
-const FIRST_WAIT: Duration = Duration::from_millis(1_500);
+const MAX_HEAD_WAIT: Duration = Duration::from_millis(1_500);
 
 /// Longest time over which retries of rejected callers are spread.
-const LONGEST_SPREAD: Duration = Duration::from_secs(10);
+const MAX_RETRY_SPREAD: Duration = Duration::from_secs(10);
 
 /// Expected waiting time with so many requests ahead.
-fn wait(rate: Rate, ahead: usize) -> Duration {
+fn expected_wait(rate: Rate, ahead: usize) -> Duration {
     let seconds = (ahead + 1) as f64 / rate.as_f64().max(f64::MIN_POSITIVE);
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
 }
 
 /// Longest acceptable waiting time.
-fn longest_wait(requirements: &Requirements, ahead: usize, now: Instant) -> Duration {
+fn max_wait(requirements: &Requirements, ahead: usize, now: Instant) -> Duration {
     let left = |time: Duration| (requirements.arrived + time).saturating_duration_since(now);
-    let in_time = left(requirements.objective);
-    let longest = if ahead == 0 { in_time.max(FIRST_WAIT) } else { in_time };
-    longest.min(left(requirements.queue_timeout))
+    let until_deadline = left(requirements.objective);
+    let max_wait = if ahead == 0 { until_deadline.max(MAX_HEAD_WAIT) } else { until_deadline };
+    max_wait.min(left(requirements.queue_timeout))
 }
 
 /// Retry times handed out to rejected callers, by service.
@@ -47,25 +47,31 @@
         is_queued: bool,
         now: Instant,
     ) -> Result<(), Rejection> {
-        let wait = wait(rate, ahead);
-        let turn = if is_queued { self::wait(rate, 0) } else { Duration::ZERO };
-        if wait <= longest_wait(requirements, ahead, now).saturating_add(turn) {
+        let wait = expected_wait(rate, ahead);
+        let tolerance = if is_queued { expected_wait(rate, 0) } else { Duration::ZERO };
+        if wait <= max_wait(requirements, ahead, now).saturating_add(tolerance) {
             return Ok(());
         }
-        let after_ms = self.come_back(service, rate, wait, now).as_millis() as u64;
+        let after_ms = self.next_retry_after(service, rate, wait, now).as_millis() as u64;
         Err(Rejection::RateLimited { after_ms })
     }
 
     /// Hands out one retry time per service interval behind the queue, and wraps around at the
     /// longest spread.
-    fn come_back(&mut self, service: Tag, rate: Rate, wait: Duration, now: Instant) -> Duration {
-        let first = wait.min(LONGEST_SPREAD);
+    fn next_retry_after(
+        &mut self,
+        service: Tag,
+        rate: Rate,
+        wait: Duration,
+        now: Instant,
+    ) -> Duration {
+        let first = wait.min(MAX_RETRY_SPREAD);
         let next = self.next.entry(service).or_insert(now);
-        if *next < now + first || *next > now + first + LONGEST_SPREAD {
+        if *next < now + first || *next > now + first + MAX_RETRY_SPREAD {
             *next = now + first;
         }
         let after = next.saturating_duration_since(now);
-        *next += self::wait(rate, 0).min(LONGEST_SPREAD);
+        *next += expected_wait(rate, 0).min(MAX_RETRY_SPREAD);
         after
     }
 }
