--- a/request/tests/line.rs
+++ b/request/tests/line.rs
@@ -42,19 +42,19 @@
     (now, entry)
 }
 
-fn indices(line: Vec<Entry>, capacity: Capacity, now: Instant) -> Vec<usize> {
-    order(line, capacity, now).into_iter().map(|w| w.index).collect()
+fn indices(queue: Vec<Entry>, capacity: Capacity, now: Instant) -> Vec<usize> {
+    order(queue, capacity, now).into_iter().map(|w| w.index).collect()
 }
 
 #[test]
-fn the_most_pressing_goes_first() {
+fn the_earliest_deadline_goes_first() {
     let (now, calm) = entry(1, 500, 2_000.0, 3_000);
-    let (_, pressing) = entry(2, 100, 400.0, 1_500);
-    assert_eq!(indices(vec![calm, pressing], TEN, now), [2, 1]);
+    let (_, urgent) = entry(2, 100, 400.0, 1_500);
+    assert_eq!(indices(vec![calm, urgent], TEN, now), [2, 1]);
 }
 
 #[test]
-fn the_longest_is_put_back_where_not_all_can_be_in_time() {
+fn the_longest_is_deprioritized_where_not_all_can_be_in_time() {
     let (now, long) = entry(1, 1_000, 18_000.0, 3_000);
     let (_, second) = entry(2, 900, 9_000.0, 3_000);
     let (_, third) = entry(3, 800, 8_000.0, 3_000);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_prompt_about_to_run_out_of_time_goes_before_all() {
+fn a_prompt_about_to_time_out_goes_before_all() {
     let (now, last) = entry(1, 11_600, 20_000.0, 3_000);
     let (_, fresh) = entry(2, 0, 400.0, 1_500);
     assert_eq!(indices(vec![fresh, last], TEN, now), [1, 2]);
@@ -136,19 +136,22 @@
 }
 
 #[test]
-fn a_prompt_leaves_the_engines_to_one_that_waits_longer() {
+fn a_prompt_does_not_take_the_engines_of_an_earlier_one() {
     let (mut cluster, now) = (cluster(6), Instant::now());
     let first = requirements(182_000, now.checked_sub(Duration::from_millis(900)).unwrap());
     let second = requirements(182_000, now.checked_sub(Duration::from_millis(100)).unwrap());
     let placed = place(&mut cluster, &[second.clone(), first], now);
     assert_eq!(placed.iter().map(|(index, _)| *index).collect::<Vec<_>>(), [1]);
-    assert!(place(&mut cluster, std::slice::from_ref(&second), now).is_empty(), "all are reading");
+    assert!(
+        place(&mut cluster, std::slice::from_ref(&second), now).is_empty(),
+        "all engines are busy"
+    );
     let read = now + Duration::from_millis(800);
     assert_eq!(place(&mut cluster, &[second], read).len(), 1);
 }
 
 #[test]
-fn prompts_that_find_different_engines_are_placed_together() {
+fn prompts_that_need_different_engines_are_placed_together() {
     let (mut cluster, now) = (cluster(6), Instant::now());
     let small = requirements(12_000, now);
     let placed = place(&mut cluster, &[small.clone(), small], now);
@@ -157,7 +160,7 @@
 }
 
 /// Whether a prompt can be placed on idle engines, of which other long prompts need `demand`.
-fn has_place(engines: usize, demand: f64, prompt: &Requirements, now: Instant) -> bool {
+fn can_be_placed(engines: usize, demand: f64, prompt: &Requirements, now: Instant) -> bool {
     let long = [LongPrompt { requirements: prompt, index: 0 }];
     let queue = LongQueue { prompts: &long, demand, offset: 0, short_only: 0 };
     let placed = placement::place_long(&cluster(engines), &service(), &ENGINE, queue, now);
@@ -168,16 +171,16 @@
 /// exceed the usual limit even on the maximum number of engines, but it is in time if it is placed
 /// at once, and no other prompt waits for it.
 #[test]
-fn the_longest_prompt_of_a_calm_day_is_read_at_once_where_enough_engines_are_left() {
+fn the_longest_prompt_is_placed_at_once_on_an_idle_fleet_where_enough_engines_are_left() {
     let now = Instant::now();
     let objective = Duration::from_millis(4_000);
     let longest =
         Requirements { objective, reservation_timeout: objective, ..requirements(700_000, now) };
     let own = 44_000.0 / 2_000.0;
-    assert!(has_place(45, own, &longest, now), "it asks for 22 engines itself");
-    assert!(has_place(45, own + 11.0, &longest, now));
-    assert!(!has_place(45, own + 25.0, &longest, now), "others would wait for its engines");
-    assert!(!has_place(20, own + 11.0, &longest, now));
+    assert!(can_be_placed(45, own, &longest, now), "it needs 22 engines itself");
+    assert!(can_be_placed(45, own + 11.0, &longest, now));
+    assert!(!can_be_placed(45, own + 25.0, &longest, now), "others would wait for its engines");
+    assert!(!can_be_placed(20, own + 11.0, &longest, now));
 }
 
 /// Guards against retries that never avoid full engines. Many VMs have crashed, and three of 24
@@ -185,21 +188,21 @@
 /// them. Each refusal names the first of them, and a route with one attempt allows three refusals
 /// in a row.
 #[test]
-fn a_group_without_the_engines_at_fault_is_found_in_three_refusals() {
+fn a_group_without_full_engines_is_found_after_at_most_three_refusals() {
     let now = Instant::now();
     let full = [upstream(23), upstream(20), upstream(17)];
     let mut prompt = requirements(182_000, now);
     for refusals in 0..=3 {
         let placed = place(&mut cluster(24), std::slice::from_ref(&prompt), now);
         let flight = &placed[0].1.flight;
-        let helps = |engine: &&id::Upstream| engines(&placed[0].1).contains(engine);
-        let Some(suspect) = full.iter().find(helps) else {
-            assert!(refusals > 0, "a group of so many holds one of them");
+        let is_used = |engine: &&id::Upstream| engines(&placed[0].1).contains(engine);
+        let Some(suspect) = full.iter().find(is_used) else {
+            assert!(refusals > 0, "a group of this size includes one of them");
             return;
         };
         prompt.excluded.push(Tag::of(flight.left_out(suspect).as_str()));
     }
-    panic!("three refusals named three engines, and the next group holds one of them");
+    panic!("three refusals named three engines, and the next group still includes one of them");
 }
 
 fn observe(cluster: &mut Cluster, i: usize, report: Option<Report>, at: Instant) {
@@ -207,7 +210,7 @@
 }
 
 #[test]
-fn a_slow_engine_is_left_out_of_a_group() {
+fn a_slow_engine_is_not_used_for_a_group() {
     let (mut cluster, now) = (cluster(6), Instant::now());
     let slow = Report { pace: 5.0, running: 0, waiting: 0, memory: Tokens(0), born: None };
     observe(&mut cluster, 4, Some(slow), now);
@@ -215,11 +218,11 @@
     assert!(!engines(&placed[0].1).contains(&upstream(4)), "{placed:?}");
     let later = now + Duration::from_secs(5);
     let placed = place(&mut cluster, &[requirements(182_000, later)], later);
-    assert!(engines(&placed[0].1).contains(&upstream(4)), "an old report counts no more");
+    assert!(engines(&placed[0].1).contains(&upstream(4)), "an old report is ignored");
 }
 
 #[test]
-fn an_engine_that_gives_no_report_is_passed_over_by_the_vm_that_places_too() {
+fn the_scheduler_avoids_an_engine_that_gave_another_vm_no_report() {
     let (mut here, mut there) = (cluster(6), cluster(6));
     let now = Instant::now();
     observe(&mut here, 5, None, now);
@@ -229,7 +232,7 @@
 }
 
 #[test]
-fn the_newest_report_counts_whoever_has_it() {
+fn the_newest_report_counts_whichever_vm_received_it() {
     let (mut here, mut there) = (cluster(2), cluster(2));
     let now = Instant::now();
     let report =
@@ -241,38 +244,38 @@
     assert_eq!(there.get(&upstream(0)).unwrap().pace(later), 1.0);
     here.hear_reports(&there.told_reports(later), later);
     assert_eq!(here.get(&upstream(0)).unwrap().pace(later), 1.0);
-    assert!(here.told_reports(later).is_empty(), "who asked last tells");
+    assert!(here.told_reports(later).is_empty(), "only the VM with the newest report announces it");
 }
 
 proptest! {
     /// The order contains each queued prompt once, and does not depend on the order of the input.
     #[test]
-    fn a_line_is_ordered_alike_however_it_is_heard(
+    fn the_order_of_the_queue_does_not_depend_on_the_input_order(
         prompts in prop::collection::vec((0_u64..12_000, 100_u32..40_000, 0_usize..3), 1..24),
         turn in any::<prop::sample::Index>(),
         engines in 1_u32..60,
     ) {
         let now = Instant::now();
-        let line: Vec<Entry> = prompts.iter().enumerate().map(|(i, (age, read, class))| {
+        let queue: Vec<Entry> = prompts.iter().enumerate().map(|(i, (age, read, class))| {
             let age = age + i as u64;
             let objective = [1_500, 3_000, 4_000][*class];
             let mut prompt = entry(i, 0, f64::from(*read), objective).1;
             prompt.arrived = now.checked_sub(Duration::from_millis(age)).unwrap();
             prompt
         }).collect();
-        let mut turned = line.clone();
-        turned.rotate_left(turn.index(line.len()));
+        let mut rotated = queue.clone();
+        rotated.rotate_left(turn.index(queue.len()));
         let capacity = Capacity { engines: f64::from(engines), max_per_prompt: 17.0, busy_ms: 30.0 };
-        let one = indices(line.clone(), capacity, now);
+        let one = indices(queue.clone(), capacity, now);
         let mut sorted = one.clone();
         sorted.sort_unstable();
-        prop_assert_eq!(sorted, (0..line.len()).collect::<Vec<_>>());
+        prop_assert_eq!(sorted, (0..queue.len()).collect::<Vec<_>>());
         // Only prompts with equal arrival, prefill time and objective may swap.
         let key = |index: &usize| {
-            let w = &line[*index];
+            let w = &queue[*index];
             (w.arrived, w.prefill_ms.to_bits(), w.objective)
         };
-        let other = indices(turned, capacity, now);
+        let other = indices(rotated, capacity, now);
         prop_assert_eq!(
             one.iter().map(key).collect::<Vec<_>>(),
             other.iter().map(key).collect::<Vec<_>>()
@@ -282,7 +285,7 @@
     /// For any queue, at least one prompt is placed on an idle fleet, and no part is placed on an
     /// engine with a larger backlog than a short prompt.
     #[test]
-    fn someone_is_always_served_and_no_part_lies_on_another(
+    fn a_prompt_is_always_placed_and_no_engine_reads_for_two(
         tokens in prop::collection::vec(30_000_u64..300_000, 1..12),
     ) {
         let (mut cluster, now) = (cluster(12), Instant::now());
--- a/request/tests/placement.rs
+++ b/request/tests/placement.rs
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn reading_grows_with_the_square_of_long_prompts() {
+fn prefill_time_grows_with_the_square_of_long_prompts() {
     let ms = |tokens| forecast::prefill_ms(&ENGINE, tokens);
     assert!((ms(5_000) - 26.0).abs() < 1.0, "{}", ms(5_000));
     assert!((ms(133_000) - 1_866.0).abs() < 10.0, "{}", ms(133_000));
@@ -157,14 +157,14 @@
     }
     let placed = enter(&mut cluster, &requirements(LONG, 133_000), now).unwrap();
     let read: Vec<_> = placed.flight.helpers.iter().map(|h| &h.upstream).collect();
-    assert_eq!(read.len(), 4, "the five engines without a short answer");
+    assert_eq!(read.len(), 4, "the five engines without a short response");
     assert_ne!(placed.flight.upstream, upstream(0));
     assert!(placed.flight.helpers.iter().all(|h| h.upstream != upstream(0) && h.held == 0));
     assert!(placed.predicted_ms < 500.0, "{}", placed.predicted_ms);
 }
 
 #[test]
-fn beside_short_answers_only_small_parts_are_read() {
+fn engines_with_short_responses_read_only_small_parts() {
     let (mut cluster, now) = (cluster(12), Instant::now());
     for i in 0..12 {
         let flight = Flight {
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn a_prompt_beyond_one_engine_is_held_by_several() {
+fn a_prompt_beyond_the_memory_of_one_engine_is_held_by_several() {
     let (mut cluster, now) = (cluster(12), Instant::now());
     let placed = enter(&mut cluster, &requirements(LONG, 300_000), now).unwrap();
     let held: u64 = placed.flight.helpers.iter().map(|h| h.held).sum();
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn the_longest_prompts_find_a_place_on_an_idle_fleet() {
+fn the_longest_prompts_are_placed_on_an_idle_fleet() {
     let (mut cluster, now) = (cluster(18), Instant::now());
     let placed = enter(&mut cluster, &requirements(LONG, 600_000), now).unwrap();
     assert_eq!(placed.flight.helpers.len(), 16);
@@ -206,17 +206,20 @@
 }
 
 #[test]
-fn a_heavy_prompt_waits_for_idle_engines() {
+fn a_heavy_prompt_is_not_placed_while_its_engines_are_busy() {
     let (mut cluster, now) = (cluster(12), Instant::now());
     enter(&mut cluster, &requirements(LONG, 300_000), now).unwrap();
     let second = place(&cluster, &requirements(LONG, 300_000), now);
     assert_eq!(second.unwrap_err(), Rejection::Full);
     let later = now + Duration::from_secs(2);
-    assert!(place(&cluster, &requirements(LONG, 300_000), later).is_ok(), "read by then");
+    assert!(
+        place(&cluster, &requirements(LONG, 300_000), later).is_ok(),
+        "the first prompt has been read by then"
+    );
 }
 
 #[test]
-fn a_part_is_not_put_on_top_of_others_that_are_unread() {
+fn a_part_is_not_placed_on_engines_with_unread_parts() {
     let (mut cluster, now) = (cluster(4), Instant::now());
     enter(&mut cluster, &requirements(LONG, 133_000), now).unwrap();
     let second = requirements(LONG, 100_000);
@@ -225,12 +228,19 @@
         arrived: now.checked_sub(Duration::from_secs(6)).unwrap(),
         ..second.clone()
     };
-    assert_eq!(place(&cluster, &aged, now).unwrap_err(), Rejection::Full, "however long it waited");
-    assert!(place(&cluster, &second, now + Duration::from_millis(600)).is_ok(), "read by then");
+    assert_eq!(
+        place(&cluster, &aged, now).unwrap_err(),
+        Rejection::Full,
+        "the time in the queue makes no difference"
+    );
+    assert!(
+        place(&cluster, &second, now + Duration::from_millis(600)).is_ok(),
+        "the first prompt has been read by then"
+    );
 }
 
 #[test]
-fn a_heavy_prompt_is_read_by_the_engines_apart_from_short_answers() {
+fn a_heavy_prompt_is_read_by_engines_without_short_responses() {
     let (mut cluster, now) = (cluster(12), Instant::now());
     for i in (0..6).chain(0..6) {
         let placed = place(&cluster, &requirements(SHORT, 5_000), now).unwrap();
@@ -241,11 +251,15 @@
     assert!(read.iter().chain([&placed.flight.upstream]).all(|id| *id > upstream(5)), "{read:?}");
     assert!(placed.predicted_ms < 1_000.0, "{}", placed.predicted_ms);
     let next = requirements(LONG, 220_000);
-    assert_eq!(place(&cluster, &next, now).unwrap_err(), Rejection::Full, "they are busy now");
+    assert_eq!(
+        place(&cluster, &next, now).unwrap_err(),
+        Rejection::Full,
+        "the engines are busy now"
+    );
 }
 
 #[test]
-fn a_prompt_that_several_engines_hold_is_read_before_the_hold_may_have_to_end() {
+fn a_prompt_held_by_several_engines_is_read_before_its_reservations_expire() {
     let (mut cluster, now) = (cluster(12), Instant::now());
     for i in (0..6).chain(0..6) {
         let placed = place(&cluster, &requirements(SHORT, 5_000), now).unwrap();
@@ -262,14 +276,14 @@
 }
 
 #[test]
-fn a_lone_short_answer_does_not_keep_long_parts_away() {
+fn a_single_short_response_does_not_exclude_long_parts() {
     let (mut cluster, now) = (cluster(6), Instant::now());
     for i in 0..6 {
         let placed = place(&cluster, &requirements(SHORT, 5_000), now).unwrap();
         begin(&mut cluster, Flight { upstream: upstream(i), writing: true, ..placed.flight }, now);
     }
-    let alone = place(&cluster, &requirements(LONG, 220_000), now).unwrap();
-    assert!(alone.flight.part_ms > 250.0, "{alone:?}");
+    let shared = place(&cluster, &requirements(LONG, 220_000), now).unwrap();
+    assert!(shared.flight.part_ms > 250.0, "{shared:?}");
     for i in 0..6 {
         let placed = place(&cluster, &requirements(SHORT, 5_000), now).unwrap();
         begin(&mut cluster, Flight { upstream: upstream(i), writing: true, ..placed.flight }, now);
@@ -286,14 +300,18 @@
     let excluded = vec![Tag::of("i-01")];
     let placed =
         place(&cluster, &Requirements { excluded, ..requirements(SHORT, 5_000) }, now).unwrap();
-    assert_eq!(placed.flight.upstream, upstream(0), "better than none");
+    assert_eq!(
+        placed.flight.upstream,
+        upstream(0),
+        "an upstream that failed is used if there is no other"
+    );
     let excluded = vec![Tag::of("i-00"), Tag::of("i-01")];
     let none = place(&cluster, &Requirements { excluded, ..requirements(SHORT, 5_000) }, now);
     assert_eq!(none.unwrap_err(), Rejection::NoUpstream);
 }
 
 #[test]
-fn the_own_hall_comes_first() {
+fn upstreams_of_the_own_hall_are_preferred() {
     let (cluster, now) = (cluster(4), Instant::now());
     let placed = place(
         &cluster,
@@ -305,7 +323,7 @@
 }
 
 #[test]
-fn plain_requests_go_where_least_is_under_way() {
+fn plain_requests_go_to_the_least_loaded_upstream() {
     let (mut cluster, now) = (cluster(3), Instant::now());
     let mut seen: Vec<String> = (0..3)
         .map(|_| {
@@ -323,12 +341,12 @@
     /// For any sequence of requests, no engine gets more memory or requests than it has, no engine
     /// occurs twice in a group, and the memory adds up.
     #[test]
-    fn no_engine_is_overfilled(
+    fn no_engine_is_overcommitted(
         engines in 1usize..20,
-        asks in prop::collection::vec((any::<bool>(), 100u64..600_000, 0u64..300), 1..60),
+        requests in prop::collection::vec((any::<bool>(), 100u64..600_000, 0u64..300), 1..60),
     ) {
         let (mut cluster, mut now) = (cluster(engines), Instant::now());
-            for (is_short, tokens, after_ms) in asks {
+        for (is_short, tokens, after_ms) in requests {
             now += Duration::from_millis(after_ms);
             let (route, tokens) = if is_short { (SHORT, tokens % 24_000) } else { (LONG, tokens) };
             let requirements = requirements(route, tokens);
@@ -362,7 +380,7 @@
 
 /// Guards against parts of split prompts that exceed an engine's rate limit.
 #[test]
-fn engines_that_name_a_rate_limit_read_no_part_for_others() {
+fn rate_limited_engines_read_no_parts_of_split_prompts() {
     let now = Instant::now();
     let mut cluster = cluster(18);
     limit(&mut cluster, 6, 2.0, now);
@@ -380,7 +398,7 @@
 /// Guards against long prompts that are queued without end where no engine may read parts for
 /// another.
 #[test]
-fn a_long_prompt_stays_whole_where_all_engines_name_rate_limits() {
+fn a_long_prompt_is_not_split_where_all_engines_are_rate_limited() {
     let now = Instant::now();
     let mut cluster = cluster(4);
     limit(&mut cluster, 4, 2.0, now);
@@ -394,7 +412,7 @@
         begin(&mut cluster, placement.flight, later);
     }
     let fifth = placement::place_whole(&cluster, &service, &prompt, later);
-    assert!(matches!(fifth, Err(Rejection::Full)), "each takes one in half a second: {fifth:?}");
+    assert!(matches!(fifth, Err(Rejection::Full)), "each accepts one in half a second: {fifth:?}");
     // A prompt that needs the memory of several engines cannot be served by them.
     assert!(placement::is_too_long(&cluster, &service, &ENGINE, &requirements(LONG, 300_000)));
 }
@@ -402,7 +420,7 @@
 /// Guards against a rate limit that is never probed again because its engine gets no requests while
 /// others have room.
 #[test]
-fn an_engine_that_names_a_rate_limit_is_asked_again_while_others_have_room() {
+fn a_rate_limited_engine_is_probed_while_others_have_room() {
     let now = Instant::now();
     let mut cluster = cluster(2);
     limit(&mut cluster, 1, 2.0, now);
--- a/request/tests/scheduler.rs
+++ b/request/tests/scheduler.rs
@@ -135,7 +135,7 @@
         self.scheduler.cancel(&mut self.cluster, key, self.now);
     }
 
-    fn after(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now += Duration::from_millis(ms);
     }
 }
@@ -148,20 +148,20 @@
 }
 
 #[test]
-fn who_asks_again_gets_the_same_place() {
+fn a_repeated_grant_request_gets_the_same_grant() {
     let mut fleet = Fleet::new(3);
     let requirements = short(fleet.now);
     let (placement, grant) = placed(fleet.request(key(1, 1), requirements.clone()));
-    fleet.after(25);
+    fleet.advance(25);
     let (again, grant_again) = placed(fleet.request(key(1, 1), requirements.clone()));
     assert_eq!((placement.flight, grant), (again.flight, grant_again));
     assert_eq!(fleet.cluster.under_way(), 1);
     let (_, next) = placed(fleet.request(key(1, 2), requirements));
-    assert!(next > grant, "each place has a higher number");
+    assert!(next > grant, "each grant has a higher number");
 }
 
 #[test]
-fn many_vms_that_ask_at_one_moment_do_not_meet_at_one_engine() {
+fn concurrent_requests_of_many_vms_are_spread_over_engines() {
     let mut fleet = Fleet::new(12);
     let requirements = short(fleet.now);
     let mut reading = std::collections::HashMap::new();
@@ -182,43 +182,43 @@
 }
 
 #[test]
-fn a_long_prompt_waits_its_turn_whichever_vm_it_came_to() {
+fn long_prompts_of_several_vms_share_one_queue() {
     let mut fleet = Fleet::new(6);
     let (first, second) = (long(190_000, fleet.now), long(190_000, fleet.now));
     assert!(matches!(fleet.request(key(1, 1), first), Reply::Queued));
     assert!(matches!(fleet.request(key(2, 1), second), Reply::Queued));
     let placed = fleet.place_queued();
     let [(first, _)] = placed.as_slice() else { panic!("{placed:?}") };
-    assert!(fleet.place_queued().is_empty(), "the engines read that one");
-    fleet.after(400);
+    assert!(fleet.place_queued().is_empty(), "the engines are busy with the first prompt");
+    fleet.advance(400);
     let again = long(190_000, fleet.now);
     assert!(matches!(fleet.request(key(3 - vm_of(first), 1), again), Reply::Queued));
-    fleet.after(400);
+    fleet.advance(400);
     let placed = fleet.place_queued();
     let [(second, _)] = placed.as_slice() else { panic!("{placed:?}") };
     assert_ne!(first, second);
 }
 
 #[test]
-fn who_waits_is_not_placed_where_it_may_not_be_sent_by_now() {
+fn a_queued_request_is_not_placed_on_engines_excluded_meanwhile() {
     let mut fleet = Fleet::new(2);
     let engines: Vec<Tag> = fleet.cluster.ids().map(|id| fleet.cluster.tag_of(id)).collect();
     let requirements = long(60_000, fleet.now);
-    for barred in engines {
+    for excluded in engines {
         assert!(matches!(fleet.request(key(1, 1), requirements.clone()), Reply::Queued));
-        let asked_again = Requirements { excluded: vec![barred], ..requirements.clone() };
-        assert!(matches!(fleet.request(key(1, 1), asked_again), Reply::Queued));
+        let repeated = Requirements { excluded: vec![excluded], ..requirements.clone() };
+        assert!(matches!(fleet.request(key(1, 1), repeated), Reply::Queued));
         let placed = fleet.place_queued();
         let [(_, placement)] = placed.as_slice() else { panic!("{placed:?}") };
         let used = std::iter::once(&placement.flight.upstream)
             .chain(placement.flight.helpers.iter().map(|helping| &helping.upstream));
-        assert!(used.map(|id| fleet.cluster.tag_of(id)).all(|tag| tag != barred));
+        assert!(used.map(|id| fleet.cluster.tag_of(id)).all(|tag| tag != excluded));
         fleet.cancel(&key(1, 1));
     }
 }
 
 #[test]
-fn what_asks_no_more_holds_up_nobody() {
+fn a_cancelled_request_does_not_delay_others() {
     let mut fleet = Fleet::new(6);
     let requirements = long(190_000, fleet.now);
     fleet.request(key(1, 1), requirements.clone());
@@ -227,30 +227,30 @@
     let placed = fleet.place_queued();
     assert_eq!(placed.iter().map(|(key, _)| key.clone()).collect::<Vec<_>>(), [key(2, 1)]);
     fleet.cancel(&key(2, 1));
-    assert_eq!(fleet.cluster.under_way(), 0, "its engines are free again");
+    assert_eq!(fleet.cluster.under_way(), 0, "its engines are released");
 }
 
 #[test]
-fn a_vm_that_falls_silent_waits_for_nothing() {
+fn queued_requests_of_an_unresponsive_vm_are_dropped() {
     let mut fleet = Fleet::new(6);
     let requirements = long(190_000, fleet.now);
     fleet.request(key(1, 1), requirements.clone());
     fleet.request(key(2, 1), requirements.clone());
     fleet.place_queued();
-    fleet.after(400);
+    fleet.advance(400);
     fleet.request(key(2, 1), requirements.clone());
     fleet.request(key(1, 1), requirements);
-    fleet.after(700);
+    fleet.advance(700);
     fleet.place_queued();
     assert_eq!(fleet.scheduler.queue_len(), 0);
 }
 
 #[test]
-fn a_start_anew_is_another_request() {
+fn the_same_number_after_a_vm_restart_is_another_request() {
     let mut fleet = Fleet::new(3);
     let (_, first) = placed(fleet.request(key(1, 1), short(fleet.now)));
-    let renewed = Key { incarnation: 2, ..key(1, 1) };
-    let (_, second) = placed(fleet.request(renewed, short(fleet.now)));
+    let restarted = Key { incarnation: 2, ..key(1, 1) };
+    let (_, second) = placed(fleet.request(restarted, short(fleet.now)));
     assert!(second > first);
 }
 
@@ -258,7 +258,7 @@
 /// would have to reserve memory for this prompt for longer than the reservation timeout, so it is
 /// rejected at once.
 #[test]
-fn a_prompt_beyond_all_engines_together_is_refused_at_once() {
+fn a_prompt_too_long_for_all_engines_together_is_rejected_at_once() {
     let now = Instant::now();
     let long = |tokens| Requirements {
         prompt: Tokens(tokens),
@@ -268,7 +268,7 @@
         ..short(now)
     };
     let (mut cluster, mut scheduler) = (cluster(40), Scheduler::default());
-    let mut ask = |number, tokens| {
+    let mut request = |number, tokens| {
         scheduler.request(
             &mut cluster,
             &table(),
@@ -278,12 +278,12 @@
             now,
         )
     };
-    assert!(matches!(ask(1, 600_000), Reply::Queued), "its parts take 1.6 s");
-    assert!(matches!(ask(2, 800_000), Reply::Rejected(Rejection::TooLarge)), "and these 2.8 s");
+    assert!(matches!(request(1, 600_000), Reply::Queued), "its parts take 1.6 s");
+    assert!(matches!(request(2, 800_000), Reply::Rejected(Rejection::TooLarge)), "and these 2.8 s");
 }
 
 #[test]
-fn a_service_that_is_not_known_has_no_place() {
+fn a_request_for_an_unknown_service_is_rejected() {
     let mut fleet = Fleet::new(1);
     let requirements = short(fleet.now);
     let Fleet { scheduler, cluster, table, now } = &mut fleet;
@@ -301,12 +301,12 @@
     /// Requests, cancellations and VMs that stop requesting, in any order: no engine gets more
     /// requests or memory than it has, and finished requests leave no state behind.
     #[test]
-    fn no_engine_is_overfilled_and_nothing_stays(
+    fn no_engine_is_overcommitted_and_no_state_is_left_behind(
         steps in prop::collection::vec((0_usize..6, 0_u64..30, 1_000_u64..400_000, 0_u64..200, 0_u8..4), 1..80),
     ) {
         let mut fleet = Fleet::new(8);
         for (vm, number, tokens, after_ms, step) in steps {
-            fleet.after(after_ms);
+            fleet.advance(after_ms);
             let requirements = if tokens < 20_000 { short(fleet.now) } else { long(tokens, fleet.now) };
             match step {
                 0 | 1 => {
@@ -322,9 +322,9 @@
                 prop_assert!(load.memory <= ENGINE.memory.0, "{} has {:?}", id, load);
             }
         }
-        fleet.after(2_000);
+        fleet.advance(2_000);
         fleet.place_queued();
-        fleet.after(2_000);
+        fleet.advance(2_000);
         fleet.place_queued();
         prop_assert_eq!(fleet.scheduler.queue_len(), 0);
         prop_assert_eq!(fleet.cluster.under_way(), 0);
@@ -344,27 +344,30 @@
 }
 
 #[test]
-fn a_suspect_runs_at_an_upstream_that_is_left_to_it() {
+fn a_suspect_request_runs_isolated_on_its_upstream() {
     for suspected in [short as fn(Instant) -> Requirements, |now| long(60_000, now)] {
         let mut fleet = Fleet::new(6);
-        let beside = placed(fleet.request(key(0, 1), short(fleet.now))).0;
+        let shared = placed(fleet.request(key(0, 1), short(fleet.now))).0;
         let requirements = suspicious(suspected(fleet.now));
         suspect(&mut fleet, &requirements);
-        let alone = match fleet.request(key(0, 2), requirements.clone()) {
+        let isolated = match fleet.request(key(0, 2), requirements.clone()) {
             Reply::Granted(placement, _) => *placement,
             _ => fleet.place_queued().pop().expect("there is room").1,
         };
-        assert_eq!(alone.flight.alone, Some(requirements.fingerprint));
-        assert_ne!(alone.flight.upstream, beside.flight.upstream);
+        assert_eq!(isolated.flight.alone, Some(requirements.fingerprint));
+        assert_ne!(isolated.flight.upstream, shared.flight.upstream);
         for number in 3..20 {
             let other = placed(fleet.request(key(0, number), short(fleet.now))).0;
-            assert_ne!(other.flight.upstream, alone.flight.upstream, "nothing is put beside it");
+            assert_ne!(
+                other.flight.upstream, isolated.flight.upstream,
+                "no other request is placed on its upstream"
+            );
         }
     }
 }
 
 #[test]
-fn a_second_copy_of_a_suspect_waits_for_what_becomes_of_the_first() {
+fn a_second_copy_of_a_suspect_is_queued_until_the_first_has_ended() {
     for suspected in [short as fn(Instant) -> Requirements, |now| long(60_000, now)] {
         let mut fleet = Fleet::new(6);
         let requirements = suspicious(suspected(fleet.now));
@@ -378,15 +381,17 @@
         let ending = Ending { upstream: Tag::of("i-000"), alone: true };
         fleet.cluster.quarantine.ended(requirements.fingerprint, ending, fleet.now);
         let answers = fleet.scheduler.place_queued(&mut fleet.cluster, &fleet.table, fleet.now);
-        let held =
+        let is_quarantined =
             |answer: &Reply| matches!(answer, Reply::Rejected(Rejection::Quarantined { .. }));
-        assert!(answers.iter().any(|(waiting, answer)| *waiting == key(1, 1) && held(answer)));
-        assert!(held(&fleet.request(key(2, 1), requirements.clone())));
+        assert!(
+            answers.iter().any(|(queued, answer)| *queued == key(1, 1) && is_quarantined(answer))
+        );
+        assert!(is_quarantined(&fleet.request(key(2, 1), requirements.clone())));
     }
 }
 
 #[test]
-fn a_suspect_whose_vm_ends_may_run_again_elsewhere() {
+fn a_suspect_runs_again_after_its_vm_has_stopped() {
     let mut fleet = Fleet::new(6);
     let requirements = suspicious(short(fleet.now));
     suspect(&mut fleet, &requirements);
