--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -117,7 +117,7 @@
     if placement.flight.holds_memory() {
         return job.process.config.fleet.held_silence();
     }
-    let last = tries.ran + 1 >= job.route.attempts || placement.open < 2;
+    let last = tries.ran + 1 >= job.route.attempts || placement.candidates < 2;
     if last || !job.repeatable() {
         return job.left();
     }
--- a/daemon/src/fleet/gate.rs
+++ b/daemon/src/fleet/gate.rs
@@ -155,7 +155,7 @@
         job.process.metrics.rate_limited.get_or_create(&elsewhere).inc();
     }
     let named = std::iter::once((&placement.flight.upstream, &placement.load))
-        .chain(placement.slowest.iter().map(|(id, load)| (id, load)));
+        .chain(placement.busiest_helpers.iter().map(|(id, load)| (id, load)));
     let seen = named.map(|(id, load)| seen(id, load, placement.predicted_ms)).collect();
     job.record(Decision::Routed {
         upstream: placement.flight.upstream.clone(),
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -105,8 +105,8 @@
         },
         predicted_ms: placed.predicted_ms,
         load: placed.load,
-        slowest: slowest.collect(),
-        open: placed.open,
+        busiest_helpers: slowest.collect(),
+        candidates: placed.open,
         limited: placed.limited,
         limit: placed.limit,
     };
--- a/daemon/src/fleet/scheduler.rs
+++ b/daemon/src/fleet/scheduler.rs
@@ -173,8 +173,12 @@
         pause_ms: flight.pause_ms,
         predicted_ms: placement.predicted_ms,
         load: placement.load,
-        slowest: placement.slowest.iter().map(|(id, load)| (tag(id), load.clone())).collect(),
-        open: placement.open,
+        slowest: placement
+            .busiest_helpers
+            .iter()
+            .map(|(id, load)| (tag(id), load.clone()))
+            .collect(),
+        open: placement.candidates,
         alone: flight.alone,
         limited: placement.limited,
         limit: placement.limit,
--- a/request/src/placement.rs
+++ b/request/src/placement.rs
@@ -133,9 +133,9 @@
     /// The load of the upstream at the time of the decision.
     pub load: Load,
     /// The helpers with the largest backlog, and their loads.
-    pub slowest: Vec<(id::Upstream, Load)>,
+    pub busiest_helpers: Vec<(id::Upstream, Load)>,
     /// The number of candidates among which it was chosen.
-    pub open: usize,
+    pub candidates: usize,
     /// The number of upstreams that were at their rate limits.
     pub limited: usize,
     /// The upstream's rate limit as known to the VM that granted the placement.
@@ -272,7 +272,7 @@
     engine: Option<&Engine>,
     candidates: Vec<Candidate<'_>>,
 ) -> Result<Placement, Rejection> {
-    let open = candidates.len();
+    let candidate_count = candidates.len();
     let has_room = |c: &Candidate<'_>| engine.is_none_or(|e| c.has_room(requirements.memory.0, e));
     let in_flight = |c: &Candidate<'_>| (c.load.requests + c.load.helping, c.load.memory);
     let best = candidates.into_iter().filter(has_room).min_by_key(in_flight);
@@ -280,7 +280,8 @@
     let prefill_ms =
         engine.map_or(0.0, |engine| forecast::prefill_ms(engine, requirements.prompt.0));
     let predicted_ms = engine.map_or(0.0, |engine| best.predicted_ms(engine, prefill_ms));
-    let mut placement = build_placement(requirements, &best, &[], prefill_ms, predicted_ms, open);
+    let mut placement =
+        build_placement(requirements, &best, &[], prefill_ms, predicted_ms, candidate_count);
     placement.flight.alone = Some(requirements.fingerprint);
     Ok(placement)
 }
@@ -289,7 +290,7 @@
     requirements: &Requirements,
     candidates: Vec<Candidate<'_>>,
 ) -> Result<Placement, Rejection> {
-    let open = candidates.len();
+    let candidate_count = candidates.len();
     let utilization =
         |c: &Candidate<'_>| f64::from(c.load.requests) / f64::from(c.upstream.listed.slots.max(1));
     let is_new = |c: &Candidate<'_>| !requirements.connected.contains(&c.upstream.tag);
@@ -297,7 +298,7 @@
         utilization(a).total_cmp(&utilization(b)).then(is_new(a).cmp(&is_new(b)))
     };
     let best = candidates.into_iter().min_by(compare).ok_or(Rejection::NoUpstream)?;
-    Ok(build_placement(requirements, &best, &[], 0.0, 0.0, open))
+    Ok(build_placement(requirements, &best, &[], 0.0, 0.0, candidate_count))
 }
 
 fn place_short(
@@ -307,7 +308,7 @@
 ) -> Result<Placement, Rejection> {
     let prefill_ms = forecast::prefill_ms(engine, requirements.prompt.0);
     let objective = requirements.objective.as_secs_f64() * 1e3;
-    let open = candidates.len();
+    let candidate_count = candidates.len();
     let memory = requirements.memory.0;
     let fits = |c: &Candidate<'_>, share: f64| {
         c.has_room(memory, engine)
@@ -330,7 +331,7 @@
         .ok_or(Rejection::Full)?;
     let best = &candidates[index];
     let predicted = best.predicted_ms(engine, prefill_ms);
-    Ok(build_placement(requirements, best, &[], prefill_ms, predicted, open))
+    Ok(build_placement(requirements, best, &[], prefill_ms, predicted, candidate_count))
 }
 
 /// The eligible engine with the earliest predicted first event.
@@ -368,7 +369,7 @@
     helpers: &[(&Candidate<'_>, u64)],
     part_ms: f64,
     predicted_ms: f64,
-    open: usize,
+    candidate_count: usize,
 ) -> Placement {
     let listed = &best.upstream.listed;
     let held: u64 = helpers.iter().map(|(_, held)| held).sum();
@@ -388,8 +389,8 @@
         },
         predicted_ms,
         load: best.load.clone(),
-        slowest: busiest_helpers(helpers),
-        open,
+        busiest_helpers: busiest_helpers(helpers),
+        candidates: candidate_count,
         limited: 0,
         limit: best.upstream.rate_limit.as_ref().map(|known| known.limit),
     }
--- a/request/src/placement/group.rs
+++ b/request/src/placement/group.rs
@@ -255,8 +255,15 @@
     if !reservations.is_empty() && predicted_ms > max_predicted_ms {
         return None;
     }
-    let open = plans.all().len();
-    Some(build_placement(requirements, main, &helpers, share.part_ms, predicted_ms, open))
+    let candidate_count = plans.all().len();
+    Some(build_placement(
+        requirements,
+        main,
+        &helpers,
+        share.part_ms,
+        predicted_ms,
+        candidate_count,
+    ))
 }
 
 /// The engine that generates the response, among those with enough memory.
--- a/request/tests/line.rs
+++ b/request/tests/line.rs
@@ -297,7 +297,7 @@
         let mut used: Vec<id::Upstream> = Vec::new();
         for (_, placement) in &placed {
             prop_assert!(placement.load.backlog_ms <= 20.0);
-            for (_, load) in &placement.slowest {
+            for (_, load) in &placement.busiest_helpers {
                 prop_assert!(load.backlog_ms <= 20.0);
             }
             for engine in engines(placement) {
