--- a/request/tests/scheduler.rs
+++ b/request/tests/scheduler.rs
@@ -123,12 +123,12 @@
     }
 
     fn place_queued(&mut self) -> Vec<(Key, Placement)> {
-        let answers = self.scheduler.place_queued(&mut self.cluster, &self.table, self.now);
-        let placement = |(key, answer)| match answer {
+        let replies = self.scheduler.place_queued(&mut self.cluster, &self.table, self.now);
+        let placement = |(key, reply)| match reply {
             Reply::Granted(placement, _) => (key, *placement),
-            answer => panic!("{key:?}: {answer:?}"),
+            reply => panic!("{key:?}: {reply:?}"),
         };
-        answers.into_iter().map(placement).collect()
+        replies.into_iter().map(placement).collect()
     }
 
     fn cancel(&mut self, key: &Key) {
@@ -140,10 +140,10 @@
     }
 }
 
-fn placed(answer: Reply) -> (Placement, u64) {
-    match answer {
+fn granted(reply: Reply) -> (Placement, u64) {
+    match reply {
         Reply::Granted(placement, grant) => (*placement, grant),
-        answer => panic!("{answer:?}"),
+        reply => panic!("{reply:?}"),
     }
 }
 
@@ -151,12 +151,12 @@
 fn a_repeated_grant_request_gets_the_same_grant() {
     let mut fleet = Fleet::new(3);
     let requirements = short(fleet.now);
-    let (placement, grant) = placed(fleet.request(key(1, 1), requirements.clone()));
+    let (placement, grant) = granted(fleet.request(key(1, 1), requirements.clone()));
     fleet.advance(25);
-    let (again, grant_again) = placed(fleet.request(key(1, 1), requirements.clone()));
+    let (again, grant_again) = granted(fleet.request(key(1, 1), requirements.clone()));
     assert_eq!((placement.flight, grant), (again.flight, grant_again));
     assert_eq!(fleet.cluster.under_way(), 1);
-    let (_, next) = placed(fleet.request(key(1, 2), requirements));
+    let (_, next) = granted(fleet.request(key(1, 2), requirements));
     assert!(next > grant, "each grant has a higher number");
 }
 
@@ -166,7 +166,7 @@
     let requirements = short(fleet.now);
     let mut reading = std::collections::HashMap::new();
     for i in 0..24 {
-        let (placement, _) = placed(fleet.request(key(i, 1), requirements.clone()));
+        let (placement, _) = granted(fleet.request(key(i, 1), requirements.clone()));
         *reading.entry(placement.flight.upstream).or_insert(0_u32) += 1;
         assert!(placement.predicted_ms <= 0.85 * 400.0, "{}", placement.predicted_ms);
     }
@@ -248,9 +248,9 @@
 #[test]
 fn the_same_number_after_a_vm_restart_is_another_request() {
     let mut fleet = Fleet::new(3);
-    let (_, first) = placed(fleet.request(key(1, 1), short(fleet.now)));
+    let (_, first) = granted(fleet.request(key(1, 1), short(fleet.now)));
     let restarted = Key { incarnation: 2, ..key(1, 1) };
-    let (_, second) = placed(fleet.request(restarted, short(fleet.now)));
+    let (_, second) = granted(fleet.request(restarted, short(fleet.now)));
     assert!(second > first);
 }
 
@@ -287,14 +287,11 @@
     let mut fleet = Fleet::new(1);
     let requirements = short(fleet.now);
     let Fleet { scheduler, cluster, table, now } = &mut fleet;
-    let answer =
+    let reply =
         scheduler.request(cluster, table, key(1, 1), Tag::of("other"), requirements.clone(), *now);
-    assert!(matches!(answer, Reply::Rejected(Rejection::NoUpstream)), "{answer:?}");
-    let answer = scheduler.request(cluster, table, key(1, 2), Tag::of("plain"), requirements, *now);
-    assert!(
-        matches!(answer, Reply::Rejected(Rejection::NoUpstream)),
-        "no upstream of it is listed"
-    );
+    assert!(matches!(reply, Reply::Rejected(Rejection::NoUpstream)), "{reply:?}");
+    let reply = scheduler.request(cluster, table, key(1, 2), Tag::of("plain"), requirements, *now);
+    assert!(matches!(reply, Reply::Rejected(Rejection::NoUpstream)), "no upstream of it is listed");
 }
 
 proptest! {
@@ -347,7 +344,7 @@
 fn a_suspect_request_runs_isolated_on_its_upstream() {
     for suspected in [short as fn(Instant) -> Requirements, |now| long(60_000, now)] {
         let mut fleet = Fleet::new(6);
-        let shared = placed(fleet.request(key(0, 1), short(fleet.now))).0;
+        let shared = granted(fleet.request(key(0, 1), short(fleet.now))).0;
         let requirements = suspicious(suspected(fleet.now));
         suspect(&mut fleet, &requirements);
         let isolated = match fleet.request(key(0, 2), requirements.clone()) {
@@ -357,7 +354,7 @@
         assert_eq!(isolated.flight.alone, Some(requirements.fingerprint));
         assert_ne!(isolated.flight.upstream, shared.flight.upstream);
         for number in 3..20 {
-            let other = placed(fleet.request(key(0, number), short(fleet.now))).0;
+            let other = granted(fleet.request(key(0, number), short(fleet.now))).0;
             assert_ne!(
                 other.flight.upstream, isolated.flight.upstream,
                 "no other request is placed on its upstream"
@@ -380,11 +377,11 @@
         // The first copy crashes its upstream: the queued copy is rejected, and so is the next one.
         let ending = Ending { upstream: Tag::of("i-000"), alone: true };
         fleet.cluster.quarantine.ended(requirements.fingerprint, ending, fleet.now);
-        let answers = fleet.scheduler.place_queued(&mut fleet.cluster, &fleet.table, fleet.now);
+        let replies = fleet.scheduler.place_queued(&mut fleet.cluster, &fleet.table, fleet.now);
         let is_quarantined =
-            |answer: &Reply| matches!(answer, Reply::Rejected(Rejection::Quarantined { .. }));
+            |reply: &Reply| matches!(reply, Reply::Rejected(Rejection::Quarantined { .. }));
         assert!(
-            answers.iter().any(|(queued, answer)| *queued == key(1, 1) && is_quarantined(answer))
+            replies.iter().any(|(queued, reply)| *queued == key(1, 1) && is_quarantined(reply))
         );
         assert!(is_quarantined(&fleet.request(key(2, 1), requirements.clone())));
     }
@@ -395,7 +392,7 @@
     let mut fleet = Fleet::new(6);
     let requirements = suspicious(short(fleet.now));
     suspect(&mut fleet, &requirements);
-    placed(fleet.request(key(0, 1), requirements.clone()));
+    granted(fleet.request(key(0, 1), requirements.clone()));
     assert!(matches!(fleet.request(key(1, 1), requirements.clone()), Reply::Queued));
     fleet.cluster.peer_lost(&vm(0), fleet.now);
     let again = fleet.place_queued();
