--- a/daemon/src/fleet/gate.rs
+++ b/daemon/src/fleet/gate.rs
@@ -81,9 +81,11 @@
     let limit = match read_ms(job, &requirements) {
         Some((engine, read_ms)) => {
             let held = (job.deadline - job.arrived).mul_f64(MAX_QUEUE_SHARE_LONG);
-            requirements.limit =
-                requirements.limit.saturating_sub(last_start(job, engine, read_ms)).min(held);
-            job.arrived + requirements.limit
+            requirements.queue_timeout = requirements
+                .queue_timeout
+                .saturating_sub(last_start(job, engine, read_ms))
+                .min(held);
+            job.arrived + requirements.queue_timeout
         }
         None => started + patience(job),
     };
@@ -91,7 +93,7 @@
     loop {
         if rested(job, begun).await? {
             // Those that refused it have had their rest.
-            requirements.avoid.clear();
+            requirements.excluded.clear();
         }
         match grant_requests::place(&job.process, &job.service, requirements.clone(), until).await {
             Ok(grant) => {
@@ -99,7 +101,7 @@
                 placed(job, &grant, started);
                 return Ok(grant);
             }
-            Err(Rejection::Closed) if job.process.now() < closed && !job.process.closing() => {
+            Err(Rejection::NoUpstream) if job.process.now() < closed && !job.process.closing() => {
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
             Err(rejection) => return Err(rejection),
@@ -116,7 +118,7 @@
     let in_time = job.held() + left < job.route.objective && !job.process.closing();
     let held = begun && left < MAX_BACKOFF_BEGUN;
     if !(in_time || held) {
-        return Err(Rejection::Resting { left_ms: left.as_millis() as u64 });
+        return Err(Rejection::Backoff { left_ms: left.as_millis() as u64 });
     }
     tokio::time::sleep(left).await;
     job.record(Decision::Waited { cause: Cause::Resting, waited_ms: millis(left) });
@@ -129,7 +131,7 @@
     requirements: &Requirements,
 ) -> Option<(&'a Engine, f64)> {
     let engine = job.service.engine.as_ref()?;
-    Some((engine, requirements.long_read_ms(engine)?))
+    Some((engine, requirements.long_prefill_ms(engine)?))
 }
 
 /// The time that a long prompt needs from its placement to the end of its answer, if that is no longer than usual. A
@@ -153,7 +155,7 @@
         job.process.metrics.rate_limited.get_or_create(&elsewhere).inc();
     }
     let named = std::iter::once((&placement.flight.upstream, &placement.load))
-        .chain(placement.slowest.iter().map(|(id, load)| (id, load)));
+        .chain(placement.busiest_helpers.iter().map(|(id, load)| (id, load)));
     let seen = named.map(|(id, load)| seen(id, load, placement.predicted_ms)).collect();
     job.record(Decision::Routed {
         upstream: placement.flight.upstream.clone(),
@@ -189,9 +191,9 @@
     }
     let kind = match rejection {
         Rejection::Quarantined { left_ms } => return quarantined(left_ms, proof),
-        Rejection::Resting { left_ms } => return resting(job, left_ms, proof),
-        Rejection::Limited { after_ms } => return rate_limited(job, after_ms, proof),
-        Rejection::Closed | Rejection::Drained | Rejection::OverBudget(_) => Kind::NoUpstream,
+        Rejection::Backoff { left_ms } => return resting(job, left_ms, proof),
+        Rejection::RateLimited { after_ms } => return rate_limited(job, after_ms, proof),
+        Rejection::NoUpstream | Rejection::Drained | Rejection::OverBudget(_) => Kind::NoUpstream,
         Rejection::Full | Rejection::TooLarge => Kind::Overloaded,
     };
     let long = read_ms(job, &job.requirements(&[], Charge::Free)).is_some();
--- a/request/src/scheduler.rs
+++ b/request/src/scheduler.rs
@@ -1,8 +1,10 @@
-//! The scheduler: one VM that places the requests of all, one after the other, by what all tell it.
+//! The scheduler: one VM that places the requests of all VMs, one after the other, from the state
+//! that they announce.
 //!
-//! What two VMs place without having heard of each other lies on the same engines; one that places
-//! for all has no such moment. It keeps nothing that lasts: another VM takes over with what it is
-//! told, and a VM that hears no scheduler places its own requests by what it knows.
+//! Two VMs that place requests concurrently, before either has announced its own, choose the same
+//! engines. A single scheduler has no such race. It keeps no durable state: another VM takes over
+//! from what the VMs announce, and a VM that reaches no scheduler places its own requests from its
+//! local state.
 
 mod backlog;
 
@@ -20,86 +22,87 @@
 
 use backlog::Backlog;
 
-/// How long a request waits without a word of its VM, which asks again several times in this time:
-/// its caller has left, or its VM has ended or asks elsewhere.
-const ASK_LASTS: Duration = Duration::from_millis(600);
+/// Time after which a queued request is dropped if its VM has not repeated the grant request. A VM
+/// repeats it several times within this time, so the caller has left, or the VM has stopped or asks
+/// another scheduler.
+const QUEUED_REQUEST_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How long a placement that was given is kept for a VM that asks again since it did not hear of it.
-const PLACED_LASTS: Duration = Duration::from_millis(600);
+/// How long a grant is kept for a VM that repeats its request because the reply was lost.
+const GRANT_RETENTION: Duration = Duration::from_millis(600);
 
-/// A request that waits or was placed.
+/// Identifies a request that is queued or was granted a placement.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key {
-    /// The VM that has it.
+    /// The VM that received the request.
     pub holder: Holder,
-    /// The start of that VM's process.
+    /// The incarnation of that VM.
     pub incarnation: u64,
-    /// The number that the VM gave it.
+    /// The number that the VM assigned to the request.
     pub number: u64,
 }
 
-/// The answer to a VM.
+/// The reply to a grant request.
 #[derive(Debug, Clone)]
-pub enum Answer {
-    /// There is a placement, given by the message with this number.
-    Placed(Box<Placement>, u64),
-    /// It waits for one.
-    Waits,
-    /// There is none, and waiting brings none.
+pub enum Reply {
+    /// A placement, with the number of the grant.
+    Granted(Box<Placement>, u64),
+    /// The request is queued.
+    Queued,
+    /// There is no placement, and queueing would not help.
     Rejected(Rejection),
 }
 
 #[derive(Debug)]
-struct Waiter {
+struct QueuedRequest {
     key: Key,
     service: Tag,
     requirements: Requirements,
-    heard: Instant,
+    last_requested: Instant,
 }
 
-/// A request that gets a placement, and what that is to the budget.
-struct Charged {
+/// A request that gets a placement, with its charge to the retry budget.
+struct ChargedRequest {
     key: Key,
     service: Tag,
     charge: Charge,
 }
 
 #[derive(Debug)]
-struct Placed {
+struct Grant {
     placement: Placement,
-    grant: u64,
+    number: u64,
     at: Instant,
 }
 
-/// A long prompt that was asked for.
+/// A long prompt for which a placement was requested.
 #[derive(Debug)]
-struct Asked {
+struct LongArrival {
     at: Instant,
     service: Tag,
-    read_ms: f64,
+    prefill_ms: f64,
 }
 
-/// The scheduler.
+/// Places the requests of all VMs.
 #[derive(Debug, Default)]
 pub struct Scheduler {
-    waiters: Vec<Waiter>,
-    placed: HashMap<Key, Placed>,
-    asked: VecDeque<Asked>,
-    grants: HashMap<Holder, u64>,
+    queue: Vec<QueuedRequest>,
+    grants: HashMap<Key, Grant>,
+    long_arrivals: VecDeque<LongArrival>,
+    grant_numbers: HashMap<Holder, u64>,
     pressure: Pressure,
     backlog: Backlog,
-    /// The fleet's retry budget, as far as this VM schedules it.
+    /// The fleet's retry budget, for requests that this VM schedules.
     pub budget: Budget,
 }
 
 impl Scheduler {
-    /// A scheduler that nothing has asked yet.
+    /// Creates a scheduler without requests.
     pub fn new(figures: Figures) -> Scheduler {
         Scheduler { budget: Budget::new(figures), ..Scheduler::default() }
     }
 
-    /// A VM asks for a placement, for the first time or again.
-    pub fn ask(
+    /// Handles a grant request of a VM, the first one or a repeated one.
+    pub fn request(
         &mut self,
         cluster: &mut Cluster,
         table: &Table,
@@ -107,42 +110,45 @@
         service: Tag,
         mut requirements: Requirements,
         now: Instant,
-    ) -> Answer {
-        if let Some(placed) = self.placed.get(&key) {
-            return Answer::Placed(Box::new(placed.placement.clone()), placed.grant);
+    ) -> Reply {
+        if let Some(grant) = self.grants.get(&key) {
+            return Reply::Granted(Box::new(grant.placement.clone()), grant.number);
         }
-        if let Some(waiter) = self.waiters.iter_mut().find(|waiter| waiter.key == key) {
-            waiter.heard = now;
-            // A rest that was asked for meanwhile, or is over.
-            waiter.requirements.avoid = requirements.avoid;
-            return Answer::Waits;
+        if let Some(queued) = self.queue.iter_mut().find(|queued| queued.key == key) {
+            queued.last_requested = now;
+            // An upstream may have asked for a backoff meanwhile, or its backoff may have ended.
+            queued.requirements.excluded = requirements.excluded;
+            return Reply::Queued;
         }
-        let Some(found) = find(table, service) else { return Answer::Rejected(Rejection::Closed) };
-        if let Err(held @ Rejection::Quarantined { .. }) =
+        let Some(found) = find(table, service) else {
+            return Reply::Rejected(Rejection::NoUpstream);
+        };
+        if let Err(quarantined @ Rejection::Quarantined { .. }) =
             runs_alone(cluster, requirements.fingerprint, now)
         {
-            return Answer::Rejected(held);
+            return Reply::Rejected(quarantined);
         }
         if cluster.is_drained(&found.name) {
-            return Answer::Rejected(Rejection::Drained);
+            return Reply::Rejected(Rejection::Drained);
         }
         if let Err(exhausted) = self.budget.check(service, requirements.charge, now) {
-            return Answer::Rejected(Rejection::OverBudget(exhausted));
+            return Reply::Rejected(Rejection::OverBudget(exhausted));
         }
-        let read_ms = found.engine.as_ref().and_then(|engine| requirements.long_read_ms(engine));
+        let prefill_ms =
+            found.engine.as_ref().and_then(|engine| requirements.long_prefill_ms(engine));
         if found
             .engine
             .as_ref()
             .is_some_and(|e| placement::is_too_long(cluster, found, e, &requirements))
         {
-            return Answer::Rejected(Rejection::TooLarge);
+            return Reply::Rejected(Rejection::TooLarge);
         }
         let limited_rate = cluster.limited_rate(&found.name);
-        if let Some(read_ms) = read_ms {
-            self.asked.push_back(Asked { at: now, service, read_ms });
+        if let Some(prefill_ms) = prefill_ms {
+            self.long_arrivals.push_back(LongArrival { at: now, service, prefill_ms });
         } else {
             // Queued requests go first.
-            let must_queue = limited_rate.is_some() && self.waiting_for(service) > 0;
+            let must_queue = limited_rate.is_some() && self.queued_for(service) > 0;
             let placed = if must_queue {
                 Err(Rejection::Full)
             } else {
@@ -151,76 +157,77 @@
             match placed {
                 Ok(placement) => {
                     let objective_ms = requirements.objective.as_secs_f64() * 1e3;
-                    self.pressure.placed(placement.predicted_ms / objective_ms, now);
-                    let charged = Charged { key, service, charge: requirements.charge };
-                    return self.give(cluster, charged, placement, now);
+                    self.pressure.on_placed(placement.predicted_ms / objective_ms, now);
+                    let charged = ChargedRequest { key, service, charge: requirements.charge };
+                    return self.grant(cluster, charged, placement, now);
                 }
-                Err(Rejection::Full) => self.pressure.waits(now),
-                Err(rejection) => return Answer::Rejected(rejection),
+                Err(Rejection::Full) => self.pressure.on_queued(now),
+                Err(rejection) => return Reply::Rejected(rejection),
             }
         }
         if let Some(rate) = limited_rate {
-            let ahead = self.waiting_for(service);
+            let ahead = self.queued_for(service);
             if let Err(limited) =
                 self.backlog.check(service, rate, &requirements, ahead, false, now)
             {
-                return Answer::Rejected(limited);
+                return Reply::Rejected(limited);
             }
         }
         requirements.charge = self.budget.queue(service, requirements.charge);
-        self.waiters.push(Waiter { key, service, requirements, heard: now });
-        Answer::Waits
+        self.queue.push(QueuedRequest { key, service, requirements, last_requested: now });
+        Reply::Queued
     }
 
-    /// A VM asks no more for this placement.
+    /// Removes a request that no longer needs a placement, and releases its grant.
     pub fn cancel(&mut self, cluster: &mut Cluster, key: &Key, now: Instant) {
-        self.waiters.retain(|waiter| waiter.key != *key);
-        if self.placed.remove(key).is_some() {
+        self.queue.retain(|queued| queued.key != *key);
+        if self.grants.remove(key).is_some() {
             cluster.release_grant(&key.holder, key.number, now);
         }
     }
 
-    /// Whether anything waits.
+    /// Whether the queue is empty.
     pub fn is_idle(&self) -> bool {
-        self.waiters.is_empty()
+        self.queue.is_empty()
     }
 
-    /// The requests that wait.
-    pub fn waiting(&self) -> usize {
-        self.waiters.len()
+    /// The number of queued requests.
+    pub fn queue_len(&self) -> usize {
+        self.queue.len()
     }
 
-    fn waiting_for(&self, service: Tag) -> usize {
-        self.waiters.iter().filter(|waiter| waiter.service == service).count()
+    fn queued_for(&self, service: Tag) -> usize {
+        self.queue.iter().filter(|queued| queued.service == service).count()
     }
 
-    /// Places what waits and has a placement now.
-    pub fn look(
+    /// Grants placements to queued requests where possible, and rejects those that can no longer be
+    /// served.
+    pub fn place_queued(
         &mut self,
         cluster: &mut Cluster,
         table: &Table,
         now: Instant,
-    ) -> Vec<(Key, Answer)> {
-        self.forget(cluster, now);
-        let mut answers = Vec::new();
-        let mut services: Vec<Tag> = self.waiters.iter().map(|waiter| waiter.service).collect();
+    ) -> Vec<(Key, Reply)> {
+        self.expire(cluster, now);
+        let mut replies = Vec::new();
+        let mut services: Vec<Tag> = self.queue.iter().map(|queued| queued.service).collect();
         services.sort_unstable();
         services.dedup();
-        self.turn_away(cluster, now, &mut answers);
+        self.reject_quarantined(cluster, now, &mut replies);
         for tag in services {
             let Some(service) = find(table, tag) else { continue };
             if cluster.is_drained(&service.name) {
-                self.turn_away_all(tag, &mut answers);
+                self.reject_drained(tag, &mut replies);
                 continue;
             }
-            self.place_short(cluster, service, tag, now, &mut answers);
-            self.place_long(cluster, service, tag, now, &mut answers);
+            self.place_short(cluster, service, tag, now, &mut replies);
+            self.place_long(cluster, service, tag, now, &mut replies);
             if cluster.limited_count() > 0 {
-                self.place_whole(cluster, service, tag, now, &mut answers);
-                self.turn_away_late(cluster, service, tag, now, &mut answers);
+                self.place_whole(cluster, service, tag, now, &mut replies);
+                self.reject_late(cluster, service, tag, now, &mut replies);
             }
         }
-        answers
+        replies
     }
 
     /// Places long prompts on single rate-limited upstreams.
@@ -230,65 +237,70 @@
         service: &Service,
         tag: Tag,
         now: Instant,
-        answers: &mut Vec<(Key, Answer)>,
+        replies: &mut Vec<(Key, Reply)>,
     ) {
-        for key in self.due(tag, |waiter| waiter.is_long(service)) {
-            let Some(waiter) = self.waiters.iter().find(|waiter| waiter.key == key) else {
+        for key in self.keys_by_deadline(tag, |queued| queued.is_long(service)) {
+            let Some(queued) = self.queue.iter().find(|queued| queued.key == key) else {
                 continue;
             };
             if let Ok(placement) =
-                placement::place_whole(cluster, service, &waiter.requirements, now)
+                placement::place_whole(cluster, service, &queued.requirements, now)
             {
-                let charged = waiter.charged();
-                let answer = self.give(cluster, charged, placement, now);
-                answers.push((key, answer));
+                let charged = queued.charged();
+                let reply = self.grant(cluster, charged, placement, now);
+                replies.push((key, reply));
             }
         }
     }
 
     /// Rejects queued requests that would wait too long, where all upstreams are rate-limited.
-    fn turn_away_late(
+    fn reject_late(
         &mut self,
         cluster: &Cluster,
         service: &Service,
         tag: Tag,
         now: Instant,
-        answers: &mut Vec<(Key, Answer)>,
+        replies: &mut Vec<(Key, Reply)>,
     ) {
         let Some(rate) = cluster.limited_rate(&service.name) else { return };
         let mut ahead = 0;
-        for key in self.due(tag, |_| true) {
-            let Some(waiter) = self.waiters.iter().find(|waiter| waiter.key == key) else {
+        for key in self.keys_by_deadline(tag, |_| true) {
+            let Some(queued) = self.queue.iter().find(|queued| queued.key == key) else {
                 continue;
             };
-            match self.backlog.check(tag, rate, &waiter.requirements, ahead, true, now) {
+            match self.backlog.check(tag, rate, &queued.requirements, ahead, true, now) {
                 Ok(()) => ahead += 1,
                 Err(limited) => {
-                    self.waiters.retain(|waiter| waiter.key != key);
-                    answers.push((key, Answer::Rejected(limited)));
+                    self.queue.retain(|queued| queued.key != key);
+                    replies.push((key, Reply::Rejected(limited)));
                 }
             }
         }
     }
 
-    /// Queued requests of a service, by due time.
-    fn due(&self, service: Tag, of: impl Fn(&Waiter) -> bool) -> Vec<Key> {
-        let waiters = self.waiters.iter().filter(|waiter| waiter.service == service && of(waiter));
-        let mut due: Vec<(Instant, &Key)> = waiters
-            .map(|waiter| {
-                (waiter.requirements.arrived + waiter.requirements.objective, &waiter.key)
+    /// Queued requests of a service, earliest deadline first.
+    fn keys_by_deadline(&self, service: Tag, of: impl Fn(&QueuedRequest) -> bool) -> Vec<Key> {
+        let queued = self.queue.iter().filter(|queued| queued.service == service && of(queued));
+        let mut by_deadline: Vec<(Instant, &Key)> = queued
+            .map(|queued| {
+                (queued.requirements.arrived + queued.requirements.objective, &queued.key)
             })
             .collect();
-        due.sort();
-        due.into_iter().map(|(_, key)| key.clone()).collect()
+        by_deadline.sort();
+        by_deadline.into_iter().map(|(_, key)| key.clone()).collect()
     }
 
-    /// Tells those that wait and are kept from all upstreams by now.
-    fn turn_away(&mut self, cluster: &Cluster, now: Instant, answers: &mut Vec<(Key, Answer)>) {
-        self.waiters.retain(|waiter| {
-            match runs_alone(cluster, waiter.requirements.fingerprint, now) {
-                Err(held @ Rejection::Quarantined { .. }) => {
-                    answers.push((waiter.key.clone(), Answer::Rejected(held)));
+    /// Rejects queued requests that have been quarantined meanwhile.
+    fn reject_quarantined(
+        &mut self,
+        cluster: &Cluster,
+        now: Instant,
+        replies: &mut Vec<(Key, Reply)>,
+    ) {
+        self.queue.retain(|queued| {
+            match runs_alone(cluster, queued.requirements.fingerprint, now) {
+                Err(quarantined @ Rejection::Quarantined { .. }) => {
+                    replies.push((queued.key.clone(), Reply::Rejected(quarantined)));
                     false
                 }
                 _ => true,
@@ -296,131 +308,140 @@
         });
     }
 
-    /// Tells those that wait for a service whose halls have all been drained.
-    fn turn_away_all(&mut self, service: Tag, answers: &mut Vec<(Key, Answer)>) {
-        self.waiters.retain(|waiter| {
-            if waiter.service == service {
-                answers.push((waiter.key.clone(), Answer::Rejected(Rejection::Drained)));
+    /// Rejects the queued requests of a service whose data halls have all been drained.
+    fn reject_drained(&mut self, service: Tag, replies: &mut Vec<(Key, Reply)>) {
+        self.queue.retain(|queued| {
+            if queued.service == service {
+                replies.push((queued.key.clone(), Reply::Rejected(Rejection::Drained)));
             }
-            waiter.service != service
+            queued.service != service
         });
     }
 
-    /// Short requests, the one that is due first before the others.
+    /// Places short requests, earliest deadline first.
     fn place_short(
         &mut self,
         cluster: &mut Cluster,
         service: &Service,
         tag: Tag,
         now: Instant,
-        answers: &mut Vec<(Key, Answer)>,
+        replies: &mut Vec<(Key, Reply)>,
     ) {
-        for key in self.due(tag, |waiter| !waiter.is_long(service)) {
-            let Some(waiter) = self.waiters.iter().find(|waiter| waiter.key == key) else {
+        for key in self.keys_by_deadline(tag, |queued| !queued.is_long(service)) {
+            let Some(queued) = self.queue.iter().find(|queued| queued.key == key) else {
                 continue;
             };
-            if let Ok(placement) = placement::place(cluster, service, &waiter.requirements, now) {
-                let charged = waiter.charged();
-                let answer = self.give(cluster, charged, placement, now);
-                answers.push((key, answer));
+            if let Ok(placement) = placement::place(cluster, service, &queued.requirements, now) {
+                let charged = queued.charged();
+                let reply = self.grant(cluster, charged, placement, now);
+                replies.push((key, reply));
             }
         }
     }
 
-    /// Long prompts, by their line.
+    /// Places long prompts in the order of the long queue.
     fn place_long(
         &mut self,
         cluster: &mut Cluster,
         service: &Service,
         tag: Tag,
         now: Instant,
-        answers: &mut Vec<(Key, Answer)>,
+        replies: &mut Vec<(Key, Reply)>,
     ) {
         let Some(engine) = &service.engine else { return };
-        let waiters = self.waiters.iter().enumerate();
-        let turns: Vec<placement::Turn<'_>> = waiters
-            .filter(|(_, waiter)| waiter.service == tag && waiter.is_long(service))
-            .filter(|(_, waiter)| runs_alone(cluster, waiter.requirements.fingerprint, now).is_ok())
-            .map(|(index, waiter)| placement::Turn { requirements: &waiter.requirements, index })
+        let queued = self.queue.iter().enumerate();
+        let prompts: Vec<placement::LongPrompt<'_>> = queued
+            .filter(|(_, queued)| queued.service == tag && queued.is_long(service))
+            .filter(|(_, queued)| runs_alone(cluster, queued.requirements.fingerprint, now).is_ok())
+            .map(|(index, queued)| placement::LongPrompt {
+                requirements: &queued.requirements,
+                index,
+            })
             .collect();
-        if turns.is_empty() {
+        if prompts.is_empty() {
             return;
         }
-        let line = placement::Line {
-            turns: &turns,
+        let queue = placement::LongQueue {
+            prompts: &prompts,
             demand: self.demand(tag),
             offset: 0,
-            kept: self.pressure.engines(),
+            short_only: self.pressure.engines(),
         };
-        let placed = placement::line(cluster, service, engine, line, now);
-        let placed: Vec<(Charged, Fingerprint, Placement)> = placed
+        let placed = placement::place_long(cluster, service, engine, queue, now);
+        let placed: Vec<(ChargedRequest, Fingerprint, Placement)> = placed
             .into_iter()
-            .map(|(index, placement)| (&self.waiters[index], placement))
-            .map(|(waiter, placement)| {
-                (waiter.charged(), waiter.requirements.fingerprint, placement)
+            .map(|(index, placement)| (&self.queue[index], placement))
+            .map(|(queued, placement)| {
+                (queued.charged(), queued.requirements.fingerprint, placement)
             })
             .collect();
         for (charged, fingerprint, mut placement) in placed {
-            // Of two copies in one line the first runs alone, and the other waits for it.
-            let Ok(alone) = runs_alone(cluster, fingerprint, now) else { continue };
-            placement.flight.alone = alone.then_some(fingerprint);
+            // Of two copies in the queue, the first runs isolated and the other stays queued.
+            let Ok(isolated) = runs_alone(cluster, fingerprint, now) else { continue };
+            placement.flight.alone = isolated.then_some(fingerprint);
             let key = charged.key.clone();
-            let answer = self.give(cluster, charged, placement, now);
-            answers.push((key, answer));
+            let reply = self.grant(cluster, charged, placement, now);
+            replies.push((key, reply));
         }
     }
 
-    /// The engines that the long prompts of late keep busy in the mean.
+    /// The mean number of engines that recent long prompts keep busy.
     fn demand(&self, service: Tag) -> f64 {
-        let of = self.asked.iter().filter(|asked| asked.service == service);
-        of.map(|asked| asked.read_ms).sum::<f64>() / (DEMAND_WINDOW.as_secs_f64() * 1e3)
+        let of_service = self.long_arrivals.iter().filter(|arrival| arrival.service == service);
+        of_service.map(|arrival| arrival.prefill_ms).sum::<f64>()
+            / (DEMAND_WINDOW.as_secs_f64() * 1e3)
     }
 
-    /// Gives a placement, unless the budget has no token left for it.
-    fn give(
+    /// Grants a placement, unless the retry budget has no token left for it.
+    fn grant(
         &mut self,
         cluster: &mut Cluster,
-        charged: Charged,
+        charged: ChargedRequest,
         placement: Placement,
         now: Instant,
-    ) -> Answer {
-        let Charged { key, service, charge } = charged;
-        self.waiters.retain(|waiter| waiter.key != key);
+    ) -> Reply {
+        let ChargedRequest { key, service, charge } = charged;
+        self.queue.retain(|queued| queued.key != key);
         if let Err(exhausted) = self.budget.charge(service, charge, now) {
-            return Answer::Rejected(Rejection::OverBudget(exhausted));
+            return Reply::Rejected(Rejection::OverBudget(exhausted));
         }
-        let grant = self.grants.entry(key.holder.clone()).or_default();
-        *grant += 1;
-        let grant = *grant;
-        cluster.grant(&key.holder, key.number, placement.flight.clone(), grant, now);
-        self.placed.insert(key, Placed { placement: placement.clone(), grant, at: now });
-        Answer::Placed(Box::new(placement), grant)
+        let number = self.grant_numbers.entry(key.holder.clone()).or_default();
+        *number += 1;
+        let number = *number;
+        cluster.grant(&key.holder, key.number, placement.flight.clone(), number, now);
+        self.grants.insert(key, Grant { placement: placement.clone(), number, at: now });
+        Reply::Granted(Box::new(placement), number)
     }
 
-    /// Forgets what is asked for no more.
-    fn forget(&mut self, cluster: &mut Cluster, now: Instant) {
+    /// Drops queued requests that were not repeated in time, expired grants and outdated demand.
+    fn expire(&mut self, cluster: &mut Cluster, now: Instant) {
         let age = |at: Instant| now.saturating_duration_since(at);
-        self.waiters
-            .retain(|waiter| waiter.key.holder == Holder::Own || age(waiter.heard) < ASK_LASTS);
-        self.placed.retain(|_, placed| age(placed.at) < PLACED_LASTS);
-        self.pressure.forget(now);
-        while self.asked.front().is_some_and(|asked| age(asked.at) > DEMAND_WINDOW) {
-            self.asked.pop_front();
+        self.queue.retain(|queued| {
+            queued.key.holder == Holder::Own || age(queued.last_requested) < QUEUED_REQUEST_TIMEOUT
+        });
+        self.grants.retain(|_, grant| age(grant.at) < GRANT_RETENTION);
+        self.pressure.expire(now);
+        while self.long_arrivals.front().is_some_and(|arrival| age(arrival.at) > DEMAND_WINDOW) {
+            self.long_arrivals.pop_front();
         }
         cluster.expire_grants(now);
     }
 }
 
-impl Waiter {
-    fn charged(&self) -> Charged {
-        Charged { key: self.key.clone(), service: self.service, charge: self.requirements.charge }
+impl QueuedRequest {
+    fn charged(&self) -> ChargedRequest {
+        ChargedRequest {
+            key: self.key.clone(),
+            service: self.service,
+            charge: self.requirements.charge,
+        }
     }
 
     fn is_long(&self, service: &Service) -> bool {
         service
             .engine
             .as_ref()
-            .is_some_and(|engine| self.requirements.long_read_ms(engine).is_some())
+            .is_some_and(|engine| self.requirements.long_prefill_ms(engine).is_some())
     }
 }
 
--- a/request/src/speed.rs
+++ b/request/src/speed.rs
@@ -1,60 +1,61 @@
-//! The speed of an engine, learnt from what it did: least squares with forgetting on the time to
-//! the first token, held near a prior as long as samples say little.
+//! Learns the speed of an engine: least squares with exponential forgetting on the time to the
+//! first token, regularised by a prior while there are few samples.
 
 use serde::Serialize;
 
-/// What the time to the first token depends on.
+/// The quantities on which the time to the first token depends.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Work {
-    /// Prompt tokens that are computed before the first token: those queued ahead and the own.
+    /// Prompt tokens that are computed before the first token: those queued ahead and those of the
+    /// prompt itself.
     pub tokens: f64,
-    /// Token pairs of the own prompt: the part that grows with the square of the length.
+    /// Token pairs of the prompt itself: the part that grows with the square of the length.
     pub pairs: f64,
-    /// 1 where long prompts share the engine, 0 where none does.
+    /// 1 if the engine serves long prompts at the same time, otherwise 0.
     pub long: f64,
 }
 
 impl Work {
-    /// The work of `uncached` tokens behind `cached` ones and `queued` of others.
+    /// The work of a prompt with `uncached` tokens after `cached` ones, behind `queued` tokens of
+    /// other prompts.
     pub fn new(queued: f64, uncached: f64, cached: f64, long: u32) -> Work {
         let pairs = uncached * (cached + uncached / 2.0);
         Work { tokens: queued + uncached, pairs, long: f64::from(long.min(1)) }
     }
 
-    /// The factors in units that keep the sums of similar size.
+    /// The factors, scaled so that their sums have a similar size.
     fn factors(self) -> Vector {
         [1.0, self.tokens / TOKENS_UNIT, self.pairs / PAIRS_UNIT, self.long]
     }
 }
 
-const N: usize = 4;
+const FACTORS: usize = 4;
 const TOKENS_UNIT: f64 = 1_000.0;
 const PAIRS_UNIT: f64 = 1e9;
 
-type Vector = [f64; N];
+type Vector = [f64; FACTORS];
 
-/// How much a sample counts after the next one.
-const FORGETTING: f64 = 0.98;
+/// Weight of a sample relative to the next one.
+const DECAY: f64 = 0.98;
 
-/// The seconds of each factor before anything is learnt: 2 ms, 20 µs a token, 0.05 ns a pair,
-/// nothing beside a long prompt. Faster than engines are, so that one of which little is known is
-/// tried.
+/// The seconds per factor without samples: 2 ms, 20 µs per token, 0.05 ns per pair, nothing for
+/// concurrent long prompts. Faster than real engines, so that an engine with few samples is tried.
 const PRIOR: Vector = [0.002, 0.020, 0.050, 0.0];
 
-/// How many samples of one unit the prior counts as.
+/// The number of samples of one unit that the prior counts as.
 const PRIOR_WEIGHT: f64 = 0.2;
 
-/// A sample may be this many times its prediction at most, so that one freeze does not undo the
-/// model.
-const CLIP: f64 = 20.0;
+/// The largest ratio of a sample to its prediction, so that one stall of an engine does not distort
+/// the model.
+const MAX_SAMPLE_RATIO: f64 = 20.0;
 
-/// The learnt model.
+/// The model of one engine.
 #[derive(Debug, Clone, Serialize)]
 pub struct Model {
     weights: Vector,
     /// Decayed sums of the factors' products.
     #[serde(skip)]
-    products: [Vector; N],
+    products: [Vector; FACTORS],
     /// Decayed sums of the factors times the seconds.
     #[serde(skip)]
     seconds: Vector,
@@ -63,7 +64,12 @@
 
 impl Default for Model {
     fn default() -> Self {
-        Model { weights: PRIOR, products: [[0.0; N]; N], seconds: [0.0; N], samples: 0 }
+        Model {
+            weights: PRIOR,
+            products: [[0.0; FACTORS]; FACTORS],
+            seconds: [0.0; FACTORS],
+            samples: 0,
+        }
     }
 }
 
@@ -73,19 +79,19 @@
         dot(&self.weights, &work.factors())
     }
 
-    /// Seconds a prompt token, without the part that grows with the square.
+    /// Seconds per prompt token, without the part that grows with the square.
     pub fn seconds_per_token(&self) -> f64 {
         self.weights[1] / TOKENS_UNIT
     }
 
-    /// Samples learnt from.
+    /// The number of samples that the model has learnt from.
     pub fn samples(&self) -> u64 {
         self.samples
     }
 
-    /// Makes what was learnt count half, so that an engine that was not used for a while, perhaps
-    /// since it was slow, is tried again.
-    pub fn fade(&mut self) {
+    /// Halves the weight of all samples, so that an engine that was not used for a while, perhaps
+    /// because it was slow, is tried again.
+    pub fn decay(&mut self) {
         for row in &mut self.products {
             *row = row.map(|cell| cell / 2.0);
         }
@@ -93,26 +99,26 @@
         self.solve();
     }
 
-    /// Learns from one request.
+    /// Adds the time to the first token of one request.
     pub fn learn(&mut self, work: Work, seconds: f64) {
         let x = work.factors();
-        let seconds = seconds.min(self.predict(work).max(PRIOR[0]) * CLIP);
-        for i in 0..N {
-            for j in 0..N {
-                self.products[i][j] = self.products[i][j] * FORGETTING + x[i] * x[j];
+        let seconds = seconds.min(self.predict(work).max(PRIOR[0]) * MAX_SAMPLE_RATIO);
+        for i in 0..FACTORS {
+            for j in 0..FACTORS {
+                self.products[i][j] = self.products[i][j] * DECAY + x[i] * x[j];
             }
-            self.seconds[i] = self.seconds[i] * FORGETTING + x[i] * seconds;
+            self.seconds[i] = self.seconds[i] * DECAY + x[i] * seconds;
         }
         self.samples += 1;
         self.solve();
     }
 
-    /// Solves for weights that are not negative: factors that come out negative are left out.
+    /// Solves for weights that are not negative: factors with a negative weight are excluded.
     fn solve(&mut self) {
-        let mut used = [true; N];
+        let mut used = [true; FACTORS];
         loop {
             let weights = self.solve_for(&used);
-            match (0..N).find(|i| used[*i] && weights[*i] < 0.0) {
+            match (0..FACTORS).find(|i| used[*i] && weights[*i] < 0.0) {
                 Some(negative) => used[negative] = false,
                 None => {
                     self.weights = weights;
@@ -122,16 +128,16 @@
         }
     }
 
-    /// Solves with the prior as ridge, which keeps the system well-conditioned; factors that are
-    /// not used get no weight.
-    fn solve_for(&self, used: &[bool; N]) -> Vector {
+    /// Solves with the prior as a ridge term, which keeps the system well-conditioned; excluded
+    /// factors get weight 0.
+    fn solve_for(&self, used: &[bool; FACTORS]) -> Vector {
         let mut a = self.products;
         let mut b = self.seconds;
-        for i in 0..N {
+        for i in 0..FACTORS {
             a[i][i] += PRIOR_WEIGHT;
             b[i] += PRIOR_WEIGHT * PRIOR[i];
             if !used[i] {
-                a[i] = [0.0; N];
+                a[i] = [0.0; FACTORS];
                 for row in &mut a {
                     row[i] = 0.0;
                 }
@@ -143,10 +149,10 @@
     }
 }
 
-/// Solves a positive definite system by elimination, which needs no pivots then.
-fn eliminate(mut a: [Vector; N], mut b: Vector) -> Vector {
-    for i in 0..N {
-        for k in i + 1..N {
+/// Solves a positive definite system by elimination, which needs no pivoting.
+fn eliminate(mut a: [Vector; FACTORS], mut b: Vector) -> Vector {
+    for i in 0..FACTORS {
+        for k in i + 1..FACTORS {
             let factor = a[k][i] / a[i][i];
             let above = a[i];
             for (cell, above) in a[k].iter_mut().zip(above).skip(i) {
@@ -155,9 +161,9 @@
             b[k] -= factor * b[i];
         }
     }
-    let mut x = [0.0; N];
-    for i in (0..N).rev() {
-        let known: f64 = (i + 1..N).map(|j| a[i][j] * x[j]).sum();
+    let mut x = [0.0; FACTORS];
+    for i in (0..FACTORS).rev() {
+        let known: f64 = (i + 1..FACTORS).map(|j| a[i][j] * x[j]).sum();
         x[i] = (b[i] - known) / a[i][i];
     }
     x
