--- a/daemon/src/fleet/notices.rs
+++ b/daemon/src/fleet/notices.rs
@@ -64,7 +64,7 @@
 
 /// An upstream asks this VM for a rest.
 fn rests<D: Dialect>(process: &Process<D>, upstream: &id::Upstream, start: Tag, rest: Duration) {
-    let news = process.rests.lock().unwrap().begin(start, rest, process.moment());
+    let news = process.backoffs.lock().unwrap().begin(start, rest, process.moment());
     if news && process.trouble_lines.admit(process.now()).is_some() {
         let what = format!("{upstream} for {} ms", rest.as_millis());
         log::event(&process.log, Event::UpstreamRests, what);
@@ -82,7 +82,7 @@
     }
     let start = cluster.tag_of(upstream);
     drop(cluster);
-    let left = process.rests.lock().unwrap().left(start, process.moment());
+    let left = process.backoffs.lock().unwrap().remaining(start, process.moment());
     left.map(|left| Exclusion::Resting { left })
 }
 
@@ -117,13 +117,13 @@
 
 /// The upstreams that rest for this VM.
 pub fn resting<D: Dialect>(process: &Process<D>) -> Vec<Tag> {
-    process.rests.lock().unwrap().resting(process.moment())
+    process.backoffs.lock().unwrap().active(process.moment())
 }
 
 /// How long it is until the first of a service's upstreams may be sent work, where all of them rest.
 pub fn all_rest<D: Dialect>(process: &Process<D>, service: &str) -> Option<Duration> {
     let moment = process.moment();
     let cluster = process.cluster.lock().unwrap();
-    let rests = process.rests.lock().unwrap();
-    rests.all_left(cluster.open(service).map(|upstream| upstream.tag), moment)
+    let backoffs = process.backoffs.lock().unwrap();
+    backoffs.shortest_remaining(cluster.open(service).map(|upstream| upstream.tag), moment)
 }
--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -195,7 +195,7 @@
     let waiting = process.scheduler.lock().unwrap().waiting();
     let moment = process.moment();
     let cluster = process.cluster.lock().unwrap();
-    let rests = process.rests.lock().unwrap();
+    let backoffs = process.backoffs.lock().unwrap();
     let loads = cluster.loads(None, now);
     let upstreams: Vec<_> = cluster
         .ids()
@@ -206,7 +206,7 @@
                 "id": u.listed.id, "service": u.listed.service, "address": u.listed.address,
                 "leaving": u.is_leaving(), "drained": u.drained,
                 "cold_ms": u.cold_until.map(|at| at.saturating_duration_since(now).as_millis() as u64),
-                "rests_ms": rests.left(u.tag, moment).map(|left| left.as_millis() as u64),
+                "rests_ms": backoffs.remaining(u.tag, moment).map(|left| left.as_millis() as u64),
                 "rate_limit": rate_limit(&cluster, u, now),
                 "suspicion": u.suspicion.weight(now), "requests": load.requests,
                 "writers": load.writers, "memory": load.memory, "backlog_ms": load.backlog_ms,
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -7,13 +7,13 @@
 use foldlock_base::clock::{Moment, Sleep, System};
 use foldlock_base::prelude::*;
 use foldlock_connection::channel::Pool;
+use foldlock_request::backoff::Backoffs;
 use foldlock_request::budget::Affiliation;
 use foldlock_request::cluster::Cluster;
 use foldlock_request::dialect::Dialect;
 use foldlock_request::directory::{Listing, Member, Settings};
 use foldlock_request::flight::Flight;
 use foldlock_request::message::Number;
-use foldlock_request::rest::Rests;
 use foldlock_request::revision::Revision;
 use foldlock_request::ring::Ring;
 use foldlock_request::scheduler::Scheduler;
@@ -100,7 +100,7 @@
     /// The engines' reports.
     pub reports: D::Reports,
     /// Upstreams that asked this VM for a rest.
-    pub rests: Mutex<Rests>,
+    pub backoffs: Mutex<Backoffs>,
     /// The settings as peers read them.
     pub packed_settings: Kept,
     /// The listings as peers read them.
@@ -182,7 +182,7 @@
             pool: Pool::default(),
             memory: D::Memory::default(),
             reports: D::Reports::default(),
-            rests: Mutex::default(),
+            backoffs: Mutex::default(),
             packed_settings: Kept::default(),
             packed_listing: Kept::default(),
             steps: Mutex::default(),
--- a/request/src/rest.rs
+++ b/request/src/backoff.rs
@@ -14,44 +14,49 @@
 /// The rests that were asked of this VM. At most one is kept for each start of an upstream, and none that
 /// is over when another is asked for.
 #[derive(Debug, Default)]
-pub struct Rests {
+pub struct Backoffs {
     until: HashMap<Tag, Moment>,
 }
 
-impl Rests {
+impl Backoffs {
     /// An upstream asks for a rest from now on. Of two that overlap the later end holds. Answers whether it
     /// was not resting before.
-    pub fn begin(&mut self, upstream: Tag, rest: Duration, now: Moment) -> bool {
+    pub fn begin(&mut self, upstream: Tag, duration: Duration, now: Moment) -> bool {
         self.until.retain(|_, until| *until > now);
-        let until = now.after(rest);
-        let known = self.until.insert(upstream, until);
-        if let Some(known) = known.filter(|known| *known > until) {
-            self.until.insert(upstream, known);
+        let until = now.after(duration);
+        let earlier = self.until.insert(upstream, until);
+        if let Some(earlier) = earlier.filter(|earlier| *earlier > until) {
+            self.until.insert(upstream, earlier);
         }
-        known.is_none()
+        earlier.is_none()
     }
 
     /// How long an upstream still rests; none where it does not.
-    pub fn left(&self, upstream: Tag, now: Moment) -> Option<Duration> {
+    pub fn remaining(&self, upstream: Tag, now: Moment) -> Option<Duration> {
         let until = self.until.get(&upstream).filter(|until| **until > now)?;
         Some(until.since(now))
     }
 
     /// The upstreams that rest, in the order of their tags.
-    pub fn resting(&self, now: Moment) -> Vec<Tag> {
-        let resting = self.until.iter().filter(|(_, until)| **until > now);
-        let mut tags: Vec<Tag> = resting.map(|(tag, _)| *tag).collect();
+    pub fn active(&self, now: Moment) -> Vec<Tag> {
+        let active = self.until.iter().filter(|(_, until)| **until > now);
+        let mut tags: Vec<Tag> = active.map(|(tag, _)| *tag).collect();
         tags.sort_unstable();
         tags
     }
 
     /// The soonest end of a rest, where all of these rest; none where one does not, or there are none.
-    pub fn all_left(&self, upstreams: impl Iterator<Item = Tag>, now: Moment) -> Option<Duration> {
-        let mut soonest = None;
+    pub fn shortest_remaining(
+        &self,
+        upstreams: impl Iterator<Item = Tag>,
+        now: Moment,
+    ) -> Option<Duration> {
+        let mut shortest = None;
         for upstream in upstreams {
-            let left = self.left(upstream, now)?;
-            soonest = Some(soonest.map_or(left, |soonest: Duration| soonest.min(left)));
+            let remaining = self.remaining(upstream, now)?;
+            shortest =
+                Some(shortest.map_or(remaining, |shortest: Duration| shortest.min(remaining)));
         }
-        soonest
+        shortest
     }
 }
--- a/request/src/lib.rs
+++ b/request/src/lib.rs
@@ -2,6 +2,7 @@
 //! limits, claims and cursors that it meets.
 
 pub mod affinity;
+pub mod backoff;
 pub mod budget;
 pub mod claim;
 pub mod cluster;
@@ -29,7 +30,6 @@
 pub mod rank;
 pub mod rate_limit;
 pub mod report;
-pub mod rest;
 pub mod retry;
 pub mod retry_after;
 pub mod revision;
