--- a/request/src/cluster/flights.rs
+++ b/request/src/cluster/flights.rs
@@ -10,7 +10,7 @@
 use super::{Cluster, Upstream};
 use crate::fingerprint::Fingerprint;
 use crate::flight::{Flight, Told, Tracked};
-use crate::pace::Pace;
+use crate::sliding_window::SlidingWindow;
 
 /// How long a placement that was given counts before its VM tells of the attempt: several beats, of
 /// which some may be lost.
@@ -41,7 +41,7 @@
     /// Those that run alone; hardly ever any.
     alone: Vec<(Serial, Fingerprint, id::Upstream)>,
     /// What was sent to each upstream of late.
-    paces: HashMap<id::Upstream, Pace>,
+    windows: HashMap<id::Upstream, SlidingWindow>,
     serial: Serial,
 }
 
@@ -72,24 +72,24 @@
         number: u64,
         at: Instant,
     ) {
-        self.pace_mut(upstream).record(holder, number, at);
+        self.window_mut(upstream).record(holder, number, at);
     }
 
     pub(super) fn set_limited(&mut self, upstream: &id::Upstream, is_limited: bool) {
-        if is_limited || self.paces.contains_key(upstream) {
-            self.pace_mut(upstream).set_limited(is_limited);
+        if is_limited || self.windows.contains_key(upstream) {
+            self.window_mut(upstream).set_limited(is_limited);
         }
     }
 
-    fn pace_mut(&mut self, upstream: &id::Upstream) -> &mut Pace {
-        if !self.paces.contains_key(upstream) {
-            self.paces.insert(upstream.clone(), Pace::default());
+    fn window_mut(&mut self, upstream: &id::Upstream) -> &mut SlidingWindow {
+        if !self.windows.contains_key(upstream) {
+            self.windows.insert(upstream.clone(), SlidingWindow::default());
         }
-        self.paces.get_mut(upstream).expect("just inserted")
+        self.windows.get_mut(upstream).expect("just inserted")
     }
 
-    pub(super) fn pace(&self, upstream: &id::Upstream) -> Option<&Pace> {
-        self.paces.get(upstream)
+    pub(super) fn window(&self, upstream: &id::Upstream) -> Option<&SlidingWindow> {
+        self.windows.get(upstream)
     }
 
     fn work(&mut self, upstream: &id::Upstream) -> &mut Work {
@@ -160,14 +160,14 @@
     /// the VMs that sent it still tell.
     pub(super) fn restarted(&mut self, upstream: &id::Upstream) {
         self.works.remove(upstream);
-        self.paces.remove(upstream);
+        self.windows.remove(upstream);
         self.alone.retain(|(.., at)| at != upstream);
     }
 
     /// Ends all flights of a peer.
     pub(super) fn lost(&mut self, vm: &id::Vm, now: Instant) {
         let holder = Holder::Peer(vm.clone());
-        self.paces.values_mut().for_each(|pace| pace.renumber(&holder));
+        self.windows.values_mut().for_each(|window| window.forget_numbers(&holder));
         let flights = self.by_holder.remove(&holder).unwrap_or_default();
         for Entry { serial, tracked, .. } in flights.into_values() {
             self.alone.retain(|(alone, ..)| *alone != serial);
@@ -251,7 +251,7 @@
 
     /// The requests that began at an upstream within the last second, as far as is known here.
     pub fn begun(&self, upstream: &id::Upstream, now: Instant) -> usize {
-        self.flights.pace(upstream).map_or(0, |pace| pace.begun(now))
+        self.flights.window(upstream).map_or(0, |window| window.cold_count(now))
     }
 
     /// The attempts of all VMs that tell theirs, and the placements given.
--- a/request/src/cluster/limits.rs
+++ b/request/src/cluster/limits.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Cluster, Holder, Upstream};
-use crate::pace::Bound;
 use crate::rate_limit::{self, Entry, Limit, Merge, State};
+use crate::sliding_window::Bound;
 use crate::tag::Tag;
 
 /// How long a dispatch is included in heartbeats: several of them, since some are lost.
@@ -167,15 +167,15 @@
 
     /// Whether both the rate limit and the bound for cold upstreams allow one more request.
     pub fn takes_more(&self, upstream: &Upstream, cold: Option<Bound>, now: Instant) -> bool {
-        let pace = self.flights.pace(&upstream.listed.id);
-        let allows = |bound: Bound| pace.is_none_or(|pace| pace.allows(bound, now));
+        let sent = self.flights.window(&upstream.listed.id);
+        let allows = |bound: Bound| sent.is_none_or(|sent| sent.allows(bound, now));
         let cold = cold.filter(|_| upstream.is_cold(now));
         cold.is_none_or(allows) && named_bounds(upstream, now).all(allows)
     }
 
     /// Requests sent to an upstream within a window, as far as this VM has learned.
     pub fn sent_within(&self, id: &id::Upstream, window: Duration, now: Instant) -> usize {
-        self.flights.pace(id).map_or(0, |pace| pace.sent_within(window, now))
+        self.flights.window(id).map_or(0, |sent| sent.count_within(window, now))
     }
 
     /// Sum of the rates of a service's open upstreams; none if one of them is unlimited.
--- a/request/src/placement/candidate.rs
+++ b/request/src/placement/candidate.rs
@@ -7,7 +7,7 @@
 use super::{Rejection, Requirements};
 use crate::cluster::{BRISK_MS, Cluster, Load, Upstream};
 use crate::forecast;
-use crate::pace::Bound;
+use crate::sliding_window::Bound;
 
 /// Kept from a pause, milliseconds, for one more short prompt that comes in.
 const PAUSE_MARGIN_MS: f64 = 30.0;
--- a/request/src/pace.rs
+++ b/request/src/sliding_window.rs
@@ -23,13 +23,13 @@
 const SUSTAINED_S: f64 = 4.0;
 
 /// Lowest rate, requests a second: the end of a limit is only visible in answers.
-const LEAST_RATE: f64 = 0.1;
+const MIN_RATE: f64 = 0.1;
 
 /// Longest window of any bound.
-const LONGEST_WINDOW: Duration = Duration::from_secs(10);
+const MAX_WINDOW: Duration = Duration::from_secs(10);
 
 /// Capacity of a log: a burst at the highest rate that is enforced.
-const MOST_ENTRIES: usize = 4_096;
+const MAX_ENTRIES: usize = 4_096;
 
 /// At most so many requests in any window of this length.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -49,7 +49,7 @@
 
     /// Bounds of a burst and of the average at a named rate.
     pub fn named(rate: Rate) -> [Bound; 2] {
-        let per_s = rate.as_f64().max(LEAST_RATE);
+        let per_s = rate.as_f64().max(MIN_RATE);
         let over = |requests: f64| {
             let count = requests.ceil();
             Bound { count: count as usize, window: Duration::from_secs_f64(count / per_s) }
@@ -67,13 +67,13 @@
 
 /// Log of recent requests to an upstream.
 #[derive(Debug, Clone, Default)]
-pub struct Pace {
+pub struct SlidingWindow {
     entries: VecDeque<Entry>,
     /// Whether the upstream has a rate limit, whose windows are longer.
     is_limited: bool,
 }
 
-impl Pace {
+impl SlidingWindow {
     /// Sets whether the upstream has a rate limit.
     pub fn set_limited(&mut self, is_limited: bool) {
         self.is_limited = is_limited;
@@ -81,27 +81,27 @@
 
     /// Records a request, unless it is logged already.
     pub fn record(&mut self, holder: &Holder, number: u64, at: Instant) {
-        if self.is_limited && self.knows(holder, number) {
+        if self.is_limited && self.contains(holder, number) {
             return;
         }
-        let place = self.entries.partition_point(|entry| entry.at <= at);
-        self.entries.insert(place, Entry { at, message: Some((holder.clone(), number)) });
-        self.forget(at);
+        let index = self.entries.partition_point(|entry| entry.at <= at);
+        self.entries.insert(index, Entry { at, message: Some((holder.clone(), number)) });
+        self.evict(at);
     }
 
-    fn knows(&self, holder: &Holder, number: u64) -> bool {
+    fn contains(&self, holder: &Holder, number: u64) -> bool {
         let is_same = |entry: &Entry| {
-            entry.message.as_ref().is_some_and(|(of, known)| *known == number && of == holder)
+            entry.message.as_ref().is_some_and(|(of, logged)| *logged == number && of == holder)
         };
         self.entries.iter().rev().any(is_same)
     }
 
     /// Drops entries older than any window.
-    fn forget(&mut self, now: Instant) {
-        let lasts = if self.is_limited { LONGEST_WINDOW } else { COLD_WINDOW };
-        let is_old = |entry: &Entry| now.saturating_duration_since(entry.at) > lasts;
+    fn evict(&mut self, now: Instant) {
+        let window = if self.is_limited { MAX_WINDOW } else { COLD_WINDOW };
+        let is_old = |entry: &Entry| now.saturating_duration_since(entry.at) > window;
         let is_over = |entries: &VecDeque<Entry>| {
-            entries.len() > MOST_ENTRIES || entries.front().is_some_and(is_old)
+            entries.len() > MAX_ENTRIES || entries.front().is_some_and(is_old)
         };
         while is_over(&self.entries) {
             self.entries.pop_front();
@@ -109,25 +109,25 @@
     }
 
     /// Keeps the entries of a VM that has restarted, but no longer matches them by number.
-    pub fn renumber(&mut self, holder: &Holder) {
+    pub fn forget_numbers(&mut self, holder: &Holder) {
         for entry in &mut self.entries {
             entry.message.take_if(|(of, _)| of == holder);
         }
     }
 
     /// Requests within a window.
-    pub fn sent_within(&self, window: Duration, now: Instant) -> usize {
+    pub fn count_within(&self, window: Duration, now: Instant) -> usize {
         let recent = |entry: &&Entry| now.saturating_duration_since(entry.at) <= window;
         self.entries.iter().rev().take_while(recent).count()
     }
 
     /// Requests within the window for cold upstreams.
-    pub fn begun(&self, now: Instant) -> usize {
-        self.sent_within(COLD_WINDOW, now)
+    pub fn cold_count(&self, now: Instant) -> usize {
+        self.count_within(COLD_WINDOW, now)
     }
 
     /// Whether a bound allows one more request.
     pub fn allows(&self, bound: Bound, now: Instant) -> bool {
-        self.sent_within(bound.window, now) < bound.count
+        self.count_within(bound.window, now) < bound.count
     }
 }
