--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -7,7 +7,7 @@
 use foldlock_base::prelude::*;
 use foldlock_request::cluster::{Hall, Halls, Listed};
 use foldlock_request::dialect::Dialect;
-use foldlock_request::directory::{Change, Quarantined};
+use foldlock_request::directory::{Change, QuarantineEntry};
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::revision::Revision;
 use foldlock_request::step;
@@ -171,7 +171,7 @@
 /// A copy of the directory lacks requests that were held since it was made: the VM that had the proof writes
 /// them again.
 fn hold_again<D: Dialect>(process: &Process<D>, changes: &[Change]) {
-    let is_listed = |entry: &Quarantined| {
+    let is_listed = |entry: &QuarantineEntry| {
         changes
             .iter()
             .any(|change| matches!(change, Change::Quarantined(listed) if listed == entry))
@@ -181,12 +181,12 @@
     own.for_each(|entry| process.register.order(Order::Hold(entry.clone())));
 }
 
-fn is_released<D: Dialect>(process: &Process<D>, entry: &Quarantined) -> bool {
+fn is_released<D: Dialect>(process: &Process<D>, entry: &QuarantineEntry) -> bool {
     process.cluster.lock().unwrap().is_released(entry.fingerprint)
 }
 
 /// A copy of the directory lists a request that was let go since it was made: one VM removes it again.
-fn release_again<D: Dialect>(process: &Process<D>, entry: &Quarantined) {
+fn release_again<D: Dialect>(process: &Process<D>, entry: &QuarantineEntry) {
     if process.peers.scheduler(false, process.now()) == Some(Scheduler::Own) {
         process.register.order(Order::Remove(entry.fingerprint));
     }
@@ -299,7 +299,11 @@
     process.room.notify_one();
 }
 
-fn quarantined<D: Dialect>(process: &Process<D>, entry: Quarantined, change_log: &mut ChangeLog) {
+fn quarantined<D: Dialect>(
+    process: &Process<D>,
+    entry: QuarantineEntry,
+    change_log: &mut ChangeLog,
+) {
     let what = format!("{entry:?}");
     let wall_ms = process.clock.wall_millis();
     if process.cluster.lock().unwrap().list_held(entry, process.now(), wall_ms) {
--- a/daemon/src/fleet/ending.rs
+++ b/daemon/src/fleet/ending.rs
@@ -8,7 +8,7 @@
 use foldlock_connection::channel::{Channel, Failure};
 use foldlock_request::decision::Decision;
 use foldlock_request::dialect::Dialect;
-use foldlock_request::directory::Quarantined;
+use foldlock_request::directory::QuarantineEntry;
 use foldlock_request::flight::Flight;
 use foldlock_request::quarantine::{Ending, Held};
 use foldlock_request::suspicion::{Failure as Cause, Outcome};
@@ -82,7 +82,7 @@
     let held_ms = time.as_millis() as u64;
     job.process.metrics.held.inc();
     job.record(Decision::Quarantined { held_ms, proofs });
-    job.process.register.order(Order::Hold(Quarantined {
+    job.process.register.order(Order::Hold(QuarantineEntry {
         fingerprint: job.fingerprint,
         organisation: job.organisation.as_ref().map_or_else(String::new, |o| o.name.clone()),
         path: job.head.uri.path().to_owned(),
--- a/daemon/src/fleet/register.rs
+++ b/daemon/src/fleet/register.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Mutex;
 
-use foldlock_request::directory::Quarantined;
+use foldlock_request::directory::QuarantineEntry;
 use foldlock_request::fingerprint::Fingerprint;
 use tokio::sync::mpsc;
 
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Order {
     /// A request is held.
-    Hold(Quarantined),
+    Hold(QuarantineEntry),
     /// It is no longer.
     Release(Fingerprint),
     /// The same, of an entry that came back with a copy of the directory and is not believed here.
--- a/request/src/cluster.rs
+++ b/request/src/cluster.rs
@@ -25,8 +25,8 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::fingerprint::Fingerprint;
-use crate::held::Quarantined;
 use crate::quarantine::Quarantine;
+use crate::quarantine_entry::QuarantineEntry;
 use crate::revision::Revision;
 use crate::suspicion::Suspicion;
 use crate::tag::Tag;
@@ -56,7 +56,7 @@
     /// Requests under which upstreams ended.
     pub quarantine: Quarantine,
     /// Those of them that the directory lists.
-    held: BTreeMap<Fingerprint, Quarantined>,
+    held: BTreeMap<Fingerprint, QuarantineEntry>,
     /// Those that it listed once and that were let go.
     released: VecDeque<Fingerprint>,
     outcomes: VecDeque<(Instant, Ended)>,
--- a/request/src/cluster/held.rs
+++ b/request/src/cluster/held.rs
@@ -4,7 +4,7 @@
 
 use super::Cluster;
 use crate::fingerprint::Fingerprint;
-use crate::held::Quarantined;
+use crate::quarantine_entry::QuarantineEntry;
 
 /// Requests that were let go and are remembered: what a copy of the directory may still list, some seconds
 /// of an operator's work.
@@ -12,7 +12,7 @@
 
 impl Cluster {
     /// The directory lists a request that is held. Answers whether that says something new.
-    pub fn list_held(&mut self, entry: Quarantined, now: Instant, wall_ms: u64) -> bool {
+    pub fn list_held(&mut self, entry: QuarantineEntry, now: Instant, wall_ms: u64) -> bool {
         let time = Duration::from_millis(entry.until_ms.saturating_sub(wall_ms));
         self.quarantine.hold(entry.fingerprint, entry.proofs, time, now);
         self.digest.set(None);
@@ -39,7 +39,7 @@
     }
 
     /// The requests that the directory lists as held.
-    pub fn held(&self) -> impl Iterator<Item = &Quarantined> {
+    pub fn held(&self) -> impl Iterator<Item = &QuarantineEntry> {
         self.held.values()
     }
 }
--- a/request/src/directory.rs
+++ b/request/src/directory.rs
@@ -13,7 +13,7 @@
 
 use crate::cluster::{Hall, Halls, Listed};
 use crate::fingerprint::Fingerprint;
-pub use crate::held::Quarantined;
+pub use crate::quarantine_entry::QuarantineEntry;
 use crate::revision::Revision;
 
 /// A VM that takes part.
@@ -52,7 +52,7 @@
     pub members: Vec<Member>,
     /// The requests that are held.
     #[serde(default)]
-    pub held: Vec<Quarantined>,
+    pub held: Vec<QuarantineEntry>,
     /// The data halls that are drained or were taken back.
     #[serde(default)]
     pub halls: Halls,
@@ -77,7 +77,7 @@
     /// A data hall is drained, or taken back.
     Hall(Hall),
     /// A request is held.
-    Quarantined(Quarantined),
+    Quarantined(QuarantineEntry),
     /// A request is let go.
     Released(Fingerprint),
     /// Settings that cannot be decoded, and why.
@@ -150,7 +150,7 @@
     fn withdraw(&self, vms: &[id::Vm]) -> impl Future<Output = Result<(), Fault>> + Send;
 
     /// Lists a request as held.
-    fn hold(&self, entry: &Quarantined) -> impl Future<Output = Result<(), Fault>> + Send;
+    fn hold(&self, entry: &QuarantineEntry) -> impl Future<Output = Result<(), Fault>> + Send;
 
     /// Lets a request go.
     fn release(&self, fingerprint: Fingerprint) -> impl Future<Output = Result<(), Fault>> + Send;
--- a/request/src/held.rs
+++ b/request/src/quarantine_entry.rs
@@ -7,7 +7,7 @@
 
 /// A request that is kept from all upstreams, as the directory lists it for all VMs and for operators.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Quarantined {
+pub struct QuarantineEntry {
     /// The request, however often it comes.
     pub fingerprint: Fingerprint,
     /// Whose key it had; empty where it had none.
--- a/request/src/step.rs
+++ b/request/src/step.rs
@@ -11,7 +11,7 @@
 use crate::cluster::{Hall, Listed};
 use crate::directory::Member;
 use crate::fingerprint::Fingerprint;
-use crate::held::Quarantined;
+use crate::quarantine_entry::QuarantineEntry;
 use crate::revision::Revision;
 
 /// Changes that are told at once at most, some 100 bytes each: a datagram holds them beside a VM's other
@@ -32,7 +32,7 @@
     /// A data hall is drained, or taken back.
     Hall(Hall),
     /// A request is held.
-    Held(Quarantined),
+    Held(QuarantineEntry),
     /// A request is let go.
     Released(Fingerprint),
 }
