--- a/daemon/src/fleet/beats.rs
+++ b/daemon/src/fleet/beats.rs
@@ -174,7 +174,7 @@
     let Some(work) = &state.work else { return };
     cluster.hear_outcomes(&state.vm, &work.outcomes, now);
     cluster.hear_reports(&work.reports, now);
-    cluster.quarantine.hear(&work.suspects, now);
+    cluster.quarantine.merge(&work.suspects, now);
     cluster.merge_dispatches(&state.vm, &work.dispatches, now);
     let granted = if of_this_start { beat.granted } else { 0 };
     let room = cluster.hear(&state.vm, &work.flights, granted, now);
--- a/daemon/src/fleet/ending.rs
+++ b/daemon/src/fleet/ending.rs
@@ -10,7 +10,7 @@
 use foldlock_request::dialect::Dialect;
 use foldlock_request::directory::QuarantineEntry;
 use foldlock_request::flight::Flight;
-use foldlock_request::quarantine::{Ending, Held};
+use foldlock_request::quarantine::{Crash, Status};
 use foldlock_request::suspicion::{Failure as Cause, Outcome};
 use foldlock_request::tag::Tag;
 
@@ -57,13 +57,13 @@
     let now = job.process.now();
     let upstream = flight.upstream.clone();
     let alone = flight.alone.is_some();
-    let ending = Ending { upstream: start, alone };
+    let ending = Crash { upstream: start, isolated: alone };
     let mut cluster = job.process.cluster.lock().unwrap();
     if cluster.tag_of(&upstream) == start {
         cluster.note(&upstream, Outcome::Failed(Cause::Silent), now);
     }
-    let held = cluster.quarantine.ended(job.fingerprint, ending, now);
-    let known = cluster.quarantine.ended_under(job.fingerprint) as u32;
+    let held = cluster.quarantine.record_crash(job.fingerprint, ending, now);
+    let known = cluster.quarantine.crash_count(job.fingerprint) as u32;
     drop(cluster);
     tell::tell_scheduler(&job.process);
     job.process.pool.forget(&upstream);
@@ -77,9 +77,9 @@
 }
 
 /// The request is held from now on: the directory is to tell all VMs, and those that start later.
-fn hold<D: Dialect>(job: &Job<D>, held: Held) {
-    let Held { proofs, time, ended } = held;
-    let held_ms = time.as_millis() as u64;
+fn hold<D: Dialect>(job: &Job<D>, status: Status) {
+    let Status { solo_crashes: proofs, remaining, crashes } = status;
+    let held_ms = remaining.as_millis() as u64;
     job.process.metrics.held.inc();
     job.record(Decision::Quarantined { held_ms, proofs });
     job.process.register.order(Order::Hold(QuarantineEntry {
@@ -89,7 +89,7 @@
         service: job.service.name.clone(),
         request: job.id.clone(),
         vm: job.process.member.vm.clone(),
-        ended: ended as u32,
+        ended: crashes as u32,
         proofs,
         until_ms: job.process.clock.wall_millis() + held_ms,
     }));
@@ -99,7 +99,7 @@
 pub fn answered<D: Dialect>(job: &Arc<Job<D>>) {
     let fingerprint = job.fingerprint;
     let mut cluster = job.process.cluster.lock().unwrap();
-    if !cluster.quarantine.answered(fingerprint, job.process.now()) {
+    if !cluster.quarantine.record_completion(fingerprint, job.process.now()) {
         return;
     }
     let listed = cluster.held().any(|entry| entry.fingerprint == fingerprint);
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -198,7 +198,7 @@
 fn note_held<D: Dialect>(process: &Process<D>, fingerprint: Fingerprint, rejection: Rejection) {
     if let Rejection::Quarantined { left_ms } = rejection {
         let left = Duration::from_millis(left_ms);
-        process.cluster.lock().unwrap().quarantine.hold(fingerprint, 1, left, process.now());
+        process.cluster.lock().unwrap().quarantine.merge_entry(fingerprint, 1, left, process.now());
     }
 }
 
--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -217,10 +217,10 @@
     let suspects: Vec<_> = cluster
         .quarantine
         .suspects(now)
-        .map(|(fingerprint, held, verdict)| {
+        .map(|(fingerprint, status, verdict)| {
             json!({
-                "fingerprint": fingerprint, "ended": held.ended, "proofs": held.proofs,
-                "held_ms": held.time.as_millis() as u64, "alone": verdict == Verdict::Alone,
+                "fingerprint": fingerprint, "ended": status.crashes, "proofs": status.solo_crashes,
+                "held_ms": status.remaining.as_millis() as u64, "alone": verdict == Verdict::Isolated,
             })
         })
         .collect();
--- a/daemon/src/fleet/tell.rs
+++ b/daemon/src/fleet/tell.rs
@@ -149,7 +149,7 @@
         flights: cluster.told(now),
         outcomes: cluster.told_outcomes(now),
         reports: cluster.told_reports(now),
-        suspects: cluster.quarantine.told(round == Round::All, now),
+        suspects: cluster.quarantine.announced(round == Round::All, now),
         dispatches: cluster.announced_dispatches(now),
     }
 }
--- a/request/src/cluster/held.rs
+++ b/request/src/cluster/held.rs
@@ -14,7 +14,7 @@
     /// The directory lists a request that is held. Answers whether that says something new.
     pub fn list_held(&mut self, entry: QuarantineEntry, now: Instant, wall_ms: u64) -> bool {
         let time = Duration::from_millis(entry.until_ms.saturating_sub(wall_ms));
-        self.quarantine.hold(entry.fingerprint, entry.proofs, time, now);
+        self.quarantine.merge_entry(entry.fingerprint, entry.proofs, time, now);
         self.digest.set(None);
         self.held.insert(entry.fingerprint, entry.clone()).as_ref() != Some(&entry)
     }
--- a/request/src/message.rs
+++ b/request/src/message.rs
@@ -132,7 +132,7 @@
     /// The reports that it has of engines.
     pub reports: Vec<report::Told>,
     /// What it learnt of requests under which upstreams ended.
-    pub suspects: Vec<quarantine::News>,
+    pub suspects: Vec<quarantine::Announcement>,
     /// Recent messages to rate-limited upstreams.
     #[serde(default)]
     pub dispatches: Vec<Dispatch>,
--- a/request/src/placement.rs
+++ b/request/src/placement.rs
@@ -245,10 +245,12 @@
     now: Instant,
 ) -> Result<bool, Rejection> {
     match cluster.quarantine.verdict(fingerprint, now) {
-        Verdict::Beside => Ok(false),
-        Verdict::Alone if cluster.runs_alone(fingerprint) => Err(Rejection::Full),
-        Verdict::Alone => Ok(true),
-        Verdict::Held(left) => Err(Rejection::Quarantined { left_ms: left.as_millis() as u64 }),
+        Verdict::Shared => Ok(false),
+        Verdict::Isolated if cluster.runs_alone(fingerprint) => Err(Rejection::Full),
+        Verdict::Isolated => Ok(true),
+        Verdict::Quarantined(left) => {
+            Err(Rejection::Quarantined { left_ms: left.as_millis() as u64 })
+        }
     }
 }
 
--- a/request/src/quarantine.rs
+++ b/request/src/quarantine.rs
@@ -18,135 +18,147 @@
 use serde::{Deserialize, Serialize};
 
 use crate::fingerprint::Fingerprint;
-use crate::quarantine::case::{Case, Proofs};
+use crate::quarantine::case::{Case, SoloCrashes};
 use crate::tag::Tag;
 
 /// Requests that are remembered. A crash cuts some sixteen, so these are 250 crashes in the time for which
 /// they count; at some 250 bytes each, 1 MB. The one that was quiet for longest goes first, those that are
 /// held last.
-const MOST: usize = 4_096;
+const MAX_CASES: usize = 4_096;
 
 /// How long news is told with each message: some beats, of which one arrives.
-const FRESH: Duration = Duration::from_millis(200);
+const FRESH_WINDOW: Duration = Duration::from_millis(200);
 
 /// How long it is told again after that, for a VM that begins to place requests later.
-const TOLD: Duration = Duration::from_secs(20);
+const ANNOUNCE_WINDOW: Duration = Duration::from_secs(20);
 
 /// How often all of it is told again: with each slow beat it would be ten times as many bytes at the VM
 /// that places for a fleet.
-const AGAIN: Duration = Duration::from_secs(2);
+const FULL_ANNOUNCE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// News that is told at most.
-const MOST_TOLD: usize = 64;
+const MAX_ANNOUNCEMENTS: usize = 64;
 
 /// What is to become of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// It runs beside others.
-    Beside,
+    Shared,
     /// It runs alone, one copy at a time.
-    Alone,
+    Isolated,
     /// It is kept from all upstreams for this long.
-    Held(Duration),
+    Quarantined(Duration),
 }
 
 /// What was learnt of a request, as VMs tell each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Announcement {
     fingerprint: Fingerprint,
-    what: What,
+    event: Event,
     age_ms: u32,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-enum What {
+enum Event {
     /// An upstream ended under it.
-    Ended(Ending),
+    #[serde(rename = "Ended")]
+    Crashed(Crash),
     /// It was answered whole.
-    Answered,
+    #[serde(rename = "Answered")]
+    Completed,
 }
 
 /// The end of an upstream under a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ending {
+pub struct Crash {
     /// The upstream, one start of its program.
     pub upstream: Tag,
     /// Whether the request ran alone there.
-    pub alone: bool,
+    pub isolated: bool,
 }
 
 /// A request that is kept from all upstreams, as it is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Held {
+pub struct Status {
     /// How often it ended an upstream while it ran alone.
-    pub proofs: u32,
+    pub solo_crashes: u32,
     /// For how long from now.
-    pub time: Duration,
+    pub remaining: Duration,
     /// Upstreams that ended under it.
-    pub ended: usize,
+    pub crashes: usize,
 }
 
 /// All requests that are remembered for what they did.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     cases: HashMap<Fingerprint, Case>,
-    news: VecDeque<(Instant, Fingerprint, What)>,
+    announcements: VecDeque<(Instant, Fingerprint, Event)>,
     /// When all of it was last told.
-    told: Option<Instant>,
+    last_full: Option<Instant>,
 }
 
 impl Quarantine {
     /// What is to become of a request.
     pub fn verdict(&self, fingerprint: Fingerprint, now: Instant) -> Verdict {
-        self.cases.get(&fingerprint).map_or(Verdict::Beside, |case| case.verdict(now))
+        self.cases.get(&fingerprint).map_or(Verdict::Shared, |case| case.verdict(now))
     }
 
     /// An upstream ended under a request of this VM. Answers for how long it is held if that is new.
-    pub fn ended(
+    pub fn record_crash(
         &mut self,
         fingerprint: Fingerprint,
-        ending: Ending,
+        crash: Crash,
         now: Instant,
-    ) -> Option<Held> {
-        self.note(fingerprint, What::Ended(ending), now);
-        self.take_ending(fingerprint, ending, now, now)
+    ) -> Option<Status> {
+        self.enqueue(fingerprint, Event::Crashed(crash), now);
+        self.apply_crash(fingerprint, crash, now, now)
     }
 
     /// A request of this VM was answered whole. Answers whether anything was held against it.
-    pub fn answered(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
+    pub fn record_completion(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
         if !self.cases.get(&fingerprint).is_some_and(Case::is_suspected) {
             return false;
         }
-        self.note(fingerprint, What::Answered, now);
-        self.take_answer(fingerprint, now)
+        self.enqueue(fingerprint, Event::Completed, now);
+        self.apply_completion(fingerprint, now)
     }
 
     /// A request is let go, whatever it did.
     pub fn release(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
-        self.take_answer(fingerprint, now)
+        self.apply_completion(fingerprint, now)
     }
 
     /// A request is known elsewhere to be held, after as many proofs, for this long by that VM's time of
     /// day: never longer than so many proofs hold it, whatever the two clocks say.
-    pub fn hold(&mut self, fingerprint: Fingerprint, proofs: u32, time: Duration, now: Instant) {
-        let proofs = Proofs { count: proofs, until: None };
-        let until = Some(now + time.min(proofs.time()));
-        self.case(fingerprint, now).hear(Proofs { until, ..proofs }, now);
+    pub fn merge_entry(
+        &mut self,
+        fingerprint: Fingerprint,
+        count: u32,
+        duration: Duration,
+        now: Instant,
+    ) {
+        let solo_crashes = SoloCrashes { count, until: None };
+        let until = Some(now + duration.min(solo_crashes.duration()));
+        self.case(fingerprint, now).merge(SoloCrashes { until, ..solo_crashes }, now);
     }
 
     /// The upstreams that ended under a request.
-    pub fn ended_under(&self, fingerprint: Fingerprint) -> usize {
-        self.cases.get(&fingerprint).map_or(0, |case| case.ended.len())
+    pub fn crash_count(&self, fingerprint: Fingerprint) -> usize {
+        self.cases.get(&fingerprint).map_or(0, |case| case.crashes.len())
     }
 
     /// The requests that are held or run alone.
-    pub fn suspects(&self, now: Instant) -> impl Iterator<Item = (Fingerprint, Held, Verdict)> {
+    pub fn suspects(&self, now: Instant) -> impl Iterator<Item = (Fingerprint, Status, Verdict)> {
         let suspects = self.cases.iter().map(move |(fingerprint, case)| {
-            let time = case.left(now).unwrap_or_default();
-            let held = Held { proofs: case.proofs.count, time, ended: case.ended.len() };
-            (*fingerprint, held, case.verdict(now))
+            let remaining = case.remaining(now).unwrap_or_default();
+            let status = Status {
+                solo_crashes: case.solo_crashes.count,
+                remaining,
+                crashes: case.crashes.len(),
+            };
+            (*fingerprint, status, case.verdict(now))
         });
-        suspects.filter(|(_, _, verdict)| *verdict != Verdict::Beside)
+        suspects.filter(|(_, _, verdict)| *verdict != Verdict::Shared)
     }
 
     /// Requests that are remembered.
@@ -161,71 +173,77 @@
 
     /// What peers are told: what is new with each message, all that is recent now and then with one that
     /// goes to all.
-    pub fn told(&mut self, to_all: bool, now: Instant) -> Vec<News> {
-        let due = self.told.is_none_or(|told| now.saturating_duration_since(told) >= AGAIN);
+    pub fn announced(&mut self, to_all: bool, now: Instant) -> Vec<Announcement> {
+        let due = self
+            .last_full
+            .is_none_or(|at| now.saturating_duration_since(at) >= FULL_ANNOUNCE_INTERVAL);
         if to_all && due {
-            self.told = Some(now);
-            return self.recent(TOLD, now);
+            self.last_full = Some(now);
+            return self.announced_within(ANNOUNCE_WINDOW, now);
         }
-        self.recent(FRESH, now)
+        self.announced_within(FRESH_WINDOW, now)
     }
 
     /// What was learnt within this time.
-    pub fn recent(&mut self, within: Duration, now: Instant) -> Vec<News> {
+    pub fn announced_within(&mut self, within: Duration, now: Instant) -> Vec<Announcement> {
         let age = |at: Instant| now.saturating_duration_since(at);
-        while self.news.front().is_some_and(|(at, ..)| age(*at) > TOLD) {
-            self.news.pop_front();
+        while self.announcements.front().is_some_and(|(at, ..)| age(*at) > ANNOUNCE_WINDOW) {
+            self.announcements.pop_front();
         }
-        let recent = self.news.iter().filter(|(at, ..)| age(*at) <= within);
-        recent
-            .map(|(at, fingerprint, what)| News {
+        let within = self.announcements.iter().filter(|(at, ..)| age(*at) <= within);
+        within
+            .map(|(at, fingerprint, event)| Announcement {
                 fingerprint: *fingerprint,
-                what: *what,
+                event: *event,
                 age_ms: age(*at).as_millis() as u32,
             })
             .collect()
     }
 
     /// Takes what a peer told; the same again changes nothing.
-    pub fn hear(&mut self, told: &[News], now: Instant) {
-        for News { fingerprint, what, age_ms } in told {
+    pub fn merge(&mut self, announcements: &[Announcement], now: Instant) {
+        for Announcement { fingerprint, event, age_ms } in announcements {
             let age = Duration::from_millis(u64::from(*age_ms));
             let at = now.checked_sub(age).unwrap_or(now);
-            match what {
-                What::Ended(ending) => {
-                    self.take_ending(*fingerprint, *ending, at, now);
+            match event {
+                Event::Crashed(crash) => {
+                    self.apply_crash(*fingerprint, *crash, at, now);
                 }
-                What::Answered => {
-                    self.take_answer(*fingerprint, at);
+                Event::Completed => {
+                    self.apply_completion(*fingerprint, at);
                 }
             }
         }
     }
 
-    fn note(&mut self, fingerprint: Fingerprint, what: What, now: Instant) {
-        if self.news.len() == MOST_TOLD {
-            self.news.pop_front();
+    fn enqueue(&mut self, fingerprint: Fingerprint, event: Event, now: Instant) {
+        if self.announcements.len() == MAX_ANNOUNCEMENTS {
+            self.announcements.pop_front();
         }
-        self.news.push_back((now, fingerprint, what));
+        self.announcements.push_back((now, fingerprint, event));
     }
 
-    fn take_ending(
+    fn apply_crash(
         &mut self,
         fingerprint: Fingerprint,
-        ending: Ending,
+        crash: Crash,
         at: Instant,
         now: Instant,
-    ) -> Option<Held> {
+    ) -> Option<Status> {
         let case = self.case(fingerprint, now);
         let is_old = case.cleared.is_some_and(|cleared| at <= cleared);
-        if is_old || !case.add(ending, at) {
+        if is_old || !case.add(crash, at) {
             return None;
         }
-        let time = case.left(now).unwrap_or_default();
-        Some(Held { proofs: case.proofs.count, time, ended: case.ended.len() })
+        let remaining = case.remaining(now).unwrap_or_default();
+        Some(Status {
+            solo_crashes: case.solo_crashes.count,
+            remaining,
+            crashes: case.crashes.len(),
+        })
     }
 
-    fn take_answer(&mut self, fingerprint: Fingerprint, at: Instant) -> bool {
+    fn apply_completion(&mut self, fingerprint: Fingerprint, at: Instant) -> bool {
         let Some(case) = self.cases.get_mut(&fingerprint) else { return false };
         if case.cleared.is_some_and(|cleared| at <= cleared) {
             return false;
@@ -236,23 +254,23 @@
 
     /// The case of a request, begun if there is none.
     fn case(&mut self, fingerprint: Fingerprint, now: Instant) -> &mut Case {
-        if !self.cases.contains_key(&fingerprint) && self.cases.len() >= MOST {
+        if !self.cases.contains_key(&fingerprint) && self.cases.len() >= MAX_CASES {
             self.make_room(now);
         }
         let case = self.cases.entry(fingerprint).or_insert_with(|| Case::new(now));
-        if case.is_over(now) {
-            *case = case.begun_anew(now);
+        if case.is_expired(now) {
+            *case = case.reset(now);
         }
-        case.touched = now;
+        case.last_event = now;
         case
     }
 
     fn make_room(&mut self, now: Instant) {
-        self.cases.retain(|_, case| !case.is_over(now));
-        if self.cases.len() < MOST {
+        self.cases.retain(|_, case| !case.is_expired(now));
+        if self.cases.len() < MAX_CASES {
             return;
         }
-        let rank = |case: &Case| (case.left(now).is_some(), case.touched);
+        let rank = |case: &Case| (case.remaining(now).is_some(), case.last_event);
         let first = self.cases.iter().min_by_key(|(_, case)| rank(case)).map(|(first, _)| *first);
         if let Some(first) = first {
             self.cases.remove(&first);
--- a/request/tests/patterns/crash.rs
+++ b/request/tests/patterns/crash.rs
@@ -12,7 +12,7 @@
 use foldlock_request::cluster::{Cluster, Listed};
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::placement::{self, Rejection, Requirements};
-use foldlock_request::quarantine::Ending;
+use foldlock_request::quarantine::Crash;
 use foldlock_version::routes::Service;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -163,7 +163,7 @@
             },
             State::Runs { number, since, .. } if !request.deadly && self.now - since >= ANSWER => {
                 self.cluster.leave(number, self.now);
-                self.cluster.quarantine.answered(request.fingerprint, self.now);
+                self.cluster.quarantine.record_completion(request.fingerprint, self.now);
                 self.score.served += 1;
                 false
             }
@@ -182,7 +182,11 @@
                 return true;
             }
             cluster.leave(number, now);
-            cluster.quarantine.ended(request.fingerprint, Ending { upstream, alone }, now);
+            cluster.quarantine.record_crash(
+                request.fingerprint,
+                Crash { upstream, isolated: alone },
+                now,
+            );
             score.cut += usize::from(!request.deadly);
             request.attempts += 1;
             request.state = State::Waits;
--- a/request/tests/quarantine.rs
+++ b/request/tests/quarantine.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use foldlock_request::fingerprint::Fingerprint;
-use foldlock_request::quarantine::{Ending, Quarantine, Verdict};
+use foldlock_request::quarantine::{Crash, Quarantine, Verdict};
 use foldlock_request::tag::Tag;
 use proptest::prelude::*;
 
@@ -14,12 +14,12 @@
     Fingerprint::of("registry", "POST", "/audit/", &number.to_be_bytes())
 }
 
-fn beside(upstream: u32) -> Ending {
-    Ending { upstream: Tag::of(&format!("i-{upstream}")), alone: false }
+fn shared(upstream: u32) -> Crash {
+    Crash { upstream: Tag::of(&format!("i-{upstream}")), isolated: false }
 }
 
-fn alone(upstream: u32) -> Ending {
-    Ending { alone: true, ..beside(upstream) }
+fn isolated(upstream: u32) -> Crash {
+    Crash { isolated: true, ..shared(upstream) }
 }
 
 fn later(now: Instant, seconds: u64) -> Instant {
@@ -27,132 +27,137 @@
 }
 
 #[test]
-fn a_request_beside_which_one_upstream_ended_runs_beside_others() {
+fn a_request_stays_shared_after_one_crash() {
     let (mut quarantine, now) = (Quarantine::default(), Instant::now());
-    assert_eq!(quarantine.ended(request(1), beside(1), now), None);
-    assert_eq!(quarantine.verdict(request(1), now), Verdict::Beside);
+    assert_eq!(quarantine.record_crash(request(1), shared(1), now), None);
+    assert_eq!(quarantine.verdict(request(1), now), Verdict::Shared);
 }
 
 #[test]
-fn after_two_it_runs_alone_and_is_held_only_once_that_ends_an_upstream_too() {
+fn it_is_isolated_after_two_crashes_and_quarantined_only_after_a_solo_crash() {
     let (mut quarantine, now) = (Quarantine::default(), Instant::now());
     for upstream in 1..=6 {
-        assert_eq!(quarantine.ended(request(1), beside(upstream), now), None);
+        assert_eq!(quarantine.record_crash(request(1), shared(upstream), now), None);
     }
-    assert_eq!(quarantine.verdict(request(1), now), Verdict::Alone, "copies at six at once");
-    let held = quarantine.ended(request(1), alone(7), now).unwrap();
-    assert_eq!((held.proofs, held.time), (1, Duration::from_secs(15)));
-    assert_eq!(quarantine.verdict(request(1), now), Verdict::Held(held.time));
-    assert_eq!(quarantine.verdict(request(2), now), Verdict::Beside);
+    assert_eq!(quarantine.verdict(request(1), now), Verdict::Isolated, "copies at six at once");
+    let status = quarantine.record_crash(request(1), isolated(7), now).unwrap();
+    assert_eq!((status.solo_crashes, status.remaining), (1, Duration::from_secs(15)));
+    assert_eq!(quarantine.verdict(request(1), now), Verdict::Quarantined(status.remaining));
+    assert_eq!(quarantine.verdict(request(2), now), Verdict::Shared);
 }
 
 #[test]
-fn an_answer_clears_it_whatever_ended_before() {
+fn a_completion_clears_all_earlier_crashes() {
     let (mut quarantine, now) = (Quarantine::default(), Instant::now());
     (1..=2).for_each(|upstream| {
-        quarantine.ended(request(1), beside(upstream), now);
+        quarantine.record_crash(request(1), shared(upstream), now);
     });
-    assert!(quarantine.answered(request(1), later(now, 1)));
-    assert_eq!(quarantine.verdict(request(1), later(now, 1)), Verdict::Beside);
-    assert!(!quarantine.answered(request(1), later(now, 2)), "nothing was held against it");
-    assert!(!quarantine.answered(request(2), later(now, 2)));
+    assert!(quarantine.record_completion(request(1), later(now, 1)));
+    assert_eq!(quarantine.verdict(request(1), later(now, 1)), Verdict::Shared);
+    assert!(
+        !quarantine.record_completion(request(1), later(now, 2)),
+        "nothing was held against it"
+    );
+    assert!(!quarantine.record_completion(request(2), later(now, 2)));
 }
 
 #[test]
-fn each_proof_holds_it_for_longer_and_five_upstreams_a_day_is_all_it_costs() {
+fn each_solo_crash_lengthens_the_quarantine_so_that_a_request_crashes_at_most_five_upstreams_a_day()
+{
     let (mut quarantine, mut now) = (Quarantine::default(), Instant::now());
-    let mut ended = 0;
+    let mut crashes = 0;
     let day = later(now, 23 * 3_600);
     while now < day {
         match quarantine.verdict(request(1), now) {
-            Verdict::Beside => {
-                quarantine.ended(request(1), beside(ended), now);
-                ended += 1;
+            Verdict::Shared => {
+                quarantine.record_crash(request(1), shared(crashes), now);
+                crashes += 1;
             }
-            Verdict::Alone => {
-                quarantine.ended(request(1), alone(ended), now);
-                ended += 1;
+            Verdict::Isolated => {
+                quarantine.record_crash(request(1), isolated(crashes), now);
+                crashes += 1;
             }
-            Verdict::Held(_) => {}
+            Verdict::Quarantined(_) => {}
         }
         now += Duration::from_millis(700);
     }
-    assert_eq!(ended, 5);
+    assert_eq!(crashes, 5);
 }
 
 #[test]
-fn what_is_quiet_for_long_is_forgotten() {
+fn crashes_expire_after_two_minutes() {
     let (mut quarantine, now) = (Quarantine::default(), Instant::now());
     (1..=2).for_each(|upstream| {
-        quarantine.ended(request(1), beside(upstream), now);
+        quarantine.record_crash(request(1), shared(upstream), now);
     });
-    assert_eq!(quarantine.verdict(request(1), later(now, 119)), Verdict::Alone);
-    assert_eq!(quarantine.verdict(request(1), later(now, 121)), Verdict::Beside);
-    quarantine.ended(request(1), beside(3), later(now, 121));
-    assert_eq!(quarantine.verdict(request(1), later(now, 121)), Verdict::Beside, "one by now");
+    assert_eq!(quarantine.verdict(request(1), later(now, 119)), Verdict::Isolated);
+    assert_eq!(quarantine.verdict(request(1), later(now, 121)), Verdict::Shared);
+    quarantine.record_crash(request(1), shared(3), later(now, 121));
+    assert_eq!(quarantine.verdict(request(1), later(now, 121)), Verdict::Shared, "one by now");
 }
 
 #[test]
-fn a_request_that_is_held_elsewhere_is_held_here_and_can_be_let_go() {
+fn a_quarantine_entry_of_another_vm_applies_and_can_be_released() {
     let (mut quarantine, now) = (Quarantine::default(), Instant::now());
-    quarantine.hold(request(1), 2, Duration::from_secs(9), now);
-    assert_eq!(quarantine.verdict(request(1), now), Verdict::Held(Duration::from_secs(9)));
-    assert_eq!(quarantine.verdict(request(1), later(now, 9)), Verdict::Alone);
-    let held = quarantine.ended(request(1), alone(1), later(now, 9)).unwrap();
-    assert_eq!(held.proofs, 3, "the two elsewhere count");
+    quarantine.merge_entry(request(1), 2, Duration::from_secs(9), now);
+    assert_eq!(quarantine.verdict(request(1), now), Verdict::Quarantined(Duration::from_secs(9)));
+    assert_eq!(quarantine.verdict(request(1), later(now, 9)), Verdict::Isolated);
+    let status = quarantine.record_crash(request(1), isolated(1), later(now, 9)).unwrap();
+    assert_eq!(status.solo_crashes, 3, "the two elsewhere count");
     assert!(quarantine.release(request(1), later(now, 10)));
-    assert_eq!(quarantine.verdict(request(1), later(now, 10)), Verdict::Beside);
+    assert_eq!(quarantine.verdict(request(1), later(now, 10)), Verdict::Shared);
 }
 
 #[test]
-fn a_clock_that_is_a_day_behind_holds_nothing_for_a_day() {
+fn a_clock_a_day_behind_does_not_lengthen_a_quarantine() {
     let (mut quarantine, now) = (Quarantine::default(), Instant::now());
-    quarantine.hold(request(1), 1, Duration::from_secs(24 * 3_600), now);
-    assert_eq!(quarantine.verdict(request(1), now), Verdict::Held(Duration::from_secs(15)));
+    quarantine.merge_entry(request(1), 1, Duration::from_secs(24 * 3_600), now);
+    assert_eq!(quarantine.verdict(request(1), now), Verdict::Quarantined(Duration::from_secs(15)));
 }
 
 /// A million distinct requests that crash nothing leave nothing; 20,000 that were cut by crashes stay
 /// within the bound, and the ones that are held are the last to go.
 #[test]
-fn a_flood_of_requests_stays_within_its_bound_and_frees_nobody_who_is_held() {
+fn a_flood_of_requests_stays_within_the_bound_and_evicts_no_quarantined_request() {
     let (mut quarantine, now) = (Quarantine::default(), Instant::now());
     for number in 0..1_000_000 {
-        quarantine.answered(request(number), now);
+        quarantine.record_completion(request(number), now);
     }
     assert!(quarantine.is_empty());
     for number in 0..1_000 {
-        quarantine.ended(request(number), alone(number), now);
+        quarantine.record_crash(request(number), isolated(number), now);
     }
     for number in 1_000..20_000 {
-        quarantine.ended(request(number), beside(number), now);
+        quarantine.record_crash(request(number), shared(number), now);
     }
     assert_eq!(quarantine.len(), 4_096);
-    let held = |number: &u32| matches!(quarantine.verdict(request(*number), now), Verdict::Held(_));
-    assert_eq!((0..1_000).filter(held).count(), 1_000);
+    let is_quarantined =
+        |number: &u32| matches!(quarantine.verdict(request(*number), now), Verdict::Quarantined(_));
+    assert_eq!((0..1_000).filter(is_quarantined).count(), 1_000);
 }
 
 #[test]
-fn news_is_told_often_while_it_is_fresh_and_with_the_slow_beats_for_longer() {
+fn fresh_events_are_in_every_announcement_and_older_ones_in_occasional_full_ones() {
     let (mut quarantine, now) = (Quarantine::default(), Instant::now());
-    quarantine.ended(request(1), beside(1), now);
-    assert_eq!(quarantine.told(false, now).len(), 1);
-    assert_eq!(quarantine.told(false, later(now, 1)).len(), 0);
-    assert_eq!(quarantine.told(true, later(now, 1)).len(), 1);
-    assert_eq!(quarantine.told(true, later(now, 2)).len(), 0, "told a second ago");
-    assert_eq!(quarantine.told(true, later(now, 3)).len(), 1);
-    assert_eq!(quarantine.told(true, later(now, 21)).len(), 0);
+    quarantine.record_crash(request(1), shared(1), now);
+    assert_eq!(quarantine.announced(false, now).len(), 1);
+    assert_eq!(quarantine.announced(false, later(now, 1)).len(), 0);
+    assert_eq!(quarantine.announced(true, later(now, 1)).len(), 1);
+    assert_eq!(quarantine.announced(true, later(now, 2)).len(), 0, "told a second ago");
+    assert_eq!(quarantine.announced(true, later(now, 3)).len(), 1);
+    assert_eq!(quarantine.announced(true, later(now, 21)).len(), 0);
 }
 
 /// A VM saw the same upstream end before and after an answer that another VM heard of later.
 #[test]
-fn an_answer_clears_only_what_came_before_it() {
+fn a_completion_clears_only_earlier_crashes() {
     let (mut here, mut there, now) = (Quarantine::default(), Quarantine::default(), Instant::now());
-    here.ended(request(1), beside(1), now);
-    here.answered(request(1), later(now, 1));
-    there.ended(request(1), beside(1), later(now, 2));
-    there.hear(&here.recent(ALL, later(now, 3)), later(now, 3));
-    here.hear(&there.recent(ALL, later(now, 3)), later(now, 3));
-    assert_eq!((here.ended_under(request(1)), there.ended_under(request(1))), (1, 1));
+    here.record_crash(request(1), shared(1), now);
+    here.record_completion(request(1), later(now, 1));
+    there.record_crash(request(1), shared(1), later(now, 2));
+    there.merge(&here.announced_within(ALL, later(now, 3)), later(now, 3));
+    here.merge(&there.announced_within(ALL, later(now, 3)), later(now, 3));
+    assert_eq!((here.crash_count(request(1)), there.crash_count(request(1))), (1, 1));
 }
 
 /// What happens to a request at VMs. One start of an upstream ends once, so a second VM sees its end only
@@ -160,18 +165,18 @@
 #[derive(Debug, Clone, Copy)]
 enum Step {
     /// An upstream ends, and this VM sees it.
-    Ended {
+    Crashed {
         vm: usize,
-        alone: bool,
+        isolated: bool,
     },
     /// This VM sees the end of the last upstream, too, under another copy.
     Seen {
         vm: usize,
     },
-    Answered {
+    Completed {
         vm: usize,
     },
-    Heard {
+    Merged {
         from: usize,
         by: usize,
     },
@@ -180,58 +185,58 @@
 fn step() -> impl Strategy<Value = Step> {
     let vm = 0..3_usize;
     prop_oneof![
-        (vm.clone(), any::<bool>()).prop_map(|(vm, alone)| Step::Ended { vm, alone }),
+        (vm.clone(), any::<bool>()).prop_map(|(vm, isolated)| Step::Crashed { vm, isolated }),
         vm.clone().prop_map(|vm| Step::Seen { vm }),
-        vm.clone().prop_map(|vm| Step::Answered { vm }),
-        (vm.clone(), vm).prop_map(|(from, by)| Step::Heard { from, by }),
+        vm.clone().prop_map(|vm| Step::Completed { vm }),
+        (vm.clone(), vm).prop_map(|(from, by)| Step::Merged { from, by }),
     ]
 }
 
 proptest! {
     /// Beats are lost, doubled and come in any order; once each has heard each other, all judge alike.
     #[test]
-    fn vms_agree_once_they_have_heard_each_other(steps in prop::collection::vec(step(), 0..40)) {
+    fn vms_agree_once_they_have_merged_all_announcements(steps in prop::collection::vec(step(), 0..40)) {
         let mut vms = [Quarantine::default(), Quarantine::default(), Quarantine::default()];
         let mut now = Instant::now();
         let mut last_answer = None;
         let mut upstream = 0;
-        let mut ended = Vec::new();
+        let mut crashes = Vec::new();
         for step in steps {
             now += Duration::from_millis(10);
             match step {
-                Step::Ended { vm, alone } => {
+                Step::Crashed { vm, isolated } => {
                     upstream += 1;
-                    vms[vm].ended(request(1), Ending { alone, ..beside(upstream) }, now);
-                    ended.push((now, upstream));
+                    vms[vm].record_crash(request(1), Crash { isolated, ..shared(upstream) }, now);
+                    crashes.push((now, upstream));
                 }
                 Step::Seen { vm } => {
-                    vms[vm].ended(request(1), beside(upstream), now);
-                    ended.push((now, upstream));
+                    vms[vm].record_crash(request(1), shared(upstream), now);
+                    crashes.push((now, upstream));
                 }
-                Step::Answered { vm } => {
-                    if vms[vm].answered(request(1), now) {
+                Step::Completed { vm } => {
+                    if vms[vm].record_completion(request(1), now) {
                         last_answer = Some(now);
                     }
                 }
-                Step::Heard { from, by } => {
-                    let told = vms[from].recent(ALL, now);
-                    vms[by].hear(&told, now);
+                Step::Merged { from, by } => {
+                    let announced = vms[from].announced_within(ALL, now);
+                    vms[by].merge(&announced, now);
                 }
             }
         }
         now += Duration::from_millis(10);
         // Answers of which a VM hears late clear what came before them; so twice, in each order.
         for (from, by) in [(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)].repeat(2) {
-            let told = vms[from].recent(ALL, now);
-            vms[by].hear(&told, now);
+            let announced = vms[from].announced_within(ALL, now);
+            vms[by].merge(&announced, now);
         }
-        let held = |vm: &Quarantine| matches!(vm.verdict(request(1), now), Verdict::Held(_));
-        let counts: Vec<usize> = vms.iter().map(|vm| vm.ended_under(request(1))).collect();
+        let is_quarantined = |vm: &Quarantine| matches!(vm.verdict(request(1), now), Verdict::Quarantined(_));
+        let counts: Vec<usize> = vms.iter().map(|vm| vm.crash_count(request(1))).collect();
         prop_assert!(counts.iter().all(|count| *count == counts[0]), "{counts:?}");
-        prop_assert!(vms.iter().all(|vm| held(vm) == held(&vms[0])));
+        prop_assert!(vms.iter().all(|vm| is_quarantined(vm) == is_quarantined(&vms[0])));
         let since = |at: &Instant| last_answer.is_none_or(|answer| *at > answer);
         let mut after: Vec<u32> =
-            ended.iter().filter(|(at, _)| since(at)).map(|(_, upstream)| *upstream).collect();
+            crashes.iter().filter(|(at, _)| since(at)).map(|(_, upstream)| *upstream).collect();
         after.sort_unstable();
         after.dedup();
         prop_assert_eq!(counts[0], after.len().min(16));
--- a/request/tests/scheduler.rs
+++ b/request/tests/scheduler.rs
@@ -8,7 +8,7 @@
 use foldlock_request::cluster::{Cluster, Holder, Listed};
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::placement::{Placement, Rejection, Requirements};
-use foldlock_request::quarantine::Ending;
+use foldlock_request::quarantine::Crash;
 use foldlock_request::scheduler::{Answer, Key, Scheduler};
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::{Bounds, Engine, Service, Table};
@@ -322,8 +322,8 @@
 /// Two upstreams ended under a request: it may be the cause, or have been beside the one that is.
 fn suspect(fleet: &mut Fleet, requirements: &Requirements) {
     for upstream in ["i-900", "i-901"] {
-        let ending = Ending { upstream: Tag::of(upstream), alone: false };
-        fleet.cluster.quarantine.ended(requirements.fingerprint, ending, fleet.now);
+        let ending = Crash { upstream: Tag::of(upstream), isolated: false };
+        fleet.cluster.quarantine.record_crash(requirements.fingerprint, ending, fleet.now);
     }
 }
 
@@ -363,8 +363,8 @@
         assert_eq!(fleet.cluster.under_way(), 1);
         assert!(matches!(fleet.ask(key(1, 1), requirements.clone()), Answer::Waits));
         // The first ends its upstream: the second is told so, and so is the next that comes.
-        let ending = Ending { upstream: Tag::of("i-000"), alone: true };
-        fleet.cluster.quarantine.ended(requirements.fingerprint, ending, fleet.now);
+        let ending = Crash { upstream: Tag::of("i-000"), isolated: true };
+        fleet.cluster.quarantine.record_crash(requirements.fingerprint, ending, fleet.now);
         let answers = fleet.scheduler.look(&mut fleet.cluster, &fleet.table, fleet.now);
         let held =
             |answer: &Answer| matches!(answer, Answer::Rejected(Rejection::Quarantined { .. }));
