--- a/daemon/src/fleet/ending.rs
+++ b/daemon/src/fleet/ending.rs
@@ -56,7 +56,7 @@
 fn ended<D: Dialect>(job: &Job<D>, flight: &Flight, start: Tag) {
     let now = job.process.now();
     let upstream = flight.upstream.clone();
-    let alone = flight.alone.is_some();
+    let alone = flight.isolated.is_some();
     let ending = Crash { upstream: start, isolated: alone };
     let mut cluster = job.process.cluster.lock().unwrap();
     if cluster.tag_of(&upstream) == start {
--- a/daemon/src/fleet/gate.rs
+++ b/daemon/src/fleet/gate.rs
@@ -71,8 +71,11 @@
     begun: bool,
 ) -> Result<Grant, Rejection> {
     let started = job.process.now();
-    let known =
-        placement::runs_alone(&job.process.cluster.lock().unwrap(), job.fingerprint, started);
+    let known = placement::requires_isolation(
+        &job.process.cluster.lock().unwrap(),
+        job.fingerprint,
+        started,
+    );
     if let Err(held @ Rejection::Quarantined { .. }) = known {
         return Err(held);
     }
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -101,7 +101,7 @@
             memory: placed.memory,
             pause_ms: placed.pause_ms,
             writing: false,
-            alone: placed.alone,
+            isolated: placed.isolated,
         },
         predicted_ms: placed.predicted_ms,
         load: placed.load,
--- a/daemon/src/fleet/scheduler.rs
+++ b/daemon/src/fleet/scheduler.rs
@@ -175,7 +175,7 @@
         load: placement.load,
         slowest: placement.slowest.iter().map(|(id, load)| (tag(id), load.clone())).collect(),
         open: placement.open,
-        alone: flight.alone,
+        isolated: flight.isolated,
         limited: placement.limited,
         limit: placement.limit,
     })
--- a/request/src/cluster/flights.rs
+++ b/request/src/cluster/flights.rs
@@ -39,7 +39,7 @@
     by_holder: HashMap<Holder, HashMap<u64, Entry>>,
     works: HashMap<id::Upstream, Work>,
     /// Those that run alone; hardly ever any.
-    alone: Vec<(Serial, Fingerprint, id::Upstream)>,
+    isolated: Vec<(Serial, Fingerprint, id::Upstream)>,
     /// What was sent to each upstream of late.
     windows: HashMap<id::Upstream, SlidingWindow>,
     serial: Serial,
@@ -54,8 +54,8 @@
         self.serial += 1;
         let serial = self.serial;
         let flight = &tracked.flight;
-        if let Some(fingerprint) = flight.alone {
-            self.alone.push((serial, fingerprint, flight.upstream.clone()));
+        if let Some(fingerprint) = flight.isolated {
+            self.isolated.push((serial, fingerprint, flight.upstream.clone()));
         }
         self.work(&flight.upstream).answer(serial, &tracked);
         for helping in &flight.helpers {
@@ -129,7 +129,7 @@
     fn end(&mut self, holder: &Holder, number: u64, now: Instant) -> bool {
         let entry = self.by_holder.get_mut(holder).and_then(|flights| flights.remove(&number));
         let Some(Entry { serial, tracked, .. }) = entry else { return false };
-        self.alone.retain(|(alone, ..)| *alone != serial);
+        self.isolated.retain(|(isolated, ..)| *isolated != serial);
         Self::change(&mut self.works, &tracked.flight, |work| work.end(serial, now));
         true
     }
@@ -161,7 +161,7 @@
     pub(super) fn restarted(&mut self, upstream: &id::Upstream) {
         self.works.remove(upstream);
         self.windows.remove(upstream);
-        self.alone.retain(|(.., at)| at != upstream);
+        self.isolated.retain(|(.., at)| at != upstream);
     }
 
     /// Ends all flights of a peer.
@@ -170,7 +170,7 @@
         self.windows.values_mut().for_each(|window| window.forget_numbers(&holder));
         let flights = self.by_holder.remove(&holder).unwrap_or_default();
         for Entry { serial, tracked, .. } in flights.into_values() {
-            self.alone.retain(|(alone, ..)| *alone != serial);
+            self.isolated.retain(|(isolated, ..)| *isolated != serial);
             Self::change(&mut self.works, &tracked.flight, |work| work.end(serial, now));
         }
     }
@@ -234,13 +234,13 @@
     }
 
     /// Whether a copy of this request runs alone somewhere.
-    pub fn runs_alone(&self, fingerprint: Fingerprint) -> bool {
-        self.flights.alone.iter().any(|(_, alone, _)| *alone == fingerprint)
+    pub fn has_isolated_copy(&self, fingerprint: Fingerprint) -> bool {
+        self.flights.isolated.iter().any(|(_, isolated, _)| *isolated == fingerprint)
     }
 
     /// Whether a request runs alone at this upstream.
     pub fn is_left_alone(&self, upstream: &id::Upstream) -> bool {
-        self.flights.alone.iter().any(|(.., at)| at == upstream)
+        self.flights.isolated.iter().any(|(.., at)| at == upstream)
     }
 
     /// This VM's attempts.
--- a/request/src/flight.rs
+++ b/request/src/flight.rs
@@ -33,7 +33,7 @@
     /// Whether its first event has come.
     pub writing: bool,
     /// The request, if it runs alone: nothing is placed beside it, and no second copy.
-    pub alone: Option<Fingerprint>,
+    pub isolated: Option<Fingerprint>,
 }
 
 impl Flight {
@@ -75,7 +75,7 @@
     pub(crate) memory: u64,
     pub(crate) pause_ms: u32,
     pub(crate) writing: bool,
-    pub(crate) alone: Option<Fingerprint>,
+    pub(crate) isolated: Option<Fingerprint>,
     pub(crate) age_ms: u32,
 }
 
@@ -93,7 +93,7 @@
             memory: flight.memory,
             pause_ms: flight.pause_ms,
             writing: flight.writing,
-            alone: flight.alone,
+            isolated: flight.isolated,
             age_ms: now.saturating_duration_since(self.sent).as_millis() as u32,
         }
     }
@@ -116,7 +116,7 @@
             memory: told.memory,
             pause_ms: told.pause_ms,
             writing: told.writing,
-            alone: told.alone,
+            isolated: told.isolated,
         };
         let age = Duration::from_millis(u64::from(told.age_ms));
         let sent = now.checked_sub(age).unwrap_or(now);
--- a/request/src/message.rs
+++ b/request/src/message.rs
@@ -266,7 +266,7 @@
     /// The upstreams among which it was chosen.
     pub open: usize,
     /// The request, if it runs alone there.
-    pub alone: Option<Fingerprint>,
+    pub isolated: Option<Fingerprint>,
     /// Upstreams that were at their rate limits.
     #[serde(default)]
     pub limited: usize,
--- a/request/src/placement.rs
+++ b/request/src/placement.rs
@@ -196,7 +196,7 @@
     requirements: &Requirements,
     now: Instant,
 ) -> Result<Placement, Rejection> {
-    let alone = runs_alone(cluster, requirements.fingerprint, now)?;
+    let isolated = requires_isolation(cluster, requirements.fingerprint, now)?;
     let (candidates, limited) = candidates(cluster, service, requirements, now);
     if candidates.is_empty() {
         return Err(rejection(cluster, service, requirements, now));
@@ -204,7 +204,7 @@
     let engine = service.engine.as_ref();
     let Some(engine) = engine.filter(|engine| requirements.long_read_ms(engine).is_some()) else {
         let placement = match engine {
-            _ if alone => apart(requirements, engine, candidates),
+            _ if isolated => apart(requirements, engine, candidates),
             Some(engine) => short(requirements, engine, candidates),
             None => plain(requirements, candidates),
         };
@@ -214,7 +214,7 @@
     let line = Line { turns: &turns, demand: 0.0, offset: requirements.offset, kept: 0 };
     let placed = group::line(cluster, service, engine, line, now).pop();
     let (_, mut placement) = placed.ok_or(Rejection::Full)?;
-    placement.flight.alone = alone.then_some(requirements.fingerprint);
+    placement.flight.isolated = isolated.then_some(requirements.fingerprint);
     Ok(placement)
 }
 
@@ -226,7 +226,7 @@
     requirements: &Requirements,
     now: Instant,
 ) -> Result<Placement, Rejection> {
-    let alone = runs_alone(cluster, requirements.fingerprint, now)?;
+    let isolated = requires_isolation(cluster, requirements.fingerprint, now)?;
     let all = cluster.limited_rate(&service.name).is_some();
     let (mut candidates, _) = candidates(cluster, service, requirements, now);
     candidates.retain(|c| c.upstream.is_limited() && (all || c.is_due));
@@ -234,19 +234,19 @@
     if !all && placement.predicted_ms > requirements.left_ms(now) {
         return Err(Rejection::Full);
     }
-    placement.flight.alone = alone.then_some(requirements.fingerprint);
+    placement.flight.isolated = isolated.then_some(requirements.fingerprint);
     Ok(placement)
 }
 
 /// Whether a request is to run alone, if it may run now at all: one copy at a time does.
-pub fn runs_alone(
+pub fn requires_isolation(
     cluster: &Cluster,
     fingerprint: Fingerprint,
     now: Instant,
 ) -> Result<bool, Rejection> {
     match cluster.quarantine.verdict(fingerprint, now) {
         Verdict::Shared => Ok(false),
-        Verdict::Isolated if cluster.runs_alone(fingerprint) => Err(Rejection::Full),
+        Verdict::Isolated if cluster.has_isolated_copy(fingerprint) => Err(Rejection::Full),
         Verdict::Isolated => Ok(true),
         Verdict::Quarantined(left) => {
             Err(Rejection::Quarantined { left_ms: left.as_millis() as u64 })
@@ -268,7 +268,7 @@
     let read_ms = engine.map_or(0.0, |engine| forecast::read_ms(engine, requirements.prompt.0));
     let predicted_ms = engine.map_or(0.0, |engine| best.predicted_ms(engine, read_ms));
     let mut placement = placed(requirements, &best, &[], read_ms, predicted_ms, open);
-    placement.flight.alone = Some(requirements.fingerprint);
+    placement.flight.isolated = Some(requirements.fingerprint);
     Ok(placement)
 }
 
@@ -362,7 +362,7 @@
             memory: requirements.memory.0.saturating_sub(held),
             pause_ms: requirements.pause_ms(),
             writing: false,
-            alone: None,
+            isolated: None,
         },
         predicted_ms,
         load: best.load.clone(),
--- a/request/src/scheduler.rs
+++ b/request/src/scheduler.rs
@@ -14,7 +14,9 @@
 use crate::budget::{Budget, Charge, Figures};
 use crate::cluster::{Cluster, Holder};
 use crate::fingerprint::Fingerprint;
-use crate::placement::{self, DEMAND_WINDOW, Placement, Rejection, Requirements, runs_alone};
+use crate::placement::{
+    self, DEMAND_WINDOW, Placement, Rejection, Requirements, requires_isolation,
+};
 use crate::pressure::Pressure;
 use crate::tag::Tag;
 
@@ -119,7 +121,7 @@
         }
         let Some(found) = find(table, service) else { return Answer::Rejected(Rejection::Closed) };
         if let Err(held @ Rejection::Quarantined { .. }) =
-            runs_alone(cluster, requirements.fingerprint, now)
+            requires_isolation(cluster, requirements.fingerprint, now)
         {
             return Answer::Rejected(held);
         }
@@ -286,7 +288,7 @@
     /// Tells those that wait and are kept from all upstreams by now.
     fn turn_away(&mut self, cluster: &Cluster, now: Instant, answers: &mut Vec<(Key, Answer)>) {
         self.waiters.retain(|waiter| {
-            match runs_alone(cluster, waiter.requirements.fingerprint, now) {
+            match requires_isolation(cluster, waiter.requirements.fingerprint, now) {
                 Err(held @ Rejection::Quarantined { .. }) => {
                     answers.push((waiter.key.clone(), Answer::Rejected(held)));
                     false
@@ -340,7 +342,9 @@
         let waiters = self.waiters.iter().enumerate();
         let turns: Vec<placement::Turn<'_>> = waiters
             .filter(|(_, waiter)| waiter.service == tag && waiter.is_long(service))
-            .filter(|(_, waiter)| runs_alone(cluster, waiter.requirements.fingerprint, now).is_ok())
+            .filter(|(_, waiter)| {
+                requires_isolation(cluster, waiter.requirements.fingerprint, now).is_ok()
+            })
             .map(|(index, waiter)| placement::Turn { requirements: &waiter.requirements, index })
             .collect();
         if turns.is_empty() {
@@ -362,8 +366,8 @@
             .collect();
         for (charged, fingerprint, mut placement) in placed {
             // Of two copies in one line the first runs alone, and the other waits for it.
-            let Ok(alone) = runs_alone(cluster, fingerprint, now) else { continue };
-            placement.flight.alone = alone.then_some(fingerprint);
+            let Ok(isolated) = requires_isolation(cluster, fingerprint, now) else { continue };
+            placement.flight.isolated = isolated.then_some(fingerprint);
             let key = charged.key.clone();
             let answer = self.give(cluster, charged, placement, now);
             answers.push((key, answer));
--- a/request/tests/board.rs
+++ b/request/tests/board.rs
@@ -45,7 +45,7 @@
         memory,
         pause_ms: 250,
         writing: false,
-        alone: None,
+        isolated: None,
     }
 }
 
--- a/request/tests/patterns/crash.rs
+++ b/request/tests/patterns/crash.rs
@@ -140,7 +140,7 @@
         let number = self.cluster.number();
         let name = placement.flight.upstream.as_str();
         let engine = name[2..4].parse().unwrap();
-        let alone = placement.flight.alone.is_some();
+        let alone = placement.flight.isolated.is_some();
         self.cluster.enter(number, placement.flight, self.now);
         request.state = State::Runs { engine, number, since: self.now, alone };
         Ok(())
--- a/request/tests/placement.rs
+++ b/request/tests/placement.rs
@@ -174,7 +174,7 @@
             memory: 6_000,
             pause_ms: 250,
             writing: true,
-            alone: None,
+            isolated: None,
         };
         begin(&mut cluster, flight, now);
     }
--- a/request/tests/rate_limits/fleet.rs
+++ b/request/tests/rate_limits/fleet.rs
@@ -408,6 +408,6 @@
         memory: 0,
         pause_ms: u32::MAX,
         writing: false,
-        alone: None,
+        isolated: None,
     }
 }
--- a/request/tests/scheduler.rs
+++ b/request/tests/scheduler.rs
@@ -342,7 +342,7 @@
             Answer::Placed(placement, _) => *placement,
             _ => fleet.look().pop().expect("there is room").1,
         };
-        assert_eq!(alone.flight.alone, Some(requirements.fingerprint));
+        assert_eq!(alone.flight.isolated, Some(requirements.fingerprint));
         assert_ne!(alone.flight.upstream, beside.flight.upstream);
         for number in 3..20 {
             let other = placed(fleet.ask(key(0, number), short(fleet.now))).0;
