--- a/request/src/budget.rs
+++ b/request/src/budget.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::cluster::Holder;
-use crate::rank::TRIED;
+use crate::rank::MAX_SCHEDULERS;
 use crate::tag::Tag;
 
 use clients::Clients;
@@ -41,7 +41,7 @@
 const CLIENT_SLACK: f64 = 0.75;
 
 /// Share of the slack that a bucket holds: each VM that may be asked to schedule has one.
-const BUCKET_SLACK: f64 = (1.0 - CLIENT_SLACK) / TRIED as f64;
+const BUCKET_SLACK: f64 = (1.0 - CLIENT_SLACK) / MAX_SCHEDULERS as f64;
 
 /// What an attempt is to the budget.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
--- a/request/src/rank.rs
+++ b/request/src/rank.rs
@@ -11,7 +11,7 @@
 pub const SCHEDULERS: usize = 3;
 
 /// VMs at the head of the order that are told all while it is not known which of them live.
-pub const TRIED: usize = 2 * SCHEDULERS;
+pub const MAX_SCHEDULERS: usize = 2 * SCHEDULERS;
 
 /// Orders VMs by how well they can place for all: those with the most of a processor first, equal
 /// ones by a hash, so that no hall and no age of a VM is preferred.
@@ -23,8 +23,8 @@
 /// order all anew for each grows with the square of the VMs.
 pub fn insert(order: &mut Vec<Member>, member: Member) {
     let own = key(&member);
-    let place = order.partition_point(|other| key(other) < own);
-    order.insert(place, member);
+    let index = order.partition_point(|other| key(other) < own);
+    order.insert(index, member);
 }
 
 fn key(member: &Member) -> (Reverse<u32>, u64) {
@@ -48,7 +48,7 @@
     let mut up = 0;
     let mut schedulers = Vec::new();
     for (index, liveness) in order.enumerate() {
-        if up == SCHEDULERS || schedulers.len() == TRIED {
+        if up == SCHEDULERS || schedulers.len() == MAX_SCHEDULERS {
             break;
         }
         match liveness {
--- a/request/tests/budget_restarts.rs
+++ b/request/tests/budget_restarts.rs
@@ -7,7 +7,7 @@
 use foldlock_base::id;
 use foldlock_request::budget::{Affiliation, Budget, Charge, Figures, Process};
 use foldlock_request::cluster::Holder;
-use foldlock_request::rank::TRIED;
+use foldlock_request::rank::MAX_SCHEDULERS;
 use foldlock_request::tag::Tag;
 use proptest::prelude::*;
 
@@ -161,7 +161,7 @@
 
     /// The next VM schedules if the one that did is down.
     fn elect_running(&mut self) {
-        let of = TRIED.min(self.vms.len());
+        let of = MAX_SCHEDULERS.min(self.vms.len());
         let next = (0..of).map(|step| (self.scheduler + step) % of);
         let running = next.clone().find(|index| self.vms[*index].back.is_none());
         self.scheduler = running.unwrap_or(self.scheduler);
@@ -179,7 +179,7 @@
 
     /// Who may schedule, now.
     fn schedulers(&self) -> Vec<Process> {
-        (0..TRIED.min(self.vms.len())).map(|index| self.process(index)).collect()
+        (0..MAX_SCHEDULERS.min(self.vms.len())).map(|index| self.process(index)).collect()
     }
 
     /// Attempts at a VM. Answers how many the budget allows.
@@ -262,7 +262,7 @@
             }
             Incident::Heal => self.vms.iter_mut().for_each(|vm| vm.side = Side::Fleet),
             Incident::Elect { vm } => {
-                self.scheduler = vm % TRIED.min(self.vms.len());
+                self.scheduler = vm % MAX_SCHEDULERS.min(self.vms.len());
                 self.elect_running();
             }
             Incident::Reload => self.vms.iter_mut().for_each(|vm| vm.budget.set(self.figures)),
@@ -339,7 +339,7 @@
         2 => (part(), any::<bool>())
             .prop_map(|((from, share), together)| Incident::Cut { from, share, together }),
         1 => Just(Incident::Heal),
-        2 => (0..TRIED).prop_map(|vm| Incident::Elect { vm }),
+        2 => (0..MAX_SCHEDULERS).prop_map(|vm| Incident::Elect { vm }),
         1 => Just(Incident::Reload),
     ]
 }
--- a/request/tests/rank.rs
+++ b/request/tests/rank.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_strongest_come_first() {
+fn vms_with_the_most_processor_time_come_first() {
     let mut members: Vec<Member> =
         (0..20).map(|i| member(i, if i % 10 == 3 { 500 } else { 120 })).collect();
     rank::order(&mut members);
@@ -30,7 +30,7 @@
 
 /// A fleet lists its VMs one by one, in any order.
 #[test]
-fn vms_that_are_put_in_one_by_one_stand_as_if_ordered_at_once() {
+fn inserting_one_by_one_gives_the_same_order_as_sorting() {
     let members: Vec<Member> =
         (0..300).map(|i| member(i * 7 % 300, 120 + (i % 3) as u32)).collect();
     let mut ordered = members.clone();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn all_vms_find_the_same_order() {
+fn the_order_does_not_depend_on_the_order_of_the_listings() {
     let mut here: Vec<Member> = (0..30).map(|i| member(i, 250)).collect();
     let mut there: Vec<Member> = here.iter().rev().cloned().collect();
     rank::order(&mut here);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_next_ones_follow_those_that_fall_silent() {
+fn the_next_vms_replace_schedulers_that_are_down() {
     use Liveness::{Down, Unknown, Up};
     let schedulers = |liveness: &[Liveness]| rank::schedulers(liveness.iter().copied());
     assert_eq!(schedulers(&[Up, Up, Up, Up]), [0, 1, 2]);
@@ -63,7 +63,7 @@
 proptest! {
     /// Whoever is silent, the first ones that are heard are told, and few others.
     #[test]
-    fn the_first_that_are_heard_are_told(
+    fn the_first_vms_that_are_up_are_schedulers(
         liveness in prop::collection::vec(
             prop_oneof![Just(Liveness::Up), Just(Liveness::Unknown), Just(Liveness::Down)],
             0..40,
