--- a/daemon/src/fleet/config.rs
+++ b/daemon/src/fleet/config.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use foldlock_base::id;
-use foldlock_request::budget::Figures;
+use foldlock_request::budget::Parameters;
 use serde::{Deserialize, Serialize};
 
 /// The `fleet` section of the configuration file.
@@ -104,8 +104,8 @@
     }
 
     /// The budget of repeated attempts.
-    pub fn budget(&self) -> Figures {
-        Figures {
+    pub fn budget(&self) -> Parameters {
+        Parameters {
             ratio: self.repeat_ratio,
             slack: self.repeat_slack,
             window: Duration::from_millis(self.repeat_window_ms),
--- a/request/src/budget.rs
+++ b/request/src/budget.rs
@@ -24,7 +24,7 @@
 
 /// The figures of the budget, from the operator's settings.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Figures {
+pub struct Parameters {
     /// Repeats allowed for each request.
     pub ratio: f64,
     /// Repeats allowed beside, over the whole fleet.
@@ -35,13 +35,13 @@
 
 /// Share of the ratio that is used: repeats are counted here when they are scheduled, and by upstreams when
 /// they arrive.
-const MARGIN: f64 = 0.9;
+const RATIO_SHARE: f64 = 0.9;
 
 /// Share of the slack that is spent through clients.
-const CLIENT_SLACK: f64 = 0.75;
+const CLIENT_SLACK_SHARE: f64 = 0.75;
 
 /// Share of the slack that a bucket holds: each VM that may be asked to schedule has one.
-const BUCKET_SLACK: f64 = (1.0 - CLIENT_SLACK) / MAX_SCHEDULERS as f64;
+const BUCKET_SLACK_SHARE: f64 = (1.0 - CLIENT_SLACK_SHARE) / MAX_SCHEDULERS as f64;
 
 /// What an attempt is to the budget.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -77,7 +77,7 @@
 
 impl Account {
     /// Forgets repeats that are out of the window.
-    fn forget(&mut self, window: Duration, now: Instant) {
+    fn expire(&mut self, window: Duration, now: Instant) {
         let is_old = |at: &Instant| now.saturating_duration_since(*at) > window;
         while self.spent.front().is_some_and(is_old) {
             self.spent.pop_front();
@@ -88,7 +88,7 @@
 /// The budget, as far as this VM schedules.
 #[derive(Debug, Default)]
 pub struct Budget {
-    figures: Figures,
+    parameters: Parameters,
     /// The VMs that run.
     vms: usize,
     clients: Clients,
@@ -97,26 +97,26 @@
 
 impl Budget {
     /// A budget without clients.
-    pub fn new(figures: Figures) -> Budget {
-        Budget { figures, ..Budget::default() }
+    pub fn new(parameters: Parameters) -> Budget {
+        Budget { parameters, ..Budget::default() }
     }
 
     /// Takes other figures; what is spent stays spent. With a longer window the budget begins anew: it has
     /// forgotten the repeats that now count again.
-    pub fn set(&mut self, figures: Figures) {
-        if figures.window > self.figures.window {
+    pub fn set(&mut self, parameters: Parameters) {
+        if parameters.window > self.parameters.window {
             self.clear();
         }
-        self.figures = figures;
-        self.drop_surplus();
+        self.parameters = parameters;
+        self.cap_tokens();
     }
 
     /// Records a message from one of `vms` VMs.
     pub fn record_contact(&mut self, vm: &Holder, is_client: bool, vms: usize, now: Instant) {
         self.vms = vms;
         // Before it counts: what was held for those that left is lost.
-        if self.clients.expire(self.figures.window, now) {
-            self.drop_surplus();
+        if self.clients.expire(self.parameters.window, now) {
+            self.cap_tokens();
         }
         self.clients.record(vm, is_client, now);
     }
@@ -149,9 +149,9 @@
         if charge != Charge::Withdraw {
             return Ok(());
         }
-        let (slack, window) = (self.slack(), self.figures.window);
+        let (slack, window) = (self.slack(), self.parameters.window);
         let account = self.accounts.entry(service).or_default();
-        account.forget(window, now);
+        account.expire(window, now);
         let spent = account.spent.len();
         if account.tokens >= 1.0 || spent as f64 + 1.0 <= slack {
             return Ok(());
@@ -166,7 +166,7 @@
 
     /// The window over which requests and repeats count.
     pub fn window(&self) -> Duration {
-        self.figures.window
+        self.parameters.window
     }
 
     /// Forgets all clients: others may have scheduled for them since.
@@ -175,14 +175,14 @@
         self.accounts.clear();
     }
 
-    fn drop_surplus(&mut self) {
+    fn cap_tokens(&mut self) {
         let capacity = self.capacity();
         let accounts = self.accounts.values_mut();
         accounts.for_each(|account| account.tokens = account.tokens.min(capacity));
     }
 
     fn deposit(&mut self, service: Tag) {
-        let (earned, capacity) = (MARGIN * self.figures.ratio, self.capacity());
+        let (earned, capacity) = (RATIO_SHARE * self.parameters.ratio, self.capacity());
         let account = self.accounts.entry(service).or_default();
         account.tokens = (account.tokens + earned).min(capacity);
     }
@@ -199,17 +199,17 @@
     /// Repeats that may be taken from the slack in a window. Where it is one for each VM, a scheduler of a
     /// single client has a whole one.
     fn slack(&self) -> f64 {
-        let slack = self.part(self.clients.settled());
-        (CLIENT_SLACK * slack).max(slack.min(1.0))
+        let slack = self.slack_of(self.clients.settled());
+        (CLIENT_SLACK_SHARE * slack).max(slack.min(1.0))
     }
 
     /// The tokens that a bucket holds at most.
     fn capacity(&self) -> f64 {
-        BUCKET_SLACK * self.part(self.clients.contacts())
+        BUCKET_SLACK_SHARE * self.slack_of(self.clients.contacts())
     }
 
     /// The slack of so many VMs.
-    fn part(&self, vms: usize) -> f64 {
-        self.figures.slack * (vms as f64 / self.vms.max(1) as f64).min(1.0)
+    fn slack_of(&self, vms: usize) -> f64 {
+        self.parameters.slack * (vms as f64 / self.vms.max(1) as f64).min(1.0)
     }
 }
--- a/request/src/budget/clients.rs
+++ b/request/src/budget/clients.rs
@@ -39,9 +39,11 @@
         now: Instant,
         has_ended: impl FnOnce(&Process) -> bool,
     ) -> bool {
-        let stays = window.mul_f64(AFFILIATION_TIMEOUT);
+        let timeout = window.mul_f64(AFFILIATION_TIMEOUT);
         let is_bound = self.scheduler.as_ref().is_some_and(|(former, at)| {
-            former != scheduler && now.saturating_duration_since(*at) < stays && !has_ended(former)
+            former != scheduler
+                && now.saturating_duration_since(*at) < timeout
+                && !has_ended(former)
         });
         if !is_bound {
             self.scheduler = Some((scheduler.clone(), now));
@@ -89,15 +91,15 @@
 
     /// Forgets VMs that have sent nothing of late, if that was not done just now. Returns whether it was done.
     pub(super) fn expire(&mut self, window: Duration, now: Instant) -> bool {
-        let lasts = window.mul_f64(CLIENT_TIMEOUT);
+        let timeout = window.mul_f64(CLIENT_TIMEOUT);
         let age = |at: Instant| now.saturating_duration_since(at);
-        if self.swept.is_some_and(|at| age(at) < lasts.mul_f64(Self::SWEEP_INTERVAL)) {
+        if self.swept.is_some_and(|at| age(at) < timeout.mul_f64(Self::SWEEP_INTERVAL)) {
             return false;
         }
         self.swept = Some(now);
         self.seen.retain(|_, seen| {
-            seen.client.take_if(|client| age(client.last) >= lasts);
-            age(seen.at) < lasts
+            seen.client.take_if(|client| age(client.last) >= timeout);
+            age(seen.at) < timeout
         });
         let is_settled =
             |seen: &&Seen| seen.client.as_ref().is_some_and(|client| age(client.first) > window);
--- a/request/src/scheduler.rs
+++ b/request/src/scheduler.rs
@@ -11,7 +11,7 @@
 
 use foldlock_version::routes::{Service, Table};
 
-use crate::budget::{Budget, Charge, Figures};
+use crate::budget::{Budget, Charge, Parameters};
 use crate::cluster::{Cluster, Holder};
 use crate::fingerprint::Fingerprint;
 use crate::placement::{
@@ -96,8 +96,8 @@
 
 impl Scheduler {
     /// A scheduler that nothing has asked yet.
-    pub fn new(figures: Figures) -> Scheduler {
-        Scheduler { budget: Budget::new(figures), ..Scheduler::default() }
+    pub fn new(parameters: Parameters) -> Scheduler {
+        Scheduler { budget: Budget::new(parameters), ..Scheduler::default() }
     }
 
     /// A VM asks for a placement, for the first time or again.
--- a/request/tests/budget.rs
+++ b/request/tests/budget.rs
@@ -2,12 +2,13 @@
 
 use std::time::{Duration, Instant};
 
-use foldlock_request::budget::{Budget, Charge, Exhausted, Figures};
+use foldlock_request::budget::{Budget, Charge, Exhausted, Parameters};
 use foldlock_request::cluster::Holder;
 use foldlock_request::tag::Tag;
 use proptest::prelude::*;
 
-const FIGURES: Figures = Figures { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
+const PARAMETERS: Parameters =
+    Parameters { ratio: 0.2, slack: 100.0, window: Duration::from_secs(10) };
 
 fn model() -> Tag {
     Tag::of("model")
@@ -18,16 +19,16 @@
 }
 
 /// A budget whose clients are some VMs of a fleet of `running`, for longer than a window by now.
-fn settled(figures: Figures, clients: usize, running: usize) -> (Budget, Instant) {
-    let (mut budget, mut now) = (Budget::new(figures), Instant::now());
+fn settled(parameters: Parameters, clients: usize, running: usize) -> (Budget, Instant) {
+    let (mut budget, mut now) = (Budget::new(parameters), Instant::now());
     for _ in 0..12 {
         now += Duration::from_secs(1);
-        hear(&mut budget, clients, running, now);
+        contact(&mut budget, clients, running, now);
     }
     (budget, now)
 }
 
-fn hear(budget: &mut Budget, clients: usize, running: usize, now: Instant) {
+fn contact(budget: &mut Budget, clients: usize, running: usize, now: Instant) {
     (0..clients).for_each(|index| budget.record_contact(&vm(index), true, running, now));
 }
 
@@ -41,20 +42,20 @@
 
 #[test]
 fn a_new_scheduler_has_no_slack_for_a_window() {
-    let (mut budget, mut now) = (Budget::new(FIGURES), Instant::now());
+    let (mut budget, mut now) = (Budget::new(PARAMETERS), Instant::now());
     for _ in 0..=10 {
-        hear(&mut budget, 10, 10, now);
+        contact(&mut budget, 10, 10, now);
         assert_eq!(spend(&mut budget, model(), now), 0);
         now += Duration::from_secs(1);
     }
-    hear(&mut budget, 10, 10, now);
+    contact(&mut budget, 10, 10, now);
     assert_eq!(spend(&mut budget, model(), now), 75);
 }
 
 #[test]
 fn requests_add_their_ratio_at_a_new_scheduler_too() {
-    let (mut budget, now) = (Budget::new(FIGURES), Instant::now());
-    hear(&mut budget, 10, 10, now);
+    let (mut budget, now) = (Budget::new(PARAMETERS), Instant::now());
+    contact(&mut budget, 10, 10, now);
     deposit(&mut budget, 17, now);
     assert_eq!(spend(&mut budget, model(), now), 3, "nine tenths of the ratio");
     deposit(&mut budget, 17, now);
@@ -62,9 +63,9 @@
 }
 
 #[test]
-fn a_request_that_is_queued_pays_once_and_a_repeat_when_it_is_placed() {
-    let (mut budget, now) = (Budget::new(FIGURES), Instant::now());
-    hear(&mut budget, 10, 10, now);
+fn a_queued_request_deposits_once_and_a_retry_withdraws_when_it_is_placed() {
+    let (mut budget, now) = (Budget::new(PARAMETERS), Instant::now());
+    contact(&mut budget, 10, 10, now);
     for _ in 0..6 {
         let left = budget.queue(model(), Charge::Deposit);
         budget.charge(model(), left, now).unwrap();
@@ -76,52 +77,52 @@
 }
 
 #[test]
-fn what_requests_add_is_kept_up_to_a_small_part_of_the_slack() {
-    let (mut budget, now) = (Budget::new(FIGURES), Instant::now());
-    hear(&mut budget, 10, 10, now);
+fn a_bucket_holds_at_most_a_small_part_of_the_slack() {
+    let (mut budget, now) = (Budget::new(PARAMETERS), Instant::now());
+    contact(&mut budget, 10, 10, now);
     deposit(&mut budget, 10_000, now);
     assert_eq!(spend(&mut budget, model(), now), 4);
 }
 
 #[test]
-fn the_slack_comes_back_after_the_window() {
-    let (mut budget, now) = settled(FIGURES, 10, 10);
+fn the_slack_is_available_again_after_the_window() {
+    let (mut budget, now) = settled(PARAMETERS, 10, 10);
     assert_eq!(spend(&mut budget, model(), now), 75);
     let mut later = now;
     for _ in 0..10 {
         later += Duration::from_secs(1);
-        hear(&mut budget, 10, 10, later);
+        contact(&mut budget, 10, 10, later);
         assert_eq!(spend(&mut budget, model(), later), 0);
     }
     later += Duration::from_secs(1);
-    hear(&mut budget, 10, 10, later);
+    contact(&mut budget, 10, 10, later);
     assert_eq!(spend(&mut budget, model(), later), 75);
 }
 
 #[test]
 fn each_service_has_a_slack_of_its_own() {
-    let (mut budget, now) = settled(FIGURES, 10, 10);
+    let (mut budget, now) = settled(PARAMETERS, 10, 10);
     assert_eq!(spend(&mut budget, model(), now), 75);
     assert_eq!(spend(&mut budget, Tag::of("plain"), now), 75);
 }
 
 #[test]
-fn a_scheduler_of_a_part_of_the_fleet_has_that_part_of_the_slack() {
-    let (mut budget, now) = settled(FIGURES, 5, 10);
+fn a_scheduler_has_slack_in_proportion_to_its_clients() {
+    let (mut budget, now) = settled(PARAMETERS, 5, 10);
     assert_eq!(spend(&mut budget, model(), now), 37);
 }
 
 #[test]
-fn the_share_of_vms_that_are_heard_no_more_is_lost() {
-    let (mut budget, now) = settled(FIGURES, 10, 10);
-    let later = now + FIGURES.window / 2;
-    hear(&mut budget, 10, 10, later);
+fn the_slack_of_clients_that_time_out_is_lost() {
+    let (mut budget, now) = settled(PARAMETERS, 10, 10);
+    let later = now + PARAMETERS.window / 2;
+    contact(&mut budget, 10, 10, later);
     assert_eq!(spend(&mut budget, model(), later), 0);
 }
 
 #[test]
-fn a_vm_that_asks_as_the_client_of_another_scheduler_brings_no_slack() {
-    let (mut budget, mut now) = settled(FIGURES, 10, 10);
+fn a_vm_that_is_the_client_of_another_scheduler_adds_no_slack() {
+    let (mut budget, mut now) = settled(PARAMETERS, 10, 10);
     for _ in 0..5 {
         now += Duration::from_secs(1);
         (0..10).for_each(|index| budget.record_contact(&vm(index), false, 10, now));
@@ -130,47 +131,47 @@
 }
 
 #[test]
-fn what_a_bucket_holds_for_vms_that_are_heard_no_more_is_lost() {
-    let (mut budget, now) = (Budget::new(FIGURES), Instant::now());
-    hear(&mut budget, 10, 10, now);
+fn the_tokens_of_vms_that_time_out_are_lost() {
+    let (mut budget, now) = (Budget::new(PARAMETERS), Instant::now());
+    contact(&mut budget, 10, 10, now);
     deposit(&mut budget, 10_000, now);
-    let later = now + FIGURES.window / 2;
-    hear(&mut budget, 1, 10, later);
-    hear(&mut budget, 1, 10, later);
+    let later = now + PARAMETERS.window / 2;
+    contact(&mut budget, 1, 10, later);
+    contact(&mut budget, 1, 10, later);
     assert_eq!(spend(&mut budget, model(), later), 0);
 }
 
 #[test]
-fn a_vm_alone_in_a_large_fleet_has_a_whole_repeat() {
-    let (mut budget, now) = settled(Figures { slack: 1_040.0, ..FIGURES }, 1, 985);
+fn a_scheduler_with_one_client_in_a_large_fleet_has_one_retry() {
+    let (mut budget, now) = settled(Parameters { slack: 1_040.0, ..PARAMETERS }, 1, 985);
     assert_eq!(spend(&mut budget, model(), now), 1);
 }
 
 #[test]
-fn a_refused_repeat_names_the_figures() {
-    let (mut budget, now) = settled(FIGURES, 5, 10);
+fn a_rejected_retry_reports_the_budget_state() {
+    let (mut budget, now) = settled(PARAMETERS, 5, 10);
     spend(&mut budget, model(), now);
-    let refused = budget.charge(model(), Charge::Withdraw, now);
-    assert_eq!(refused, Err(Exhausted { spent: 37, slack: 37, clients: 5, vms: 10 }));
+    let rejected = budget.charge(model(), Charge::Withdraw, now);
+    assert_eq!(rejected, Err(Exhausted { spent: 37, slack: 37, clients: 5, vms: 10 }));
 }
 
 #[test]
-fn figures_that_are_read_again_keep_what_is_spent() {
-    let (mut budget, now) = settled(FIGURES, 10, 10);
+fn reloading_the_parameters_keeps_what_is_spent() {
+    let (mut budget, now) = settled(PARAMETERS, 10, 10);
     assert_eq!(spend(&mut budget, model(), now), 75);
-    budget.set(FIGURES);
+    budget.set(PARAMETERS);
     assert_eq!(spend(&mut budget, model(), now), 0);
-    budget.set(Figures { slack: 120.0, ..FIGURES });
+    budget.set(Parameters { slack: 120.0, ..PARAMETERS });
     assert_eq!(spend(&mut budget, model(), now), 15);
-    budget.set(Figures { slack: 0.0, ..FIGURES });
+    budget.set(Parameters { slack: 0.0, ..PARAMETERS });
     assert_eq!(spend(&mut budget, model(), now), 0);
 }
 
 #[test]
-fn a_longer_window_begins_without_slack() {
-    let (mut budget, now) = settled(FIGURES, 10, 10);
-    budget.set(Figures { window: FIGURES.window * 2, ..FIGURES });
-    hear(&mut budget, 10, 10, now);
+fn a_longer_window_starts_without_slack() {
+    let (mut budget, now) = settled(PARAMETERS, 10, 10);
+    budget.set(Parameters { window: PARAMETERS.window * 2, ..PARAMETERS });
+    contact(&mut budget, 10, 10, now);
     assert_eq!(spend(&mut budget, model(), now), 0);
 }
 
@@ -178,12 +179,12 @@
     /// However requests and failures fall on the VMs, the fleet stays within its budget in each
     /// window.
     #[test]
-    fn the_fleet_stays_within_the_whole(
+    fn the_fleet_stays_within_its_budget(
         vms in 1usize..12,
         events in prop::collection::vec((0usize..12, any::<bool>(), 0u64..400), 0..400),
     ) {
-        let (mut budget, start) = settled(FIGURES, vms, vms);
-        let (mut at, mut requests, mut repeats) = (start, Vec::new(), Vec::new());
+        let (mut budget, start) = settled(PARAMETERS, vms, vms);
+        let (mut at, mut requests, mut retries) = (start, Vec::new(), Vec::new());
         for (index, is_request, after_ms) in events {
             at += Duration::from_millis(after_ms);
             budget.record_contact(&vm(index % vms), true, vms, at);
@@ -191,14 +192,14 @@
                 budget.charge(model(), Charge::Deposit, at).unwrap();
                 requests.push(at);
             } else if budget.charge(model(), Charge::Withdraw, at).is_ok() {
-                repeats.push(at);
+                retries.push(at);
             }
         }
-        for end in &repeats {
-            let within = |t: &&Instant| **t <= *end && *end - **t <= FIGURES.window;
-            let spent = repeats.iter().filter(within).count() as f64;
-            let asked = requests.iter().filter(within).count() as f64;
-            prop_assert!(spent <= FIGURES.ratio * asked + FIGURES.slack, "{spent} of {asked}");
+        for end in &retries {
+            let within = |t: &&Instant| **t <= *end && *end - **t <= PARAMETERS.window;
+            let spent = retries.iter().filter(within).count() as f64;
+            let sent = requests.iter().filter(within).count() as f64;
+            prop_assert!(spent <= PARAMETERS.ratio * sent + PARAMETERS.slack, "{spent} of {sent}");
         }
     }
 }
--- a/request/tests/budget_restarts.rs
+++ b/request/tests/budget_restarts.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use foldlock_base::id;
-use foldlock_request::budget::{Affiliation, Budget, Charge, Figures, Process};
+use foldlock_request::budget::{Affiliation, Budget, Charge, Parameters, Process};
 use foldlock_request::cluster::Holder;
 use foldlock_request::rank::MAX_SCHEDULERS;
 use foldlock_request::tag::Tag;
@@ -22,8 +22,8 @@
 /// The time until it is back after that.
 const DOWN: Duration = Duration::from_secs(1);
 
-fn figures(vms: usize) -> Figures {
-    Figures { ratio: 0.2, slack: (vms * 3) as f64, window: WINDOW }
+fn parameters(vms: usize) -> Parameters {
+    Parameters { ratio: 0.2, slack: (vms * 3) as f64, window: WINDOW }
 }
 
 /// Who schedules for a VM.
@@ -85,41 +85,41 @@
 }
 
 struct Fleet {
-    figures: Figures,
+    parameters: Parameters,
     vms: Vec<Vm>,
     scheduler: usize,
-    starts: u64,
+    incarnations: u64,
     now: Instant,
     requests: Vec<Instant>,
-    repeats: Vec<Instant>,
+    retries: Vec<Instant>,
 }
 
 impl Fleet {
     fn new(count: usize) -> Fleet {
         let mut fleet = Fleet {
-            figures: figures(count),
+            parameters: parameters(count),
             vms: Vec::new(),
             scheduler: 0,
-            starts: 0,
+            incarnations: 0,
             now: Instant::now(),
             requests: Vec::new(),
-            repeats: Vec::new(),
+            retries: Vec::new(),
         };
         for index in 0..count {
             let name = format!("vm-{index}").parse().unwrap();
             let vm = fleet.start(name);
             fleet.vms.push(vm);
         }
-        fleet.pass(WINDOW + HEARTBEAT);
+        fleet.advance(WINDOW + HEARTBEAT);
         fleet
     }
 
     fn start(&mut self, name: id::Vm) -> Vm {
-        self.starts += 1;
+        self.incarnations += 1;
         Vm {
             name,
-            incarnation: self.starts,
-            budget: Budget::new(self.figures),
+            incarnation: self.incarnations,
+            budget: Budget::new(self.parameters),
             affiliation: Affiliation::default(),
             side: Side::Fleet,
             ends: None,
@@ -137,16 +137,16 @@
     }
 
     /// Time passes, in which each VM's heartbeats reach its scheduler.
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now = (self.now + HEARTBEAT).min(end);
-            self.end_and_start();
+            self.stop_and_restart();
             self.attempts(0, Charge::Free);
         }
     }
 
-    fn end_and_start(&mut self) {
+    fn stop_and_restart(&mut self) {
         for index in 0..self.vms.len() {
             let vm = &mut self.vms[index];
             if vm.ends.is_some_and(|ends| ends <= self.now) {
@@ -188,14 +188,14 @@
             Side::Fleet => (self.scheduler, fleet.count),
             Side::Part { scheduler, known } => (scheduler, known),
         };
-        let (asked, now) = (self.process(scheduler), self.now);
+        let (target, now) = (self.process(scheduler), self.now);
         let has_ended = |former: &Process| {
             let now = fleet.schedulers.iter().find(|process| process.vm == former.vm);
             now.is_some_and(|process| process != former)
         };
         let vm = Holder::Peer(self.vms[index].name.clone());
         let affiliation = &mut self.vms[index].affiliation;
-        let is_client = affiliation.contact(&asked, WINDOW, self.now, has_ended);
+        let is_client = affiliation.contact(&target, WINDOW, self.now, has_ended);
         let budget = &mut self.vms[scheduler].budget;
         budget.record_contact(&vm, is_client, known, self.now);
         (0..each).filter(|_| budget.charge(Tag::of("model"), charge, now).is_ok()).count()
@@ -210,7 +210,7 @@
             let allowed = self.attempt(index, each, charge, &fleet);
             let times = match charge {
                 Charge::Deposit => &mut self.requests,
-                _ => &mut self.repeats,
+                _ => &mut self.retries,
             };
             times.extend(std::iter::repeat_n(self.now, allowed));
         }
@@ -265,7 +265,7 @@
                 self.scheduler = vm % MAX_SCHEDULERS.min(self.vms.len());
                 self.elect_running();
             }
-            Incident::Reload => self.vms.iter_mut().for_each(|vm| vm.budget.set(self.figures)),
+            Incident::Reload => self.vms.iter_mut().for_each(|vm| vm.budget.set(self.parameters)),
         }
     }
 
@@ -274,8 +274,8 @@
         let within = |times: &[Instant]| {
             times.iter().filter(|at| self.now.duration_since(**at) <= WINDOW).count()
         };
-        let allowed = self.figures.ratio * within(&self.requests) as f64 + self.figures.slack;
-        (within(&self.repeats), allowed)
+        let allowed = self.parameters.ratio * within(&self.requests) as f64 + self.parameters.slack;
+        (within(&self.retries), allowed)
     }
 
     fn assert_within(&self) {
@@ -286,14 +286,14 @@
 
 /// Guards against a restarted VM that spends the share which its former process has spent.
 #[test]
-fn killed_vms_do_not_spend_their_share_again() {
+fn a_killed_vm_does_not_spend_its_share_again() {
     let mut fleet = Fleet::new(72);
     for _ in 0..4 {
         fleet.apply(&Incident::Traffic { each: 5 });
         fleet.apply(&Incident::Failures { each: 20 });
         fleet.assert_within();
         fleet.apply(&Incident::Kill { from: 0, share: 60 });
-        fleet.pass(Duration::from_secs(3));
+        fleet.advance(Duration::from_secs(3));
     }
 }
 
@@ -306,27 +306,27 @@
         fleet.apply(&Incident::Failures { each: 20 });
         fleet.assert_within();
         fleet.apply(&Incident::Stop { from: part * 10, share: 10 });
-        fleet.pass(Duration::from_millis(900));
+        fleet.advance(Duration::from_millis(900));
     }
 }
 
 /// Guards against two schedulers that are asked in turn and each hold the slack of the same VMs.
 #[test]
-fn schedulers_that_are_asked_in_turn_do_not_both_hold_the_slack() {
+fn alternating_schedulers_do_not_both_hold_the_slack() {
     let mut fleet = Fleet::new(72);
     for turn in 0..20 {
         fleet.apply(&Incident::Traffic { each: 2 });
         fleet.apply(&Incident::Elect { vm: turn % 2 });
-        fleet.pass(Duration::from_secs(1));
+        fleet.advance(Duration::from_secs(1));
     }
-    fleet.pass(Duration::from_millis(500));
+    fleet.advance(Duration::from_millis(500));
     for vm in 0..2 {
         fleet.apply(&Incident::Failures { each: 20 });
         fleet.apply(&Incident::Elect { vm });
     }
     fleet.apply(&Incident::Failures { each: 20 });
     let (spent, _) = fleet.spent();
-    assert!(spent as f64 <= fleet.figures.slack, "{spent}");
+    assert!(spent as f64 <= fleet.parameters.slack, "{spent}");
 }
 
 fn incident() -> impl Strategy<Value = Incident> {
@@ -357,7 +357,7 @@
             fleet.apply(incident);
             let (spent, allowed) = fleet.spent();
             prop_assert!(spent as f64 <= allowed, "{spent} repeats where {allowed:.1} are allowed");
-            fleet.pass(Duration::from_millis(*then_ms));
+            fleet.advance(Duration::from_millis(*then_ms));
         }
     }
 }
