--- a/request/src/rate_limit.rs
+++ b/request/src/rate_limit.rs
@@ -76,29 +76,29 @@
 
 /// Applies an answer of the upstream to a request sent at `sent`. Returns whether the limit has changed.
 pub fn observe(
-    known: &mut Option<State>,
+    current: &mut Option<State>,
     rate: Option<Rate>,
     sent: Instant,
     own: &id::Vm,
     now: Instant,
 ) -> bool {
     let rate = rate.filter(|rate| rate.as_f64() < UNBOUNDED);
-    let Some(known) = known else {
-        *known = rate.map(|_| State::new(Limit { version: 1, rate }, own.clone(), now));
+    let Some(current) = current else {
+        *current = rate.map(|_| State::new(Limit { version: 1, rate }, own.clone(), now));
         return rate.is_some();
     };
-    if known.limit.rate == rate {
+    if current.limit.rate == rate {
         if rate.is_some() {
-            known.refreshed = now;
+            current.refreshed = now;
         }
         return false;
     }
-    let is_later = sent >= known.learned;
-    let version = known.limit.version + u32::from(is_later);
+    let is_later = sent >= current.learned;
+    let version = current.limit.version + u32::from(is_later);
     let limit = Limit { version, rate };
-    let has_changed = limit.supersedes(known.limit);
+    let has_changed = limit.supersedes(current.limit);
     if has_changed {
-        known.replace(limit, own.clone(), now);
+        current.replace(limit, own.clone(), now);
     }
     has_changed
 }
@@ -115,18 +115,18 @@
 }
 
 /// Merges a limit announced by a peer.
-pub fn merge(known: &mut Option<State>, limit: Limit, from: &id::Vm, now: Instant) -> Merge {
-    let Some(known) = known else {
-        *known = Some(State::new(limit, from.clone(), now));
+pub fn merge(current: &mut Option<State>, limit: Limit, from: &id::Vm, now: Instant) -> Merge {
+    let Some(current) = current else {
+        *current = Some(State::new(limit, from.clone(), now));
         return Merge::Adopted;
     };
-    if known.limit == limit {
+    if current.limit == limit {
         return Merge::Same;
     }
-    if limit.supersedes(known.limit) {
-        known.replace(limit, from.clone(), now);
+    if limit.supersedes(current.limit) {
+        current.replace(limit, from.clone(), now);
         return Merge::Adopted;
     }
-    known.refreshed = now;
+    current.refreshed = now;
     Merge::Stale
 }
--- a/request/tests/rate_limits/check.rs
+++ b/request/tests/rate_limits/check.rs
@@ -5,7 +5,7 @@
 use foldlock_base::size::Rate;
 use proptest::prelude::*;
 
-use crate::fleet::{Fleet, SPAN, TOLD, UPSTREAMS};
+use crate::fleet::{Fleet, NOTICE_DELAY, SPAN, UPSTREAMS};
 
 impl Fleet {
     /// Each span of each upstream, by the highest limit that it named within it.
@@ -15,10 +15,13 @@
                 self.arrivals[index].iter().filter(|a| a.counts).map(|a| a.at).collect();
             for last in &counted {
                 let from = *last - SPAN;
-                let Some(limit) = self.highest(index, from - TOLD, *last) else { continue };
-                let came = counted.iter().filter(|at| **at > from && *at <= last).count();
-                let most = (1.5 * limit.over(SPAN) + 5.0) as usize;
-                prop_assert!(came <= most, "{came} of {most} at {limit}, upstream {index}");
+                let Some(limit) = self.highest(index, from - NOTICE_DELAY, *last) else { continue };
+                let arrived = counted.iter().filter(|at| **at > from && *at <= last).count();
+                let allowed = (1.5 * limit.over(SPAN) + 5.0) as usize;
+                prop_assert!(
+                    arrived <= allowed,
+                    "{arrived} of {allowed} at {limit}, upstream {index}"
+                );
             }
         }
         Ok(())
--- a/request/tests/rate_limits/fleet.rs
+++ b/request/tests/rate_limits/fleet.rs
@@ -25,10 +25,10 @@
 pub(crate) const SPAN: Duration = Duration::from_secs(4);
 
 /// The time after which a VM is bound by what it was told.
-pub(crate) const TOLD: Duration = Duration::from_millis(500);
+pub(crate) const NOTICE_DELAY: Duration = Duration::from_millis(500);
 
 /// The time for which a disturbance excuses a VM.
-const EXCUSED: Duration = Duration::from_secs(3);
+const EXEMPT_AFTER_INCIDENT: Duration = Duration::from_secs(3);
 
 /// The VMs that may schedule, and that all others tell what they sent.
 pub(crate) const SCHEDULERS: usize = 3;
@@ -106,10 +106,10 @@
     /// Whether it reaches no other VM.
     pub(crate) cut: bool,
     /// The scheduler that it asks in place of the fleet's.
-    pub(crate) asks: Option<usize>,
+    pub(crate) own_scheduler: Option<usize>,
     pub(crate) disturbed: Option<Instant>,
     /// When each upstream first told this VM of a limit.
-    pub(crate) told: [Option<Instant>; UPSTREAMS],
+    pub(crate) limited_since: [Option<Instant>; UPSTREAMS],
 }
 
 /// A request that an upstream works on.
@@ -177,9 +177,9 @@
             numbers: 0,
             frozen: None,
             cut: false,
-            asks: None,
+            own_scheduler: None,
             disturbed: None,
-            told: [None; UPSTREAMS],
+            limited_since: [None; UPSTREAMS],
         }
     }
 
@@ -200,7 +200,7 @@
 
     /// The scheduler that a VM asks: the next one where that does not answer.
     fn scheduler_of(&self, vm: usize) -> Option<usize> {
-        let first = self.vms[vm].asks.unwrap_or(self.scheduler);
+        let first = self.vms[vm].own_scheduler.unwrap_or(self.scheduler);
         let of = SCHEDULERS.min(self.vms.len());
         let order = (0..of).map(|step| (first + step) % of);
         order.into_iter().find(|scheduler| self.reaches(vm, *scheduler))
@@ -212,12 +212,12 @@
         let mut due = 0.0;
         while self.now < end {
             self.now += STEP;
-            self.answer();
+            self.respond();
             if self.now >= self.next_heartbeat {
                 self.next_heartbeat = self.now + HEARTBEAT;
                 self.heartbeats();
             }
-            self.look();
+            self.place_queued();
             due += each_s as f64 * STEP.as_secs_f64();
             while due >= 1.0 {
                 due -= 1.0;
@@ -279,7 +279,7 @@
     fn send(&mut self, vm: usize, scheduler: usize, number: u64, placement: &Placement) -> bool {
         let id = &placement.flight.upstream;
         if !self.vms[vm].cluster.may_send(id, placement.limit) {
-            self.tell_limit(vm, scheduler, id);
+            self.announce_limit(vm, scheduler, id);
             return false;
         }
         if let Some(limit) = placement.limit {
@@ -289,9 +289,11 @@
         let now = self.now;
         let of = &mut self.vms[vm];
         of.cluster.enter(number, flight(id), now);
-        let was_told = of.told[upstream].is_some_and(|told| told + TOLD <= now);
-        let is_calm = !of.cut && of.disturbed.is_none_or(|at| at + EXCUSED < now);
-        self.arrivals[upstream].push(Arrival { at: now, counts: was_told && is_calm });
+        let was_noticed =
+            of.limited_since[upstream].is_some_and(|since| since + NOTICE_DELAY <= now);
+        let is_undisturbed =
+            !of.cut && of.disturbed.is_none_or(|at| at + EXEMPT_AFTER_INCIDENT < now);
+        self.arrivals[upstream].push(Arrival { at: now, counts: was_noticed && is_undisturbed });
         let sends = self.arrivals[upstream].len() as u64;
         self.running.push_back(Running {
             vm,
@@ -306,7 +308,7 @@
         true
     }
 
-    fn tell_limit(&mut self, vm: usize, scheduler: usize, id: &id::Upstream) {
+    fn announce_limit(&mut self, vm: usize, scheduler: usize, id: &id::Upstream) {
         let limit = self.vms[vm].cluster.limit_of(id).unwrap().limit;
         self.merge_limit(scheduler, vm, Entry { upstream: Tag::of(id.as_str()), limit });
     }
@@ -317,7 +319,7 @@
     }
 
     /// Answers that begin now. Half of them say what held when they were asked for, as if another had overtaken them.
-    fn answer(&mut self) {
+    fn respond(&mut self) {
         let now = self.now;
         let (over, left): (Vec<Running>, Vec<Running>) =
             std::mem::take(&mut self.running).into_iter().partition(|running| running.ends <= now);
@@ -331,14 +333,14 @@
             let of = &mut self.vms[vm];
             of.cluster.leave(number, now);
             let tag = Tag::of(upstream(index).as_str());
-            let news = of.cluster.observe_limit(tag, limit, sent, &vm_name(vm), now);
+            let changed = of.cluster.observe_limit(tag, limit, sent, &vm_name(vm), now);
             if limit.is_some() {
-                of.told[index].get_or_insert(now);
+                of.limited_since[index].get_or_insert(now);
             }
-            if let Some(id) = news
+            if let Some(id) = changed
                 && let Some(scheduler) = self.scheduler_of(vm)
             {
-                self.tell_limit(vm, scheduler, &id);
+                self.announce_limit(vm, scheduler, &id);
             }
         }
     }
@@ -357,8 +359,8 @@
                     continue;
                 }
                 let cluster = &mut self.vms[scheduler].cluster;
-                limits.iter().for_each(|told| {
-                    cluster.merge_limit(*told, &vm_name(vm), now);
+                limits.iter().for_each(|entry| {
+                    cluster.merge_limit(*entry, &vm_name(vm), now);
                 });
                 cluster.merge_dispatches(&vm_name(vm), &sent, now);
                 cluster.hear(&vm_name(vm), &flights, u64::MAX, now);
@@ -369,14 +371,14 @@
             let limits = self.vms[scheduler].cluster.announced_limits(self.now);
             for vm in (0..self.vms.len()).filter(|vm| *vm != scheduler) {
                 if !self.is_frozen(scheduler) && self.reaches(scheduler, vm) {
-                    limits.iter().for_each(|told| self.merge_limit(vm, scheduler, *told));
+                    limits.iter().for_each(|entry| self.merge_limit(vm, scheduler, *entry));
                 }
             }
         }
     }
 
     /// What waits at a scheduler is placed.
-    fn look(&mut self) {
+    fn place_queued(&mut self) {
         for scheduler in 0..SCHEDULERS.min(self.vms.len()) {
             if self.is_frozen(scheduler) {
                 continue;
@@ -387,9 +389,9 @@
                     Holder::Own => scheduler,
                     Holder::Peer(vm) => vm.as_str()[3..].parse().unwrap(),
                 };
-                let lives = self.vms[vm].incarnation == key.incarnation && !self.is_frozen(vm);
+                let is_up = self.vms[vm].incarnation == key.incarnation && !self.is_frozen(vm);
                 match answer {
-                    Answer::Placed(placement, _) if lives && self.reaches(scheduler, vm) => {
+                    Answer::Placed(placement, _) if is_up && self.reaches(scheduler, vm) => {
                         self.send(vm, scheduler, key.number, &placement);
                     }
                     Answer::Rejected(_) => self.refused += 1,
--- a/request/tests/rate_limits/incident.rs
+++ b/request/tests/rate_limits/incident.rs
@@ -40,7 +40,7 @@
 }
 
 impl Fleet {
-    pub(crate) fn play(&mut self, incident: &Incident) {
+    pub(crate) fn apply(&mut self, incident: &Incident) {
         let count = self.vms.len();
         match *incident {
             Incident::Load { ms, each_s } => self.load(Duration::from_millis(ms), each_s),
@@ -48,9 +48,9 @@
                 self.name(upstream, quarters.map(|quarters| rate(f64::from(quarters) / 4.0)));
             }
             Incident::Kill { vm } => {
-                let told = self.vms[vm % count].told;
+                let limited_since = self.vms[vm % count].limited_since;
                 self.vms[vm % count] = self.start();
-                self.vms[vm % count].told = told;
+                self.vms[vm % count].limited_since = limited_since;
                 self.vms[vm % count].disturbed = Some(self.now);
                 for other in 0..count {
                     let now = self.now;
@@ -66,14 +66,14 @@
             Incident::Split { from, scheduler } => {
                 let scheduler = scheduler % SCHEDULERS.min(count);
                 let range = from * count / 100..count;
-                self.vms[range].iter_mut().for_each(|vm| vm.asks = Some(scheduler));
+                self.vms[range].iter_mut().for_each(|vm| vm.own_scheduler = Some(scheduler));
             }
             Incident::Heal => {
                 for vm in &mut self.vms {
                     if std::mem::take(&mut vm.cut) {
                         vm.disturbed = Some(self.now);
                     }
-                    vm.asks = None;
+                    vm.own_scheduler = None;
                 }
             }
             Incident::Elect { vm } => self.scheduler = vm % SCHEDULERS.min(count),
--- a/request/tests/rate_limits/main.rs
+++ b/request/tests/rate_limits/main.rs
@@ -32,7 +32,7 @@
         let mut fleet = Fleet::new(count);
         fleet.name(0, Some(rate(2.5)));
         fleet.load(Duration::from_secs(2), 60);
-        incidents.iter().for_each(|incident| fleet.play(incident));
+        incidents.iter().for_each(|incident| fleet.apply(incident));
         fleet.load(SPAN, 60);
         fleet.check()?;
     }
@@ -46,10 +46,10 @@
             let mut fleet = Fleet::new(count);
             (0..UPSTREAMS).for_each(|index| fleet.name(index, Some(rate(per_s))));
             fleet.load(Duration::from_secs(2), 300);
-            fleet.play(&Incident::Split { from: 50, scheduler: 1 });
+            fleet.apply(&Incident::Split { from: 50, scheduler: 1 });
             fleet.load(SPAN + SPAN, 300);
             for vm in [0, 1, 0] {
-                fleet.play(&Incident::Kill { vm });
+                fleet.apply(&Incident::Kill { vm });
                 fleet.load(Duration::from_secs(1), 80);
             }
             fleet.load(SPAN, 80);
@@ -60,12 +60,12 @@
 
 /// VMs that were told do not use the grants of schedulers that know of no limit.
 #[test]
-fn schedulers_that_start_anew_grant_nothing_beyond_what_others_know() {
+fn restarted_schedulers_grant_nothing_beyond_limits_known_to_others() {
     let mut fleet = Fleet::new(6);
     (0..UPSTREAMS).for_each(|index| fleet.name(index, Some(rate(1.0))));
     fleet.load(Duration::from_secs(20), 50);
     fleet.load(Duration::from_secs(5), 0);
-    (0..SCHEDULERS).for_each(|vm| fleet.play(&Incident::Kill { vm }));
+    (0..SCHEDULERS).for_each(|vm| fleet.apply(&Incident::Kill { vm }));
     fleet.load(STEP, 10_000);
     fleet.load(SPAN, 50);
     fleet.check().unwrap();
@@ -80,16 +80,16 @@
         fleet.load(Duration::from_secs(2), 200);
         let before: usize = fleet.arrivals.iter().map(Vec::len).sum();
         fleet.load(Duration::from_secs(10), 200);
-        let came = fleet.arrivals.iter().map(Vec::len).sum::<usize>() - before;
-        let least = 0.8 * per_s * 10.0 * UPSTREAMS as f64;
-        assert!(came as f64 >= least, "{came} of {least} at {per_s}/s");
+        let arrived = fleet.arrivals.iter().map(Vec::len).sum::<usize>() - before;
+        let minimum = 0.8 * per_s * 10.0 * UPSTREAMS as f64;
+        assert!(arrived as f64 >= minimum, "{arrived} of {minimum} at {per_s}/s");
         fleet.check().unwrap();
     }
 }
 
 /// All that was learnt before the limit ended is forgotten with the first answer that was asked for afterwards.
 #[test]
-fn a_limit_that_has_ended_binds_nobody() {
+fn a_limit_that_has_ended_is_not_enforced() {
     let mut fleet = Fleet::new(6);
     (0..UPSTREAMS).for_each(|index| fleet.name(index, Some(rate(1.0))));
     fleet.load(Duration::from_secs(4), 100);
@@ -97,13 +97,13 @@
     fleet.load(Duration::from_secs(3), 100);
     let (before, refused) = (fleet.arrivals.iter().map(Vec::len).sum::<usize>(), fleet.refused);
     fleet.load(Duration::from_secs(2), 100);
-    let came = fleet.arrivals.iter().map(Vec::len).sum::<usize>() - before;
-    assert_eq!((came, fleet.refused - refused), (200, 0));
+    let arrived = fleet.arrivals.iter().map(Vec::len).sum::<usize>() - before;
+    assert_eq!((arrived, fleet.refused - refused), (200, 0));
 }
 
 /// An upstream that takes nothing at all is asked now and then whether that still holds.
 #[test]
-fn an_upstream_that_takes_nothing_is_noticed_when_it_takes_requests_again() {
+fn an_upstream_with_rate_zero_is_probed_until_its_limit_ends() {
     let mut fleet = Fleet::new(6);
     fleet.name(0, Some(rate(0.0)));
     fleet.load(Duration::from_secs(30), 20);
@@ -118,7 +118,7 @@
 
 /// A limit is ordered by who knew of it, not by when it was heard.
 #[test]
-fn vms_come_to_the_same_limit_in_whatever_order_they_hear() {
+fn vms_converge_on_the_same_limit_in_any_order_of_messages() {
     let mut clusters = [cluster(), cluster(), cluster()];
     let tag = Tag::of("i-0");
     let now = Instant::now();
@@ -138,8 +138,8 @@
     for (cluster, order) in
         clusters[1..].iter_mut().zip([[second, first, third], [third, first, second]])
     {
-        order.iter().for_each(|told| {
-            cluster.merge_limit(*told, &vm, later);
+        order.iter().for_each(|entry| {
+            cluster.merge_limit(*entry, &vm, later);
         });
     }
     for cluster in &clusters {
@@ -149,7 +149,7 @@
 
 /// Guards against rejected callers that all come back in the same second.
 #[test]
-fn rejected_callers_come_back_one_after_the_other() {
+fn rejected_callers_are_given_staggered_retry_times() {
     let (mut cluster, now) = (cluster(), Instant::now());
     for index in 0..UPSTREAMS {
         let tag = Tag::of(upstream(index).as_str());
