--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -102,11 +102,11 @@
     match ended {
         Ok(end) => end,
         Err(_) if job.left().is_zero() => {
-            note(job, &upstream, Cause::Own);
+            note(job, &upstream, Cause::ServerError);
             End::Deadline
         }
         Err(_) => {
-            note(job, &upstream, Cause::Silent);
+            note(job, &upstream, Cause::Unresponsive);
             End::Broken(format!("silent for {} ms", limit.as_millis()))
         }
     }
@@ -142,14 +142,14 @@
     let hold = match Hold::take(job, &grant).await {
         Ok(hold) => hold,
         Err(taken) => {
-            note(job, &taken.upstream, Cause::Full);
+            note(job, &taken.upstream, Cause::Overloaded);
             return End::NoMemory(taken);
         }
     };
     let mut channel = match channel(job, &grant).await {
         Ok(channel) => channel,
         Err(why) => {
-            note(job, &upstream, Cause::Silent);
+            note(job, &upstream, Cause::Unresponsive);
             return End::Unsent(why);
         }
     };
@@ -165,7 +165,7 @@
         Ok(answer) => answer,
         Err(Failure::Refused(why) | Failure::Unsent(why)) => return End::Unsent(why),
         Err(Failure::Broken(why)) => {
-            note(job, &upstream, Cause::Broken);
+            note(job, &upstream, Cause::Malformed);
             ending::examine(job, &placement.flight, start).await;
             return End::Broken(why);
         }
@@ -182,7 +182,7 @@
         verdict => return refused(job, &placement.flight, start, verdict, &head),
     }
     if head.status.is_success() && !D::genuine(&head.headers) {
-        note(job, &upstream, Cause::Broken);
+        note(job, &upstream, Cause::Malformed);
         return End::Broken(format!("response signature does not match upstream {upstream}"));
     }
     let promised = declared(&head.headers);
@@ -239,12 +239,12 @@
             let culprit = D::culprit(&head.headers)
                 .and_then(|name| job.process.cluster.lock().unwrap().find(name));
             let suspect = culprit.as_ref().unwrap_or(upstream);
-            note(job, suspect, Cause::Full);
+            note(job, suspect, Cause::Overloaded);
             let why = format!("it refused with {status}; at fault is {suspect}");
             End::NotRun { why, at_fault: flight.left_out(suspect).clone() }
         }
         Verdict::Ran | Verdict::Foreign => {
-            note(job, upstream, Cause::Broken);
+            note(job, upstream, Cause::Malformed);
             End::Broken(format!("its answer ({status}) belongs to another request"))
         }
     }
@@ -302,7 +302,7 @@
     let collected = match Limited::new(body, MOST_ANSWER).collect().await {
         Ok(collected) => collected.to_bytes(),
         Err(e) => {
-            note(job, &upstream, Cause::Broken);
+            note(job, &upstream, Cause::Malformed);
             ending::examine(job, &flight, start).await;
             return End::Broken(format!("its answer broke off: {}", chain(&*e)));
         }
@@ -312,7 +312,7 @@
         job.process.pool.keep(&upstream, channel, rest, now);
     }
     if head.status.is_server_error() {
-        note(job, &upstream, Cause::Own);
+        note(job, &upstream, Cause::ServerError);
         if job.repeatable() && head.status != StatusCode::GATEWAY_TIMEOUT {
             return End::Own(Box::new(Response::from_parts(head, answer::whole(collected))));
         }
@@ -339,7 +339,7 @@
             End::Events(Box::new(Begun { head, first: Vec::new(), source }))
         }
         Next::Broken(why) => {
-            note(job, &source.flight.upstream, Cause::Broken);
+            note(job, &source.flight.upstream, Cause::Malformed);
             ending::examine(job, &source.flight, source.start).await;
             End::Broken(why)
         }
--- a/daemon/src/fleet/ending.rs
+++ b/daemon/src/fleet/ending.rs
@@ -60,7 +60,7 @@
     let ending = Crash { upstream: start, isolated: alone };
     let mut cluster = job.process.cluster.lock().unwrap();
     if cluster.tag_of(&upstream) == start {
-        cluster.note(&upstream, Outcome::Failed(Cause::Silent), now);
+        cluster.note(&upstream, Outcome::Failed(Cause::Unresponsive), now);
     }
     let held = cluster.quarantine.record_crash(job.fingerprint, ending, now);
     let known = cluster.quarantine.crash_count(job.fingerprint) as u32;
--- a/daemon/src/fleet/outcome.rs
+++ b/daemon/src/fleet/outcome.rs
@@ -18,7 +18,7 @@
 /// Notes that an attempt failed, for this VM and the one that places.
 pub fn note<D: Dialect>(job: &Job<D>, upstream: &id::Upstream, failure: Failure) {
     tell(job, upstream, Outcome::Failed(failure));
-    if failure == Failure::Silent {
+    if failure == Failure::Unresponsive {
         job.process.pool.forget(upstream);
     }
 }
--- a/daemon/src/fleet/source.rs
+++ b/daemon/src/fleet/source.rs
@@ -94,7 +94,7 @@
 
     /// The stream broke off.
     pub async fn broke(self, job: &Job<D>, silent: bool) {
-        let failure = if silent { Failure::Silent } else { Failure::Broken };
+        let failure = if silent { Failure::Unresponsive } else { Failure::Malformed };
         note(job, &self.flight.upstream, failure);
         if !silent {
             ending::examine(job, &self.flight, self.start).await;
--- a/request/src/cluster/upstream.rs
+++ b/request/src/cluster/upstream.rs
@@ -58,8 +58,8 @@
     /// Notes how an attempt ended here.
     pub(super) fn note(&mut self, outcome: Outcome, now: Instant) {
         match outcome {
-            Outcome::Answered => self.suspicion.answered(now),
-            Outcome::Failed(failure) => self.suspicion.failed(failure, now),
+            Outcome::Answered => self.suspicion.record_success(now),
+            Outcome::Failed(failure) => self.suspicion.record_failure(failure, now),
         }
     }
 
--- a/request/src/placement/candidate.rs
+++ b/request/src/placement/candidate.rs
@@ -168,7 +168,7 @@
 ) -> Vec<&'a Upstream> {
     let sound = |u: &&Upstream| {
         u.unlisted.is_none()
-            && !u.suspicion.avoided(now)
+            && !u.suspicion.is_avoided(now)
             && !u.silent(now)
             && !cluster.is_left_alone(&u.listed.id)
     };
--- a/request/src/suspicion.rs
+++ b/request/src/suspicion.rs
@@ -9,23 +9,27 @@
 const HALF_LIFE: Duration = Duration::from_secs(2);
 
 /// From this weight on an upstream is avoided while there are others.
-const AVOIDED: f64 = 1.5;
+const AVOID_WEIGHT: f64 = 1.5;
 
 /// The most weight that failures add up to: an upstream is tried again about 5 s after its last
 /// failure.
-const MOST: f64 = 6.0;
+const MAX_WEIGHT: f64 = 6.0;
 
 /// How bad a failure was.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Failure {
     /// It cannot be reached, or fell silent.
-    Silent,
+    #[serde(rename = "Silent")]
+    Unresponsive,
     /// It broke off or sent what is no answer.
-    Broken,
+    #[serde(rename = "Broken")]
+    Malformed,
     /// It had no room.
-    Full,
+    #[serde(rename = "Full")]
+    Overloaded,
     /// It answered with a failure of its own.
-    Own,
+    #[serde(rename = "Own")]
+    ServerError,
 }
 
 /// How an attempt at an upstream ended.
@@ -40,10 +44,10 @@
 impl Failure {
     fn weight(self) -> f64 {
         match self {
-            Failure::Silent => 3.0,
-            Failure::Broken => 1.0,
-            Failure::Full => 0.7,
-            Failure::Own => 0.4,
+            Failure::Unresponsive => 3.0,
+            Failure::Malformed => 1.0,
+            Failure::Overloaded => 0.7,
+            Failure::ServerError => 0.4,
         }
     }
 }
@@ -64,19 +68,19 @@
     }
 
     /// Notes a failure.
-    pub fn failed(&mut self, failure: Failure, now: Instant) {
-        self.weight = (self.weight(now) + failure.weight()).min(MOST);
+    pub fn record_failure(&mut self, failure: Failure, now: Instant) {
+        self.weight = (self.weight(now) + failure.weight()).min(MAX_WEIGHT);
         self.at = Some(now);
     }
 
     /// Notes a whole answer.
-    pub fn answered(&mut self, now: Instant) {
+    pub fn record_success(&mut self, now: Instant) {
         self.weight = self.weight(now) * 0.5;
         self.at = Some(now);
     }
 
     /// Whether others are to be preferred.
-    pub fn avoided(&self, now: Instant) -> bool {
-        self.weight(now) >= AVOIDED
+    pub fn is_avoided(&self, now: Instant) -> bool {
+        self.weight(now) >= AVOID_WEIGHT
     }
 }
--- a/request/tests/board.rs
+++ b/request/tests/board.rs
@@ -221,11 +221,11 @@
     cluster.list(listed(1));
     let avoided = |cluster: &Cluster, ms: u64| {
         let at = now + Duration::from_millis(ms);
-        cluster.get(&upstream(1)).unwrap().suspicion.avoided(at)
+        cluster.get(&upstream(1)).unwrap().suspicion.is_avoided(at)
     };
-    cluster.note(&upstream(1), Outcome::Failed(Failure::Full), now);
+    cluster.note(&upstream(1), Outcome::Failed(Failure::Overloaded), now);
     assert!(!avoided(&cluster, 0), "one refusal is no sign");
-    cluster.note(&upstream(1), Outcome::Failed(Failure::Silent), now);
+    cluster.note(&upstream(1), Outcome::Failed(Failure::Unresponsive), now);
     assert!(avoided(&cluster, 0));
     assert!(!avoided(&cluster, 5_000));
     cluster.note(&upstream(1), Outcome::Answered, now);
@@ -238,7 +238,7 @@
     let (mut here, mut there, now) = (Cluster::default(), Cluster::default(), Instant::now());
     here.list(listed(1));
     there.list(listed(1));
-    here.note(&upstream(1), Outcome::Failed(Failure::Broken), now);
+    here.note(&upstream(1), Outcome::Failed(Failure::Malformed), now);
     for _ in 0..3 {
         there.hear_outcomes(&vm(1), &here.told_outcomes(now), now);
     }
--- a/request/tests/board/starts.rs
+++ b/request/tests/board/starts.rs
@@ -20,7 +20,7 @@
     let (mut cluster, now) = (Cluster::default(), Instant::now());
     cluster.list(started(1, 100, 1));
     let number = enter(&mut cluster, flight(1, 80.0, 200_000), now);
-    cluster.note(&upstream(1), Outcome::Failed(Failure::Silent), now);
+    cluster.note(&upstream(1), Outcome::Failed(Failure::Unresponsive), now);
     cluster.depart(cluster.tag_of(&upstream(1)));
     let told = cluster.told(now);
     let before = cluster.tag_of(&upstream(1));
--- a/request/tests/placement.rs
+++ b/request/tests/placement.rs
@@ -278,7 +278,7 @@
 #[test]
 fn upstreams_that_failed_are_passed_over_while_there_are_others() {
     let (mut cluster, now) = (cluster(2), Instant::now());
-    cluster.note(&upstream(0), Outcome::Failed(Failure::Silent), now);
+    cluster.note(&upstream(0), Outcome::Failed(Failure::Unresponsive), now);
     let placed = place(&cluster, &requirements(SHORT, 5_000), now).unwrap();
     assert_eq!(placed.flight.upstream, upstream(1));
     let avoid = vec![Tag::of("i-01")];
