--- a/request/src/budget.rs
+++ b/request/src/budget.rs
@@ -1,12 +1,13 @@
-//! The retry budget of the fleet, kept for each service by the VM that schedules.
+//! The retry budget of the fleet, kept per service by the scheduler.
 //!
-//! In each window the fleet may send `ratio` x requests + `slack` attempts beyond the first of each
-//! request. The scheduler sees them all. A first attempt adds `ratio` tokens to its service's bucket, which
-//! is small; a repeat takes one, or else a part of the slack that was not spent in the last window.
+//! In each window the fleet may send `ratio` x requests + `slack` retries. All attempts are charged at the
+//! scheduler. A first attempt adds `ratio` tokens to the bucket of its service, which is small. A retry takes
+//! a token; if there is none, it is counted against the slack, which limits such retries per window.
 //!
-//! Nothing is handed over to the next scheduler. It begins with empty buckets, and without slack: each VM is
-//! a client of one scheduler at a time, and its share of the slack counts there once it has been one for a
-//! window. So what a scheduler has spent that was killed, frozen or cut off is not spent again.
+//! No state is handed over to the next scheduler. A new scheduler starts with empty buckets and without slack:
+//! each VM is a client of one scheduler at a time, and its share of the slack counts there once it has been a
+//! client for a whole window. So slack that was spent by a scheduler which was then killed, suspended or
+//! partitioned is not spent a second time.
 
 mod clients;
 
@@ -22,61 +23,62 @@
 use clients::Clients;
 pub use clients::{Affiliation, Process};
 
-/// The figures of the budget, from the operator's settings.
+/// The parameters of the budget, from the operator's settings.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Parameters {
-    /// Repeats allowed for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeats allowed beside, over the whole fleet.
+    /// Additional retries allowed per window over the whole fleet.
     pub slack: f64,
-    /// The window over which both count.
+    /// The window over which requests and retries are counted.
     pub window: Duration,
 }
 
-/// Share of the ratio that is used: repeats are counted here when they are scheduled, and by upstreams when
-/// they arrive.
+/// Share of the ratio that is used. Retries are counted here when they are scheduled, but by upstreams when
+/// they arrive, so the two windows differ.
 const RATIO_SHARE: f64 = 0.9;
 
-/// Share of the slack that is spent through clients.
+/// Share of the slack that is distributed over the clients.
 const CLIENT_SLACK_SHARE: f64 = 0.75;
 
-/// Share of the slack that a bucket holds: each VM that may be asked to schedule has one.
+/// Share of the slack that is the capacity of one bucket. Each VM that may become the scheduler has a bucket per
+/// service.
 const BUCKET_SLACK_SHARE: f64 = (1.0 - CLIENT_SLACK_SHARE) / MAX_SCHEDULERS as f64;
 
-/// What an attempt is to the budget.
+/// How an attempt is charged to the budget.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Charge {
-    /// The first attempt of a request, which pays into the budget.
+    /// The first attempt of a request, which adds tokens.
     Deposit,
-    /// An attempt in place of one that reached no upstream.
+    /// An attempt that replaces one that reached no upstream; not charged.
     #[default]
     Free,
-    /// An attempt after one that reached an upstream, which takes a repeat from the budget.
+    /// A retry after an attempt that reached an upstream, which takes a token or slack.
     Withdraw,
 }
 
-/// The budget refuses a repeat. The figures are those that decided it.
+/// The budget rejects a retry. The fields are the state at that time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Exhausted {
-    /// Repeats that were taken from the slack in the last window.
+    /// Retries counted against the slack in the last window.
     pub spent: u32,
-    /// How many may be.
+    /// The slack available to this scheduler.
     pub slack: u32,
-    /// The VMs that bring this slack.
+    /// The clients whose shares make up this slack.
     pub clients: u32,
-    /// The VMs that run.
+    /// The VMs of the fleet.
     pub vms: u32,
 }
 
 #[derive(Debug, Default)]
 struct Account {
     tokens: f64,
-    /// When repeats were taken from the slack.
+    /// When retries were counted against the slack.
     spent: VecDeque<Instant>,
 }
 
 impl Account {
-    /// Forgets repeats that are out of the window.
+    /// Removes retries that are older than the window.
     fn expire(&mut self, window: Duration, now: Instant) {
         let is_old = |at: &Instant| now.saturating_duration_since(*at) > window;
         while self.spent.front().is_some_and(is_old) {
@@ -85,24 +87,24 @@
     }
 }
 
-/// The budget, as far as this VM schedules.
+/// The budget as kept by this VM when it is a scheduler.
 #[derive(Debug, Default)]
 pub struct Budget {
     parameters: Parameters,
-    /// The VMs that run.
+    /// The VMs of the fleet.
     vms: usize,
     clients: Clients,
     accounts: HashMap<Tag, Account>,
 }
 
 impl Budget {
-    /// A budget without clients.
+    /// Creates a budget without clients.
     pub fn new(parameters: Parameters) -> Budget {
         Budget { parameters, ..Budget::default() }
     }
 
-    /// Takes other figures; what is spent stays spent. With a longer window the budget begins anew: it has
-    /// forgotten the repeats that now count again.
+    /// Changes the parameters and keeps what is spent. A longer window resets the budget, because the retries that
+    /// would count again have been removed already.
     pub fn set(&mut self, parameters: Parameters) {
         if parameters.window > self.parameters.window {
             self.clear();
@@ -111,17 +113,17 @@
         self.cap_tokens();
     }
 
-    /// Records a message from one of `vms` VMs.
+    /// Records a message from a VM of a fleet of `vms`. `is_client` says whether it is a client of this scheduler.
     pub fn record_contact(&mut self, vm: &Holder, is_client: bool, vms: usize, now: Instant) {
         self.vms = vms;
-        // Before it counts: what was held for those that left is lost.
+        // Before this VM is counted: the tokens above the capacity without the expired VMs are dropped.
         if self.clients.expire(self.parameters.window, now) {
             self.cap_tokens();
         }
         self.clients.record(vm, is_client, now);
     }
 
-    /// Counts an attempt at a service, if the budget allows it.
+    /// Charges an attempt at a service, if the budget allows it.
     pub fn charge(&mut self, service: Tag, charge: Charge, now: Instant) -> Result<(), Exhausted> {
         match charge {
             Charge::Deposit => self.deposit(service),
@@ -134,8 +136,8 @@
         Ok(())
     }
 
-    /// Counts an attempt that is queued. Returns what is left to charge when it is placed: a request pays at once, a
-    /// repeat is taken when it is sent.
+    /// Charges an attempt that is queued. Returns the charge that is due when it is placed: a first attempt adds its
+    /// tokens at once, a retry is charged when it is sent.
     pub fn queue(&mut self, service: Tag, charge: Charge) -> Charge {
         if charge != Charge::Deposit {
             return charge;
@@ -144,7 +146,7 @@
         Charge::Free
     }
 
-    /// Whether the budget allows an attempt at a service.
+    /// Checks whether the budget allows an attempt at a service, without charging it.
     pub fn check(&mut self, service: Tag, charge: Charge, now: Instant) -> Result<(), Exhausted> {
         if charge != Charge::Withdraw {
             return Ok(());
@@ -164,12 +166,12 @@
         })
     }
 
-    /// The window over which requests and repeats count.
+    /// Returns the window over which requests and retries are counted.
     pub fn window(&self) -> Duration {
         self.parameters.window
     }
 
-    /// Forgets all clients: others may have scheduled for them since.
+    /// Removes all clients and buckets, because other schedulers may have served these clients in the meantime.
     pub fn clear(&mut self) {
         self.clients = Clients::default();
         self.accounts.clear();
@@ -196,19 +198,19 @@
         }
     }
 
-    /// Repeats that may be taken from the slack in a window. Where it is one for each VM, a scheduler of a
-    /// single client has a whole one.
+    /// Returns how many retries may be counted against the slack in a window. If the slack is at least one per VM, a
+    /// scheduler with a single client has one retry.
     fn slack(&self) -> f64 {
         let slack = self.slack_of(self.clients.settled());
         (CLIENT_SLACK_SHARE * slack).max(slack.min(1.0))
     }
 
-    /// The tokens that a bucket holds at most.
+    /// Returns the capacity of a bucket.
     fn capacity(&self) -> f64 {
         BUCKET_SLACK_SHARE * self.slack_of(self.clients.contacts())
     }
 
-    /// The slack of so many VMs.
+    /// Returns the share of the slack for this number of VMs.
     fn slack_of(&self, vms: usize) -> f64 {
         self.parameters.slack * (vms as f64 / self.vms.max(1) as f64).min(1.0)
     }
--- a/request/src/budget/clients.rs
+++ b/request/src/budget/clients.rs
@@ -1,4 +1,4 @@
-//! Which VMs a scheduler serves, and which scheduler a VM is a client of.
+//! The clients of a scheduler, and the scheduler that a VM is a client of.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -7,31 +7,31 @@
 
 use crate::cluster::Holder;
 
-/// How long a scheduler counts a VM after its last message, as a share of the budget's window.
+/// Time after its last message for which a scheduler counts a VM, as a share of the budget's window.
 const CLIENT_TIMEOUT: f64 = 0.4;
 
-/// How long a VM stays a client of a scheduler after its last message to it, as a share of the budget's
-/// window: longer than it counts there, so that it never counts at two.
+/// Time after its last message for which a VM stays a client of a scheduler, as a share of the budget's window.
+/// Longer than `CLIENT_TIMEOUT`, so that no VM counts at two schedulers.
 const AFFILIATION_TIMEOUT: f64 = 0.45;
 
-/// A process of a VM.
+/// One process of a VM.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Process {
     /// The VM.
     pub vm: id::Vm,
-    /// The start of the process.
+    /// The incarnation of the process.
     pub incarnation: u64,
 }
 
-/// The scheduler that counts this VM as its client.
+/// The scheduler of which this VM is a client.
 #[derive(Debug, Default)]
 pub struct Affiliation {
     scheduler: Option<(Process, Instant)>,
 }
 
 impl Affiliation {
-    /// Records a message to a scheduler. Returns whether this VM is its client: it changes to another one
-    /// when the former has ended, as `has_ended` says, or no longer counts it.
+    /// Records a message to a scheduler. Returns whether this VM is its client. A VM becomes the client of another
+    /// scheduler once its former one has ended, according to `has_ended`, or no longer counts it.
     pub fn contact(
         &mut self,
         scheduler: &Process,
@@ -58,14 +58,14 @@
     client: Option<Since>,
 }
 
-/// The time for which a VM is a client without a break.
+/// An uninterrupted period in which a VM is a client.
 #[derive(Debug)]
 struct Since {
     first: Instant,
     last: Instant,
 }
 
-/// The VMs that a scheduler serves.
+/// The VMs from which a scheduler receives messages.
 #[derive(Debug, Default)]
 pub(super) struct Clients {
     seen: HashMap<Holder, Seen>,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Forgets VMs that have sent nothing of late, if that was not done just now. Returns whether it was done.
+    /// Removes VMs that have timed out, unless the last sweep was within `SWEEP_INTERVAL`. Returns whether it swept.
     pub(super) fn expire(&mut self, window: Duration, now: Instant) -> bool {
         let timeout = window.mul_f64(CLIENT_TIMEOUT);
         let age = |at: Instant| now.saturating_duration_since(at);
@@ -107,13 +107,13 @@
         true
     }
 
-    /// The clients of longer than a window: what another scheduler spent for them before is out of the
-    /// window.
+    /// Returns the number of VMs that have been clients for longer than a window. What other schedulers spent for
+    /// them before is older than the window.
     pub(super) fn settled(&self) -> usize {
         self.settled
     }
 
-    /// The VMs that sent something of late, as clients or not.
+    /// Returns the number of VMs that have not timed out, clients or not.
     pub(super) fn contacts(&self) -> usize {
         self.seen.len()
     }
--- a/request/tests/budget.rs
+++ b/request/tests/budget.rs
@@ -18,7 +18,7 @@
     Holder::Peer(format!("vm-{index}").parse().unwrap())
 }
 
-/// A budget whose clients are some VMs of a fleet of `running`, for longer than a window by now.
+/// A budget that has had `clients` of a fleet of `running` VMs as clients for longer than a window.
 fn settled(parameters: Parameters, clients: usize, running: usize) -> (Budget, Instant) {
     let (mut budget, mut now) = (Budget::new(parameters), Instant::now());
     for _ in 0..12 {
@@ -57,9 +57,9 @@
     let (mut budget, now) = (Budget::new(PARAMETERS), Instant::now());
     contact(&mut budget, 10, 10, now);
     deposit(&mut budget, 17, now);
-    assert_eq!(spend(&mut budget, model(), now), 3, "nine tenths of the ratio");
+    assert_eq!(spend(&mut budget, model(), now), 3, "nine tenths of the ratio are used");
     deposit(&mut budget, 17, now);
-    assert_eq!(spend(&mut budget, Tag::of("plain"), now), 0, "each service has its own");
+    assert_eq!(spend(&mut budget, Tag::of("plain"), now), 0, "each service has its own bucket");
 }
 
 #[test]
@@ -72,7 +72,7 @@
     }
     let left = budget.queue(model(), Charge::Withdraw);
     assert_eq!(left, Charge::Withdraw);
-    assert!(budget.charge(model(), left, now).is_ok(), "six requests pay for one repeat");
+    assert!(budget.charge(model(), left, now).is_ok(), "six requests add a token");
     assert!(budget.charge(model(), left, now).is_err());
 }
 
@@ -176,8 +176,8 @@
 }
 
 proptest! {
-    /// However requests and failures fall on the VMs, the fleet stays within its budget in each
-    /// window.
+    /// Guards against any distribution of requests and failures over the VMs with which the fleet exceeds its budget
+    /// in a window.
     #[test]
     fn the_fleet_stays_within_its_budget(
         vms in 1usize..12,
--- a/request/tests/budget_restarts.rs
+++ b/request/tests/budget_restarts.rs
@@ -1,5 +1,5 @@
-//! The fleet's retry budget while VMs start, stop, are killed, are cut off, follow each other as schedulers and read
-//! their figures again.
+//! The fleet's retry budget while VMs start, stop, are killed or partitioned, while the scheduler changes and the
+//! parameters are reloaded.
 
 use std::ops::Range;
 use std::time::{Duration, Instant};
@@ -13,25 +13,25 @@
 
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// The time that a VM serves on after it has withdrawn.
+/// Time for which a VM continues to serve after it has withdrawn.
 const STOP: Duration = Duration::from_secs(8);
 
-/// The time between the heartbeats of a VM.
+/// Heartbeat interval of a VM.
 const HEARTBEAT: Duration = Duration::from_secs(1);
 
-/// The time until it is back after that.
+/// Time after which it is restarted.
 const DOWN: Duration = Duration::from_secs(1);
 
 fn parameters(vms: usize) -> Parameters {
     Parameters { ratio: 0.2, slack: (vms * 3) as f64, window: WINDOW }
 }
 
-/// Who schedules for a VM.
+/// The scheduler of a VM.
 #[derive(Debug, Clone, Copy)]
 enum Side {
     /// The scheduler of the fleet.
     Fleet,
-    /// The scheduler of a part that is cut off, which knew so many VMs when that began.
+    /// The scheduler of a partition, which had `known` VMs listed when it was cut off.
     Part { scheduler: usize, known: usize },
 }
 
@@ -41,13 +41,13 @@
     budget: Budget,
     affiliation: Affiliation,
     side: Side,
-    /// When it ends, if it has withdrawn.
+    /// When its process ends, if it has withdrawn.
     ends: Option<Instant>,
-    /// When it is back, if it is down.
+    /// When it is restarted, if it is down.
     back: Option<Instant>,
 }
 
-/// Something that happens to the fleet, or to a range of its VMs in percent.
+/// An event of the fleet, or of a range of its VMs, given in percent.
 #[derive(Debug, Clone)]
 enum Incident {
     Traffic {
@@ -64,21 +64,21 @@
         from: usize,
         share: usize,
     },
-    /// Cut off from the others, each by itself or together.
+    /// Partitions VMs from the others, into one partition each or all into one.
     Cut {
         from: usize,
         share: usize,
         together: bool,
     },
     Heal,
-    /// Another VM schedules.
+    /// Another VM becomes the scheduler.
     Elect {
         vm: usize,
     },
     Reload,
 }
 
-/// The VMs that run, as all of them know it.
+/// The running VMs, as listed at each of them.
 struct Running {
     count: usize,
     schedulers: Vec<Process>,
@@ -136,7 +136,7 @@
         self.vms.iter().filter(|vm| vm.back.is_none()).count()
     }
 
-    /// Time passes, in which each VM's heartbeats reach its scheduler.
+    /// Advances the time. Each VM sends its heartbeats to its scheduler.
     fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -159,7 +159,7 @@
         self.elect_running();
     }
 
-    /// The next VM schedules if the one that did is down.
+    /// Makes the next VM the scheduler if the current one is down.
     fn elect_running(&mut self) {
         let of = MAX_SCHEDULERS.min(self.vms.len());
         let next = (0..of).map(|step| (self.scheduler + step) % of);
@@ -177,12 +177,12 @@
         Process { vm: vm.name.clone(), incarnation: vm.incarnation }
     }
 
-    /// Who may schedule, now.
+    /// The processes that may become the scheduler.
     fn schedulers(&self) -> Vec<Process> {
         (0..MAX_SCHEDULERS.min(self.vms.len())).map(|index| self.process(index)).collect()
     }
 
-    /// Attempts at a VM. Answers how many the budget allows.
+    /// Makes `each` attempts at a VM. Returns how many the budget allows.
     fn attempt(&mut self, index: usize, each: usize, charge: Charge, fleet: &Running) -> usize {
         let (scheduler, known) = match self.vms[index].side {
             Side::Fleet => (self.scheduler, fleet.count),
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Parts whose scheduler has gone are each by themselves.
+    /// Splits partitions whose scheduler is gone into one partition for each VM.
     fn split_parts(&mut self, gone: &Range<usize>) {
         for index in 0..self.vms.len() {
             let Side::Part { scheduler, known } = self.vms[index].side else { continue };
@@ -269,7 +269,7 @@
         }
     }
 
-    /// Repeats in the window that ends now, and how many are allowed in it.
+    /// Returns the retries in the window that ends now, and how many are allowed in it.
     fn spent(&self) -> (usize, f64) {
         let within = |times: &[Instant]| {
             times.iter().filter(|at| self.now.duration_since(**at) <= WINDOW).count()
@@ -284,7 +284,7 @@
     }
 }
 
-/// Guards against a restarted VM that spends the share which its former process has spent.
+/// Guards against a restarted VM that spends the share of the slack that its former process has spent already.
 #[test]
 fn a_killed_vm_does_not_spend_its_share_again() {
     let mut fleet = Fleet::new(72);
@@ -297,7 +297,7 @@
     }
 }
 
-/// Guards against shares that grow as VMs withdraw which have spent theirs and still serve.
+/// Guards against shares that grow when VMs withdraw that have spent theirs and still serve.
 #[test]
 fn shares_do_not_grow_as_vms_withdraw() {
     let mut fleet = Fleet::new(72);
@@ -310,7 +310,7 @@
     }
 }
 
-/// Guards against two schedulers that are asked in turn and each hold the slack of the same VMs.
+/// Guards against two alternating schedulers that each hold the slack of the same VMs.
 #[test]
 fn alternating_schedulers_do_not_both_hold_the_slack() {
     let mut fleet = Fleet::new(72);
@@ -345,8 +345,8 @@
 }
 
 proptest! {
-    /// Guards against any way in which restarts, withdrawals, cuts, changes of the scheduler and reloads add up to
-    /// more repeats than the fleet may send in a window.
+    /// Guards against any sequence of restarts, withdrawals, partitions, changes of the scheduler and reloads that
+    /// leads to more retries than the fleet may send in a window.
     #[test]
     fn the_fleet_keeps_its_budget_through_any_incidents(
         count in prop::sample::select(vec![6usize, 72, 195, 985]),
