--- a/request/src/rank.rs
+++ b/request/src/rank.rs
@@ -1,5 +1,5 @@
-//! Which VMs place the requests of the fleet: each VM works it out alike from the list of VMs and
-//! from who it hears, without a message, and the next in order follows when one falls silent.
+//! Election of the schedulers. Each VM computes the same order from the list of VMs, without messages; the first
+//! VM in it that is up is the scheduler, and the next ones are standby schedulers.
 
 use std::cmp::Reverse;
 
@@ -7,20 +7,21 @@
 
 use crate::directory::Member;
 
-/// VMs that are told all: the one that places, and two that can take over with what they know.
+/// Number of VMs that receive all announcements: the scheduler and two standby schedulers that can take over with
+/// the state that they have.
 pub const SCHEDULERS: usize = 3;
 
-/// VMs at the head of the order that are told all while it is not known which of them live.
+/// Upper bound on the VMs that receive all announcements while the liveness of some is unknown.
 pub const MAX_SCHEDULERS: usize = 2 * SCHEDULERS;
 
-/// Orders VMs by how well they can place for all: those with the most of a processor first, equal
-/// ones by a hash, so that no hall and no age of a VM is preferred.
+/// Orders VMs by their suitability as scheduler: those with the most processor time first, equal ones by a hash of
+/// the id, so that no data hall and no age of a VM is preferred.
 pub fn order(members: &mut [Member]) {
     members.sort_by_cached_key(key);
 }
 
-/// Puts a VM into its place among others in their order. A fleet that starts lists its VMs one by one: to
-/// order all anew for each grows with the square of the VMs.
+/// Inserts a VM into an ordered list. When a fleet starts, its VMs are listed one by one, and sorting anew for each
+/// would take time quadratic in the number of VMs.
 pub fn insert(order: &mut Vec<Member>, member: Member) {
     let own = key(&member);
     let index = order.partition_point(|other| key(other) < own);
@@ -31,19 +32,19 @@
     (Reverse(member.millicores), xxh3_64(member.vm.as_str().as_bytes()))
 }
 
-/// What is known of a VM.
+/// The liveness of a VM as observed by another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Liveness {
-    /// It was heard just now.
+    /// A message was received from it recently.
     Up,
-    /// It was not asked for long enough to know.
+    /// It has not been contacted for long enough to tell.
     Unknown,
-    /// It does not answer.
+    /// It does not respond.
     Down,
 }
 
-/// The VMs that are told all, by their place in the order: the first that are heard, and those before
-/// them that may yet answer.
+/// Returns the indexes of the VMs that receive all announcements: the first `SCHEDULERS` that are up, and those before
+/// them whose liveness is unknown, at most `MAX_SCHEDULERS` in all.
 pub fn schedulers(order: impl Iterator<Item = Liveness>) -> Vec<usize> {
     let mut up = 0;
     let mut schedulers = Vec::new();
--- a/request/tests/rank.rs
+++ b/request/tests/rank.rs
@@ -1,4 +1,4 @@
-//! Which VMs place for all: the order, and who is told all.
+//! The election of the schedulers: the order of the VMs, and which of them receive all announcements.
 
 use foldlock_request::directory::Member;
 use foldlock_request::rank::{self, Liveness, SCHEDULERS};
@@ -28,7 +28,7 @@
     assert_eq!(first, ["vm-13", "vm-3"]);
 }
 
-/// A fleet lists its VMs one by one, in any order.
+/// VMs are listed one by one, in any order.
 #[test]
 fn inserting_one_by_one_gives_the_same_order_as_sorting() {
     let members: Vec<Member> =
@@ -55,13 +55,13 @@
     let schedulers = |liveness: &[Liveness]| rank::schedulers(liveness.iter().copied());
     assert_eq!(schedulers(&[Up, Up, Up, Up]), [0, 1, 2]);
     assert_eq!(schedulers(&[Down, Up, Down, Up, Up, Up]), [1, 3, 4]);
-    assert_eq!(schedulers(&[Unknown, Up, Up, Up, Up]), [0, 1, 2, 3], "it may live");
-    assert_eq!(schedulers(&[Unknown; 20]).len(), 6, "not all are tried at once");
+    assert_eq!(schedulers(&[Unknown, Up, Up, Up, Up]), [0, 1, 2, 3], "the first one may be up");
+    assert_eq!(schedulers(&[Unknown; 20]).len(), 6, "the number is bounded");
     assert!(schedulers(&[Down; 4]).is_empty());
 }
 
 proptest! {
-    /// Whoever is silent, the first ones that are heard are told, and few others.
+    /// Whichever VMs are down, the first ones that are up receive all announcements, and few others.
     #[test]
     fn the_first_vms_that_are_up_are_schedulers(
         liveness in prop::collection::vec(
