--- a/request/src/rate_limit.rs
+++ b/request/src/rate_limit.rs
@@ -1,7 +1,7 @@
-//! The rate limit that an upstream names in its answers, replicated to all VMs.
+//! The rate limit that an upstream states in its responses, replicated to all VMs.
 //!
-//! Answers arrive out of order and at different VMs. If a request was sent after the current limit was learned, its
-//! answer supersedes that limit with a higher version. Between concurrent answers the lower rate wins. Merging is
+//! Responses arrive out of order and at different VMs. If a request was sent after the current limit was learned, its
+//! response supersedes that limit with a higher version. Between concurrent responses the lower rate wins. Merging is
 //! commutative and idempotent, so all VMs converge.
 
 use std::time::{Duration, Instant};
@@ -11,10 +11,10 @@
 
 use crate::tag::Tag;
 
-/// Rates from here on count as no limit, requests a second.
+/// Rate from which a limit is treated as none, requests per second.
 const UNBOUNDED: f64 = 10_000.0;
 
-/// How long a limit is announced after an upstream named it, or after a peer announced an older one.
+/// How long a limit is announced after an upstream stated it, or after a peer announced an older one.
 const ANNOUNCE_FOR: Duration = Duration::from_secs(3);
 
 /// A rate limit, or the absence of one.
@@ -22,12 +22,12 @@
 pub struct Limit {
     /// Higher for each limit that is causally later.
     pub version: u32,
-    /// Requests a second over the whole fleet; none if unlimited.
+    /// Requests per second over the whole fleet; none if unlimited.
     pub rate: Option<Rate>,
 }
 
 impl Limit {
-    /// Whether this limit replaces the other one.
+    /// Returns whether this limit replaces the other one.
     pub fn supersedes(self, other: Limit) -> bool {
         let rate = |limit: Limit| limit.rate.map_or(f64::INFINITY, Rate::as_f64);
         self.version > other.version || self.version == other.version && rate(self) < rate(other)
@@ -52,9 +52,9 @@
     pub learned: Instant,
     /// Start of the current uninterrupted period with a limit.
     pub limited_since: Instant,
-    /// The VM from which the limit was received; this one if by an answer.
+    /// The VM from which the limit was received; this one if it was in a response.
     pub source: id::Vm,
-    /// When the upstream last named the limit, or a peer last announced an older one.
+    /// When the upstream last stated the limit, or a peer last announced an older one.
     refreshed: Instant,
 }
 
@@ -63,7 +63,7 @@
         State { limit, learned: now, limited_since: now, source, refreshed: now }
     }
 
-    /// Whether the limit is included in heartbeats.
+    /// Returns whether the limit is included in heartbeats.
     pub fn is_announced(&self, now: Instant) -> bool {
         now.saturating_duration_since(self.refreshed) < ANNOUNCE_FOR
     }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Applies an answer of the upstream to a request sent at `sent`. Returns whether the limit has changed.
+/// Applies the response of the upstream to a request sent at `sent`. Returns whether the limit has changed.
 pub fn observe(
     current: &mut Option<State>,
     rate: Option<Rate>,
@@ -103,14 +103,14 @@
     has_changed
 }
 
-/// Result of merging an announced limit.
+/// The result of merging an announced limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Merge {
     /// The limit was adopted.
     Adopted,
-    /// The limit was known already.
+    /// The announced limit is the current one.
     Same,
-    /// The announced limit is older than the known one.
+    /// The announced limit is older than the current one.
     Stale,
 }
 
--- a/request/tests/rate_limits/check.rs
+++ b/request/tests/rate_limits/check.rs
@@ -1,4 +1,4 @@
-//! What upstreams got, held against their limits.
+//! Compares the requests that upstreams received with their limits.
 
 use std::time::Instant;
 
@@ -8,7 +8,7 @@
 use crate::fleet::{Fleet, NOTICE_DELAY, SPAN, UPSTREAMS};
 
 impl Fleet {
-    /// Each span of each upstream, by the highest limit that it named within it.
+    /// Checks each span of each upstream against the highest limit that it stated within it.
     pub(crate) fn check(&self) -> Result<(), TestCaseError> {
         for index in 0..UPSTREAMS {
             let counted: Vec<Instant> =
@@ -27,7 +27,7 @@
         Ok(())
     }
 
-    /// The highest limit that an upstream named in this time; none if it had none for a part of it.
+    /// Returns the highest limit that an upstream stated in a period; none if it had no limit for a part of it.
     fn highest(&self, upstream: usize, from: Instant, to: Instant) -> Option<Rate> {
         let named = &self.named[upstream];
         let before = named.iter().rev().find(|(at, _)| *at <= from)?;
--- a/request/tests/rate_limits/fleet.rs
+++ b/request/tests/rate_limits/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet without network: VMs that schedule, send and tell each other what they know, and upstreams that name limits.
+//! A simulated fleet without network: VMs that schedule, send requests and exchange announcements, and upstreams that
+//! state rate limits.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -15,25 +16,25 @@
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::{Bounds, Service, Table};
 
-/// The time between two looks at the fleet.
+/// Time step of the simulation.
 pub(crate) const STEP: Duration = Duration::from_millis(10);
 
-/// The time between the heartbeats of a VM.
+/// Heartbeat interval of a VM.
 const HEARTBEAT: Duration = Duration::from_millis(200);
 
-/// The time over which an upstream counts.
+/// Period over which the requests of an upstream are counted.
 pub(crate) const SPAN: Duration = Duration::from_secs(4);
 
-/// The time after which a VM is bound by what it was told.
+/// Time after which a VM has to comply with a limit that it received.
 pub(crate) const NOTICE_DELAY: Duration = Duration::from_millis(500);
 
-/// The time for which a disturbance excuses a VM.
+/// Time after an incident for which the requests of a VM are not counted.
 const EXEMPT_AFTER_INCIDENT: Duration = Duration::from_secs(3);
 
-/// The VMs that may schedule, and that all others tell what they sent.
+/// Number of VMs that may become the scheduler, and to which all others announce their dispatches.
 pub(crate) const SCHEDULERS: usize = 3;
 
-/// The upstreams of the service.
+/// Number of upstreams of the service.
 pub(crate) const UPSTREAMS: usize = 2;
 
 pub(crate) fn upstream(index: usize) -> id::Upstream {
@@ -99,34 +100,34 @@
     pub(crate) cluster: Cluster,
     pub(crate) scheduler: Scheduler,
     pub(crate) incarnation: u64,
-    /// Requests of this process.
+    /// Number of requests of this process.
     pub(crate) numbers: u64,
-    /// Until when it does nothing.
+    /// Until when its process is suspended.
     pub(crate) frozen: Option<Instant>,
-    /// Whether it reaches no other VM.
+    /// Whether it is partitioned from all other VMs.
     pub(crate) cut: bool,
-    /// The scheduler that it asks in place of the fleet's.
+    /// The scheduler that it uses in place of the fleet's.
     pub(crate) own_scheduler: Option<usize>,
     pub(crate) disturbed: Option<Instant>,
-    /// When each upstream first told this VM of a limit.
+    /// When this VM first received a limit from each upstream.
     pub(crate) limited_since: [Option<Instant>; UPSTREAMS],
 }
 
-/// A request that an upstream works on.
+/// A request in flight at an upstream.
 pub(crate) struct Running {
     vm: usize,
     incarnation: u64,
     number: u64,
     upstream: usize,
     sent: Instant,
-    /// When its answer begins, and what that says.
+    /// When its response begins. `limit` is the limit at the time of sending.
     ends: Instant,
     limit: Option<Rate>,
 }
 
 pub(crate) struct Arrival {
     pub(crate) at: Instant,
-    /// Whether it counts: its VM was told in time, and nothing disturbed it.
+    /// Whether it is counted: its VM had received a limit in time and had no recent incident.
     pub(crate) counts: bool,
 }
 
@@ -138,7 +139,7 @@
     pub(crate) now: Instant,
     pub(crate) next_heartbeat: Instant,
     pub(crate) limits: [Option<Rate>; UPSTREAMS],
-    /// When each upstream named which limit.
+    /// The limits that each upstream stated, and when.
     pub(crate) named: [Vec<(Instant, Option<Rate>)>; UPSTREAMS],
     pub(crate) running: VecDeque<Running>,
     pub(crate) arrivals: [Vec<Arrival>; UPSTREAMS],
@@ -192,13 +193,13 @@
         self.vms[vm].frozen.is_some_and(|until| until > self.now)
     }
 
-    /// Whether a message gets from one VM to another.
+    /// Whether a message from one VM reaches another.
     fn reaches(&self, from: usize, to: usize) -> bool {
         let cut = self.vms[from].cut || self.vms[to].cut;
         (!cut || from == to) && !self.is_frozen(to)
     }
 
-    /// The scheduler that a VM asks: the next one where that does not answer.
+    /// The scheduler that a VM uses: the first one from its preferred one on that it reaches.
     fn scheduler_of(&self, vm: usize) -> Option<usize> {
         let first = self.vms[vm].own_scheduler.unwrap_or(self.scheduler);
         let of = SCHEDULERS.min(self.vms.len());
@@ -206,7 +207,7 @@
         order.into_iter().find(|scheduler| self.reaches(vm, *scheduler))
     }
 
-    /// Requests come, so many a second in all, at one VM after the other.
+    /// Simulates `each_s` requests per second over the whole fleet.
     pub(crate) fn load(&mut self, time: Duration, each_s: usize) {
         let end = self.now + time;
         let mut due = 0.0;
@@ -238,7 +239,7 @@
         self.vms[vm].numbers += 1;
         let number = self.vms[vm].numbers;
         let requirements = requirements(self.now, number);
-        // A grant without knowledge of the limit is given back once, with the limit.
+        // A grant of a scheduler without the current limit is cancelled once, after the limit has been announced to it.
         for _ in 0..2 {
             let Some(scheduler) = self.scheduler_of(vm) else { break };
             let key = self.key(vm, scheduler, number);
@@ -275,7 +276,8 @@
         Key { holder, incarnation: self.vms[vm].incarnation, number }
     }
 
-    /// Sends on a grant, unless its scheduler knew less of the limit, which it is told then.
+    /// Sends a granted request, unless its scheduler had an older limit. In that case the current one is announced to
+    /// it.
     fn send(&mut self, vm: usize, scheduler: usize, number: u64, placement: &Placement) -> bool {
         let id = &placement.flight.upstream;
         if !self.vms[vm].cluster.may_send(id, placement.limit) {
@@ -301,7 +303,7 @@
             number,
             upstream,
             sent: now,
-            // Some answers take less time than a heartbeat, and some overtake others.
+            // Some responses take less time than a heartbeat interval, and some overtake others.
             ends: now + Duration::from_millis([10, 30, 10, 30, 400][sends as usize % 5]),
             limit: self.limits[upstream],
         });
@@ -318,7 +320,8 @@
         self.vms[vm].cluster.merge_limit(entry, &vm_name(from), now);
     }
 
-    /// Answers that begin now. Half of them say what held when they were asked for, as if another had overtaken them.
+    /// Delivers the responses that begin now. Half of them state the limit of the time at which the request was sent,
+    /// as if another response had overtaken them.
     fn respond(&mut self) {
         let now = self.now;
         let (over, left): (Vec<Running>, Vec<Running>) =
@@ -366,7 +369,7 @@
                 cluster.hear(&vm_name(vm), &flights, u64::MAX, now);
             }
         }
-        // Schedulers tell all others what limits they know.
+        // Schedulers announce their limits to all other VMs.
         for scheduler in 0..SCHEDULERS.min(self.vms.len()) {
             let limits = self.vms[scheduler].cluster.announced_limits(self.now);
             for vm in (0..self.vms.len()).filter(|vm| *vm != scheduler) {
@@ -377,7 +380,7 @@
         }
     }
 
-    /// What waits at a scheduler is placed.
+    /// Places the requests that are queued at the schedulers.
     fn place_queued(&mut self) {
         for scheduler in 0..SCHEDULERS.min(self.vms.len()) {
             if self.is_frozen(scheduler) {
--- a/request/tests/rate_limits/incident.rs
+++ b/request/tests/rate_limits/incident.rs
@@ -1,4 +1,4 @@
-//! What happens to the fleet.
+//! The incidents of the simulated fleet.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 
 #[derive(Debug, Clone)]
 pub(crate) enum Incident {
-    /// So much time passes while each of some VMs sends a request every step or so.
+    /// The fleet receives `each_s` requests per second for `ms` milliseconds.
     Load {
         ms: u64,
         each_s: usize,
     },
-    /// An upstream names a limit, in quarters of a request a second, or none.
+    /// An upstream states a limit, in quarters of a request per second, or none.
     Name {
         upstream: usize,
         quarters: Option<u32>,
@@ -28,7 +28,7 @@
     Cut {
         vm: usize,
     },
-    /// Some VMs ask another scheduler than the rest.
+    /// The VMs from `from` percent on use another scheduler than the rest.
     Split {
         from: usize,
         scheduler: usize,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Any of them, more often load than trouble.
+/// Any incident; load is the most frequent one.
 pub(crate) fn incident() -> impl Strategy<Value = Incident> {
     let load = (50..1_500_u64, 5..120_usize);
     prop_oneof![
--- a/request/tests/rate_limits/main.rs
+++ b/request/tests/rate_limits/main.rs
@@ -1,8 +1,9 @@
-//! Upstreams that name how many requests a second they take from all VMs together, while VMs are killed, frozen and cut
-//! off, and follow each other as schedulers.
+//! Rate limits of upstreams over the whole fleet, while VMs are killed, suspended and partitioned and the scheduler
+//! changes.
 //!
-//! Guards against an upstream that gets more in four seconds than one and a half times its limit and five requests beside,
-//! summed over the VMs that it told half a second before or earlier, and against a limit that is not used.
+//! Guards against an upstream that receives more in four seconds than one and a half times its limit plus five
+//! requests, counted over the VMs that received the limit at least half a second earlier, and against a limit that is
+//! not used up.
 
 mod check;
 mod fleet;
@@ -38,7 +39,7 @@
     }
 }
 
-/// The largest fleet, with two schedulers at once, each of which is killed.
+/// Fleets up to the largest size with two schedulers at once, each of which is killed.
 #[test]
 fn two_schedulers_at_once_do_not_each_spend_the_rate() {
     for count in [6, 72, 195, 985] {
@@ -58,7 +59,7 @@
     }
 }
 
-/// VMs that were told do not use the grants of schedulers that know of no limit.
+/// VMs that have received a limit discard the grants of schedulers that have none.
 #[test]
 fn restarted_schedulers_grant_nothing_beyond_limits_known_to_others() {
     let mut fleet = Fleet::new(6);
@@ -71,7 +72,7 @@
     fleet.check().unwrap();
 }
 
-/// Callers are served at the rate that is named while they wait.
+/// Queued requests are sent at least at 80 percent of the stated rate.
 #[test]
 fn the_rate_is_used_while_callers_wait() {
     for per_s in [1.0, 2.6, 10.0, 40.0] {
@@ -87,7 +88,7 @@
     }
 }
 
-/// All that was learnt before the limit ended is forgotten with the first answer that was asked for afterwards.
+/// The first response to a request sent after the limit ended removes the limit at all VMs.
 #[test]
 fn a_limit_that_has_ended_is_not_enforced() {
     let mut fleet = Fleet::new(6);
@@ -101,7 +102,7 @@
     assert_eq!((arrived, fleet.refused - refused), (200, 0));
 }
 
-/// An upstream that takes nothing at all is asked now and then whether that still holds.
+/// An upstream with a rate of zero receives occasional requests, since only responses show that the limit has ended.
 #[test]
 fn an_upstream_with_rate_zero_is_probed_until_its_limit_ends() {
     let mut fleet = Fleet::new(6);
@@ -116,7 +117,7 @@
     assert!(fleet.arrivals[0].len() > before + 20, "{}", fleet.arrivals[0].len() - before);
 }
 
-/// A limit is ordered by who knew of it, not by when it was heard.
+/// Limits are ordered by version, not by the time at which they are received.
 #[test]
 fn vms_converge_on_the_same_limit_in_any_order_of_messages() {
     let mut clusters = [cluster(), cluster(), cluster()];
@@ -125,13 +126,13 @@
     let later = now + Duration::from_secs(1);
     let vm = vm_name(0);
     clusters[0].observe_limit(tag, Some(rate(5.0)), now, &vm, now).unwrap();
-    // Sent before the limit was known: the stricter holds, and no limit at all says nothing.
+    // Sent before the limit was learned: the lower rate wins, and a response without a limit changes nothing.
     assert!(clusters[0].observe_limit(tag, None, now - STEP, &vm, now + STEP).is_none());
     assert!(clusters[0].observe_limit(tag, Some(rate(8.0)), now - STEP, &vm, now + STEP).is_none());
     let first = clusters[0].announced_limits(now + STEP)[0];
     clusters[0].observe_limit(tag, Some(rate(3.0)), now - STEP, &vm, now + STEP).unwrap();
     let second = clusters[0].announced_limits(now + STEP)[0];
-    // Sent after it.
+    // Sent after the limit was learned.
     clusters[0].observe_limit(tag, None, later, &vm, later).unwrap();
     let third = clusters[0].announced_limits(later)[0];
     assert_eq!(third.limit, Limit { version: 2, rate: None });
@@ -147,7 +148,7 @@
     }
 }
 
-/// Guards against rejected callers that all come back in the same second.
+/// Guards against rejected callers that all retry in the same second.
 #[test]
 fn rejected_callers_are_given_staggered_retry_times() {
     let (mut cluster, now) = (cluster(), Instant::now());
@@ -165,7 +166,7 @@
             answer => assert!(matches!(answer, Answer::Waits), "{answer:?}"),
         }
     }
-    // Four a second in all: the first may wait for its turn, the others come back at that rate.
+    // Four per second in all: the first request is queued, the others are to retry at that rate.
     assert_eq!(after_ms.len(), 19);
     let pauses: Vec<u64> = after_ms.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(pauses.iter().all(|ms| (249..=251).contains(ms)), "{after_ms:?}");
