--- a/request/src/sliding_window.rs
+++ b/request/src/sliding_window.rs
@@ -1,7 +1,7 @@
 //! Sliding-window rate limiter for the requests of the whole fleet to one upstream.
 //!
-//! The scheduler logs the requests that it grants and those that other VMs announce. The same log serves both sources
-//! of a bound: upstreams that are cold, and upstreams that name a rate limit.
+//! The scheduler logs the requests that it grants and those that other VMs announce. One log serves both kinds of
+//! bounds: those of cold upstreams, and those of upstreams that state a rate limit.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -10,28 +10,28 @@
 
 use crate::cluster::Holder;
 
-/// The time over which a cold upstream's requests are counted: a second, and what the way of one may differ
-/// from that of the next.
+/// Window of the bound for cold upstreams: one second, and an allowance for differences in network delay between
+/// requests.
 const COLD_WINDOW: Duration = Duration::from_millis(1_100);
 
-/// Length of a burst at a named rate, seconds: longer than the scheduler's polling interval, so that the rate can be
-/// used up.
+/// Length of a burst at a stated rate, seconds: longer than the scheduler's polling interval, so that the whole rate
+/// can be used.
 const BURST_S: f64 = 0.25;
 
-/// Window of the average at a named rate, seconds. It outlasts the delay with which two concurrent schedulers learn of
-/// each other's grants, so that they make up for the excess.
+/// Window of the average at a stated rate, seconds. It is longer than the delay with which two concurrent schedulers
+/// learn of each other's grants, so that they compensate for the excess.
 const SUSTAINED_S: f64 = 4.0;
 
-/// Lowest rate, requests a second: the end of a limit is only visible in answers.
+/// Lowest rate, requests per second. Some requests have to be sent, because only responses show that a limit has ended.
 const MIN_RATE: f64 = 0.1;
 
-/// Longest window of any bound.
+/// Upper bound on the window of any bound.
 const MAX_WINDOW: Duration = Duration::from_secs(10);
 
-/// Capacity of a log: a burst at the highest rate that is enforced.
+/// Capacity of a log, enough for a burst at the highest rate that is enforced.
 const MAX_ENTRIES: usize = 4_096;
 
-/// At most so many requests in any window of this length.
+/// At most `count` requests in any window of this length.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bound {
     /// The requests.
@@ -41,13 +41,14 @@
 }
 
 impl Bound {
-    /// Share of what a cold upstream bears, for one of several VMs that place requests independently.
+    /// Returns the bound for a cold upstream that tolerates `per_s` requests per second, divided by the number of VMs
+    /// that place requests independently.
     pub fn cold(per_s: f64, schedulers: usize) -> Bound {
         let share = (per_s / schedulers.max(1) as f64).max(1.0);
         Bound { count: share as usize, window: COLD_WINDOW }
     }
 
-    /// Bounds of a burst and of the average at a named rate.
+    /// Returns the bounds of a burst and of the average at a stated rate.
     pub fn named(rate: Rate) -> [Bound; 2] {
         let per_s = rate.as_f64().max(MIN_RATE);
         let over = |requests: f64| {
@@ -61,7 +62,7 @@
 #[derive(Debug, Clone)]
 struct Entry {
     at: Instant,
-    /// Sender and number of the message; none after the sender has restarted, since numbers repeat.
+    /// Sender and number of the message; none after the sender has restarted, since its numbers start again.
     message: Option<(Holder, u64)>,
 }
 
@@ -69,7 +70,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct SlidingWindow {
     entries: VecDeque<Entry>,
-    /// Whether the upstream has a rate limit, whose windows are longer.
+    /// Whether the upstream has a rate limit, whose windows are longer than `COLD_WINDOW`.
     is_limited: bool,
 }
 
@@ -79,7 +80,7 @@
         self.is_limited = is_limited;
     }
 
-    /// Records a request, unless it is logged already.
+    /// Records a request. On an upstream with a rate limit, a message that is logged already is skipped.
     pub fn record(&mut self, holder: &Holder, number: u64, at: Instant) {
         if self.is_limited && self.contains(holder, number) {
             return;
@@ -96,7 +97,7 @@
         self.entries.iter().rev().any(is_same)
     }
 
-    /// Drops entries older than any window.
+    /// Removes entries older than the longest window in use, and the oldest ones above the capacity.
     fn evict(&mut self, now: Instant) {
         let window = if self.is_limited { MAX_WINDOW } else { COLD_WINDOW };
         let is_old = |entry: &Entry| now.saturating_duration_since(entry.at) > window;
@@ -108,25 +109,25 @@
         }
     }
 
-    /// Keeps the entries of a VM that has restarted, but no longer matches them by number.
+    /// Keeps the entries of a VM that has restarted, but removes their numbers, which the VM will use again.
     pub fn forget_numbers(&mut self, holder: &Holder) {
         for entry in &mut self.entries {
             entry.message.take_if(|(of, _)| of == holder);
         }
     }
 
-    /// Requests within a window.
+    /// Returns the number of requests within a window.
     pub fn count_within(&self, window: Duration, now: Instant) -> usize {
         let recent = |entry: &&Entry| now.saturating_duration_since(entry.at) <= window;
         self.entries.iter().rev().take_while(recent).count()
     }
 
-    /// Requests within the window for cold upstreams.
+    /// Returns the number of requests within the window for cold upstreams.
     pub fn cold_count(&self, now: Instant) -> usize {
         self.count_within(COLD_WINDOW, now)
     }
 
-    /// Whether a bound allows one more request.
+    /// Returns whether a bound allows one more request.
     pub fn allows(&self, bound: Bound, now: Instant) -> bool {
         self.count_within(bound.window, now) < bound.count
     }
