--- a/request/src/quarantine.rs
+++ b/request/src/quarantine.rs
@@ -1,14 +1,13 @@
-//! Requests under which upstreams ended: which of them run alone, and which are kept from all upstreams
-//! for a while.
+//! Isolation and quarantine of requests during which upstreams crashed.
 //!
-//! When an upstream ends, each request that it worked on may be the cause, and nearly all are not. So
-//! none is held for what it was beside. One under which two upstreams ended runs alone next: an upstream
-//! to itself, and no other copy of it meanwhile. If that is answered, it was not the cause and all is
-//! forgotten. If that upstream ends as well, it is kept from all for a time that grows with each such
-//! proof; after it, it may prove itself alone again.
+//! When an upstream crashes, each request that it processed may be the cause, and nearly all are not. So no request is
+//! quarantined for a crash on a shared upstream. A request with two crashes is isolated: it runs on an upstream without
+//! other requests, and one copy at a time. If it completes, it was not the cause, and its crashes are cleared. If that
+//! upstream crashes too (a solo crash), the request is quarantined, that is kept from all upstreams, for a time that
+//! grows with each solo crash. Afterwards it runs isolated again.
 //!
-//! What counts is that a process ended and its port closed. A connection that is reset, a wrong or
-//! broken answer, a silent upstream and one that said that it leaves count for nothing.
+//! A crash is a process that ended and whose port is closed. A reset connection, an invalid or truncated response, an
+//! upstream that does not respond and one that announced that it is leaving are not crashes.
 
 mod case;
 
@@ -21,36 +20,35 @@
 use crate::quarantine::case::{Case, SoloCrashes};
 use crate::tag::Tag;
 
-/// Requests that are remembered. A crash cuts some sixteen, so these are 250 crashes in the time for which
-/// they count; at some 250 bytes each, 1 MB. The one that was quiet for longest goes first, those that are
-/// held last.
+/// Upper bound on recorded requests. A crash interrupts some sixteen, so this is 250 crashes within their retention
+/// time; at some 250 bytes each, 1 MB. The request whose last event is oldest is evicted first, quarantined ones last.
 const MAX_CASES: usize = 4_096;
 
-/// How long news is told with each message: some beats, of which one arrives.
+/// Time for which an event is announced with each message: a few heartbeats, so that one of them arrives.
 const FRESH_WINDOW: Duration = Duration::from_millis(200);
 
-/// How long it is told again after that, for a VM that begins to place requests later.
+/// Time for which an event is included in full announcements, for VMs that become scheduler later.
 const ANNOUNCE_WINDOW: Duration = Duration::from_secs(20);
 
-/// How often all of it is told again: with each slow beat it would be ten times as many bytes at the VM
-/// that places for a fleet.
+/// Interval between full announcements. With one in each slow heartbeat, the scheduler would receive ten times as many
+/// bytes.
 const FULL_ANNOUNCE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// News that is told at most.
+/// Upper bound on the events that are announced.
 const MAX_ANNOUNCEMENTS: usize = 64;
 
-/// What is to become of a request.
+/// How a request may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It runs beside others.
+    /// On an upstream shared with other requests.
     Shared,
-    /// It runs alone, one copy at a time.
+    /// Without other requests on its upstream, one copy at a time.
     Isolated,
-    /// It is kept from all upstreams for this long.
+    /// On no upstream for this long.
     Quarantined(Duration),
 }
 
-/// What was learnt of a request, as VMs tell each other.
+/// An event of a request, as announced between VMs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
     fingerprint: Fingerprint,
@@ -60,50 +58,50 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 enum Event {
-    /// An upstream ended under it.
+    /// An upstream crashed during the request.
     #[serde(rename = "Ended")]
     Crashed(Crash),
-    /// It was answered whole.
+    /// The request completed.
     #[serde(rename = "Answered")]
     Completed,
 }
 
-/// The end of an upstream under a request.
+/// A crash of an upstream during a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// The upstream, one start of its program.
+    /// The incarnation of the upstream.
     pub upstream: Tag,
-    /// Whether the request ran alone there.
+    /// Whether the request ran isolated there.
     pub isolated: bool,
 }
 
-/// A request that is kept from all upstreams, as it is told.
+/// The crashes of a request and its quarantine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Status {
-    /// How often it ended an upstream while it ran alone.
+    /// Number of solo crashes.
     pub solo_crashes: u32,
-    /// For how long from now.
+    /// Remaining time of the quarantine; zero if it is not quarantined.
     pub remaining: Duration,
-    /// Upstreams that ended under it.
+    /// Upstreams that crashed during it.
     pub crashes: usize,
 }
 
-/// All requests that are remembered for what they did.
+/// All requests with recorded crashes.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     cases: HashMap<Fingerprint, Case>,
     announcements: VecDeque<(Instant, Fingerprint, Event)>,
-    /// When all of it was last told.
+    /// Time of the last full announcement.
     last_full: Option<Instant>,
 }
 
 impl Quarantine {
-    /// What is to become of a request.
+    /// Returns how a request may run.
     pub fn verdict(&self, fingerprint: Fingerprint, now: Instant) -> Verdict {
         self.cases.get(&fingerprint).map_or(Verdict::Shared, |case| case.verdict(now))
     }
 
-    /// An upstream ended under a request of this VM. Answers for how long it is held if that is new.
+    /// Records a crash during a request of this VM. Returns the status if this is a new solo crash.
     pub fn record_crash(
         &mut self,
         fingerprint: Fingerprint,
@@ -114,7 +112,7 @@
         self.apply_crash(fingerprint, crash, now, now)
     }
 
-    /// A request of this VM was answered whole. Answers whether anything was held against it.
+    /// Records that a request of this VM completed. Returns whether crashes were cleared.
     pub fn record_completion(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
         if !self.cases.get(&fingerprint).is_some_and(Case::is_suspected) {
             return false;
@@ -123,13 +121,13 @@
         self.apply_completion(fingerprint, now)
     }
 
-    /// A request is let go, whatever it did.
+    /// Releases a request and clears its crashes. Returns whether it was recorded.
     pub fn release(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
         self.apply_completion(fingerprint, now)
     }
 
-    /// A request is known elsewhere to be held, after as many proofs, for this long by that VM's time of
-    /// day: never longer than so many proofs hold it, whatever the two clocks say.
+    /// Merges a quarantine that another VM imposed after `count` solo crashes and that lasts for `duration` by the wall
+    /// clock of that VM. The duration is capped to that for `count`, so that a clock difference does not lengthen it.
     pub fn merge_entry(
         &mut self,
         fingerprint: Fingerprint,
@@ -142,12 +140,12 @@
         self.case(fingerprint, now).merge(SoloCrashes { until, ..solo_crashes }, now);
     }
 
-    /// The upstreams that ended under a request.
+    /// Returns the number of upstreams that crashed during a request.
     pub fn crash_count(&self, fingerprint: Fingerprint) -> usize {
         self.cases.get(&fingerprint).map_or(0, |case| case.crashes.len())
     }
 
-    /// The requests that are held or run alone.
+    /// Returns the requests that are quarantined or run isolated.
     pub fn suspects(&self, now: Instant) -> impl Iterator<Item = (Fingerprint, Status, Verdict)> {
         let suspects = self.cases.iter().map(move |(fingerprint, case)| {
             let remaining = case.remaining(now).unwrap_or_default();
@@ -161,18 +159,18 @@
         suspects.filter(|(_, _, verdict)| *verdict != Verdict::Shared)
     }
 
-    /// Requests that are remembered.
+    /// Returns the number of recorded requests.
     pub fn len(&self) -> usize {
         self.cases.len()
     }
 
-    /// Whether none is.
+    /// Returns whether no request is recorded.
     pub fn is_empty(&self) -> bool {
         self.cases.is_empty()
     }
 
-    /// What peers are told: what is new with each message, all that is recent now and then with one that
-    /// goes to all.
+    /// Returns the events to announce: fresh ones in each message, and periodically all recent ones in a message that
+    /// goes to all VMs.
     pub fn announced(&mut self, to_all: bool, now: Instant) -> Vec<Announcement> {
         let due = self
             .last_full
@@ -184,7 +182,7 @@
         self.announced_within(FRESH_WINDOW, now)
     }
 
-    /// What was learnt within this time.
+    /// Returns the events of this VM within a time before now.
     pub fn announced_within(&mut self, within: Duration, now: Instant) -> Vec<Announcement> {
         let age = |at: Instant| now.saturating_duration_since(at);
         while self.announcements.front().is_some_and(|(at, ..)| age(*at) > ANNOUNCE_WINDOW) {
@@ -200,7 +198,7 @@
             .collect()
     }
 
-    /// Takes what a peer told; the same again changes nothing.
+    /// Merges the events that a peer announced. Merging is idempotent.
     pub fn merge(&mut self, announcements: &[Announcement], now: Instant) {
         for Announcement { fingerprint, event, age_ms } in announcements {
             let age = Duration::from_millis(u64::from(*age_ms));
@@ -252,7 +250,7 @@
         true
     }
 
-    /// The case of a request, begun if there is none.
+    /// Returns the case of a request, and creates it if there is none or it has expired.
     fn case(&mut self, fingerprint: Fingerprint, now: Instant) -> &mut Case {
         if !self.cases.contains_key(&fingerprint) && self.cases.len() >= MAX_CASES {
             self.make_room(now);
--- a/request/src/quarantine/case.rs
+++ b/request/src/quarantine/case.rs
@@ -1,36 +1,32 @@
-//! What is known of one request: what ended under it, how often that was proved, what cleared it.
+//! The record of one request: the crashes during it, its solo crashes and its last completion.
 
 use std::time::{Duration, Instant};
 
 use super::{Crash, Verdict};
 use crate::tag::Tag;
 
-/// Upstreams that ended under a request from which on it runs alone. Two in a row happen to a request that
-/// is not the cause where it is sent on beside the one that is. With one, each request that any crash cuts would
-/// ask for an engine of its own.
+/// Number of crashes from which a request is isolated. Two in a row also happen to an innocent request that is retried
+/// on the same upstream as the cause. With one, each request that any crash interrupts would need an engine of its own.
 const ISOLATE_AFTER: usize = 2;
 
-/// For how long a request is kept from all upstreams, by how often it ended one while it ran alone. The
-/// first is short, for a request whose upstream ended at that moment for another reason: long enough for
-/// the callers of the moment to have gone, since most give up within ten to fifteen seconds. The next
-/// ones bound what a request may cost that is the cause: with the two first and the first run alone, five
-/// upstreams in a day.
+/// Duration of the quarantine by number of solo crashes. The first is short, because the upstream may have crashed at
+/// that time for another reason; it is long enough for the current callers to be gone, since most give up within ten to
+/// fifteen seconds. The next ones bound the cost of a request that is the cause: two shared and three solo crashes, so
+/// five upstreams in a day.
 const QUARANTINE_DURATIONS: [Duration; 3] =
     [Duration::from_secs(15), Duration::from_secs(120), Duration::from_secs(24 * 3_600)];
 
-/// How long it counts that an upstream ended under a request, without another: callers try again for a
-/// minute at most.
+/// Time after the last event for which crashes are kept: callers retry for a minute at most.
 const CRASH_RETENTION: Duration = Duration::from_secs(120);
 
-/// The same for one that ended an upstream while it ran alone, after it was held: its callers may come
-/// back from time to time, and each forgetting costs three upstreams more.
+/// The same for a request with a solo crash, after its quarantine. Its callers may retry from time to time, and each
+/// time that the crashes expire costs three more upstreams.
 const SOLO_CRASH_RETENTION: Duration = Duration::from_secs(3_600);
 
-/// Upstreams that are remembered of one request: as many as may end under it while it is not yet known
-/// for what it is, many times over.
+/// Upper bound on the recorded crashes of one request: many times the number that can occur before it is isolated.
 const MAX_CRASHES: usize = 16;
 
-/// How often a request was proved to be the cause, and until when it is held for it.
+/// The number of solo crashes of a request, and the end of the quarantine that follows from them.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct SoloCrashes {
     pub(super) count: u32,
@@ -38,7 +34,7 @@
 }
 
 impl SoloCrashes {
-    /// It ended an upstream while it ran alone. What runs on while it is held says nothing new.
+    /// Adds a solo crash. Those during the quarantine, of copies that still run, do not count.
     fn add(&mut self, at: Instant) {
         if self.until.is_some_and(|until| until > at) {
             return;
@@ -47,31 +43,31 @@
         self.until = Some(at + self.duration());
     }
 
-    /// For how long it is held after the last proof.
+    /// Returns the duration of the quarantine after the last solo crash.
     pub(super) fn duration(&self) -> Duration {
         QUARANTINE_DURATIONS[(self.count.max(1) as usize - 1).min(QUARANTINE_DURATIONS.len() - 1)]
     }
 }
 
-/// An upstream that ended under a request.
+/// The crash of an upstream during a request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct UpstreamCrash {
     upstream: Tag,
-    /// When its end was last seen, under whichever copy.
+    /// When it was last observed, by any copy of the request.
     at: Instant,
-    /// When it was seen under a copy that ran alone.
+    /// When it was observed by an isolated copy.
     isolated: Option<Instant>,
 }
 
 #[derive(Debug, Clone)]
 pub(super) struct Case {
     pub(super) crashes: Vec<UpstreamCrash>,
-    /// What was heard from elsewhere without the endings behind it, and when.
+    /// Solo crashes merged from a quarantine entry, without the crashes themselves, and the time of the merge.
     merged: Option<(Instant, SoloCrashes)>,
-    /// What is heard and what ended, in the order of time: so all VMs come to the same, in whichever
-    /// order they hear.
+    /// The merged solo crashes and those in `crashes`, counted in the order of time, so that all VMs get the same
+    /// result in any order of messages.
     pub(super) solo_crashes: SoloCrashes,
-    /// When it was last answered or let go: what happened before counts no more.
+    /// When it last completed or was released. Earlier events are ignored.
     pub(super) cleared: Option<Instant>,
     pub(super) last_event: Instant,
 }
@@ -87,7 +83,7 @@
         }
     }
 
-    /// The same with all forgotten but when it was last cleared.
+    /// Returns a new case that keeps only the time of the last clearing.
     pub(super) fn reset(&self, now: Instant) -> Case {
         Case { cleared: self.cleared, ..Case::new(now) }
     }
@@ -112,11 +108,11 @@
         !self.crashes.is_empty() || self.solo_crashes.count > 0
     }
 
-    /// Adds an ending. Answers whether it is a new proof.
+    /// Adds a crash. Returns whether it is a new solo crash.
     pub(super) fn add(&mut self, crash: Crash, at: Instant) -> bool {
         let before = self.solo_crashes.count;
         let isolated = crash.isolated.then_some(at);
-        // Another copy may have run beside the one that ran alone, and one end may be seen twice.
+        // A shared copy may have run on the upstream of the isolated one, and one crash may be observed twice.
         match self.crashes.iter_mut().find(|existing| existing.upstream == crash.upstream) {
             Some(existing) => {
                 existing.at = existing.at.max(at);
@@ -143,7 +139,7 @@
         self.update_solo_crashes();
     }
 
-    /// Forgets what was before `at`.
+    /// Clears everything up to `at`.
     pub(super) fn clear(&mut self, at: Instant) {
         self.crashes.retain(|crash| crash.at > at);
         for crash in &mut self.crashes {
--- a/request/tests/quarantine.rs
+++ b/request/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which upstreams ended: who runs alone, who is held, and who is left in peace.
+//! The quarantine: which requests are isolated, which are quarantined and which stay shared after crashes.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 use foldlock_request::tag::Tag;
 use proptest::prelude::*;
 
-/// Longer than anything is told.
+/// Longer than any event is announced.
 const ALL: Duration = Duration::from_secs(60);
 
 fn request(number: u32) -> Fingerprint {
@@ -39,7 +39,7 @@
     for upstream in 1..=6 {
         assert_eq!(quarantine.record_crash(request(1), shared(upstream), now), None);
     }
-    assert_eq!(quarantine.verdict(request(1), now), Verdict::Isolated, "copies at six at once");
+    assert_eq!(quarantine.verdict(request(1), now), Verdict::Isolated, "six copies ran at once");
     let status = quarantine.record_crash(request(1), isolated(7), now).unwrap();
     assert_eq!((status.solo_crashes, status.remaining), (1, Duration::from_secs(15)));
     assert_eq!(quarantine.verdict(request(1), now), Verdict::Quarantined(status.remaining));
@@ -54,10 +54,7 @@
     });
     assert!(quarantine.record_completion(request(1), later(now, 1)));
     assert_eq!(quarantine.verdict(request(1), later(now, 1)), Verdict::Shared);
-    assert!(
-        !quarantine.record_completion(request(1), later(now, 2)),
-        "nothing was held against it"
-    );
+    assert!(!quarantine.record_completion(request(1), later(now, 2)), "no crash was recorded");
     assert!(!quarantine.record_completion(request(2), later(now, 2)));
 }
 
@@ -93,7 +90,11 @@
     assert_eq!(quarantine.verdict(request(1), later(now, 119)), Verdict::Isolated);
     assert_eq!(quarantine.verdict(request(1), later(now, 121)), Verdict::Shared);
     quarantine.record_crash(request(1), shared(3), later(now, 121));
-    assert_eq!(quarantine.verdict(request(1), later(now, 121)), Verdict::Shared, "one by now");
+    assert_eq!(
+        quarantine.verdict(request(1), later(now, 121)),
+        Verdict::Shared,
+        "only one crash is left"
+    );
 }
 
 #[test]
@@ -103,7 +104,7 @@
     assert_eq!(quarantine.verdict(request(1), now), Verdict::Quarantined(Duration::from_secs(9)));
     assert_eq!(quarantine.verdict(request(1), later(now, 9)), Verdict::Isolated);
     let status = quarantine.record_crash(request(1), isolated(1), later(now, 9)).unwrap();
-    assert_eq!(status.solo_crashes, 3, "the two elsewhere count");
+    assert_eq!(status.solo_crashes, 3, "the two of the other VM count");
     assert!(quarantine.release(request(1), later(now, 10)));
     assert_eq!(quarantine.verdict(request(1), later(now, 10)), Verdict::Shared);
 }
@@ -115,8 +116,8 @@
     assert_eq!(quarantine.verdict(request(1), now), Verdict::Quarantined(Duration::from_secs(15)));
 }
 
-/// A million distinct requests that crash nothing leave nothing; 20,000 that were cut by crashes stay
-/// within the bound, and the ones that are held are the last to go.
+/// A million distinct requests without crashes leave no record. 20,000 that were interrupted by crashes stay within the
+/// bound, and quarantined ones are evicted last.
 #[test]
 fn a_flood_of_requests_stays_within_the_bound_and_evicts_no_quarantined_request() {
     let (mut quarantine, now) = (Quarantine::default(), Instant::now());
@@ -143,12 +144,17 @@
     assert_eq!(quarantine.announced(false, now).len(), 1);
     assert_eq!(quarantine.announced(false, later(now, 1)).len(), 0);
     assert_eq!(quarantine.announced(true, later(now, 1)).len(), 1);
-    assert_eq!(quarantine.announced(true, later(now, 2)).len(), 0, "told a second ago");
+    assert_eq!(
+        quarantine.announced(true, later(now, 2)).len(),
+        0,
+        "the last full one was a second ago"
+    );
     assert_eq!(quarantine.announced(true, later(now, 3)).len(), 1);
     assert_eq!(quarantine.announced(true, later(now, 21)).len(), 0);
 }
 
-/// A VM saw the same upstream end before and after an answer that another VM heard of later.
+/// Two VMs observe a crash of the same upstream, one of them before and one after a completion that the other VM merges
+/// later.
 #[test]
 fn a_completion_clears_only_earlier_crashes() {
     let (mut here, mut there, now) = (Quarantine::default(), Quarantine::default(), Instant::now());
@@ -160,16 +166,16 @@
     assert_eq!((here.crash_count(request(1)), there.crash_count(request(1))), (1, 1));
 }
 
-/// What happens to a request at VMs. One start of an upstream ends once, so a second VM sees its end only
-/// beside the first one's, and only one copy runs alone there.
+/// Events of a request at the VMs. An incarnation of an upstream crashes once, so a second VM can only observe the
+/// crash that the first one observed, and only one isolated copy runs there.
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// An upstream ends, and this VM sees it.
+    /// An upstream crashes, and this VM observes it.
     Crashed {
         vm: usize,
         isolated: bool,
     },
-    /// This VM sees the end of the last upstream, too, under another copy.
+    /// This VM observes the last crash, too, by another copy.
     Seen {
         vm: usize,
     },
@@ -193,7 +199,8 @@
 }
 
 proptest! {
-    /// Beats are lost, doubled and come in any order; once each has heard each other, all judge alike.
+    /// Heartbeats are lost, duplicated and reordered. Once each VM has merged the announcements of all others, all
+    /// have the same verdict.
     #[test]
     fn vms_agree_once_they_have_merged_all_announcements(steps in prop::collection::vec(step(), 0..40)) {
         let mut vms = [Quarantine::default(), Quarantine::default(), Quarantine::default()];
@@ -225,7 +232,7 @@
             }
         }
         now += Duration::from_millis(10);
-        // Answers of which a VM hears late clear what came before them; so twice, in each order.
+        // A completion that is merged late clears earlier crashes, so merge twice, in each order.
         for (from, by) in [(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)].repeat(2) {
             let announced = vms[from].announced_within(ALL, now);
             vms[by].merge(&announced, now);
