--- a/request/src/quarantine_entry.rs
+++ b/request/src/quarantine_entry.rs
@@ -1,29 +1,29 @@
-//! A request that is held, as the directory lists it.
+//! The directory entry of a quarantined request.
 
 use foldlock_base::prelude::*;
 use serde::{Deserialize, Serialize};
 
 use crate::fingerprint::Fingerprint;
 
-/// A request that is kept from all upstreams, as the directory lists it for all VMs and for operators.
+/// The directory entry of a quarantined request, read by all VMs and by operators.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct QuarantineEntry {
-    /// The request, however often it comes.
+    /// The fingerprint, which is the same for all copies of the request.
     pub fingerprint: Fingerprint,
-    /// Whose key it had; empty where it had none.
+    /// The organisation of its key; empty if it had none.
     pub organisation: String,
     /// Its path.
     pub path: String,
-    /// The service that it went to.
+    /// Its service.
     pub service: String,
-    /// The arrival that was the last proof.
+    /// The id of the copy under which the last solo crash occurred.
     pub request: id::Request,
-    /// The VM that it came to.
+    /// The VM that received that copy.
     pub vm: id::Vm,
-    /// Upstreams that are known to have ended under it.
+    /// Upstreams that crashed during the request, as far as recorded.
     pub ended: u32,
-    /// How often it ended one while it ran alone.
+    /// Number of solo crashes.
     pub proofs: u32,
-    /// Until when it is held, milliseconds since 1970.
+    /// End of the quarantine, milliseconds since 1970.
     pub until_ms: u64,
 }
