--- a/request/src/suspicion.rs
+++ b/request/src/suspicion.rs
@@ -1,33 +1,32 @@
-//! How far an upstream is to be avoided because of what it did of late.
+//! A decaying failure score for each upstream, by which upstreams that failed recently are avoided.
 
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
 
-/// The time in which the weight of a failure halves. Short against the seconds for which a sick
-/// upstream usually stays so, long against the time between two requests to it.
+/// Half-life of the weight of a failure: short compared to the seconds for which an unhealthy upstream usually stays
+/// so, long compared to the time between two requests to it.
 const HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// From this weight on an upstream is avoided while there are others.
+/// Weight from which an upstream is avoided while there are others.
 const AVOID_WEIGHT: f64 = 1.5;
 
-/// The most weight that failures add up to: an upstream is tried again about 5 s after its last
-/// failure.
+/// Upper bound on the sum of the weights. With it an upstream is used again at most about 5 s after its last failure.
 const MAX_WEIGHT: f64 = 6.0;
 
-/// How bad a failure was.
+/// The kinds of failure of an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Failure {
-    /// It cannot be reached, or fell silent.
+    /// It cannot be reached, or stopped sending.
     #[serde(rename = "Silent")]
     Unresponsive,
-    /// It broke off or sent what is no answer.
+    /// It broke off, or sent an invalid response.
     #[serde(rename = "Broken")]
     Malformed,
-    /// It had no room.
+    /// It had no capacity.
     #[serde(rename = "Full")]
     Overloaded,
-    /// It answered with a failure of its own.
+    /// It responded with an internal error.
     #[serde(rename = "Own")]
     ServerError,
 }
@@ -35,7 +34,7 @@
 /// How an attempt at an upstream ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// With a whole answer.
+    /// With a complete response.
     Answered,
     /// With a failure.
     Failed(Failure),
@@ -52,7 +51,7 @@
     }
 }
 
-/// Failures with a weight that fades.
+/// The decaying sum of the weights of failures.
 #[derive(Debug, Clone, Default)]
 pub struct Suspicion {
     weight: f64,
@@ -60,26 +59,26 @@
 }
 
 impl Suspicion {
-    /// The weight now.
+    /// Returns the weight at this time.
     pub fn weight(&self, now: Instant) -> f64 {
         let Some(at) = self.at else { return 0.0 };
         let halves = now.saturating_duration_since(at).as_secs_f64() / HALF_LIFE.as_secs_f64();
         self.weight * 0.5_f64.powf(halves)
     }
 
-    /// Notes a failure.
+    /// Adds a failure.
     pub fn record_failure(&mut self, failure: Failure, now: Instant) {
         self.weight = (self.weight(now) + failure.weight()).min(MAX_WEIGHT);
         self.at = Some(now);
     }
 
-    /// Notes a whole answer.
+    /// Halves the weight after a complete response.
     pub fn record_success(&mut self, now: Instant) {
         self.weight = self.weight(now) * 0.5;
         self.at = Some(now);
     }
 
-    /// Whether others are to be preferred.
+    /// Returns whether other upstreams are preferred to this one.
     pub fn is_avoided(&self, now: Instant) -> bool {
         self.weight(now) >= AVOID_WEIGHT
     }
