--- a/request/src/backoff.rs
+++ b/request/src/backoff.rs
@@ -1,8 +1,8 @@
-//! Upstreams that asked this VM for a rest: they get nothing from it until their rest is over.
+//! Backoffs that upstreams request from this VM, which sends them nothing until the backoff ends.
 //!
-//! A rest is asked of one VM by one start of an upstream. It binds that VM alone: the others were not told,
-//! and may have been served just now. Its end counts the time for which the machine was suspended, since
-//! the upstream went on resting meanwhile.
+//! A backoff is requested by one incarnation of an upstream and applies only to the VM that received it: the upstream
+//! did not request it from the others, and may be serving them. Time for which the machine is suspended counts, since
+//! the backoff continues at the upstream.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,16 +11,16 @@
 
 use crate::tag::Tag;
 
-/// The rests that were asked of this VM. At most one is kept for each start of an upstream, and none that
-/// is over when another is asked for.
+/// The backoffs requested from this VM, at most one for each incarnation of an upstream. Expired ones are removed when
+/// another is requested.
 #[derive(Debug, Default)]
 pub struct Backoffs {
     until: HashMap<Tag, Moment>,
 }
 
 impl Backoffs {
-    /// An upstream asks for a rest from now on. Of two that overlap the later end holds. Answers whether it
-    /// was not resting before.
+    /// Starts a backoff that an upstream requests. If one is active already, the later end applies. Returns whether
+    /// none was active.
     pub fn begin(&mut self, upstream: Tag, duration: Duration, now: Moment) -> bool {
         self.until.retain(|_, until| *until > now);
         let until = now.after(duration);
@@ -31,13 +31,13 @@
         earlier.is_none()
     }
 
-    /// How long an upstream still rests; none where it does not.
+    /// Returns the remaining backoff of an upstream; none if it has none.
     pub fn remaining(&self, upstream: Tag, now: Moment) -> Option<Duration> {
         let until = self.until.get(&upstream).filter(|until| **until > now)?;
         Some(until.since(now))
     }
 
-    /// The upstreams that rest, in the order of their tags.
+    /// Returns the upstreams with an active backoff, ordered by tag.
     pub fn active(&self, now: Moment) -> Vec<Tag> {
         let active = self.until.iter().filter(|(_, until)| **until > now);
         let mut tags: Vec<Tag> = active.map(|(tag, _)| *tag).collect();
@@ -45,7 +45,8 @@
         tags
     }
 
-    /// The soonest end of a rest, where all of these rest; none where one does not, or there are none.
+    /// Returns the shortest remaining backoff if all of these upstreams have one; none if one has not, or if there are
+    /// no upstreams.
     pub fn shortest_remaining(
         &self,
         upstreams: impl Iterator<Item = Tag>,
--- a/request/tests/backoff.rs
+++ b/request/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Backoffs that upstreams ask of a VM.
+//! Backoffs that upstreams request from a VM.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -44,10 +44,10 @@
     };
     assert_eq!(all(&[1, 2]), Some(2 * SECOND));
     assert_eq!(all(&[1, 2, 3]), None);
-    assert_eq!(all(&[]), None, "there is nothing to wait for");
+    assert_eq!(all(&[]), None, "no upstreams");
 }
 
-/// A step of a property: an upstream asks for so many milliseconds, or time passes.
+/// A step of the property test: an upstream requests a backoff of some milliseconds, or time passes.
 #[derive(Debug, Clone)]
 enum Step {
     BacksOff(u8, u64),
@@ -64,7 +64,7 @@
 }
 
 proptest! {
-    /// Nobody is sent anything before the end of any rest that it asked for, and all are sent work after.
+    /// No upstream is used before the end of any backoff that it requested, and each is used afterwards.
     #[test]
     fn a_backoff_lasts_as_long_as_requested(steps in prop::collection::vec(step(), 1..40)) {
         let (mut backoffs, clock) = (Backoffs::default(), Manual::default());
