--- a/request/src/cluster/limits.rs
+++ b/request/src/cluster/limits.rs
@@ -198,7 +198,7 @@
 fn named_bounds(upstream: &Upstream, now: Instant) -> impl Iterator<Item = Bound> {
     let known = upstream.rate_limit.as_ref();
     let named =
-        known.and_then(|known| Some((known.limited_since, Bound::named(known.limit.rate?))));
+        known.and_then(|known| Some((known.limited_since, Bound::rate_limit(known.limit.rate?))));
     let bounds = named.map(|(since, [burst, sustained])| {
         let is_new = now.saturating_duration_since(since) < burst.window;
         let count = if is_new { 0 } else { burst.count };
--- a/request/src/sliding_window.rs
+++ b/request/src/sliding_window.rs
@@ -49,7 +49,7 @@
     }
 
     /// Returns the bounds of a burst and of the average at a stated rate.
-    pub fn named(rate: Rate) -> [Bound; 2] {
+    pub fn rate_limit(rate: Rate) -> [Bound; 2] {
         let per_s = rate.as_f64().max(MIN_RATE);
         let over = |requests: f64| {
             let count = requests.ceil();
