--- a/request/tests/budget_restarts.rs
+++ b/request/tests/budget_restarts.rs
@@ -32,7 +32,7 @@
     /// The scheduler of the fleet.
     Fleet,
     /// The scheduler of a partition, which had `known` VMs listed when it was cut off.
-    Part { scheduler: usize, known: usize },
+    Partition { scheduler: usize, known: usize },
 }
 
 struct Vm {
@@ -65,7 +65,7 @@
         share: usize,
     },
     /// Partitions VMs from the others, into one partition each or all into one.
-    Cut {
+    Partition {
         from: usize,
         share: usize,
         together: bool,
@@ -186,7 +186,7 @@
     fn attempt(&mut self, index: usize, each: usize, charge: Charge, fleet: &Running) -> usize {
         let (scheduler, known) = match self.vms[index].side {
             Side::Fleet => (self.scheduler, fleet.count),
-            Side::Part { scheduler, known } => (scheduler, known),
+            Side::Partition { scheduler, known } => (scheduler, known),
         };
         let (target, now) = (self.process(scheduler), self.now);
         let has_ended = |former: &Process| {
@@ -216,22 +216,22 @@
         }
     }
 
-    fn cut(&mut self, range: Range<usize>, together: bool) {
+    fn partition(&mut self, range: Range<usize>, together: bool) {
         let known = self.running();
         let first = range.clone().find(|index| self.vms[*index].back.is_none());
         let Some(first) = first.filter(|_| !range.contains(&self.scheduler)) else { return };
         for index in range {
             let scheduler = if together { first } else { index };
-            self.vms[index].side = Side::Part { scheduler, known };
+            self.vms[index].side = Side::Partition { scheduler, known };
         }
     }
 
     /// Splits partitions whose scheduler is gone into one partition for each VM.
-    fn split_parts(&mut self, gone: &Range<usize>) {
+    fn split_partitions(&mut self, gone: &Range<usize>) {
         for index in 0..self.vms.len() {
-            let Side::Part { scheduler, known } = self.vms[index].side else { continue };
+            let Side::Partition { scheduler, known } = self.vms[index].side else { continue };
             if gone.contains(&scheduler) {
-                self.vms[index].side = Side::Part { scheduler: index, known };
+                self.vms[index].side = Side::Partition { scheduler: index, known };
             }
         }
     }
@@ -242,7 +242,7 @@
             Incident::Failures { each } => self.attempts(each, Charge::Withdraw),
             Incident::Kill { from, share } => {
                 let range = self.range(from, share);
-                self.split_parts(&range);
+                self.split_partitions(&range);
                 for index in range {
                     self.restart(index);
                 }
@@ -255,10 +255,10 @@
                     }
                 }
             }
-            Incident::Cut { from, share, together } => {
+            Incident::Partition { from, share, together } => {
                 let range = self.range(from, share);
-                self.split_parts(&range);
-                self.cut(range, together);
+                self.split_partitions(&range);
+                self.partition(range, together);
             }
             Incident::Heal => self.vms.iter_mut().for_each(|vm| vm.side = Side::Fleet),
             Incident::Elect { vm } => {
@@ -330,14 +330,14 @@
 }
 
 fn incident() -> impl Strategy<Value = Incident> {
-    let part = || (0usize..100, 1usize..100);
+    let range = || (0usize..100, 1usize..100);
     prop_oneof![
         3 => (0usize..8).prop_map(|each| Incident::Traffic { each }),
         4 => (1usize..30).prop_map(|each| Incident::Failures { each }),
-        2 => part().prop_map(|(from, share)| Incident::Kill { from, share }),
-        2 => part().prop_map(|(from, share)| Incident::Stop { from, share }),
-        2 => (part(), any::<bool>())
-            .prop_map(|((from, share), together)| Incident::Cut { from, share, together }),
+        2 => range().prop_map(|(from, share)| Incident::Kill { from, share }),
+        2 => range().prop_map(|(from, share)| Incident::Stop { from, share }),
+        2 => (range(), any::<bool>())
+            .prop_map(|((from, share), together)| Incident::Partition { from, share, together }),
         1 => Just(Incident::Heal),
         2 => (0..MAX_SCHEDULERS).prop_map(|vm| Incident::Elect { vm }),
         1 => Just(Incident::Reload),
--- a/request/tests/quarantine.rs
+++ b/request/tests/quarantine.rs
@@ -176,7 +176,7 @@
         isolated: bool,
     },
     /// This VM observes the last crash, too, by another copy.
-    Seen {
+    Observed {
         vm: usize,
     },
     Completed {
@@ -192,7 +192,7 @@
     let vm = 0..3_usize;
     prop_oneof![
         (vm.clone(), any::<bool>()).prop_map(|(vm, isolated)| Step::Crashed { vm, isolated }),
-        vm.clone().prop_map(|vm| Step::Seen { vm }),
+        vm.clone().prop_map(|vm| Step::Observed { vm }),
         vm.clone().prop_map(|vm| Step::Completed { vm }),
         (vm.clone(), vm).prop_map(|(from, by)| Step::Merged { from, by }),
     ]
@@ -205,7 +205,7 @@
     fn vms_agree_once_they_have_merged_all_announcements(steps in prop::collection::vec(step(), 0..40)) {
         let mut vms = [Quarantine::default(), Quarantine::default(), Quarantine::default()];
         let mut now = Instant::now();
-        let mut last_answer = None;
+        let mut last_completion = None;
         let mut upstream = 0;
         let mut crashes = Vec::new();
         for step in steps {
@@ -216,13 +216,13 @@
                     vms[vm].record_crash(request(1), Crash { isolated, ..shared(upstream) }, now);
                     crashes.push((now, upstream));
                 }
-                Step::Seen { vm } => {
+                Step::Observed { vm } => {
                     vms[vm].record_crash(request(1), shared(upstream), now);
                     crashes.push((now, upstream));
                 }
                 Step::Completed { vm } => {
                     if vms[vm].record_completion(request(1), now) {
-                        last_answer = Some(now);
+                        last_completion = Some(now);
                     }
                 }
                 Step::Merged { from, by } => {
@@ -241,7 +241,7 @@
         let counts: Vec<usize> = vms.iter().map(|vm| vm.crash_count(request(1))).collect();
         prop_assert!(counts.iter().all(|count| *count == counts[0]), "{counts:?}");
         prop_assert!(vms.iter().all(|vm| is_quarantined(vm) == is_quarantined(&vms[0])));
-        let since = |at: &Instant| last_answer.is_none_or(|answer| *at > answer);
+        let since = |at: &Instant| last_completion.is_none_or(|completion| *at > completion);
         let mut after: Vec<u32> =
             crashes.iter().filter(|(at, _)| since(at)).map(|(_, upstream)| *upstream).collect();
         after.sort_unstable();
--- a/request/tests/rate_limits/check.rs
+++ b/request/tests/rate_limits/check.rs
@@ -29,9 +29,9 @@
 
     /// Returns the highest limit that an upstream stated in a period; none if it had no limit for a part of it.
     fn highest(&self, upstream: usize, from: Instant, to: Instant) -> Option<Rate> {
-        let named = &self.named[upstream];
-        let before = named.iter().rev().find(|(at, _)| *at <= from)?;
-        let within = named.iter().filter(|(at, _)| *at > from && *at <= to);
+        let stated = &self.stated[upstream];
+        let before = stated.iter().rev().find(|(at, _)| *at <= from)?;
+        let within = stated.iter().filter(|(at, _)| *at > from && *at <= to);
         let mut highest = before.1?;
         for (_, limit) in within {
             highest = if (*limit)? > highest { (*limit)? } else { highest };
--- a/request/tests/rate_limits/fleet.rs
+++ b/request/tests/rate_limits/fleet.rs
@@ -103,9 +103,9 @@
     /// Number of requests of this process.
     pub(crate) numbers: u64,
     /// Until when its process is suspended.
-    pub(crate) frozen: Option<Instant>,
+    pub(crate) suspended: Option<Instant>,
     /// Whether it is partitioned from all other VMs.
-    pub(crate) cut: bool,
+    pub(crate) partitioned: bool,
     /// The scheduler that it uses in place of the fleet's.
     pub(crate) own_scheduler: Option<usize>,
     pub(crate) disturbed: Option<Instant>,
@@ -135,12 +135,12 @@
     pub(crate) table: Table,
     pub(crate) vms: Vec<Vm>,
     pub(crate) scheduler: usize,
-    pub(crate) starts: u64,
+    pub(crate) incarnations: u64,
     pub(crate) now: Instant,
     pub(crate) next_heartbeat: Instant,
     pub(crate) limits: [Option<Rate>; UPSTREAMS],
     /// The limits that each upstream stated, and when.
-    pub(crate) named: [Vec<(Instant, Option<Rate>)>; UPSTREAMS],
+    pub(crate) stated: [Vec<(Instant, Option<Rate>)>; UPSTREAMS],
     pub(crate) running: VecDeque<Running>,
     pub(crate) arrivals: [Vec<Arrival>; UPSTREAMS],
     pub(crate) refused: usize,
@@ -153,11 +153,11 @@
             table: table(),
             vms: Vec::new(),
             scheduler: 0,
-            starts: 0,
+            incarnations: 0,
             now,
             next_heartbeat: now,
             limits: [None; UPSTREAMS],
-            named: Default::default(),
+            stated: Default::default(),
             running: VecDeque::new(),
             arrivals: Default::default(),
             refused: 0,
@@ -170,33 +170,33 @@
     }
 
     pub(crate) fn start(&mut self) -> Vm {
-        self.starts += 1;
+        self.incarnations += 1;
         Vm {
             cluster: cluster(),
             scheduler: Scheduler::default(),
-            incarnation: self.starts,
+            incarnation: self.incarnations,
             numbers: 0,
-            frozen: None,
-            cut: false,
+            suspended: None,
+            partitioned: false,
             own_scheduler: None,
             disturbed: None,
             limited_since: [None; UPSTREAMS],
         }
     }
 
-    pub(crate) fn name(&mut self, upstream: usize, limit: Option<Rate>) {
+    pub(crate) fn set_limit(&mut self, upstream: usize, limit: Option<Rate>) {
         self.limits[upstream] = limit;
-        self.named[upstream].push((self.now, limit));
+        self.stated[upstream].push((self.now, limit));
     }
 
-    fn is_frozen(&self, vm: usize) -> bool {
-        self.vms[vm].frozen.is_some_and(|until| until > self.now)
+    fn is_suspended(&self, vm: usize) -> bool {
+        self.vms[vm].suspended.is_some_and(|until| until > self.now)
     }
 
     /// Whether a message from one VM reaches another.
     fn reaches(&self, from: usize, to: usize) -> bool {
-        let cut = self.vms[from].cut || self.vms[to].cut;
-        (!cut || from == to) && !self.is_frozen(to)
+        let partitioned = self.vms[from].partitioned || self.vms[to].partitioned;
+        (!partitioned || from == to) && !self.is_suspended(to)
     }
 
     /// The scheduler that a VM uses: the first one from its preferred one on that it reaches.
@@ -228,11 +228,11 @@
     }
 
     fn request(&mut self) {
-        let vm = (self.starts as usize * 7
+        let vm = (self.incarnations as usize * 7
             + self.arrivals.iter().map(Vec::len).sum::<usize>()
             + self.refused)
             % self.vms.len();
-        if self.is_frozen(vm) {
+        if self.is_suspended(vm) {
             self.refused += 1;
             return;
         }
@@ -294,7 +294,7 @@
         let was_noticed =
             of.limited_since[upstream].is_some_and(|since| since + NOTICE_DELAY <= now);
         let is_undisturbed =
-            !of.cut && of.disturbed.is_none_or(|at| at + EXEMPT_AFTER_INCIDENT < now);
+            !of.partitioned && of.disturbed.is_none_or(|at| at + EXEMPT_AFTER_INCIDENT < now);
         self.arrivals[upstream].push(Arrival { at: now, counts: was_noticed && is_undisturbed });
         let sends = self.arrivals[upstream].len() as u64;
         self.running.push_back(Running {
@@ -329,7 +329,7 @@
         self.running = left.into();
         for running in over {
             let Running { vm, incarnation, number, upstream: index, sent, limit, .. } = running;
-            if self.vms[vm].incarnation != incarnation || self.is_frozen(vm) {
+            if self.vms[vm].incarnation != incarnation || self.is_suspended(vm) {
                 continue;
             }
             let limit = if number.is_multiple_of(2) { limit } else { self.limits[index] };
@@ -350,7 +350,7 @@
 
     fn heartbeats(&mut self) {
         for vm in 0..self.vms.len() {
-            if self.is_frozen(vm) {
+            if self.is_suspended(vm) {
                 continue;
             }
             let now = self.now;
@@ -373,7 +373,7 @@
         for scheduler in 0..SCHEDULERS.min(self.vms.len()) {
             let limits = self.vms[scheduler].cluster.announced_limits(self.now);
             for vm in (0..self.vms.len()).filter(|vm| *vm != scheduler) {
-                if !self.is_frozen(scheduler) && self.reaches(scheduler, vm) {
+                if !self.is_suspended(scheduler) && self.reaches(scheduler, vm) {
                     limits.iter().for_each(|entry| self.merge_limit(vm, scheduler, *entry));
                 }
             }
@@ -383,7 +383,7 @@
     /// Places the requests that are queued at the schedulers.
     fn place_queued(&mut self) {
         for scheduler in 0..SCHEDULERS.min(self.vms.len()) {
-            if self.is_frozen(scheduler) {
+            if self.is_suspended(scheduler) {
                 continue;
             }
             let Vm { cluster, scheduler: of, .. } = &mut self.vms[scheduler];
@@ -392,7 +392,7 @@
                     Holder::Own => scheduler,
                     Holder::Peer(vm) => vm.as_str()[3..].parse().unwrap(),
                 };
-                let is_up = self.vms[vm].incarnation == key.incarnation && !self.is_frozen(vm);
+                let is_up = self.vms[vm].incarnation == key.incarnation && !self.is_suspended(vm);
                 match answer {
                     Answer::Placed(placement, _) if is_up && self.reaches(scheduler, vm) => {
                         self.send(vm, scheduler, key.number, &placement);
--- a/request/tests/rate_limits/incident.rs
+++ b/request/tests/rate_limits/incident.rs
@@ -14,18 +14,18 @@
         each_s: usize,
     },
     /// An upstream states a limit, in quarters of a request per second, or none.
-    Name {
+    SetLimit {
         upstream: usize,
         quarters: Option<u32>,
     },
     Kill {
         vm: usize,
     },
-    Freeze {
+    Suspend {
         vm: usize,
         ms: u64,
     },
-    Cut {
+    Partition {
         vm: usize,
     },
     /// The VMs from `from` percent on use another scheduler than the rest.
@@ -44,8 +44,8 @@
         let count = self.vms.len();
         match *incident {
             Incident::Load { ms, each_s } => self.load(Duration::from_millis(ms), each_s),
-            Incident::Name { upstream, quarters } => {
-                self.name(upstream, quarters.map(|quarters| rate(f64::from(quarters) / 4.0)));
+            Incident::SetLimit { upstream, quarters } => {
+                self.set_limit(upstream, quarters.map(|quarters| rate(f64::from(quarters) / 4.0)));
             }
             Incident::Kill { vm } => {
                 let limited_since = self.vms[vm % count].limited_since;
@@ -57,12 +57,12 @@
                     self.vms[other].cluster.peer_lost(&vm_name(vm % count), now);
                 }
             }
-            Incident::Freeze { vm, ms } => {
+            Incident::Suspend { vm, ms } => {
                 let until = self.now + Duration::from_millis(ms);
-                self.vms[vm % count].frozen = Some(until);
+                self.vms[vm % count].suspended = Some(until);
                 self.vms[vm % count].disturbed = Some(until);
             }
-            Incident::Cut { vm } => self.vms[vm % count].cut = true,
+            Incident::Partition { vm } => self.vms[vm % count].partitioned = true,
             Incident::Split { from, scheduler } => {
                 let scheduler = scheduler % SCHEDULERS.min(count);
                 let range = from * count / 100..count;
@@ -70,7 +70,7 @@
             }
             Incident::Heal => {
                 for vm in &mut self.vms {
-                    if std::mem::take(&mut vm.cut) {
+                    if std::mem::take(&mut vm.partitioned) {
                         vm.disturbed = Some(self.now);
                     }
                     vm.own_scheduler = None;
@@ -87,10 +87,10 @@
     prop_oneof![
         6 => load.prop_map(|(ms, each_s)| Incident::Load { ms, each_s }),
         3 => (0..UPSTREAMS, proptest::option::weighted(0.8, 0..40_u32))
-            .prop_map(|(upstream, quarters)| Incident::Name { upstream, quarters }),
+            .prop_map(|(upstream, quarters)| Incident::SetLimit { upstream, quarters }),
         2 => (0..SCHEDULERS + 3).prop_map(|vm| Incident::Kill { vm }),
-        2 => (0..SCHEDULERS + 3, 100..3_000_u64).prop_map(|(vm, ms)| Incident::Freeze { vm, ms }),
-        1 => (0..SCHEDULERS + 3).prop_map(|vm| Incident::Cut { vm }),
+        2 => (0..SCHEDULERS + 3, 100..3_000_u64).prop_map(|(vm, ms)| Incident::Suspend { vm, ms }),
+        1 => (0..SCHEDULERS + 3).prop_map(|vm| Incident::Partition { vm }),
         2 => (0..100_usize, 0..SCHEDULERS)
             .prop_map(|(from, scheduler)| Incident::Split { from, scheduler }),
         1 => Just(Incident::Heal),
--- a/request/tests/rate_limits/main.rs
+++ b/request/tests/rate_limits/main.rs
@@ -31,7 +31,7 @@
         incidents in proptest::collection::vec(incident(), 1..40),
     ) {
         let mut fleet = Fleet::new(count);
-        fleet.name(0, Some(rate(2.5)));
+        fleet.set_limit(0, Some(rate(2.5)));
         fleet.load(Duration::from_secs(2), 60);
         incidents.iter().for_each(|incident| fleet.apply(incident));
         fleet.load(SPAN, 60);
@@ -45,7 +45,7 @@
     for count in [6, 72, 195, 985] {
         for per_s in [0.5, 1.0, 2.6, 10.0, 40.0] {
             let mut fleet = Fleet::new(count);
-            (0..UPSTREAMS).for_each(|index| fleet.name(index, Some(rate(per_s))));
+            (0..UPSTREAMS).for_each(|index| fleet.set_limit(index, Some(rate(per_s))));
             fleet.load(Duration::from_secs(2), 300);
             fleet.apply(&Incident::Split { from: 50, scheduler: 1 });
             fleet.load(SPAN + SPAN, 300);
@@ -63,7 +63,7 @@
 #[test]
 fn restarted_schedulers_grant_nothing_beyond_limits_known_to_others() {
     let mut fleet = Fleet::new(6);
-    (0..UPSTREAMS).for_each(|index| fleet.name(index, Some(rate(1.0))));
+    (0..UPSTREAMS).for_each(|index| fleet.set_limit(index, Some(rate(1.0))));
     fleet.load(Duration::from_secs(20), 50);
     fleet.load(Duration::from_secs(5), 0);
     (0..SCHEDULERS).for_each(|vm| fleet.apply(&Incident::Kill { vm }));
@@ -77,7 +77,7 @@
 fn the_rate_is_used_while_callers_wait() {
     for per_s in [1.0, 2.6, 10.0, 40.0] {
         let mut fleet = Fleet::new(6);
-        (0..UPSTREAMS).for_each(|index| fleet.name(index, Some(rate(per_s))));
+        (0..UPSTREAMS).for_each(|index| fleet.set_limit(index, Some(rate(per_s))));
         fleet.load(Duration::from_secs(2), 200);
         let before: usize = fleet.arrivals.iter().map(Vec::len).sum();
         fleet.load(Duration::from_secs(10), 200);
@@ -92,9 +92,9 @@
 #[test]
 fn a_limit_that_has_ended_is_not_enforced() {
     let mut fleet = Fleet::new(6);
-    (0..UPSTREAMS).for_each(|index| fleet.name(index, Some(rate(1.0))));
+    (0..UPSTREAMS).for_each(|index| fleet.set_limit(index, Some(rate(1.0))));
     fleet.load(Duration::from_secs(4), 100);
-    (0..UPSTREAMS).for_each(|index| fleet.name(index, None));
+    (0..UPSTREAMS).for_each(|index| fleet.set_limit(index, None));
     fleet.load(Duration::from_secs(3), 100);
     let (before, refused) = (fleet.arrivals.iter().map(Vec::len).sum::<usize>(), fleet.refused);
     fleet.load(Duration::from_secs(2), 100);
@@ -106,11 +106,11 @@
 #[test]
 fn an_upstream_with_rate_zero_is_probed_until_its_limit_ends() {
     let mut fleet = Fleet::new(6);
-    fleet.name(0, Some(rate(0.0)));
+    fleet.set_limit(0, Some(rate(0.0)));
     fleet.load(Duration::from_secs(30), 20);
     let of_first = fleet.arrivals[0].len();
     assert!(of_first <= 20, "{of_first}");
-    fleet.name(0, None);
+    fleet.set_limit(0, None);
     fleet.load(Duration::from_secs(15), 20);
     let before = fleet.arrivals[0].len();
     fleet.load(Duration::from_secs(5), 20);
