--- a/request/src/budget.rs
+++ b/request/src/budget.rs
@@ -34,8 +34,8 @@
     pub window: Duration,
 }
 
-/// Share of the ratio that is used. Retries are counted here when they are scheduled, but by upstreams when
-/// they arrive, so the two windows differ.
+/// Share of the ratio that is used. Retries are counted here when they are scheduled, but by upstreams when they
+/// arrive, so the counts in a window may differ.
 const RATIO_SHARE: f64 = 0.9;
 
 /// Share of the slack that is distributed over the clients.
--- a/request/tests/quarantine.rs
+++ b/request/tests/quarantine.rs
@@ -200,7 +200,7 @@
 
 proptest! {
     /// Heartbeats are lost, duplicated and reordered. Once each VM has merged the announcements of all others, all
-    /// have the same verdict.
+    /// have the same crashes and agree on the quarantine.
     #[test]
     fn vms_agree_once_they_have_merged_all_announcements(steps in prop::collection::vec(step(), 0..40)) {
         let mut vms = [Quarantine::default(), Quarantine::default(), Quarantine::default()];
