--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -101,7 +101,7 @@
             memory: placed.memory,
             pause_ms: placed.pause_ms,
             decoding: false,
-            alone: placed.alone,
+            isolated: placed.isolated,
         },
         predicted_ms: placed.predicted_ms,
         load: placed.load,
@@ -198,7 +198,7 @@
 fn note_held<D: Dialect>(process: &Process<D>, fingerprint: Fingerprint, rejection: Rejection) {
     if let Rejection::Quarantined { left_ms } = rejection {
         let left = Duration::from_millis(left_ms);
-        process.cluster.lock().unwrap().quarantine.hold(fingerprint, 1, left, process.now());
+        process.cluster.lock().unwrap().quarantine.merge_entry(fingerprint, 1, left, process.now());
     }
 }
 
--- a/daemon/src/fleet/scheduler.rs
+++ b/daemon/src/fleet/scheduler.rs
@@ -179,7 +179,7 @@
             .map(|(id, load)| (tag(id), load.clone()))
             .collect(),
         open: placement.candidates,
-        alone: flight.alone,
+        isolated: flight.isolated,
         limited: placement.limited,
         limit: placement.limit,
     })
--- a/request/src/cluster.rs
+++ b/request/src/cluster.rs
@@ -24,8 +24,8 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::fingerprint::Fingerprint;
-use crate::held::Quarantined;
 use crate::quarantine::Quarantine;
+use crate::quarantine_entry::QuarantineEntry;
 use crate::revision::Revision;
 use crate::suspicion::Suspicion;
 use crate::tag::Tag;
@@ -55,7 +55,7 @@
     /// Requests during which upstreams crashed.
     pub quarantine: Quarantine,
     /// Quarantined requests that the directory lists.
-    quarantined: BTreeMap<Fingerprint, Quarantined>,
+    quarantined: BTreeMap<Fingerprint, QuarantineEntry>,
     /// Requests that the directory listed as quarantined and that have been released.
     released: VecDeque<Fingerprint>,
     outcomes: VecDeque<(Instant, AttemptOutcome)>,
--- a/request/src/cluster/flights.rs
+++ b/request/src/cluster/flights.rs
@@ -10,7 +10,7 @@
 use super::{Cluster, Upstream};
 use crate::fingerprint::Fingerprint;
 use crate::flight::{Announcement, Flight, Tracked};
-use crate::pace::Pace;
+use crate::sliding_window::SlidingWindow;
 
 /// How long a granted placement counts before its VM announces the attempt: several heartbeats, since some may
 /// be lost.
@@ -41,7 +41,7 @@
     /// Isolated flights; rarely any, so they are searched linearly.
     isolated: Vec<(Serial, Fingerprint, id::Upstream)>,
     /// Recent dispatches to each upstream.
-    dispatches: HashMap<id::Upstream, Pace>,
+    dispatches: HashMap<id::Upstream, SlidingWindow>,
     serial: Serial,
 }
 
@@ -54,7 +54,7 @@
         self.serial += 1;
         let serial = self.serial;
         let flight = &tracked.flight;
-        if let Some(fingerprint) = flight.alone {
+        if let Some(fingerprint) = flight.isolated {
             self.isolated.push((serial, fingerprint, flight.upstream.clone()));
         }
         self.work(&flight.upstream).add_main(serial, &tracked);
@@ -81,14 +81,14 @@
         }
     }
 
-    fn dispatches_mut(&mut self, upstream: &id::Upstream) -> &mut Pace {
+    fn dispatches_mut(&mut self, upstream: &id::Upstream) -> &mut SlidingWindow {
         if !self.dispatches.contains_key(upstream) {
-            self.dispatches.insert(upstream.clone(), Pace::default());
+            self.dispatches.insert(upstream.clone(), SlidingWindow::default());
         }
         self.dispatches.get_mut(upstream).expect("just inserted")
     }
 
-    pub(super) fn dispatches(&self, upstream: &id::Upstream) -> Option<&Pace> {
+    pub(super) fn dispatches(&self, upstream: &id::Upstream) -> Option<&SlidingWindow> {
         self.dispatches.get(upstream)
     }
 
@@ -180,7 +180,7 @@
     /// Removes all flights of a peer.
     pub(super) fn clear_peer(&mut self, vm: &id::Vm, now: Instant) {
         let holder = Holder::Peer(vm.clone());
-        self.dispatches.values_mut().for_each(|log| log.renumber(&holder));
+        self.dispatches.values_mut().for_each(|log| log.forget_numbers(&holder));
         let flights = self.by_holder.remove(&holder).unwrap_or_default();
         for Entry { serial, tracked, .. } in flights.into_values() {
             self.isolated.retain(|(isolated, ..)| *isolated != serial);
@@ -247,7 +247,7 @@
     }
 
     /// Whether a copy of this request runs isolated on any upstream.
-    pub fn runs_alone(&self, fingerprint: Fingerprint) -> bool {
+    pub fn has_isolated_copy(&self, fingerprint: Fingerprint) -> bool {
         self.flights.isolated.iter().any(|(_, isolated, _)| *isolated == fingerprint)
     }
 
@@ -264,7 +264,7 @@
 
     /// Requests sent to an upstream within the window for cold upstreams, as far as recorded here.
     pub fn sent_recently(&self, upstream: &id::Upstream, now: Instant) -> usize {
-        self.flights.dispatches(upstream).map_or(0, |dispatches| dispatches.begun(now))
+        self.flights.dispatches(upstream).map_or(0, |dispatches| dispatches.cold_count(now))
     }
 
     /// Number of in-flight attempts of this VM and of the peers that announce theirs, granted placements included.
--- a/request/src/cluster/limits.rs
+++ b/request/src/cluster/limits.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Cluster, Holder, Upstream};
-use crate::pace::Bound;
+use crate::sliding_window::Bound;
 use crate::rate_limit::{self, Entry, Limit, Merge, State};
 use crate::tag::Tag;
 
@@ -176,7 +176,7 @@
 
     /// Requests sent to an upstream within a window, as far as recorded here.
     pub fn sent_within(&self, id: &id::Upstream, window: Duration, now: Instant) -> usize {
-        self.flights.dispatches(id).map_or(0, |dispatches| dispatches.sent_within(window, now))
+        self.flights.dispatches(id).map_or(0, |dispatches| dispatches.count_within(window, now))
     }
 
     /// Sum of the rates of a service's open upstreams; none if one of them is unlimited.
--- a/request/src/flight.rs
+++ b/request/src/flight.rs
@@ -34,7 +34,7 @@
     pub decoding: bool,
     /// The request, if it runs isolated: no other request is placed on that upstream, and no second copy of it on
     /// any.
-    pub alone: Option<Fingerprint>,
+    pub isolated: Option<Fingerprint>,
 }
 
 impl Flight {
@@ -77,7 +77,7 @@
     pub(crate) memory: u64,
     pub(crate) pause_ms: u32,
     pub(crate) decoding: bool,
-    pub(crate) alone: Option<Fingerprint>,
+    pub(crate) isolated: Option<Fingerprint>,
     pub(crate) age_ms: u32,
 }
 
@@ -95,7 +95,7 @@
             memory: flight.memory,
             pause_ms: flight.pause_ms,
             decoding: flight.decoding,
-            alone: flight.alone,
+            isolated: flight.isolated,
             age_ms: now.saturating_duration_since(self.sent).as_millis() as u32,
         }
     }
@@ -118,7 +118,7 @@
             memory: announced.memory,
             pause_ms: announced.pause_ms,
             decoding: announced.decoding,
-            alone: announced.alone,
+            isolated: announced.isolated,
         };
         let age = Duration::from_millis(u64::from(announced.age_ms));
         let sent = now.checked_sub(age).unwrap_or(now);
--- a/request/src/message.rs
+++ b/request/src/message.rs
@@ -132,7 +132,7 @@
     /// The reports that it has of engines.
     pub reports: Vec<report::Announcement>,
     /// What it learnt of requests under which upstreams ended.
-    pub suspects: Vec<quarantine::News>,
+    pub suspects: Vec<quarantine::Announcement>,
     /// Recent messages to rate-limited upstreams.
     #[serde(default)]
     pub dispatches: Vec<Dispatch>,
@@ -266,7 +266,7 @@
     /// The upstreams among which it was chosen.
     pub open: usize,
     /// The request, if it runs alone there.
-    pub alone: Option<Fingerprint>,
+    pub isolated: Option<Fingerprint>,
     /// Upstreams that were at their rate limits.
     #[serde(default)]
     pub limited: usize,
--- a/request/src/placement.rs
+++ b/request/src/placement.rs
@@ -206,7 +206,7 @@
     requirements: &Requirements,
     now: Instant,
 ) -> Result<Placement, Rejection> {
-    let isolated = runs_alone(cluster, requirements.fingerprint, now)?;
+    let isolated = requires_isolation(cluster, requirements.fingerprint, now)?;
     let (candidates, limited) = candidates(cluster, service, requirements, now);
     if candidates.is_empty() {
         return Err(rejection(cluster, service, requirements, now));
@@ -226,7 +226,7 @@
         LongQueue { prompts: &prompts, demand: 0.0, offset: requirements.offset, short_only: 0 };
     let placed = place_long(cluster, service, engine, queue, now).pop();
     let (_, mut placement) = placed.ok_or(Rejection::Full)?;
-    placement.flight.alone = isolated.then_some(requirements.fingerprint);
+    placement.flight.isolated = isolated.then_some(requirements.fingerprint);
     Ok(placement)
 }
 
@@ -238,7 +238,7 @@
     requirements: &Requirements,
     now: Instant,
 ) -> Result<Placement, Rejection> {
-    let isolated = runs_alone(cluster, requirements.fingerprint, now)?;
+    let isolated = requires_isolation(cluster, requirements.fingerprint, now)?;
     let all = cluster.limited_rate(&service.name).is_some();
     let (mut candidates, _) = candidates(cluster, service, requirements, now);
     candidates.retain(|c| c.upstream.is_limited() && (all || c.probe_due));
@@ -246,22 +246,24 @@
     if !all && placement.predicted_ms > requirements.left_ms(now) {
         return Err(Rejection::Full);
     }
-    placement.flight.alone = isolated.then_some(requirements.fingerprint);
+    placement.flight.isolated = isolated.then_some(requirements.fingerprint);
     Ok(placement)
 }
 
 /// Whether a request has to run isolated. Fails if it may not run now: it is quarantined, or
 /// another copy already runs isolated.
-pub fn runs_alone(
+pub fn requires_isolation(
     cluster: &Cluster,
     fingerprint: Fingerprint,
     now: Instant,
 ) -> Result<bool, Rejection> {
     match cluster.quarantine.verdict(fingerprint, now) {
-        Verdict::Beside => Ok(false),
-        Verdict::Alone if cluster.runs_alone(fingerprint) => Err(Rejection::Full),
-        Verdict::Alone => Ok(true),
-        Verdict::Held(left) => Err(Rejection::Quarantined { left_ms: left.as_millis() as u64 }),
+        Verdict::Shared => Ok(false),
+        Verdict::Isolated if cluster.has_isolated_copy(fingerprint) => Err(Rejection::Full),
+        Verdict::Isolated => Ok(true),
+        Verdict::Quarantined(left) => {
+            Err(Rejection::Quarantined { left_ms: left.as_millis() as u64 })
+        }
     }
 }
 
@@ -282,7 +284,7 @@
     let predicted_ms = engine.map_or(0.0, |engine| best.predicted_ms(engine, prefill_ms));
     let mut placement =
         build_placement(requirements, &best, &[], prefill_ms, predicted_ms, candidate_count);
-    placement.flight.alone = Some(requirements.fingerprint);
+    placement.flight.isolated = Some(requirements.fingerprint);
     Ok(placement)
 }
 
@@ -385,7 +387,7 @@
             memory: requirements.memory.0.saturating_sub(held),
             pause_ms: requirements.pause_ms(),
             decoding: false,
-            alone: None,
+            isolated: None,
         },
         predicted_ms,
         load: best.load.clone(),
--- a/request/src/placement/candidate.rs
+++ b/request/src/placement/candidate.rs
@@ -7,7 +7,7 @@
 use super::{Rejection, Requirements};
 use crate::cluster::{Cluster, INTERACTIVE_PAUSE_MS, Load, Upstream};
 use crate::forecast;
-use crate::pace::Bound;
+use crate::sliding_window::Bound;
 
 /// Reserved from each pause, milliseconds, for one more short prompt that arrives.
 const PAUSE_MARGIN_MS: f64 = 30.0;
@@ -170,7 +170,7 @@
 ) -> Vec<&'a Upstream> {
     let is_healthy = |u: &&Upstream| {
         u.unlisted.is_none()
-            && !u.suspicion.avoided(now)
+            && !u.suspicion.is_avoided(now)
             && !u.is_unresponsive(now)
             && !cluster.has_isolated_request(&u.listed.id)
     };
--- a/request/src/scheduler.rs
+++ b/request/src/scheduler.rs
@@ -13,10 +13,12 @@
 
 use foldlock_version::routes::{Service, Table};
 
-use crate::budget::{Budget, Charge, Figures};
+use crate::budget::{Budget, Charge, Parameters};
 use crate::cluster::{Cluster, Holder};
 use crate::fingerprint::Fingerprint;
-use crate::placement::{self, DEMAND_WINDOW, Placement, Rejection, Requirements, runs_alone};
+use crate::placement::{
+    self, DEMAND_WINDOW, Placement, Rejection, Requirements, requires_isolation,
+};
 use crate::pressure::Pressure;
 use crate::tag::Tag;
 
@@ -97,8 +99,8 @@
 
 impl Scheduler {
     /// Creates a scheduler without requests.
-    pub fn new(figures: Figures) -> Scheduler {
-        Scheduler { budget: Budget::new(figures), ..Scheduler::default() }
+    pub fn new(parameters: Parameters) -> Scheduler {
+        Scheduler { budget: Budget::new(parameters), ..Scheduler::default() }
     }
 
     /// Handles a grant request of a VM, the first one or a repeated one.
@@ -124,7 +126,7 @@
             return Reply::Rejected(Rejection::NoUpstream);
         };
         if let Err(quarantined @ Rejection::Quarantined { .. }) =
-            runs_alone(cluster, requirements.fingerprint, now)
+            requires_isolation(cluster, requirements.fingerprint, now)
         {
             return Reply::Rejected(quarantined);
         }
@@ -298,7 +300,7 @@
         replies: &mut Vec<(Key, Reply)>,
     ) {
         self.queue.retain(|queued| {
-            match runs_alone(cluster, queued.requirements.fingerprint, now) {
+            match requires_isolation(cluster, queued.requirements.fingerprint, now) {
                 Err(quarantined @ Rejection::Quarantined { .. }) => {
                     replies.push((queued.key.clone(), Reply::Rejected(quarantined)));
                     false
@@ -352,7 +354,9 @@
         let queued = self.queue.iter().enumerate();
         let prompts: Vec<placement::LongPrompt<'_>> = queued
             .filter(|(_, queued)| queued.service == tag && queued.is_long(service))
-            .filter(|(_, queued)| runs_alone(cluster, queued.requirements.fingerprint, now).is_ok())
+            .filter(|(_, queued)| {
+                requires_isolation(cluster, queued.requirements.fingerprint, now).is_ok()
+            })
             .map(|(index, queued)| placement::LongPrompt {
                 requirements: &queued.requirements,
                 index,
@@ -377,8 +381,8 @@
             .collect();
         for (charged, fingerprint, mut placement) in placed {
             // Of two copies in the queue, the first runs isolated and the other stays queued.
-            let Ok(isolated) = runs_alone(cluster, fingerprint, now) else { continue };
-            placement.flight.alone = isolated.then_some(fingerprint);
+            let Ok(isolated) = requires_isolation(cluster, fingerprint, now) else { continue };
+            placement.flight.isolated = isolated.then_some(fingerprint);
             let key = charged.key.clone();
             let reply = self.grant(cluster, charged, placement, now);
             replies.push((key, reply));
--- a/request/tests/board.rs
+++ b/request/tests/board.rs
@@ -45,7 +45,7 @@
         memory,
         pause_ms: 250,
         decoding: false,
-        alone: None,
+        isolated: None,
     }
 }
 
@@ -221,11 +221,11 @@
     cluster.list(listed(1));
     let avoided = |cluster: &Cluster, ms: u64| {
         let at = now + Duration::from_millis(ms);
-        cluster.get(&upstream(1)).unwrap().suspicion.avoided(at)
+        cluster.get(&upstream(1)).unwrap().suspicion.is_avoided(at)
     };
-    cluster.record_outcome(&upstream(1), Outcome::Failed(Failure::Full), now);
+    cluster.record_outcome(&upstream(1), Outcome::Failed(Failure::Overloaded), now);
     assert!(!avoided(&cluster, 0), "a single refusal is not enough");
-    cluster.record_outcome(&upstream(1), Outcome::Failed(Failure::Silent), now);
+    cluster.record_outcome(&upstream(1), Outcome::Failed(Failure::Unresponsive), now);
     assert!(avoided(&cluster, 0));
     assert!(!avoided(&cluster, 5_000));
     cluster.record_outcome(&upstream(1), Outcome::Answered, now);
@@ -238,7 +238,7 @@
     let (mut here, mut there, now) = (Cluster::default(), Cluster::default(), Instant::now());
     here.list(listed(1));
     there.list(listed(1));
-    here.record_outcome(&upstream(1), Outcome::Failed(Failure::Broken), now);
+    here.record_outcome(&upstream(1), Outcome::Failed(Failure::Malformed), now);
     for _ in 0..3 {
         there.merge_outcomes(&vm(1), &here.announced_outcomes(now), now);
     }
--- a/request/tests/budget_restarts.rs
+++ b/request/tests/budget_restarts.rs
@@ -1,37 +1,37 @@
-//! The fleet's retry budget while VMs start, stop, are killed, are cut off, follow each other as schedulers and read
-//! their figures again.
+//! The fleet's retry budget while VMs start, stop, are killed or partitioned, while the scheduler changes and the
+//! parameters are reloaded.
 
 use std::ops::Range;
 use std::time::{Duration, Instant};
 
 use foldlock_base::id;
-use foldlock_request::budget::{Affiliation, Budget, Charge, Figures, Process};
+use foldlock_request::budget::{Affiliation, Budget, Charge, Parameters, Process};
 use foldlock_request::cluster::Holder;
-use foldlock_request::rank::TRIED;
+use foldlock_request::rank::MAX_SCHEDULERS;
 use foldlock_request::tag::Tag;
 use proptest::prelude::*;
 
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// The time that a VM serves on after it has withdrawn.
+/// Time for which a VM continues to serve after it has withdrawn.
 const STOP: Duration = Duration::from_secs(8);
 
-/// The time between the heartbeats of a VM.
+/// Heartbeat interval of a VM.
 const HEARTBEAT: Duration = Duration::from_secs(1);
 
-/// The time until it is back after that.
+/// Time after which it is restarted.
 const DOWN: Duration = Duration::from_secs(1);
 
-fn figures(vms: usize) -> Figures {
-    Figures { ratio: 0.2, slack: (vms * 3) as f64, window: WINDOW }
+fn parameters(vms: usize) -> Parameters {
+    Parameters { ratio: 0.2, slack: (vms * 3) as f64, window: WINDOW }
 }
 
-/// Who schedules for a VM.
+/// The scheduler of a VM.
 #[derive(Debug, Clone, Copy)]
 enum Side {
     /// The scheduler of the fleet.
     Fleet,
-    /// The scheduler of a part that is cut off, which knew so many VMs when that began.
+    /// The scheduler of a partition, which had `known` VMs listed when it was cut off.
     Part { scheduler: usize, known: usize },
 }
 
@@ -41,13 +41,13 @@
     budget: Budget,
     affiliation: Affiliation,
     side: Side,
-    /// When it ends, if it has withdrawn.
+    /// When its process ends, if it has withdrawn.
     ends: Option<Instant>,
-    /// When it is back, if it is down.
+    /// When it is restarted, if it is down.
     back: Option<Instant>,
 }
 
-/// Something that happens to the fleet, or to a range of its VMs in percent.
+/// An event of the fleet, or of a range of its VMs, given in percent.
 #[derive(Debug, Clone)]
 enum Incident {
     Traffic {
@@ -64,62 +64,62 @@
         from: usize,
         share: usize,
     },
-    /// Cut off from the others, each by itself or together.
+    /// Partitions VMs from the others, into one partition each or all into one.
     Cut {
         from: usize,
         share: usize,
         together: bool,
     },
     Heal,
-    /// Another VM schedules.
+    /// Another VM becomes the scheduler.
     Elect {
         vm: usize,
     },
     Reload,
 }
 
-/// The VMs that run, as all of them know it.
+/// The running VMs, as listed at each of them.
 struct Running {
     count: usize,
     schedulers: Vec<Process>,
 }
 
 struct Fleet {
-    figures: Figures,
+    parameters: Parameters,
     vms: Vec<Vm>,
     scheduler: usize,
-    starts: u64,
+    incarnations: u64,
     now: Instant,
     requests: Vec<Instant>,
-    repeats: Vec<Instant>,
+    retries: Vec<Instant>,
 }
 
 impl Fleet {
     fn new(count: usize) -> Fleet {
         let mut fleet = Fleet {
-            figures: figures(count),
+            parameters: parameters(count),
             vms: Vec::new(),
             scheduler: 0,
-            starts: 0,
+            incarnations: 0,
             now: Instant::now(),
             requests: Vec::new(),
-            repeats: Vec::new(),
+            retries: Vec::new(),
         };
         for index in 0..count {
             let name = format!("vm-{index}").parse().unwrap();
             let vm = fleet.start(name);
             fleet.vms.push(vm);
         }
-        fleet.pass(WINDOW + HEARTBEAT);
+        fleet.advance(WINDOW + HEARTBEAT);
         fleet
     }
 
     fn start(&mut self, name: id::Vm) -> Vm {
-        self.starts += 1;
+        self.incarnations += 1;
         Vm {
             name,
-            incarnation: self.starts,
-            budget: Budget::new(self.figures),
+            incarnation: self.incarnations,
+            budget: Budget::new(self.parameters),
             affiliation: Affiliation::default(),
             side: Side::Fleet,
             ends: None,
@@ -136,17 +136,17 @@
         self.vms.iter().filter(|vm| vm.back.is_none()).count()
     }
 
-    /// Time passes, in which each VM's heartbeats reach its scheduler.
-    fn pass(&mut self, time: Duration) {
+    /// Advances the time. Each VM sends its heartbeats to its scheduler.
+    fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.now = (self.now + HEARTBEAT).min(end);
-            self.end_and_start();
+            self.stop_and_restart();
             self.attempts(0, Charge::Free);
         }
     }
 
-    fn end_and_start(&mut self) {
+    fn stop_and_restart(&mut self) {
         for index in 0..self.vms.len() {
             let vm = &mut self.vms[index];
             if vm.ends.is_some_and(|ends| ends <= self.now) {
@@ -159,9 +159,9 @@
         self.elect_running();
     }
 
-    /// The next VM schedules if the one that did is down.
+    /// Makes the next VM the scheduler if the current one is down.
     fn elect_running(&mut self) {
-        let of = TRIED.min(self.vms.len());
+        let of = MAX_SCHEDULERS.min(self.vms.len());
         let next = (0..of).map(|step| (self.scheduler + step) % of);
         let running = next.clone().find(|index| self.vms[*index].back.is_none());
         self.scheduler = running.unwrap_or(self.scheduler);
@@ -177,25 +177,25 @@
         Process { vm: vm.name.clone(), incarnation: vm.incarnation }
     }
 
-    /// Who may schedule, now.
+    /// The processes that may become the scheduler.
     fn schedulers(&self) -> Vec<Process> {
-        (0..TRIED.min(self.vms.len())).map(|index| self.process(index)).collect()
+        (0..MAX_SCHEDULERS.min(self.vms.len())).map(|index| self.process(index)).collect()
     }
 
-    /// Attempts at a VM. Answers how many the budget allows.
+    /// Makes `each` attempts at a VM. Returns how many the budget allows.
     fn attempt(&mut self, index: usize, each: usize, charge: Charge, fleet: &Running) -> usize {
         let (scheduler, known) = match self.vms[index].side {
             Side::Fleet => (self.scheduler, fleet.count),
             Side::Part { scheduler, known } => (scheduler, known),
         };
-        let (asked, now) = (self.process(scheduler), self.now);
+        let (target, now) = (self.process(scheduler), self.now);
         let has_ended = |former: &Process| {
             let now = fleet.schedulers.iter().find(|process| process.vm == former.vm);
             now.is_some_and(|process| process != former)
         };
         let vm = Holder::Peer(self.vms[index].name.clone());
         let affiliation = &mut self.vms[index].affiliation;
-        let is_client = affiliation.contact(&asked, WINDOW, self.now, has_ended);
+        let is_client = affiliation.contact(&target, WINDOW, self.now, has_ended);
         let budget = &mut self.vms[scheduler].budget;
         budget.record_contact(&vm, is_client, known, self.now);
         (0..each).filter(|_| budget.charge(Tag::of("model"), charge, now).is_ok()).count()
@@ -210,7 +210,7 @@
             let allowed = self.attempt(index, each, charge, &fleet);
             let times = match charge {
                 Charge::Deposit => &mut self.requests,
-                _ => &mut self.repeats,
+                _ => &mut self.retries,
             };
             times.extend(std::iter::repeat_n(self.now, allowed));
         }
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Parts whose scheduler has gone are each by themselves.
+    /// Splits partitions whose scheduler is gone into one partition for each VM.
     fn split_parts(&mut self, gone: &Range<usize>) {
         for index in 0..self.vms.len() {
             let Side::Part { scheduler, known } = self.vms[index].side else { continue };
@@ -262,20 +262,20 @@
             }
             Incident::Heal => self.vms.iter_mut().for_each(|vm| vm.side = Side::Fleet),
             Incident::Elect { vm } => {
-                self.scheduler = vm % TRIED.min(self.vms.len());
+                self.scheduler = vm % MAX_SCHEDULERS.min(self.vms.len());
                 self.elect_running();
             }
-            Incident::Reload => self.vms.iter_mut().for_each(|vm| vm.budget.set(self.figures)),
+            Incident::Reload => self.vms.iter_mut().for_each(|vm| vm.budget.set(self.parameters)),
         }
     }
 
-    /// Repeats in the window that ends now, and how many are allowed in it.
+    /// Returns the retries in the window that ends now, and how many are allowed in it.
     fn spent(&self) -> (usize, f64) {
         let within = |times: &[Instant]| {
             times.iter().filter(|at| self.now.duration_since(**at) <= WINDOW).count()
         };
-        let allowed = self.figures.ratio * within(&self.requests) as f64 + self.figures.slack;
-        (within(&self.repeats), allowed)
+        let allowed = self.parameters.ratio * within(&self.requests) as f64 + self.parameters.slack;
+        (within(&self.retries), allowed)
     }
 
     fn assert_within(&self) {
@@ -284,20 +284,20 @@
     }
 }
 
-/// Guards against a restarted VM that spends the share which its former process has spent.
+/// Guards against a restarted VM that spends the share of the slack that its former process has spent already.
 #[test]
-fn killed_vms_do_not_spend_their_share_again() {
+fn a_killed_vm_does_not_spend_its_share_again() {
     let mut fleet = Fleet::new(72);
     for _ in 0..4 {
         fleet.apply(&Incident::Traffic { each: 5 });
         fleet.apply(&Incident::Failures { each: 20 });
         fleet.assert_within();
         fleet.apply(&Incident::Kill { from: 0, share: 60 });
-        fleet.pass(Duration::from_secs(3));
+        fleet.advance(Duration::from_secs(3));
     }
 }
 
-/// Guards against shares that grow as VMs withdraw which have spent theirs and still serve.
+/// Guards against shares that grow when VMs withdraw that have spent theirs and still serve.
 #[test]
 fn shares_do_not_grow_as_vms_withdraw() {
     let mut fleet = Fleet::new(72);
@@ -306,27 +306,27 @@
         fleet.apply(&Incident::Failures { each: 20 });
         fleet.assert_within();
         fleet.apply(&Incident::Stop { from: part * 10, share: 10 });
-        fleet.pass(Duration::from_millis(900));
+        fleet.advance(Duration::from_millis(900));
     }
 }
 
-/// Guards against two schedulers that are asked in turn and each hold the slack of the same VMs.
+/// Guards against two alternating schedulers that each hold the slack of the same VMs.
 #[test]
-fn schedulers_that_are_asked_in_turn_do_not_both_hold_the_slack() {
+fn alternating_schedulers_do_not_both_hold_the_slack() {
     let mut fleet = Fleet::new(72);
     for turn in 0..20 {
         fleet.apply(&Incident::Traffic { each: 2 });
         fleet.apply(&Incident::Elect { vm: turn % 2 });
-        fleet.pass(Duration::from_secs(1));
+        fleet.advance(Duration::from_secs(1));
     }
-    fleet.pass(Duration::from_millis(500));
+    fleet.advance(Duration::from_millis(500));
     for vm in 0..2 {
         fleet.apply(&Incident::Failures { each: 20 });
         fleet.apply(&Incident::Elect { vm });
     }
     fleet.apply(&Incident::Failures { each: 20 });
     let (spent, _) = fleet.spent();
-    assert!(spent as f64 <= fleet.figures.slack, "{spent}");
+    assert!(spent as f64 <= fleet.parameters.slack, "{spent}");
 }
 
 fn incident() -> impl Strategy<Value = Incident> {
@@ -339,14 +339,14 @@
         2 => (part(), any::<bool>())
             .prop_map(|((from, share), together)| Incident::Cut { from, share, together }),
         1 => Just(Incident::Heal),
-        2 => (0..TRIED).prop_map(|vm| Incident::Elect { vm }),
+        2 => (0..MAX_SCHEDULERS).prop_map(|vm| Incident::Elect { vm }),
         1 => Just(Incident::Reload),
     ]
 }
 
 proptest! {
-    /// Guards against any way in which restarts, withdrawals, cuts, changes of the scheduler and reloads add up to
-    /// more repeats than the fleet may send in a window.
+    /// Guards against any sequence of restarts, withdrawals, partitions, changes of the scheduler and reloads that
+    /// leads to more retries than the fleet may send in a window.
     #[test]
     fn the_fleet_keeps_its_budget_through_any_incidents(
         count in prop::sample::select(vec![6usize, 72, 195, 985]),
@@ -357,7 +357,7 @@
             fleet.apply(incident);
             let (spent, allowed) = fleet.spent();
             prop_assert!(spent as f64 <= allowed, "{spent} repeats where {allowed:.1} are allowed");
-            fleet.pass(Duration::from_millis(*then_ms));
+            fleet.advance(Duration::from_millis(*then_ms));
         }
     }
 }
--- a/request/tests/placement.rs
+++ b/request/tests/placement.rs
@@ -174,7 +174,7 @@
             memory: 6_000,
             pause_ms: 250,
             decoding: true,
-            alone: None,
+            isolated: None,
         };
         begin(&mut cluster, flight, now);
     }
@@ -294,7 +294,7 @@
 #[test]
 fn upstreams_that_failed_are_passed_over_while_there_are_others() {
     let (mut cluster, now) = (cluster(2), Instant::now());
-    cluster.record_outcome(&upstream(0), Outcome::Failed(Failure::Silent), now);
+    cluster.record_outcome(&upstream(0), Outcome::Failed(Failure::Unresponsive), now);
     let placed = place(&cluster, &requirements(SHORT, 5_000), now).unwrap();
     assert_eq!(placed.flight.upstream, upstream(1));
     let excluded = vec![Tag::of("i-01")];
--- a/request/tests/rate_limits/incident.rs
+++ b/request/tests/rate_limits/incident.rs
@@ -1,4 +1,4 @@
-//! What happens to the fleet.
+//! The incidents of the simulated fleet.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 
 #[derive(Debug, Clone)]
 pub(crate) enum Incident {
-    /// So much time passes while each of some VMs sends a request every step or so.
+    /// The fleet receives `each_s` requests per second for `ms` milliseconds.
     Load {
         ms: u64,
         each_s: usize,
     },
-    /// An upstream names a limit, in quarters of a request a second, or none.
+    /// An upstream states a limit, in quarters of a request per second, or none.
     Name {
         upstream: usize,
         quarters: Option<u32>,
@@ -28,7 +28,7 @@
     Cut {
         vm: usize,
     },
-    /// Some VMs ask another scheduler than the rest.
+    /// The VMs from `from` percent on use another scheduler than the rest.
     Split {
         from: usize,
         scheduler: usize,
@@ -40,7 +40,7 @@
 }
 
 impl Fleet {
-    pub(crate) fn play(&mut self, incident: &Incident) {
+    pub(crate) fn apply(&mut self, incident: &Incident) {
         let count = self.vms.len();
         match *incident {
             Incident::Load { ms, each_s } => self.load(Duration::from_millis(ms), each_s),
@@ -48,9 +48,9 @@
                 self.name(upstream, quarters.map(|quarters| rate(f64::from(quarters) / 4.0)));
             }
             Incident::Kill { vm } => {
-                let told = self.vms[vm % count].told;
+                let limited_since = self.vms[vm % count].limited_since;
                 self.vms[vm % count] = self.start();
-                self.vms[vm % count].told = told;
+                self.vms[vm % count].limited_since = limited_since;
                 self.vms[vm % count].disturbed = Some(self.now);
                 for other in 0..count {
                     let now = self.now;
@@ -66,14 +66,14 @@
             Incident::Split { from, scheduler } => {
                 let scheduler = scheduler % SCHEDULERS.min(count);
                 let range = from * count / 100..count;
-                self.vms[range].iter_mut().for_each(|vm| vm.asks = Some(scheduler));
+                self.vms[range].iter_mut().for_each(|vm| vm.own_scheduler = Some(scheduler));
             }
             Incident::Heal => {
                 for vm in &mut self.vms {
                     if std::mem::take(&mut vm.cut) {
                         vm.disturbed = Some(self.now);
                     }
-                    vm.asks = None;
+                    vm.own_scheduler = None;
                 }
             }
             Incident::Elect { vm } => self.scheduler = vm % SCHEDULERS.min(count),
@@ -81,7 +81,7 @@
     }
 }
 
-/// Any of them, more often load than trouble.
+/// Any incident; load is the most frequent one.
 pub(crate) fn incident() -> impl Strategy<Value = Incident> {
     let load = (50..1_500_u64, 5..120_usize);
     prop_oneof![
--- a/request/tests/scheduler.rs
+++ b/request/tests/scheduler.rs
@@ -8,7 +8,7 @@
 use foldlock_request::cluster::{Cluster, Holder, Listed};
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::placement::{Placement, Rejection, Requirements};
-use foldlock_request::quarantine::Ending;
+use foldlock_request::quarantine::Crash;
 use foldlock_request::scheduler::{Key, Reply, Scheduler};
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::{Bounds, Engine, Service, Table};
@@ -331,8 +331,8 @@
 /// Two upstreams crashed during a request: it may be the cause, or have run beside the cause.
 fn suspect(fleet: &mut Fleet, requirements: &Requirements) {
     for upstream in ["i-900", "i-901"] {
-        let ending = Ending { upstream: Tag::of(upstream), alone: false };
-        fleet.cluster.quarantine.ended(requirements.fingerprint, ending, fleet.now);
+        let ending = Crash { upstream: Tag::of(upstream), isolated: false };
+        fleet.cluster.quarantine.record_crash(requirements.fingerprint, ending, fleet.now);
     }
 }
 
@@ -351,7 +351,7 @@
             Reply::Granted(placement, _) => *placement,
             _ => fleet.place_queued().pop().expect("there is room").1,
         };
-        assert_eq!(isolated.flight.alone, Some(requirements.fingerprint));
+        assert_eq!(isolated.flight.isolated, Some(requirements.fingerprint));
         assert_ne!(isolated.flight.upstream, shared.flight.upstream);
         for number in 3..20 {
             let other = granted(fleet.request(key(0, number), short(fleet.now))).0;
@@ -375,8 +375,8 @@
         assert_eq!(fleet.cluster.in_flight(), 1);
         assert!(matches!(fleet.request(key(1, 1), requirements.clone()), Reply::Queued));
         // The first copy crashes its upstream: the queued copy is rejected, and so is the next one.
-        let ending = Ending { upstream: Tag::of("i-000"), alone: true };
-        fleet.cluster.quarantine.ended(requirements.fingerprint, ending, fleet.now);
+        let ending = Crash { upstream: Tag::of("i-000"), isolated: true };
+        fleet.cluster.quarantine.record_crash(requirements.fingerprint, ending, fleet.now);
         let replies = fleet.scheduler.place_queued(&mut fleet.cluster, &fleet.table, fleet.now);
         let is_quarantined =
             |reply: &Reply| matches!(reply, Reply::Rejected(Rejection::Quarantined { .. }));
