--- a/request/src/message.rs
+++ b/request/src/message.rs
@@ -1,7 +1,7 @@
-//! What VMs of a fleet tell each other, by UDP: one message a datagram.
+//! Messages between VMs, sent over UDP, one message a datagram.
 //!
-//! A beat holds the sender's whole state, and who asks for a placement asks again until there is an
-//! answer, so a message that is lost costs nothing but time.
+//! A heartbeat carries the sender's complete state, and grant requests are resent until a reply
+//! arrives, so a lost message only causes delay.
 
 use std::time::{Duration, Instant};
 
@@ -18,40 +18,42 @@
 use crate::tag::Tag;
 use crate::{flight, quarantine, rate_limit, report};
 
-/// The longest message, bytes: what one UDP datagram holds.
+/// Maximum size of an encoded message in bytes; it fits a UDP datagram.
 pub const MOST: usize = 60_000;
 
-/// A message.
+/// A message from one VM to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// The sender's state.
     Beat(Beat),
-    /// A request asks for a placement.
+    /// Requests a placement from the scheduler.
     Asked(Asked),
-    /// It asks no more.
+    /// Withdraws a grant request.
     Cancelled(Number),
-    /// The answer to a request that asked.
+    /// The scheduler's reply to a grant request.
     Answered(Answered),
-    /// The receiver is to ask an engine for its report.
+    /// Asks the receiver to fetch the report of this engine.
     Poll(Tag),
     /// Rate limits that the receiver needs before its next grant.
     RateLimits(Vec<rate_limit::Entry>),
 }
 
-/// The state of a VM, as one peer is told of it.
+/// The state of a VM, as sent to one peer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Beat {
-    /// The newest stamp that the sender has from the receiver: what this says was so after it.
+    /// The latest stamp that the sender received from the receiver: the state was taken after it.
     pub echo: Option<u64>,
     /// The incarnation of the receiver that the echoed stamp belongs to.
     pub echo_of: u64,
-    /// The newest placement that the receiver gave which the sender has heard of.
+    /// The number of the latest grant from the receiver that has reached the sender.
     pub granted: u64,
-    /// Whether the sender wants to hear from the receiver, which places its requests, or might.
+    /// Whether the sender requests heartbeats from the receiver, which is its scheduler or a
+    /// standby scheduler.
     pub wants: bool,
-    /// The rest, the same for all receivers.
+    /// The part of the heartbeat that is the same for all receivers.
     pub state: State,
-    /// Whether the sender is a client of the receiver, which then holds its share of the retry budget.
+    /// Whether the sender is a client of the receiver, which then manages the sender's share of the
+    /// retry budget.
     #[serde(default)]
     pub is_client: bool,
 }
@@ -59,47 +61,50 @@
 /// The state of a VM.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct State {
-    /// The sender.
+    /// The VM that this state describes.
     pub vm: id::Vm,
-    /// The start of its process.
+    /// The incarnation of its process.
     pub incarnation: u64,
-    /// The sender's steady clock, microseconds since its start.
+    /// The sender's monotonic clock, in microseconds since its process started.
     pub stamp: u64,
-    /// The number of its settings version; 0 for none.
+    /// The number of its settings version, 0 if it has no settings.
     pub version: u64,
-    /// How long ago that version was confirmed to be the newest, milliseconds.
+    /// Time since that version was confirmed as the newest, in milliseconds.
     pub age_ms: Option<u64>,
-    /// The revision up to which it knows the directory's listings.
+    /// The revision up to which it has the directory's listings.
     pub at: Revision,
-    /// A digest of those listings: two VMs that know the same have the same.
+    /// A digest of those listings, equal on two VMs that have the same listings.
     pub digest: u64,
-    /// Whether it is stopping.
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// Whether the directory answers it.
+    /// Whether its watch on the directory works.
     pub watching: bool,
-    /// Whether it has run for long enough to have heard of all that is under way.
+    /// Whether it has run for long enough to have received the in-flight attempts of all peers.
     pub settled: bool,
-    /// New starts of upstreams that it learnt from themselves.
+    /// Restarts of upstreams that it learned from the upstreams themselves.
     pub starts: Vec<Start>,
-    /// Starts of upstreams that say by their answers that they leave, which the directory does not list as
-    /// leaving yet. They go with the beats to all, five a second and one at once when there is news; with
-    /// each beat, 45 of them would be 80 kB/s of a busy VM.
+    /// Upstream incarnations whose responses say that they are leaving and which the directory does
+    /// not list as leaving yet. Sent only in heartbeats to all peers, five a second plus one
+    /// immediately on a change: in every heartbeat, 45 of them would take 80 kB/s of a busy VM.
     pub departures: Vec<Tag>,
-    /// What changed in the listings of late, for those that do not watch the directory, as
-    /// [`crate::step::encode`] gives it, deflated; empty for nothing. It goes with the beats to all.
+    /// Recent changes of the listings for VMs that do not watch the directory, encoded by
+    /// [`crate::step::encode`] and deflated; empty if there are none. Sent only in heartbeats to
+    /// all peers.
     pub steps: Bytes,
-    /// What it has under way; none where the receiver does not place its requests.
+    /// Its in-flight attempts and observations; `None` if the receiver does not schedule its
+    /// requests.
     pub work: Option<Work>,
-    /// Whether it stops and asks the receiver to withdraw it from the directory.
+    /// Whether it is shutting down and asks the receiver to withdraw its directory entry.
     #[serde(default)]
     pub withdraw: bool,
-    /// Recently observed rate limits, and recent ends of rate limits. Sent in heartbeats to all.
+    /// Recently observed rate limits, and rate limits that were recently lifted. Sent only in
+    /// heartbeats to all peers.
     #[serde(default)]
     pub rate_limits: Vec<rate_limit::Entry>,
 }
 
 impl State {
-    /// The state of a VM that knows nothing yet and has nothing under way.
+    /// The state of a VM without settings, listings or in-flight attempts.
     pub fn new(vm: id::Vm, incarnation: u64) -> State {
         State {
             vm,
@@ -122,37 +127,37 @@
     }
 }
 
-/// What a VM has under way and has learnt.
+/// In-flight attempts of a VM, and its recent observations.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Work {
-    /// Its attempts.
+    /// Its in-flight attempts.
     pub flights: Vec<flight::Told>,
-    /// How attempts of late have ended.
+    /// Outcomes of recent attempts.
     pub outcomes: Vec<Ended>,
-    /// The reports that it has of engines.
+    /// Its latest reports of engines.
     pub reports: Vec<report::Told>,
-    /// What it learnt of requests under which upstreams ended.
+    /// Its data on requests during which upstreams crashed.
     pub suspects: Vec<quarantine::News>,
     /// Recent messages to rate-limited upstreams.
     #[serde(default)]
     pub dispatches: Vec<Dispatch>,
 }
 
-/// A request by the number that its VM gave it.
+/// Identifies a request by the number that its VM assigned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Number {
-    /// The start of the VM's process.
+    /// The incarnation of the VM's process.
     pub incarnation: u64,
-    /// The number.
+    /// The number, unique within the incarnation.
     pub number: u64,
 }
 
-/// A request that asks for a placement.
+/// A request for a placement. Times are sent as durations, since the clocks of VMs differ.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Asked {
     /// The request.
     pub request: Number,
-    /// The service.
+    /// The service that it is for.
     pub service: Tag,
     prompt: u64,
     memory: u64,
@@ -167,13 +172,14 @@
     connected: Vec<Tag>,
     #[serde(default)]
     charge: Charge,
-    /// Whether its VM asks as a client of the scheduler, which then holds its share of the retry budget.
+    /// Whether its VM is a client of the scheduler, which then manages the VM's share of the retry
+    /// budget.
     #[serde(default)]
     pub is_client: bool,
 }
 
 impl Asked {
-    /// What is sent.
+    /// The grant request for these requirements, as of `now`.
     pub fn new(
         request: Number,
         service: Tag,
@@ -199,7 +205,7 @@
         }
     }
 
-    /// What is asked for, by this process's clock, by a VM of that hall.
+    /// The requirements of a request from a VM in `hall`, with times on this process's clock.
     pub fn requirements(&self, hall: String, now: Instant) -> Requirements {
         let millis = |ms: u32| Duration::from_millis(u64::from(ms));
         Requirements {
@@ -221,56 +227,58 @@
     }
 }
 
-/// The answer to a request that asked.
+/// The reply to a grant request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Answered {
     /// The request.
     pub request: Number,
-    /// What it is told.
+    /// The reply.
     pub answer: Answer,
 }
 
-/// What a request is told.
+/// The scheduler's decision on a grant request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Answer {
-    /// It has a placement.
+    /// A placement is reserved for the request.
     Placed(Placed),
-    /// It waits for one.
+    /// The request is queued.
     Waits,
-    /// There is none, and waiting brings none.
+    /// The request is rejected: there is no placement for it, and queuing would not help.
     #[serde(rename = "Nowhere")]
     Rejected(Rejection),
 }
 
-/// A placement, upstreams by their tags.
+/// A placement; upstreams are identified by their tags.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Placed {
-    /// The number of the message by which it is given; each is higher than the one before.
+    /// The number of the grant, higher than that of each grant before.
     pub grant: u64,
-    /// The upstream that answers.
+    /// The upstream that generates the response.
     pub upstream: Tag,
-    /// Those that read a part, with the memory that is set aside there.
+    /// The upstreams that prefill a part of the prompt, each with the number of tokens reserved
+    /// there.
     pub helpers: Vec<(Tag, u64)>,
-    /// Milliseconds that each of them reads.
+    /// Prefill time of one part, in milliseconds.
     pub part_ms: f32,
-    /// Tokens of prompt and answer that the upstream that answers holds itself.
+    /// Tokens of prompt and answer that are kept in the memory of `upstream` itself.
     pub memory: u64,
-    /// The longest pause between events that its caller takes for in time, milliseconds.
+    /// The longest pause between events that still meets the caller's latency target, in
+    /// milliseconds.
     pub pause_ms: u32,
-    /// The predicted time to the first event, milliseconds.
+    /// The predicted time to the first event, in milliseconds.
     pub predicted_ms: f64,
-    /// The load that decided it.
+    /// The load of the upstream on which the decision was based.
     pub load: Load,
-    /// The helpers with the most ahead, and their loads.
+    /// The helpers with the longest backlog, and their loads.
     pub slowest: Vec<(Tag, Load)>,
-    /// The upstreams among which it was chosen.
+    /// The number of upstreams that were candidates.
     pub open: usize,
-    /// The request, if it runs alone there.
+    /// The request's fingerprint, if it runs isolated.
     pub alone: Option<Fingerprint>,
     /// Upstreams that were at their rate limits.
     #[serde(default)]
     pub limited: usize,
-    /// The upstream's rate limit as known to the sender.
+    /// The upstream's rate limit, if the sender has one on record.
     #[serde(default)]
     pub limit: Option<Limit>,
 }
@@ -280,7 +288,7 @@
     rmp_serde::to_vec(message).expect("plain data")
 }
 
-/// Reads a message.
+/// Decodes a message.
 pub fn decode(bytes: &[u8]) -> Result<Message, rmp_serde::decode::Error> {
     rmp_serde::from_slice(bytes)
 }
--- a/request/tests/message.rs
+++ b/request/tests/message.rs
@@ -1,4 +1,4 @@
-//! Messages between VMs survive their encoding, and bytes that are none are refused.
+//! Encoding of messages between VMs: a round trip preserves them, and malformed bytes are rejected.
 
 use std::time::{Duration, Instant};
 
