--- a/request/src/step.rs
+++ b/request/src/step.rs
@@ -1,7 +1,8 @@
-//! Steps of the directory's listings: what changed from one revision to another, as VMs tell each other.
+//! Incremental changes between two revisions of the directory's listings, as VMs announce them to
+//! each other.
 //!
-//! A VM that knows the listings of a step's start takes the step in place of all that is listed: what is told
-//! of a change grows with the change, not with the fleet.
+//! A VM whose listings are at the start of a step applies the step instead of reading all listings,
+//! so the traffic for a change grows with the change and not with the size of the fleet.
 
 use std::collections::VecDeque;
 
@@ -14,78 +15,79 @@
 use crate::held::Quarantined;
 use crate::revision::Revision;
 
-/// Changes that are told at once at most, some 100 bytes each: a datagram holds them beside a VM's other
-/// state. Whoever misses a step reads all that is listed.
+/// Maximum number of changes announced at once. A change takes some 100 bytes, and all of them
+/// share a datagram with the rest of a VM's state. A VM that misses a step reads all listings.
 const MOST_CHANGES: usize = 200;
 
 /// One change of the listings.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// An upstream is listed.
+    /// An upstream was listed.
     Upstream(Listed),
-    /// An upstream is gone, as known at this revision.
+    /// An upstream was removed, as of this revision.
     UpstreamGone(id::Upstream, Revision),
-    /// A VM is listed.
+    /// A VM was listed.
     Member(Member),
     /// A VM has withdrawn.
     MemberGone(id::Vm),
-    /// A data hall is drained, or taken back.
+    /// A data hall was drained or undrained.
     Hall(Hall),
-    /// A request is held.
+    /// A request was quarantined.
     Held(Quarantined),
-    /// A request is let go.
+    /// A request was released from quarantine.
     Released(Fingerprint),
 }
 
-/// What changed between two revisions.
+/// The changes between two revisions.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// The revision up to which the listings were known before.
+    /// The revision before the changes.
     pub from: Revision,
-    /// The revision up to which they are known with it.
+    /// The revision after the changes.
     pub to: Revision,
     /// The changes, in order.
     pub changes: Vec<Change>,
 }
 
 impl Step {
-    /// Whether a VM that knows the listings up to `at` knows those up to its end by it. A step may end where it
-    /// begins: an upstream that was not listed again is gone without a change in the directory.
+    /// Whether a VM with the listings at revision `at` can apply this step. `from` and `to` may be
+    /// equal: an upstream that does not renew its listing in time is removed without a change in
+    /// the directory.
     pub fn follows(&self, at: Revision) -> bool {
         let is_of_era = self.from.era == at.era && self.to.era == at.era;
         is_of_era && self.from <= at && (at < self.to || self.from == self.to && at == self.to)
     }
 }
 
-/// Steps as they go with a message. Fields go by name, since some are left out.
+/// Encodes steps for a message. Fields are encoded by name, since some are skipped.
 pub fn encode(steps: &[Step]) -> Vec<u8> {
     rmp_serde::to_vec_named(steps).expect("plain data")
 }
 
-/// Reads steps that came with a message.
+/// Decodes the steps of a message.
 pub fn decode(bytes: &[u8]) -> Result<Vec<Step>, rmp_serde::decode::Error> {
     rmp_serde::from_slice(bytes)
 }
 
-/// Rounds in which each step is told: the datagrams of one may be lost.
+/// Number of heartbeats that announce each step, since datagrams may be lost.
 const ROUNDS: u32 = 2;
 
-/// A step that is told.
+/// A step that is being announced.
 #[derive(Debug)]
 struct Told {
     step: Step,
-    /// Rounds that are left.
+    /// Heartbeats that are still to announce the step.
     rounds: u32,
 }
 
-/// The steps of late, as a VM that watches the directory tells them.
+/// The recent steps that a VM which watches the directory announces.
 #[derive(Debug, Default)]
 pub struct Steps {
     steps: VecDeque<Told>,
 }
 
 impl Steps {
-    /// Notes a step.
+    /// Adds a step, and drops the oldest ones if there are too many changes for a datagram.
     pub fn note(&mut self, step: Step) {
         self.steps.push_back(Told { step, rounds: ROUNDS });
         while self.changes() > MOST_CHANGES {
@@ -93,13 +95,14 @@
         }
     }
 
-    /// The listings were read anew: what changed since before is not known.
+    /// Drops all steps, after a full sync: the changes since the previous revision are not
+    /// available.
     pub fn clear(&mut self) {
         self.steps.clear();
     }
 
-    /// The steps that are told in this round, those left out that another VM tells, which knows the listings
-    /// up to `known`.
+    /// The steps for the next heartbeat, without those that another VM announces, whose listings
+    /// are at revision `known`. Counts the heartbeat against each returned step.
     pub fn told(&mut self, known: Revision) -> Vec<Step> {
         let is_told = |step: &Step| step.to <= known && step.from < step.to;
         self.steps.retain(|told| told.rounds > 0 && !is_told(&told.step));
@@ -110,7 +113,7 @@
         self.steps.iter_mut().map(tell).collect()
     }
 
-    /// Changes, a step without any counted as one.
+    /// The total number of changes; a step without changes counts as one.
     fn changes(&self) -> usize {
         self.steps.iter().map(|told| told.step.changes.len().max(1)).sum()
     }
--- a/request/tests/step.rs
+++ b/request/tests/step.rs
@@ -1,4 +1,4 @@
-//! Steps of the listings: what a change costs to tell in a large fleet, and who may take it.
+//! Steps of the directory's listings: their size in a large fleet, and which VMs may apply them.
 
 use foldlock_request::cluster::{Cluster, Listed};
 use foldlock_request::directory::Member;
@@ -51,7 +51,8 @@
     assert!(decode(b"nonsense").is_err());
 }
 
-/// An upstream leaves in a fleet of 1,000 VMs before 3,000 upstreams: what each VM hears of it.
+/// An upstream leaves in a fleet of 1,000 VMs and 3,000 upstreams: checks the size of what each VM
+/// receives.
 #[test]
 fn a_change_is_told_in_bytes_that_do_not_grow_with_the_fleet() {
     let sizes = [(10, 30), (1_000, 3_000)].map(|(vms, upstreams)| {
@@ -67,7 +68,7 @@
     });
     let [(small, _), (large, whole)] = sizes;
     assert!(large <= small + 8, "{small} and {large} bytes");
-    // An eighth of what a VM may take for control in a second, with 40 changes in it: 16 kB.
+    // 40 changes a second take at most 16 kB, an eighth of what a VM may receive for control.
     assert!(large * 40 <= 16_000, "{large} bytes");
     assert!(whole > 100 * large, "the whole takes {whole} bytes");
 }
@@ -90,7 +91,7 @@
     assert_eq!(steps.told(3.into()), [one(3), one(4)]);
 }
 
-/// Three thousand upstreams list themselves at once: one datagram holds what is told of them, whatever the rest.
+/// 3,000 upstreams are listed at once: the announced steps fit a datagram.
 #[test]
 fn a_flood_of_changes_fits_a_datagram() {
     let mut steps = Steps::default();
@@ -109,7 +110,8 @@
     assert!(!step.follows(at(0, 5)) && !step.follows(at(2, 5)));
 }
 
-/// An upstream that was not listed again in time is gone, though nothing changed in the directory.
+/// An upstream that does not renew its listing in time is removed without a change in the
+/// directory.
 #[test]
 fn what_is_known_without_a_change_in_the_directory_is_told_as_well() {
     let gone = step(9, 9, vec![Change::UpstreamGone("i-1".parse().unwrap(), 9.into())]);
@@ -120,8 +122,8 @@
 }
 
 proptest! {
-    /// Steps of any two watchers, cut anywhere, with some lost: a VM that takes those that follow knows all up
-    /// to the revision that it names.
+    /// Steps of two watchers with arbitrary bounds, some of them lost: a VM that applies those that
+    /// follow has all changes up to its revision.
     #[test]
     fn whoever_takes_steps_that_follow_misses_nothing(
         cuts in prop::collection::vec((1..5_u64, 1..5_u64, any::<bool>(), any::<bool>()), 1..20),
