--- a/request/src/decision.rs
+++ b/request/src/decision.rs
@@ -1,4 +1,4 @@
-//! What is recorded of each request: every decision, with its reasons and numbers.
+//! The record of a request: each decision with its time, reasons and figures.
 
 use std::fmt;
 
@@ -12,187 +12,189 @@
 use crate::budget::Exhausted;
 use crate::fingerprint::Fingerprint;
 
-/// An upstream as it was seen when a request was routed.
+/// A candidate upstream as it was when a request was routed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Seen {
     /// The upstream.
     pub upstream: id::Upstream,
-    /// The predicted time to the first token, milliseconds.
+    /// The predicted time to the first token, in milliseconds.
     pub predicted_ms: f64,
-    /// What the route compared; the lowest wins.
+    /// The value that the route compares; the lowest wins.
     pub score: f64,
-    /// Requests outstanding, of all VMs as far as known.
+    /// Outstanding requests of all VMs, as far as this VM has received them.
     pub requests: u32,
-    /// Long requests among them.
+    /// The number of long requests among them.
     pub long: u32,
-    /// Prompt tokens ahead.
+    /// Prompt tokens queued ahead of the request.
     pub queued: Tokens,
-    /// Prompt tokens that are expected in its cache.
+    /// Prompt tokens that are expected to be in its cache.
     pub cached: Tokens,
 }
 
-/// Why a request waits.
+/// Why a request is queued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// Each engine has as much queued as it may.
+    /// Each engine's queue is full.
     Engines,
-    /// No engine has the memory.
+    /// No engine has enough free memory.
     Memory,
-    /// Others of the same model are ahead.
+    /// Other requests for the same model are ahead of it.
     Queue,
-    /// The home of the engines has no place for a long prompt yet.
+    /// The VM that coordinates the engines has no placement for a long prompt yet.
     Grant,
-    /// All upstreams asked this VM for a rest.
+    /// All upstreams asked this VM for a backoff.
     Resting,
 }
 
-/// One decision.
+/// A decision on a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "decision", rename_all = "snake_case")]
 pub enum Decision {
-    /// The request was let in.
+    /// The request was admitted.
     Admitted {
-        /// The time it has, milliseconds.
+        /// The time until its deadline, in milliseconds.
         timeout_ms: u64,
-        /// The settings version that applies.
+        /// The settings version that applies to it.
         version: u64,
-        /// How long ago that version was known to be the newest, milliseconds.
+        /// Time since that version was confirmed as the newest, in milliseconds.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         settings_age_ms: Option<u64>,
-        /// The prompt's tokens, where the caller tells them.
+        /// The number of prompt tokens, if the caller states it.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         prompt: Option<Tokens>,
-        /// What it has in common with others that are the same to an upstream.
+        /// The fingerprint, equal for requests that are the same to an upstream.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         fingerprint: Option<Fingerprint>,
     },
-    /// The request waited.
+    /// The request was queued.
     Waited {
-        /// Why.
+        /// Why it was queued.
         cause: Cause,
-        /// For how long, milliseconds.
+        /// Time in the queue, in milliseconds.
         waited_ms: f64,
     },
     /// An upstream was chosen.
     Routed {
         /// The upstream.
         upstream: id::Upstream,
-        /// By which route.
+        /// The route by which it was chosen.
         route: Option<Route>,
-        /// The predicted time to the first token, milliseconds.
+        /// The predicted time to the first token, in milliseconds.
         predicted_ms: f64,
-        /// The engines that read the prompt together; 1 where it stays whole.
+        /// The number of engines that share the prefill; 1 if the prompt is not divided.
         #[serde(default)]
         engines: u32,
-        /// Milliseconds that each of them reads, 0 where nothing is known of it.
+        /// Prefill time of one part, in milliseconds; 0 if there is no estimate.
         #[serde(default)]
         part_ms: f64,
-        /// The candidates, best first; a few of them.
+        /// Some of the candidates, best first.
         seen: Vec<Seen>,
-        /// The VM that placed it; none where its own VM did by what it knows alone.
+        /// The VM that placed it; none if the request's own VM placed it from its local state
+        /// alone.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         by: Option<id::Vm>,
         /// Upstreams that were at their rate limits.
         #[serde(default, skip_serializing_if = "is_zero")]
         limited: u32,
-        /// The time that it took to be placed, milliseconds.
+        /// Time until the request was placed, in milliseconds.
         #[serde(default)]
         asked_ms: f64,
     },
-    /// A waiting request was taken elsewhere before it ran.
+    /// A queued request was moved to another upstream before it ran.
     Moved {
-        /// From here.
+        /// The upstream that it was moved from.
         from: id::Upstream,
-        /// Why.
+        /// Why it was moved.
         why: String,
     },
-    /// The request was not let in, or was given up before it ran.
+    /// The request was rejected, or given up before it ran.
     Refused {
-        /// The answer's kind.
+        /// The error kind of the response.
         kind: Kind,
-        /// Why.
+        /// Why it was rejected.
         why: String,
-        /// When the caller was told to come back, milliseconds.
+        /// The time after which the caller is asked to retry, in milliseconds.
         retry_after_ms: Option<u64>,
     },
-    /// The request is sent again.
+    /// The request is retried.
     Retried {
-        /// What failed.
+        /// The upstream that failed.
         upstream: id::Upstream,
-        /// How.
+        /// The failure.
         why: String,
     },
-    /// The request is not sent again after a failure.
+    /// The request is not retried after a failure.
     NotRepeated {
-        /// What failed.
+        /// The upstream that failed.
         upstream: id::Upstream,
-        /// How.
+        /// The failure.
         why: String,
-        /// Why there is no other place for it.
+        /// Why it is not retried.
         reason: String,
-        /// The state of the fleet's retry budget, where that is the reason.
+        /// The state of the fleet's retry budget, if that is the reason.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         budget: Option<Exhausted>,
     },
-    /// An upstream ended while it worked on the request.
+    /// An upstream crashed while it processed the request.
     Ended {
         /// The upstream.
         upstream: id::Upstream,
-        /// How many are known by now to have ended under it, at all VMs.
+        /// The number of crashes during this request so far, at all VMs.
         known: u32,
-        /// Whether the request had the upstream to itself.
+        /// Whether the request ran isolated on the upstream.
         alone: bool,
     },
-    /// The request is kept from all upstreams.
+    /// The request is quarantined: no upstream gets it.
     Quarantined {
-        /// For how long, milliseconds.
+        /// The duration of the quarantine, in milliseconds.
         held_ms: u64,
-        /// How often it ended an upstream that it had to itself.
+        /// The number of solo crashes: crashes of upstreams on which the request ran isolated.
         proofs: u32,
     },
-    /// The request was answered: what ended under it before is forgotten.
+    /// The request got a complete response, so that earlier crashes no longer count against it.
     Cleared,
-    /// The answer goes on from where it broke.
+    /// An interrupted response is resumed.
     Resumed {
-        /// From this token on.
+        /// The index of the first token after the interruption.
         index: u64,
-        /// At this upstream.
+        /// The upstream that resumes it.
         upstream: id::Upstream,
     },
-    /// A claim was asked for.
+    /// A claim of the idempotency key was decided.
     Claimed {
-        /// Whether this request holds the key.
+        /// Whether this request holds the claim.
         won: bool,
-        /// How long it took, milliseconds.
+        /// Duration of the claim, in milliseconds.
         waited_ms: f64,
     },
-    /// A group of engines was held for a prompt longer than one.
+    /// Memory was reserved at a group of engines for a prompt that is divided among them.
     Held {
-        /// The engines, in the order of the segments.
+        /// The engines, in the order of the prompt's segments.
         engines: Vec<id::Upstream>,
-        /// How long it took, milliseconds.
+        /// Duration of the reservations, in milliseconds.
         waited_ms: f64,
     },
-    /// The whole answer was given.
+    /// The response was delivered completely.
     Finished {
-        /// The real time to the first token, from arrival, milliseconds.
+        /// Time from arrival to the first token, in milliseconds.
         first_token_ms: f64,
-        /// The real time to the first token, from when it was sent, milliseconds.
+        /// Time from dispatch to the first token, in milliseconds.
         engine_ms: f64,
-        /// The tokens of the answer, or the events of a stream whose events hold several.
+        /// The number of tokens in the response; of events, if the events of the stream contain
+        /// several tokens.
         tokens: u64,
-        /// The longest pause between two events, milliseconds, where it was measured.
+        /// The longest pause between two events, in milliseconds, if it was measured.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pause_ms: Option<f64>,
     },
-    /// No whole answer was given.
+    /// The response was not delivered completely.
     Failed {
-        /// The answer's kind.
+        /// The error kind of the response.
         kind: Kind,
-        /// Whether the request ran.
+        /// Whether the request ran on an upstream.
         ran: Ran,
-        /// Why.
+        /// The failure.
         why: String,
     },
 }
@@ -202,7 +204,7 @@
 }
 
 impl Decision {
-    /// The log event of the decision.
+    /// The log event for the decision.
     pub fn event(&self) -> Event {
         match self {
             Decision::Admitted { .. } => Event::Admitted,
@@ -320,7 +322,7 @@
     }
 }
 
-/// The name of a route, as in the settings.
+/// The name of a route as in the settings.
 pub fn name(route: &Route) -> String {
     serde_json::to_value(route).ok().and_then(|v| v.as_str().map(str::to_owned)).unwrap_or_default()
 }
@@ -328,39 +330,39 @@
 /// A decision with its time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// Milliseconds since the request arrived.
+    /// Time since the request arrived, in milliseconds.
     pub at_ms: f64,
     /// The decision.
     #[serde(flatten)]
     pub decision: Decision,
 }
 
-/// Who asked for what.
+/// What was requested, and by whom.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Subject {
     /// The request.
     pub request: id::Request,
-    /// The VM that the caller reached.
+    /// The VM that received the request from the caller.
     pub vm: id::Vm,
     /// The organisation.
     pub organisation: id::Organisation,
-    /// The kind of request, if it names one.
+    /// The kind of request, if it states one.
     pub kind: Option<id::Kind>,
-    /// The model, or the plain service.
+    /// The model, or the name of a service without engines.
     pub target: String,
-    /// The prompt's tokens; 0 for plain calls.
+    /// The number of prompt tokens; 0 for services without engines.
     pub prompt: Tokens,
-    /// The time of day of its arrival, milliseconds since 1970.
+    /// The time of arrival, in milliseconds since the Unix epoch.
     pub arrived_ms: u64,
 }
 
-/// The record of a request.
+/// The record of a request: its subject and all decisions on it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Who asked for what.
+    /// What was requested, and by whom.
     #[serde(flatten)]
     pub subject: Subject,
-    /// The decisions, in order.
+    /// The decisions, in chronological order.
     pub steps: Vec<Step>,
 }
 
