--- a/request/src/directory.rs
+++ b/request/src/directory.rs
@@ -1,5 +1,5 @@
-//! The directory: where the settings, the list of upstreams and the list of VMs are kept, whatever
-//! store that is. An adapter implements [`Directory`]; foldlock follows it.
+//! The directory: the store of the settings, the upstreams and the VMs. foldlock watches it through
+//! an adapter that implements [`Directory`].
 
 use std::fmt;
 use std::future::Future;
@@ -16,100 +16,101 @@
 pub use crate::held::Quarantined;
 use crate::revision::Revision;
 
-/// A VM that takes part.
+/// A VM of the fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// Its id.
     pub vm: id::Vm,
     /// The data hall that it is in.
     pub hall: String,
-    /// Where it hears its peers, by UDP, and operators, by TCP.
+    /// Its address: UDP for peers, TCP for operators.
     pub address: SocketAddr,
-    /// The start of its process; a later start has a higher number.
+    /// The incarnation of its process; higher after each restart.
     pub incarnation: u64,
-    /// Its share of a processor, thousandths of a core; 0 where it is not known.
+    /// Its CPU share in thousandths of a core; 0 if not known.
     #[serde(default)]
     pub millicores: u32,
 }
 
-/// The settings, with the text that they were decoded from.
+/// The settings, with the text from which they were decoded.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// The decoded table.
     pub table: Table,
-    /// The text, to be handed to peers.
+    /// The text, for peers that request it.
     pub text: Bytes,
 }
 
-/// What a VM knows of the directory, as it hands it to a peer.
+/// All listings of the directory, as one VM sends them to another.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Listing {
-    /// The revision up to which this is known.
+    /// The revision of the listings.
     pub at: Revision,
     /// The upstreams.
     pub upstreams: Vec<Listed>,
     /// The VMs.
     pub members: Vec<Member>,
-    /// The requests that are held.
+    /// The quarantined requests.
     #[serde(default)]
     pub held: Vec<Quarantined>,
-    /// The data halls that are drained or were taken back.
+    /// The data halls that are drained or were undrained.
     #[serde(default)]
     pub halls: Halls,
 }
 
-/// Something that the directory says.
+/// A change in the directory.
 #[derive(Debug)]
 pub enum Change {
-    /// A settings version.
+    /// A settings version was published.
     Settings(Box<Settings>),
-    /// An upstream is listed.
+    /// An upstream was listed.
     Upstream(Listed),
-    /// An upstream's listing has ended, at this revision.
+    /// An upstream was removed, at this revision.
     UpstreamGone(id::Upstream, Revision),
-    /// The entry of an upstream cannot be used, as written at this revision, and why: it is another
-    /// writer's. It names no upstream from then on.
+    /// The entry of an upstream cannot be decoded, with the revision at which it was written and
+    /// the reason. Another writer wrote it. From then on it lists no upstream.
     UpstreamUnreadable(id::Upstream, Revision, String),
-    /// A VM is listed.
+    /// A VM was listed.
     Member(Member),
     /// A VM has withdrawn.
     MemberGone(id::Vm),
-    /// A data hall is drained, or taken back.
+    /// A data hall was drained or undrained.
     Hall(Hall),
-    /// A request is held.
+    /// A request was quarantined.
     Quarantined(Quarantined),
-    /// A request is let go.
+    /// A request was released from quarantine.
     Released(Fingerprint),
-    /// Settings that cannot be decoded, and why.
+    /// Settings that cannot be decoded, and the reason.
     SettingsUnreadable(String),
     /// An entry that cannot be decoded.
     Unreadable {
-        /// Its key.
+        /// The key of the entry.
         key: String,
         /// The revision at which it was written.
         revision: Revision,
-        /// Why.
+        /// Why it cannot be decoded.
         why: String,
     },
 }
 
-/// What a read or a watch brought.
+/// The result of a read or a watch.
 #[derive(Debug)]
 pub struct Changes {
-    /// The revision up to which this is known.
+    /// The revision of the listings after the changes.
     pub at: Revision,
     /// The changes, in order.
     pub changes: Vec<Change>,
 }
 
-/// Why the directory gave nothing.
+/// Why a call to the directory failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// The changes since that revision are no longer known: read anew.
+    /// The changes since the requested revision are compacted; a full sync is needed.
     Compacted,
-    /// It has come back from an older copy of itself: what was read before is another history's, read anew.
+    /// The directory was restored from an older copy, and revisions read before belong to another
+    /// history; a full sync is needed.
     Restored,
-    /// It did not answer, or answered that it cannot serve.
+    /// It did not respond, or responded that it is unavailable.
     Unavailable(String),
 }
 
@@ -125,18 +126,20 @@
 
 impl std::error::Error for Fault {}
 
-/// VMs that are withdrawn with one call.
+/// Maximum number of VMs withdrawn with one call.
 pub const TOGETHER: usize = 32;
 
-/// The directory, as foldlock uses it.
+/// The operations on the directory that foldlock uses.
 pub trait Directory: Clone + Send + Sync + 'static {
-    /// All that is listed now.
+    /// Reads all current listings.
     fn read(&self) -> impl Future<Output = Result<Changes, Fault>> + Send;
 
-    /// The VMs that were listed a moment ago and whose names begin with `prefix`: cheap, and it may be seconds old.
+    /// Reads the VMs whose ids begin with `prefix`. Cheap for the directory; the result may be
+    /// seconds old.
     fn members(&self, prefix: &str) -> impl Future<Output = Result<Changes, Fault>> + Send;
 
-    /// The changes after a revision, as soon as there are some, or none after `wait`.
+    /// Waits for changes after revision `since`, and returns them at once when there are some, or
+    /// none after `wait`.
     fn watch(
         &self,
         since: Revision,
@@ -149,12 +152,12 @@
     /// Withdraws VMs, with one call for each [`TOGETHER`] of them.
     fn withdraw(&self, vms: &[id::Vm]) -> impl Future<Output = Result<(), Fault>> + Send;
 
-    /// Lists a request as held.
+    /// Lists a request as quarantined.
     fn hold(&self, entry: &Quarantined) -> impl Future<Output = Result<(), Fault>> + Send;
 
-    /// Lets a request go.
+    /// Releases a request from quarantine.
     fn release(&self, fingerprint: Fingerprint) -> impl Future<Output = Result<(), Fault>> + Send;
 
-    /// Decodes settings that a peer handed over.
+    /// Decodes settings that were received from a peer.
     fn decode(&self, text: Bytes) -> Result<Settings, String>;
 }
