--- a/request/src/revision.rs
+++ b/request/src/revision.rs
@@ -1,38 +1,38 @@
-//! The directory's revisions: which of two of its words is the newer one.
+//! Revisions of the directory, ordered across restores.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// A revision of the directory. A directory that comes back from a copy of itself gives out numbers again,
-/// so a number says nothing without its era: of two revisions the one of the later era is the newer, and
-/// within an era that with the higher number.
+/// A revision of the directory. A directory that is restored from a copy reuses revision numbers,
+/// so numbers are comparable only within an era: of two revisions, the one of the later era is
+/// newer, and within an era the one with the higher number.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Revision {
-    /// How often the directory has come back from a copy; 0 where it does not say.
+    /// How often the directory was restored from a copy; 0 if the directory does not report it.
     pub era: u64,
-    /// The number within the era; 0 before the first change.
+    /// The revision number within the era; 0 before the first change.
     pub number: u64,
 }
 
 impl Revision {
-    /// Whether it names nothing: no word of the directory is known.
+    /// Whether this is the default revision, before anything was read from the directory.
     pub fn is_none(&self) -> bool {
         *self == Revision::default()
     }
 }
 
 impl From<u64> for Revision {
-    /// A revision of a directory that says no era.
+    /// The revision with this number of a directory that reports no era.
     fn from(number: u64) -> Revision {
         Revision { era: 0, number }
     }
 }
 
-/// A text that is no revision.
+/// The text is not a revision of the form `ERA.NUMBER`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Invalid;
 
