--- a/request/src/tag.rs
+++ b/request/src/tag.rs
@@ -1,4 +1,4 @@
-//! Short names, by which VMs tell each other of upstreams and services.
+//! Compact identifiers of upstreams and services in messages between VMs.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -7,13 +7,13 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The hash of a name. Two upstreams with one tag would count one's load as the other's: at 10,000
-/// upstreams, one chance in 90 that any two of them have it.
+/// A 32-bit hash of an id. The load of two upstreams with the same tag would be counted as one: at
+/// 10,000 upstreams, the probability that any two of them collide is 1 in 90.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Tag(u32);
 
 impl Tag {
-    /// The tag of a name.
+    /// The tag of an id.
     pub fn of(name: &str) -> Tag {
         Tag(xxh3_64(name.as_bytes()) as u32)
     }
