--- a/request/src/notice.rs
+++ b/request/src/notice.rs
@@ -1,38 +1,39 @@
-//! What an upstream says of itself in an answer, beside the answer.
+//! Notices: what an upstream states about itself in the headers of a response.
 
 use std::fmt;
 use std::time::Duration;
 
 use foldlock_base::prelude::*;
 
-/// What an upstream says of itself. It concerns the start of its program that gave the answer, and no
-/// later one.
+/// What an upstream states about itself. It applies to the incarnation of the upstream that sent
+/// the response, and to no later one.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Notice {
-    /// It is about to leave and wants no new work of anybody.
+    /// It is about to shut down and accepts no new work from any VM.
     pub leaving: bool,
-    /// For how long it wants nothing from the VM that it answers, counted from the answer.
+    /// Time from the response for which it accepts no requests from the VM that receives the
+    /// response.
     pub rest: Option<Duration>,
     /// Its rate limit for the whole fleet.
     pub rate_limit: RateLimit,
 }
 
-/// What an answer says of its upstream's rate limit.
+/// What a response states about its upstream's rate limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum RateLimit {
-    /// The answer says nothing about the upstream that was asked.
+    /// The response says nothing about the upstream that the request was sent to.
     #[default]
     Unknown,
-    /// No limit.
+    /// No rate limit.
     Unlimited,
-    /// A limit.
+    /// A rate limit.
     Limited(Rate),
-    /// A malformed limit.
+    /// A malformed rate limit.
     Unreadable,
 }
 
 impl Notice {
-    /// Whether it asks VMs to change nothing.
+    /// Whether it requires no action of the VMs.
     pub fn is_empty(self) -> bool {
         let is_limited = matches!(self.rate_limit, RateLimit::Limited(_) | RateLimit::Unreadable);
         !self.leaving && self.rest.is_none() && !is_limited
@@ -56,17 +57,17 @@
     }
 }
 
-/// An answer with what its upstream says of itself; nothing where there was no answer.
+/// A response with its upstream's notice. The notice is empty if there was no response.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Noted<T> {
-    /// What it says.
+    /// The notice.
     pub notice: Notice,
-    /// The answer, decoded.
+    /// The decoded response.
     pub answer: T,
 }
 
 impl<T> Noted<T> {
-    /// An answer by which the upstream says nothing of itself, or none.
+    /// A response without a notice, or a failure without a response.
     pub fn plain(answer: T) -> Noted<T> {
         Noted { notice: Notice::default(), answer }
     }
