--- a/request/src/memory.rs
+++ b/request/src/memory.rs
@@ -1,4 +1,4 @@
-//! Memory that engines set aside on request, so that a prompt can be held by several of them.
+//! Reservations of engine memory, by which several engines can share one prompt.
 
 use std::fmt;
 use std::future::Future;
@@ -8,25 +8,25 @@
 
 use crate::notice::Noted;
 
-/// What a reservation is for.
+/// A reservation of memory at an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reservation {
     /// The engine.
     pub upstream: id::Upstream,
-    /// Where it listens, `IP:port`.
+    /// Its address, `IP:port`.
     pub address: String,
-    /// The name of the ticket; never used for another attempt.
+    /// The reservation id, unique for each attempt.
     pub ticket: String,
-    /// The memory.
+    /// The amount of memory.
     pub tokens: Tokens,
 }
 
-/// Why there is no memory.
+/// Why a reservation failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// The engine has not that much left.
+    /// The engine has not enough free memory.
     Taken,
-    /// The engine did not answer: it may have set the memory aside, or may yet.
+    /// The engine did not respond: the memory may be reserved, now or later.
     Unknown(String),
 }
 
@@ -41,16 +41,16 @@
 
 impl std::error::Error for Fault {}
 
-/// Engines that set memory aside. An adapter implements this.
+/// Reserves and releases engine memory. The platform adapter implements it.
 pub trait Memory: Clone + Send + Sync + 'static {
-    /// Sets memory aside for `hold`, or renews what is set aside under the same ticket.
+    /// Reserves memory for the duration `hold`, or extends the reservation with the same id.
     fn reserve(
         &self,
         reservation: &Reservation,
         hold: Duration,
     ) -> impl Future<Output = Noted<Result<(), Fault>>> + Send;
 
-    /// Gives it back. Giving back what is not set aside is no fault.
+    /// Releases a reservation. Releasing one that does not exist is not an error.
     fn release(
         &self,
         reservation: &Reservation,
