--- a/request/src/terms.rs
+++ b/request/src/terms.rs
@@ -1,61 +1,64 @@
-//! What a caller asks for, decoded from the headers of its request.
+//! The parameters of a request, decoded from the caller's headers, and the headers exchanged with
+//! upstreams.
 
 use std::time::Duration;
 
 use foldlock_base::prelude::*;
 
-/// The terms of one request.
+/// The parameters of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Terms {
-    /// The caller's id of this request; empty where it sent none.
+    /// The caller's id of this request; empty if it sent none.
     pub request: String,
-    /// The key, where one was sent.
+    /// The API key, if the caller sent one.
     pub key: Option<String>,
-    /// How long the caller waits.
+    /// The time for which the caller waits for the response.
     pub patience: Option<Duration>,
-    /// The last event that the caller has of a stream that broke off.
+    /// The last event that the caller received of an interrupted stream.
     pub last_event: Option<u64>,
-    /// The prompt's size.
+    /// The number of prompt tokens.
     pub prompt: Tokens,
-    /// The most tokens that the answer may have.
+    /// The maximum number of tokens in the answer.
     pub most: Tokens,
-    /// The tokens that the caller guesses the answer to have; right in the median, often far off.
+    /// The caller's estimate of the number of tokens in the answer: right in the median, often far
+    /// off.
     pub expected: Option<Tokens>,
 }
 
-/// What an upstream said of an attempt by its status and headers.
+/// What the status and headers of a response state about an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It ran the request, and the answer is its own.
+    /// The upstream ran the request, and the response is its own.
     Ran,
-    /// It did not run the request and never will.
+    /// The upstream did not run the request and will not run it.
     NotRun,
-    /// It did not run the request, and it is another instance than the one asked for.
+    /// The upstream did not run the request, since it is another instance than the one that the
+    /// request is for.
     Elsewhere,
-    /// The answer cannot be this request's.
+    /// The response does not belong to this request.
     Foreign,
 }
 
-/// What is told to an upstream beside the caller's own headers.
+/// What an upstream is sent in addition to the caller's own headers.
 #[derive(Debug, Clone)]
 pub struct Handover<'a> {
-    /// The time that is left.
+    /// The time until the deadline.
     pub left: Duration,
-    /// The instance that is meant.
+    /// The instance that the request is for.
     pub instance: &'a str,
-    /// The organisation, where the request has a key.
+    /// The organisation, if the request has a key.
     pub organisation: Option<&'a str>,
-    /// The last event that was delivered, where a stream goes on.
+    /// The last event that was delivered, if a stream is resumed.
     pub last_event: Option<u64>,
-    /// The upstreams that help to read the prompt.
+    /// The upstreams that prefill parts of the prompt.
     pub helpers: &'a [Helper],
 }
 
-/// An upstream that helps to read a prompt.
+/// An upstream that prefills a part of a prompt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Helper {
-    /// Where it listens, `IP:port`.
+    /// Its address, `IP:port`.
     pub address: String,
-    /// The ticket for the memory that it has set aside, where it has any.
+    /// The id of the memory reservation there, if it has one.
     pub ticket: Option<String>,
 }
