--- a/request/src/dialect.rs
+++ b/request/src/dialect.rs
@@ -1,5 +1,5 @@
-//! How requests are written on the wire of one platform. The rest of foldlock knows only the types
-//! of [`crate::terms`]; an adapter implements this.
+//! The interface to a platform's wire format. Only the adapter that implements it handles the
+//! platform's headers; the rest of foldlock uses the types of [`crate::terms`].
 
 use http::{HeaderMap, StatusCode};
 
@@ -8,30 +8,29 @@
 use crate::report::Reports;
 use crate::terms::{Handover, Terms, Verdict};
 
-/// The words of a platform in the heads of requests and answers.
+/// The headers of requests and responses on a platform.
 pub trait Dialect: Send + Sync + 'static {
-    /// The engines' memory, as it is set aside on this platform.
+    /// Memory reservations at the platform's engines.
     type Memory: Memory + Default;
 
-    /// The engines' reports, as they are asked for on this platform.
+    /// Access to the reports of the platform's engines.
     type Reports: Reports + Default;
 
-    /// Decodes what a caller asks for.
+    /// Decodes the parameters of a request from the caller's headers.
     fn terms(headers: &HeaderMap) -> Terms;
 
-    /// Takes out what an upstream is not to see, and adds what it is told.
+    /// Removes headers that an upstream must not receive, and adds those for the upstream.
     fn hand_over(headers: &mut HeaderMap, handover: &Handover<'_>);
 
-    /// What an answer to `request` says.
+    /// What a response to `request` states about the attempt.
     fn verdict(request: &str, status: StatusCode, headers: &HeaderMap) -> Verdict;
 
-    /// What the upstream says of itself by an answer, whatever else the answer says.
+    /// The upstream's notice about itself, independent of the verdict.
     fn notice(status: StatusCode, headers: &HeaderMap) -> Notice;
 
-    /// The upstream that is at fault, by id or address, where an answer names one.
+    /// The upstream that caused a failure, by id or address, if the response names one.
     fn culprit(headers: &HeaderMap) -> Option<&str>;
 
-    /// The body of an answer that the upstream calls its own, as against one that was altered on
-    /// the way.
+    /// Whether the body is as the upstream sent it, and was not altered on the way.
     fn genuine(headers: &HeaderMap) -> bool;
 }
