--- a/request/src/ring.rs
+++ b/request/src/ring.rs
@@ -1,4 +1,4 @@
-//! The bounded ring of records that a process keeps, and the live feed of decisions.
+//! The ring buffer of request records that a process keeps, and the live feed of decisions.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -9,13 +9,13 @@
 
 use crate::decision::{Record, Step, Subject};
 
-/// Records that are kept.
+/// Maximum number of records.
 pub const CAPACITY: usize = 4096;
 
-/// Decisions that a slow watcher may lag behind before it misses some.
+/// Number of decisions by which a slow subscriber may lag before it misses some.
 const FEED: usize = 1024;
 
-/// A decision as a watcher sees it.
+/// An entry of the feed: a decision with its request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Line {
     /// The request.
@@ -35,7 +35,7 @@
     records: HashMap<id::Request, Shared>,
 }
 
-/// The ring.
+/// A ring buffer of request records.
 pub struct Ring {
     kept: Mutex<Kept>,
     feed: broadcast::Sender<Line>,
@@ -48,7 +48,7 @@
     }
 }
 
-/// The place of one request in the ring.
+/// A handle for adding decisions to a record.
 #[derive(Clone)]
 pub struct Entry {
     record: Shared,
@@ -56,12 +56,12 @@
 }
 
 impl Ring {
-    /// A ring that keeps `capacity` records.
+    /// A buffer for up to `capacity` records.
     pub fn new(capacity: usize) -> Ring {
         Ring { kept: Mutex::default(), feed: broadcast::channel(FEED).0, capacity }
     }
 
-    /// Begins a record; the oldest one makes room.
+    /// Adds a record for a new request; drops the oldest one if the buffer is full.
     pub fn begin(&self, subject: Subject) -> Entry {
         let request = subject.request.clone();
         let record = Arc::new(Mutex::new(Record { subject, steps: Vec::with_capacity(4) }));
@@ -76,28 +76,28 @@
         Entry { record, feed: self.feed.clone() }
     }
 
-    /// The record of a request, if it is still kept.
+    /// The record of a request, if it is still in the buffer.
     pub fn get(&self, request: &id::Request) -> Option<Record> {
         let record = self.kept.lock().unwrap().records.get(request).cloned()?;
         let record = record.lock().unwrap().clone();
         Some(record)
     }
 
-    /// The newest records, newest first.
+    /// Up to `most` records, newest first.
     pub fn newest(&self, most: usize) -> Vec<Record> {
         let kept = self.kept.lock().unwrap();
         let newest = kept.order.iter().rev().take(most);
         newest.filter_map(|r| kept.records.get(r)).map(|r| r.lock().unwrap().clone()).collect()
     }
 
-    /// The decisions from now on.
+    /// Subscribes to the decisions from now on.
     pub fn watch(&self) -> broadcast::Receiver<Line> {
         self.feed.subscribe()
     }
 }
 
 impl Entry {
-    /// Adds a decision.
+    /// Adds a decision to the record and the feed.
     pub fn add(&self, step: Step) {
         let mut record = self.record.lock().unwrap();
         if self.feed.receiver_count() > 0 {
