--- a/request/src/retry.rs
+++ b/request/src/retry.rs
@@ -1,18 +1,19 @@
-//! The budget of retries: a share of recent requests, so that a failing upstream does not double
-//! the load on the others.
+//! The retry budget of a process: retries are limited to a share of the recent requests, so that a
+//! failing upstream does not double the load on the others.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
 use foldlock_base::clock::Clock;
 
-/// Requests older than this no longer count.
+/// Time constant of the decay by which old requests and retries lose their weight.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// Retries that are allowed whatever the share, so that a quiet VM can retry at all.
+/// Retries that are allowed in addition to the share, so that a VM with few requests can retry at
+/// all.
 const FLOOR: f64 = 3.0;
 
-/// Counts requests and retries with exponential decay over the window.
+/// A retry budget. Counts requests and retries with exponential decay.
 pub struct Budget<C> {
     clock: C,
     counts: Mutex<Counts>,
@@ -25,7 +26,7 @@
 }
 
 impl<C: Clock> Budget<C> {
-    /// An unused budget.
+    /// A budget without any requests or retries.
     pub fn new(clock: C) -> Budget<C> {
         let counts = Counts { requests: 0.0, retries: 0.0, at: clock.now() };
         Budget { clock, counts: Mutex::new(counts) }
@@ -36,7 +37,8 @@
         self.decayed(|c| c.requests += 1.0);
     }
 
-    /// Takes a retry, if it is within `percent` of recent requests.
+    /// Takes a retry from the budget. Returns whether one was left, with retries limited to
+    /// `percent` of the recent requests.
     pub fn retry(&self, percent: u8) -> bool {
         self.decayed(|c| {
             let allowed = c.requests * f64::from(percent) / 100.0 + FLOOR;
