--- a/request/src/retry_after.rs
+++ b/request/src/retry_after.rs
@@ -1,43 +1,45 @@
-//! When a refused caller is told to come back.
+//! The `retry-after` time of rejected requests.
 
 use std::time::Duration;
 
-/// Why a request is refused that has not run.
+/// Why a request is rejected before it was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cause {
-    /// This VM is about to end.
+    /// This VM is shutting down.
     Stopping,
-    /// This VM has no settings, and others may serve without a word of the directory.
+    /// This VM has no settings; other VMs may serve the request with settings that the directory
+    /// has not confirmed.
     NoSettings,
-    /// No VM serves the caller's key before the directory confirms it: the settings of this VM are too
-    /// old, or it has none.
+    /// No VM serves requests with this key until the directory confirms the settings: those of this
+    /// VM are too old, or it has none.
     OldSettings,
-    /// No upstream has a placement for it.
+    /// No upstream has capacity for the request.
     Full,
-    /// No upstreams have a placement for a long prompt.
+    /// No group of upstreams has capacity for a long prompt.
     FullForLong,
 }
 
-/// A new connection reaches another VM.
+/// Short, since a new connection reaches another VM.
 const STOPPING: Duration = Duration::from_millis(50);
 
-/// The part of the caller's time, where there are no settings: all VMs have started while the directory
-/// is away, which takes seconds as a rule. Most callers ask once more, so they had better not do it
-/// while it still is; the rest of the time is for their answer.
+/// Share of the caller's remaining time. This happens when all VMs have started during an outage of
+/// the directory, which usually lasts seconds. Most callers retry once, so the retry should come
+/// after the outage; two thirds of the time are left for the response.
 const NO_SETTINGS: f64 = 1.0 / 3.0;
 
-/// All VMs refuse until the directory is back. With a third of the caller's time, the callers of an
-/// outage come back together with as many who are new, and both are late.
+/// All VMs reject until the directory is back. With a third of the caller's time instead, the
+/// callers rejected in an outage would return together, on top of as many new requests, and both
+/// would be late.
 const OLD_SETTINGS: Duration = Duration::from_millis(500);
 
-/// Short requests end within a second or two.
+/// Short requests finish within a second or two, which frees capacity.
 const FULL: Duration = Duration::from_millis(500);
 
-/// The mix of lengths changes within seconds.
+/// The mix of prompt lengths changes within seconds.
 const FULL_FOR_LONG: Duration = Duration::from_secs(3);
 
 impl Cause {
-    /// When a caller that has this much time is told to come back.
+    /// The retry time for a caller that has `time` left.
     pub fn retry_after(self, time: Duration) -> Duration {
         match self {
             Cause::Stopping => STOPPING,
--- a/request/tests/retry_after.rs
+++ b/request/tests/retry_after.rs
@@ -1,15 +1,16 @@
-//! The pattern: all VMs are killed while the directory is away, and requests come all the while. They
-//! are refused until it is back; each caller has ten seconds and asks once more.
+//! Guards against callers that retry while an outage still lasts. All VMs are killed while the
+//! directory is unavailable and new requests keep arriving; they are rejected until it is back.
+//! Each caller has ten seconds and retries once.
 
 use std::time::Duration;
 
 use foldlock_request::retry_after::Cause;
 
-/// What callers of short and middle prompts have on the users' sites.
+/// The time limit of callers with short and middle prompts at the users' sites.
 const TIME: Duration = Duration::from_secs(10);
 
-/// The part of the callers that come in an outage of which this much is left when the VMs are up
-/// again, and that are served when they ask again; one comes each 20 ms.
+/// The share of the callers rejected in an outage whose retry comes after its end. `left` is the
+/// part of the outage that remains when the VMs have restarted; a caller arrives every 20 ms.
 fn served(left: Duration, cause: Cause) -> f64 {
     let step = Duration::from_millis(20);
     let come = left.as_millis() / step.as_millis();
@@ -17,7 +18,7 @@
     (0..come).filter(back).count() as f64 / come as f64
 }
 
-/// The users' outages last 4 to 9 s, of which 2 to 6 s are left when all VMs have started anew.
+/// The users' outages last 4 to 9 s, of which 2 to 6 s remain when all VMs have restarted.
 #[test]
 fn callers_outlast_an_outage_in_which_all_vms_started() {
     let part = |seconds| served(Duration::from_secs(seconds), Cause::NoSettings);
@@ -27,7 +28,7 @@
     assert!(soon < 0.2, "coming back after half a second serves {soon} of them");
 }
 
-/// Two thirds of the time are left for the answer.
+/// Two thirds of the time remain for the response.
 #[test]
 fn who_has_little_time_comes_back_in_it() {
     for ms in [400, 1_200, 2_500, 15_000] {
