--- a/request/src/fingerprint.rs
+++ b/request/src/fingerprint.rs
@@ -1,4 +1,5 @@
-//! Which requests are the same to an upstream, whoever sends them again and under whatever id.
+//! Fingerprints of requests, by which a repeated request is recognized across callers and request
+//! ids.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -7,21 +8,23 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
 
-/// A digest of what an upstream is given: the organisation, the method, the path with its query, and
-/// the body. Each arrival and each attempt has an id of its own, so an id does not tell.
+/// A digest of what an upstream receives: the organisation, the method, the path with its query,
+/// and the body. Request ids are not part of it, since each arrival and each attempt has its own.
 ///
-/// 64 bits: among a million requests of one day two that differ have the same once in 37 million days.
+/// With 64 bits and a million requests a day, a collision of two different requests is expected
+/// once in 37 million days.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Fingerprint(u64);
 
 impl Fingerprint {
-    /// The fingerprint of a request; `organisation` is empty where it has no key.
+    /// The fingerprint of a request; `organisation` is empty if the request has no key.
     pub fn of(organisation: &str, method: &str, target: &str, body: &[u8]) -> Fingerprint {
         let mut hasher = Xxh3::new();
         for part in [organisation, method, target] {
             hasher.update(part.as_bytes());
-            // Ends each part, so that no two divisions of one text are alike.
+            // Terminates each field, so that moving bytes from one field to the next changes the
+            // digest.
             hasher.update(&[0]);
         }
         hasher.update(body);
--- a/request/tests/fingerprint.rs
+++ b/request/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Requests that are the same, and requests that are not.
+//! Fingerprints are equal for repeated requests, and differ for all others.
 
 use foldlock_request::fingerprint::Fingerprint;
 
