--- a/request/src/lib.rs
+++ b/request/src/lib.rs
@@ -1,5 +1,5 @@
-//! What lives for one request: how it is read, where it is routed, what is recorded of it, and the
-//! limits, claims and cursors that it meets.
+//! Request handling that is independent of connections: parsing, routing and scheduling, records,
+//! limits, idempotency claims and cursors.
 
 pub mod affinity;
 pub mod budget;
