--- a/request/tests/patterns/crash.rs
+++ b/request/tests/patterns/crash.rs
@@ -1,8 +1,9 @@
-//! A request that ends each engine which begins to run it, beside others that do nothing wrong.
+//! A request that crashes each engine which starts it, beside requests that do no harm.
 //!
-//! The pattern: it arrives four times a second, is sent to two engines an arrival, and comes back once;
-//! each engine that it ends was writing for others, which are sent on and may meet it again. The figures:
-//! 18 engines of 16 places, 38 short answers of 1.5 s a second, an engine that has ended is back after 3 s.
+//! Guards against repeated crashes. The request arrives four times a second, each arrival is sent
+//! to two engines, and the caller repeats it once. Each crash interrupts the responses that the
+//! engine was decoding; these are retried and may meet the request again. The load: 18 engines with
+//! 16 slots, and 38 short responses of 1.5 s a second; a crashed engine is back after 3 s.
 
 use std::time::{Duration, Instant};
 
@@ -43,14 +44,14 @@
     state: State,
 }
 
-/// How those fared that did nothing wrong, and how many engines ended.
+/// Results of the harmless requests, and the number of crashes.
 #[derive(Debug, Default)]
 struct Score {
-    /// Engines.
+    /// Crashed engines.
     ended: usize,
     asked: usize,
     served: usize,
-    /// Answers, each time that one is.
+    /// Interrupted responses, each interruption counted.
     cut: usize,
     failed: usize,
     held: usize,
@@ -146,7 +147,7 @@
         Ok(())
     }
 
-    /// Whether a request goes on after this moment.
+    /// Advances a request to the current time. Returns whether it continues.
     fn step(&mut self, request: &mut Request) -> bool {
         match request.state {
             State::Waits => match self.place(request) {
@@ -171,7 +172,7 @@
         }
     }
 
-    /// An engine ends, and all that runs there is cut.
+    /// An engine crashes, which interrupts all requests on it.
     fn end(&mut self, ended: usize, requests: &mut Vec<Request>) {
         self.score.ended += 1;
         let upstream = self.cluster.tag_of(&self.id(ended));
@@ -240,9 +241,9 @@
     fleet.score
 }
 
-/// Where nothing is remembered it ends 100 engines in these 20 seconds and 458 of 763 others fail (mean of
-/// 20 seeds). What is allowed is those that it ends while it is not yet known, and one proof alone each
-/// time that it is let out.
+/// Without quarantine the request crashes 100 engines in these 20 seconds, and 458 of 763 other
+/// requests fail (mean of 20 seeds). The bound allows for the crashes before the quarantine starts,
+/// and one solo crash each time that the request is released.
 #[test]
 fn a_deadly_request_costs_few_engines_and_nobody_else_is_held_for_it() {
     for seed in [1, 2, 3] {
--- a/request/tests/patterns/main.rs
+++ b/request/tests/patterns/main.rs
@@ -1,6 +1,6 @@
-//! Patterns of load that placement answers, each played without a network over a demand drawn from a
-//! few seeds. The bounds are what the policy reached when it was written, less a margin of a few in a
-//! hundred for the seeds.
+//! Load patterns that the placement policy must handle, simulated without a network over request
+//! arrivals drawn from a few seeds. The bounds are what the policy reached when the test was
+//! written, less a margin of a few percent for the variation between seeds.
 
 mod crash;
 mod play;
@@ -9,7 +9,7 @@
 use foldlock_version::routes::Engine;
 use play::{Kind, Play, Score, Stretch};
 
-/// Engines of one of the users' sites.
+/// The engines of one of the users' sites.
 const ENGINE: Engine = Engine {
     slots: 16,
     memory: Tokens(405_000),
@@ -58,7 +58,7 @@
     Stretch { kind, from_ms: from_s * 1_000, to_ms: to_s * 1_000, per_s }
 }
 
-/// Plays a demand with each seed, and adds up how each kind fared.
+/// Simulates the load with each seed, and sums up the results of one kind of request.
 fn play(engines: usize, stretches: &[Stretch], kind: Kind) -> Score {
     let mut sum = Score::default();
     for seed in SEEDS {
@@ -71,8 +71,8 @@
     sum
 }
 
-/// 40 short prompts a second hold some 100 slots: seven engines of 16, and not one answer on each of
-/// 18. Each engine that writes is lost to long prompts.
+/// 40 short prompts a second occupy some 100 slots, which is seven engines of 16. Guards against
+/// one response on each of the 18 engines: an engine that decodes is not available to long prompts.
 #[test]
 fn lone_answers_do_not_spread_over_all_engines() {
     let demand = [stretch(SHORT, 0, 10, 40.0)];
@@ -84,7 +84,8 @@
     }
 }
 
-/// Middle answers write on a few engines together, so that the others read parts of any length.
+/// Responses of middle prompts share a few engines for decoding, so that the others can prefill
+/// parts of any length.
 #[test]
 fn long_answers_write_together() {
     let demand = [stretch(MIDDLE, 0, 10, 2.0), stretch(LONG, 0, 10, 0.5)];
@@ -95,8 +96,8 @@
     }
 }
 
-/// At a turn of the mix short prompts jump from 12 to 90 a second while long ones read on all other
-/// engines.
+/// When the mix changes, short prompts jump from 12 to 90 a second while all other engines prefill
+/// long ones.
 #[test]
 fn a_turn_to_short_prompts_finds_engines() {
     let demand = [
@@ -109,7 +110,8 @@
     assert!(short.part_in_time() > 0.85, "{short:?}");
 }
 
-/// The other way round: the engines that wrote short answers are free for long prompts soon.
+/// The opposite change of the mix: engines that decoded short responses soon become available to
+/// long prompts.
 #[test]
 fn a_turn_to_long_prompts_finds_engines() {
     let demand =
@@ -118,8 +120,8 @@
     assert!(long.part_in_time() > 0.8, "{long:?}");
 }
 
-/// A few of the longest prompts come among many long ones: they are put back, and the others do not
-/// wait behind them.
+/// A few of the longest prompts arrive among many long ones: they are deprioritized, so that the
+/// others do not queue behind them.
 #[test]
 fn no_convoy_forms_behind_the_longest() {
     let demand = [stretch(LONG, 0, 10, 1.5), stretch(LONGEST, 0, 10, 0.2)];
@@ -129,7 +131,7 @@
     assert!(longest.in_time + longest.late > 0, "{longest:?}");
 }
 
-/// On a calm fleet the longest are served, too, beside short ones that come all the while.
+/// Without overload the longest prompts are served as well, beside a constant load of short ones.
 #[test]
 fn the_longest_are_served_on_a_calm_fleet() {
     let demand = [stretch(SHORT, 0, 20, 30.0), stretch(LONGEST, 0, 20, 0.2)];
@@ -137,7 +139,7 @@
     assert_eq!(longest.in_time + longest.late, longest.asked, "{longest:?}");
 }
 
-/// A fifth of the engines is dark: what their reports say keeps groups away from them.
+/// A fifth of the engines is unresponsive. Their reports say so, which keeps groups away from them.
 #[test]
 fn a_fifth_of_the_engines_dark_holds_up_no_group() {
     let demand = [stretch(SHORT, 0, 2, 20.0), stretch(LONG, 0, 2, 0.8)];
@@ -150,7 +152,8 @@
     }
 }
 
-/// Eight times the engines under eight times the demand: waiting falls with size.
+/// Eight times the load on eight times the engines: time in the queue falls with the size of the
+/// fleet.
 #[test]
 fn a_larger_fleet_is_no_worse() {
     let demand = |size: f64| {
--- a/request/tests/patterns/play.rs
+++ b/request/tests/patterns/play.rs
@@ -1,5 +1,6 @@
-//! Plays placement over a recorded demand: requests arrive, one VM places them, and engines read and
-//! write in passes, with the figures that their operators state. Nothing is drawn but the demand.
+//! Simulates placement for a given load: requests arrive, one scheduler places them, and engines
+//! prefill and decode in passes, at the speeds that their operators state. Only the arrivals and
+//! prompt lengths are random.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -22,16 +23,16 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Kind {
     pub(crate) name: &'static str,
-    /// The mean prompt; the prompts are spread from a third of it to twice that.
+    /// The mean prompt length; lengths range from a third of it to twice that.
     pub(crate) tokens: u64,
-    /// The events of an answer.
+    /// The number of events in a response.
     pub(crate) events: u32,
     pub(crate) objective_ms: u64,
     pub(crate) pause_ms: u64,
     pub(crate) time_ms: u64,
 }
 
-/// Requests of a kind that come for a while.
+/// Requests of one kind that arrive at a constant rate for some time.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Stretch {
     pub(crate) kind: Kind,
@@ -45,7 +46,7 @@
     kind: Kind,
     arrives: Instant,
     tokens: u64,
-    /// The parts that are not read yet.
+    /// The prompt parts that are not prefilled yet.
     parts: usize,
     placement: Option<Placement>,
     first: Option<Instant>,
@@ -63,13 +64,13 @@
     dark: bool,
 }
 
-/// How the requests of a kind fared.
+/// Results for the requests of one kind.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct Score {
     pub(crate) asked: usize,
-    /// Whole answers with the first event and all pauses in time.
+    /// Complete responses whose first event and pauses were all within their targets.
     pub(crate) in_time: usize,
-    /// Other whole answers.
+    /// Other complete responses.
     pub(crate) late: usize,
 }
 
@@ -79,7 +80,7 @@
     }
 }
 
-/// What is played.
+/// A simulation.
 pub(crate) struct Play {
     figures: Figures,
     service: Tag,
@@ -90,7 +91,7 @@
     requests: Vec<Request>,
     by_number: HashMap<u64, usize>,
     start: Instant,
-    /// The most engines that wrote at once.
+    /// The largest number of engines that decoded at the same time.
     pub(crate) most_writing: usize,
 }
 
@@ -133,7 +134,7 @@
         }
     }
 
-    /// The last engines fall silent for good; their reports say so from the first moment on.
+    /// The last engines become unresponsive for good, which their reports state from the start.
     pub(crate) fn darken(&mut self, engines: usize) {
         let dark: Vec<id::Upstream> = self.engines.keys().rev().take(engines).cloned().collect();
         for id in dark {
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Draws the demand from a seed and plays it to its end.
+    /// Draws the arrivals from a seed and simulates until all requests have ended.
     pub(crate) fn run(&mut self, stretches: &[Stretch], seed: u64) -> HashMap<&'static str, Score> {
         let mut draw = StdRng::seed_from_u64(seed);
         for stretch in stretches {
@@ -176,7 +177,7 @@
     fn draw(&mut self, stretch: &Stretch, draw: &mut StdRng) {
         let mut at_ms = stretch.from_ms as f64;
         loop {
-            // Arrivals without memory: the time to the next one falls off exponentially.
+            // Poisson arrivals: the time to the next one is exponentially distributed.
             at_ms -= draw.random_range(f64::EPSILON..1.0).ln() * 1e3 / stretch.per_s;
             if at_ms >= stretch.to_ms as f64 {
                 return;
@@ -237,7 +238,7 @@
         }
     }
 
-    /// Whose caller has no time left asks no more.
+    /// Cancels requests whose callers have no time left.
     fn ask_again(&mut self, now: Instant) {
         let over = |(_, index): &(&u64, &usize)| {
             let request = &self.requests[**index];
@@ -277,7 +278,8 @@
         self.requests[index].placement = Some(placement);
     }
 
-    /// Ends the passes that end now: what they read is read, and who writes has one event more.
+    /// Completes the passes that end now: prompt parts are prefilled, and each decoding request
+    /// gets an event.
     fn finish_passes(&mut self, now: Instant) {
         let ended: Vec<id::Upstream> = self
             .engines
@@ -301,7 +303,8 @@
             events.dedup();
             let writes: Vec<usize> =
                 events.into_iter().filter(|index| self.event(*index, now)).collect();
-            // The one that answers writes once all parts are read.
+            // The engine that generates the response starts to decode after all parts are
+            // prefilled.
             for index in writes {
                 let at = self.requests[index].placement.as_ref().unwrap().flight.upstream.clone();
                 self.engines.get_mut(&at).unwrap().writes.push(index);
@@ -316,7 +319,7 @@
             .is_some_and(|placement| placement.flight.upstream == *id)
     }
 
-    /// An event of an answer, if its prompt is read. Answers whether more are to come.
+    /// Adds an event to a response if its prompt is prefilled. Returns whether more events follow.
     fn event(&mut self, index: usize, now: Instant) -> bool {
         if self.requests[index].parts > 0 {
             return false;
