--- a/daemon/src/fleet/beats.rs
+++ b/daemon/src/fleet/beats.rs
@@ -12,7 +12,7 @@
 use foldlock_request::cluster::Start;
 use foldlock_request::dialect::Dialect;
 use foldlock_request::directory::Directory;
-use foldlock_request::message::{self, Beat, Message, State};
+use foldlock_request::message::{self, Heartbeat, Message, State};
 use foldlock_request::step;
 
 use crate::fleet::peers::{Cadence, News};
@@ -42,7 +42,7 @@
 
 /// Tells and hears the peers until the process ends.
 pub async fn run<D: Dialect, R: Directory>(process: Arc<Process<D>>, directory: R) {
-    let mut buffer = vec![0; message::MOST];
+    let mut buffer = vec![0; message::MAX_BYTES];
     let now = process.now();
     let mut told = Told { first: now, spare: now, all: now };
     let mut due = true;
@@ -124,10 +124,10 @@
     directory: &R,
 ) {
     match message::decode(bytes) {
-        Ok(Message::Beat(beat)) => hear_beat(process, &beat, directory),
-        Ok(Message::Asked(asked)) => scheduler::asked(process, &asked, from),
+        Ok(Message::Heartbeat(beat)) => hear_beat(process, &beat, directory),
+        Ok(Message::GrantRequest(asked)) => scheduler::asked(process, &asked, from),
         Ok(Message::Cancelled(number)) => scheduler::cancelled(process, number, from),
-        Ok(Message::Answered(answered)) => grant_requests::answered(process, answered, from),
+        Ok(Message::GrantReply(answered)) => grant_requests::answered(process, answered, from),
         Ok(Message::Poll(upstream)) => reports::polled(process, upstream),
         Ok(Message::RateLimits(limits)) => {
             if let Some(peer) = process.peers.at(from) {
@@ -138,7 +138,7 @@
     }
 }
 
-fn hear_beat<D: Dialect, R: Directory>(process: &Arc<Process<D>>, beat: &Beat, directory: &R) {
+fn hear_beat<D: Dialect, R: Directory>(process: &Arc<Process<D>>, beat: &Heartbeat, directory: &R) {
     let now = process.now();
     let state = &beat.state;
     let Some(news) = process.peers.heard_beat(beat, now) else { return };
@@ -150,7 +150,7 @@
     if state.leaving {
         members::leaves(process, &state.vm, state.withdraw);
     }
-    if beat.wants && state.version == 0 {
+    if beat.requests_heartbeats && state.version == 0 {
         tell::tell_newcomer(process, &state.vm);
     }
     if beat.is_client {
@@ -158,10 +158,10 @@
     }
     hear_steps(process, state);
     catch_up::start(process, directory);
-    for Start { upstream, born } in &state.starts {
+    for Start { upstream, born } in &state.restarts {
         reports::renewed(process, upstream, *born, &state.vm);
     }
-    for start in &state.departures {
+    for start in &state.leaving_upstreams {
         notices::leaves(process, *start, &state.vm);
     }
     for limit in &state.rate_limits {
@@ -171,12 +171,12 @@
     if news == News::Renewed {
         cluster.peer_lost(&state.vm, now);
     }
-    let Some(work) = &state.work else { return };
+    let Some(work) = &state.activity else { return };
     cluster.hear_outcomes(&state.vm, &work.outcomes, now);
     cluster.hear_reports(&work.reports, now);
     cluster.quarantine.hear(&work.suspects, now);
     cluster.merge_dispatches(&state.vm, &work.dispatches, now);
-    let granted = if of_this_start { beat.granted } else { 0 };
+    let granted = if of_this_start { beat.last_grant } else { 0 };
     let room = cluster.hear(&state.vm, &work.flights, granted, now);
     drop(cluster);
     if room || !work.suspects.is_empty() {
@@ -200,7 +200,7 @@
 
 /// The peer knew our version to be the newest `age` before it sent this beat, which was after we
 /// sent the stamp that it echoes.
-fn confirm<D: Dialect>(process: &Process<D>, beat: &Beat) {
+fn confirm<D: Dialect>(process: &Process<D>, beat: &Heartbeat) {
     let (Some(echo), Some(age_ms)) = (beat.echo, beat.state.age_ms) else { return };
     if beat.state.version != process.version() || beat.state.version == 0 {
         return;
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -11,7 +11,7 @@
 use foldlock_request::dialect::Dialect;
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::flight::{Flight, Helping};
-use foldlock_request::message::{self, Answered, Asked, Message, Number};
+use foldlock_request::message::{self, GrantReply, GrantRequest, Message, RequestNumber};
 use foldlock_request::placement::{Placement, Rejection, Requirements};
 use foldlock_request::rate_limit::Entry;
 use foldlock_request::scheduler::Answer;
@@ -54,22 +54,22 @@
 }
 
 /// A peer has answered.
-pub fn answered<D: Dialect>(process: &Process<D>, answered: Answered, from: SocketAddr) {
-    let Number { incarnation, number } = answered.request;
+pub fn answered<D: Dialect>(process: &Process<D>, answered: GrantReply, from: SocketAddr) {
+    let RequestNumber { incarnation, number } = answered.request;
     if incarnation != process.member.incarnation {
         return;
     }
     let Some(peer) = process.peers.at(from) else { return };
     process.peers.answered(&peer.vm);
-    if let message::Answer::Placed(placed) = &answered.answer {
-        process.peers.granted(&peer.vm, placed.grant);
+    if let message::Reply::Granted(placed) = &answered.reply {
+        process.peers.granted(&peer.vm, placed.number);
     }
-    if let message::Answer::Placed(placed) = &answered.answer
+    if let message::Reply::Granted(placed) = &answered.reply
         && let Some(limit) = placed.limit
     {
         rate_limits::merge(process, Entry { upstream: placed.upstream, limit }, &peer.vm);
     }
-    let answer = decode(&process.cluster.lock().unwrap(), answered.answer);
+    let answer = decode(&process.cluster.lock().unwrap(), answered.reply);
     // A placement at an upstream that is not known here is of no use: another VM is asked.
     if let Some(answer) = answer {
         process.questions.deliver(number, answer);
@@ -84,15 +84,16 @@
     }
 }
 
-fn decode(cluster: &Cluster, answer: message::Answer) -> Option<Answer> {
+fn decode(cluster: &Cluster, answer: message::Reply) -> Option<Answer> {
     let placed = match answer {
-        message::Answer::Placed(placed) => placed,
-        message::Answer::Waits => return Some(Answer::Waits),
-        message::Answer::Rejected(rejection) => return Some(Answer::Rejected(rejection)),
+        message::Reply::Granted(placed) => placed,
+        message::Reply::Queued => return Some(Answer::Waits),
+        message::Reply::Rejected(rejection) => return Some(Answer::Rejected(rejection)),
     };
     let id = |tag: Tag| cluster.by_tag(tag).map(|upstream| upstream.listed.id.clone());
     let helping = |(tag, held): &(Tag, u64)| Some(Helping { upstream: id(*tag)?, held: *held });
-    let slowest = placed.slowest.into_iter().filter_map(|(tag, load)| Some((id(tag)?, load)));
+    let slowest =
+        placed.busiest_helpers.into_iter().filter_map(|(tag, load)| Some((id(tag)?, load)));
     let placement = Placement {
         flight: Flight {
             upstream: id(placed.upstream)?,
@@ -101,16 +102,16 @@
             memory: placed.memory,
             pause_ms: placed.pause_ms,
             writing: false,
-            alone: placed.alone,
+            alone: placed.isolated,
         },
         predicted_ms: placed.predicted_ms,
         load: placed.load,
         slowest: slowest.collect(),
-        open: placed.open,
+        open: placed.candidates,
         limited: placed.limited,
         limit: placed.limit,
     };
-    Some(Answer::Placed(Box::new(placement), placed.grant))
+    Some(Answer::Placed(Box::new(placement), placed.number))
 }
 
 /// Where the upstream of a flight and its helpers listen, or the first of them that may be sent nothing.
@@ -277,8 +278,9 @@
                 let service = Tag::of(&self.service.name);
                 let is_client = affiliation::contact_peer(self.process, vm);
                 let now = self.process.now();
-                let asked = Asked::new(self.request(), service, &requirements, is_client, now);
-                tell::send(self.process, &Message::Asked(asked), *address);
+                let asked =
+                    GrantRequest::new(self.request(), service, &requirements, is_client, now);
+                tell::send(self.process, &Message::GrantRequest(asked), *address);
             }
         }
     }
@@ -291,7 +293,7 @@
         requirements
     }
 
-    fn request(&self) -> Number {
+    fn request(&self) -> RequestNumber {
         self.process.numbered(self.number)
     }
 
--- a/daemon/src/fleet/peers.rs
+++ b/daemon/src/fleet/peers.rs
@@ -15,7 +15,7 @@
 use foldlock_base::clock::Moment;
 use foldlock_base::prelude::*;
 use foldlock_request::directory::Member;
-use foldlock_request::message::Beat;
+use foldlock_request::message::Heartbeat;
 use foldlock_request::rank::Liveness;
 use serde_json::json;
 
@@ -108,7 +108,7 @@
 
     /// Takes a peer's state from a beat, unless it is older than what is known. Answers whether the
     /// peer has started anew since.
-    pub fn heard_beat(&self, beat: &Beat, now: Instant) -> Option<News> {
+    pub fn heard_beat(&self, beat: &Heartbeat, now: Instant) -> Option<News> {
         let state = &beat.state;
         let mut known = self.known.lock().unwrap();
         let peer = known.peers.get_mut(&state.vm)?;
@@ -124,7 +124,7 @@
             return None;
         }
         peer.hear(state, now);
-        if beat.wants {
+        if beat.requests_heartbeats {
             peer.wants = Some(now);
         }
         if renewed {
--- a/daemon/src/fleet/peers/peer.rs
+++ b/daemon/src/fleet/peers/peer.rs
@@ -78,9 +78,9 @@
         self.heard = Some(now);
         self.stamp = Some(state.stamp);
         self.version = state.version;
-        self.at = state.at;
+        self.at = state.revision;
         self.digest = state.digest;
-        self.settled = state.settled;
+        self.settled = state.synced;
         self.tried = None;
         self.missed = None;
         let fresh = state.age_ms.is_some_and(|ms| Duration::from_millis(ms) < WATCH_AGE);
--- a/daemon/src/fleet/scheduler.rs
+++ b/daemon/src/fleet/scheduler.rs
@@ -7,7 +7,7 @@
 use foldlock_base::prelude::*;
 use foldlock_request::cluster::{Cluster, Holder};
 use foldlock_request::dialect::Dialect;
-use foldlock_request::message::{self, Answered, Asked, Message, Number};
+use foldlock_request::message::{self, GrantReply, GrantRequest, Message, RequestNumber};
 use foldlock_request::placement::{self, Placement, Rejection, Requirements};
 use foldlock_request::scheduler::{Answer, Key};
 use foldlock_request::tag::Tag;
@@ -26,7 +26,7 @@
 const IDLE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A peer asks for a placement.
-pub fn asked<D: Dialect>(process: &Process<D>, asked: &Asked, from: SocketAddr) {
+pub fn asked<D: Dialect>(process: &Process<D>, asked: &GrantRequest, from: SocketAddr) {
     let Some(peer) = process.peers.at(from) else { return };
     let now = process.now();
     let requirements = asked.requirements(peer.hall, now);
@@ -96,7 +96,7 @@
 }
 
 /// A peer asks no more.
-pub fn cancelled<D: Dialect>(process: &Process<D>, request: Number, from: SocketAddr) {
+pub fn cancelled<D: Dialect>(process: &Process<D>, request: RequestNumber, from: SocketAddr) {
     if let Some(peer) = process.peers.at(from) {
         cancel(process, &key(Holder::Peer(peer.vm), request));
     }
@@ -107,7 +107,7 @@
     cancel(process, &key(Holder::Own, process.numbered(number)));
 }
 
-fn key(holder: Holder, request: Number) -> Key {
+fn key(holder: Holder, request: RequestNumber) -> Key {
     Key { holder, incarnation: request.incarnation, number: request.number }
 }
 
@@ -138,34 +138,39 @@
     for (Key { holder, incarnation, number }, answer) in answers {
         match holder {
             Holder::Own => process.questions.deliver(number, answer),
-            Holder::Peer(vm) => tell(process, &vm, Number { incarnation, number }, answer),
+            Holder::Peer(vm) => tell(process, &vm, RequestNumber { incarnation, number }, answer),
         }
     }
 }
 
-fn tell<D: Dialect>(process: &Process<D>, vm: &id::Vm, request: Number, answer: Answer) {
+fn tell<D: Dialect>(process: &Process<D>, vm: &id::Vm, request: RequestNumber, answer: Answer) {
     // A peer that is listed no more asks elsewhere.
     if let Some(member) = process.peers.member(vm) {
         answered(process, request, member.address, answer);
     }
 }
 
-fn answered<D: Dialect>(process: &Process<D>, request: Number, to: SocketAddr, answer: Answer) {
-    let answer = encode(&process.cluster.lock().unwrap(), answer);
-    let message = Message::Answered(Answered { request, answer });
+fn answered<D: Dialect>(
+    process: &Process<D>,
+    request: RequestNumber,
+    to: SocketAddr,
+    answer: Answer,
+) {
+    let reply = encode(&process.cluster.lock().unwrap(), answer);
+    let message = Message::GrantReply(GrantReply { request, reply });
     tell::send(process, &message, to);
 }
 
-fn encode(cluster: &Cluster, answer: Answer) -> message::Answer {
+fn encode(cluster: &Cluster, answer: Answer) -> message::Reply {
     let (placement, grant) = match answer {
         Answer::Placed(placement, grant) => (placement, grant),
-        Answer::Waits => return message::Answer::Waits,
-        Answer::Rejected(rejection) => return message::Answer::Rejected(rejection),
+        Answer::Waits => return message::Reply::Queued,
+        Answer::Rejected(rejection) => return message::Reply::Rejected(rejection),
     };
     let tag = |id: &id::Upstream| cluster.tag_of(id);
     let flight = &placement.flight;
-    message::Answer::Placed(message::Placed {
-        grant,
+    message::Reply::Granted(message::Grant {
+        number: grant,
         upstream: tag(&flight.upstream),
         helpers: flight.helpers.iter().map(|h| (tag(&h.upstream), h.held)).collect(),
         part_ms: flight.part_ms,
@@ -173,9 +178,13 @@
         pause_ms: flight.pause_ms,
         predicted_ms: placement.predicted_ms,
         load: placement.load,
-        slowest: placement.slowest.iter().map(|(id, load)| (tag(id), load.clone())).collect(),
-        open: placement.open,
-        alone: flight.alone,
+        busiest_helpers: placement
+            .slowest
+            .iter()
+            .map(|(id, load)| (tag(id), load.clone()))
+            .collect(),
+        candidates: placement.open,
+        isolated: flight.alone,
         limited: placement.limited,
         limit: placement.limit,
     })
--- a/daemon/src/fleet/tell.rs
+++ b/daemon/src/fleet/tell.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use foldlock_base::prelude::*;
 use foldlock_request::dialect::Dialect;
-use foldlock_request::message::{self, Beat, Message, State, Work};
+use foldlock_request::message::{self, Activity, Heartbeat, Message, State};
 use foldlock_request::step;
 
 use crate::fleet::peers::Target;
@@ -78,7 +78,7 @@
 fn tell_targets<D: Dialect>(
     process: &Process<D>,
     state: &State,
-    work: Option<Work>,
+    work: Option<Activity>,
     targets: &[Target],
 ) {
     let scheduler = process.peers.scheduler(process.stopping.is_cancelled(), process.now());
@@ -87,15 +87,15 @@
         let is_client =
             Some(target.address) == scheduler && affiliation::contact_peer(process, &target.vm);
         let work = work.clone().filter(|_| target.scheduler);
-        let beat = Beat {
+        let beat = Heartbeat {
             echo: target.echo,
             echo_of: target.echo_of,
-            granted: target.granted,
-            wants: target.scheduler,
-            state: State { work, ..state.clone() },
+            last_grant: target.granted,
+            requests_heartbeats: target.scheduler,
+            state: State { activity: work, ..state.clone() },
             is_client,
         };
-        send(process, &Message::Beat(beat), target.address);
+        send(process, &Message::Heartbeat(beat), target.address);
     }
     process.metrics.beats.inc_by(targets.len() as u64);
 }
@@ -122,14 +122,14 @@
         stamp: process.peers.stamp(process.moment()),
         version: process.version(),
         age_ms: process.fresh.age(process.moment()).map(|age| age.as_millis() as u64 + 1),
-        at: process.at(),
+        revision: process.at(),
         digest,
         leaving: process.stopping.is_cancelled(),
         withdraw: process.withdrawals.asks(),
         watching: process.watching.load(Ordering::Relaxed),
-        settled: process.peers.settled(now),
-        starts,
-        departures,
+        synced: process.peers.settled(now),
+        restarts: starts,
+        leaving_upstreams: departures,
         rate_limits,
         steps,
         ..State::new(process.member.vm.clone(), process.member.incarnation)
@@ -143,9 +143,9 @@
     if steps.is_empty() { Bytes::new() } else { packed::pack(&step::encode(&steps)) }
 }
 
-fn work<D: Dialect>(process: &Process<D>, round: Round, now: Instant) -> Work {
+fn work<D: Dialect>(process: &Process<D>, round: Round, now: Instant) -> Activity {
     let mut cluster = process.cluster.lock().unwrap();
-    Work {
+    Activity {
         flights: cluster.told(now),
         outcomes: cluster.told_outcomes(now),
         reports: cluster.told_reports(now),
--- a/daemon/tests/fleet_size.rs
+++ b/daemon/tests/fleet_size.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use foldlock_request::message::{self, Beat, Message, State, Work};
+use foldlock_request::message::{self, Activity, Heartbeat, Message, State};
 use foldlockd::fleet::join;
 use foldlockd::fleet::peers::Cadence;
 
@@ -20,22 +20,22 @@
         stamp: 86_400_000_000,
         version: 4_711,
         age_ms: Some(1_100),
-        at: 50_000.into(),
+        revision: 50_000.into(),
         digest: u64::MAX,
-        settled: true,
-        work: Some(Work::default()),
+        synced: true,
+        activity: Some(Activity::default()),
         ..State::new("front-el-ghazala-204".parse().unwrap(), 1_780_012_754_015)
     };
     let echo = Some(86_400_000_000);
-    let beat = Beat {
+    let beat = Heartbeat {
         echo,
         echo_of: 1_780_012_754_015,
-        granted: 100,
-        wants: true,
+        last_grant: 100,
+        requests_heartbeats: true,
         state,
         is_client: false,
     };
-    message::encode(&Message::Beat(beat)).len()
+    message::encode(&Message::Heartbeat(beat)).len()
 }
 
 /// A fleet in which nothing happens: each VM tells three, and these tell all.
--- a/daemon/tests/peers.rs
+++ b/daemon/tests/peers.rs
@@ -4,7 +4,7 @@
 
 use foldlock_base::clock::{Clock, System};
 use foldlock_request::directory::Member;
-use foldlock_request::message::{Beat, State};
+use foldlock_request::message::{Heartbeat, State};
 use foldlockd::fleet::peers::{Peers, Scheduler};
 
 fn member(vm: &str, millicores: u32) -> Member {
@@ -17,18 +17,25 @@
     }
 }
 
-fn beat(vm: &Member, wants: bool) -> Beat {
+fn beat(vm: &Member, wants: bool) -> Heartbeat {
     let state = State {
         stamp: 9,
         version: 1,
         age_ms: Some(10),
-        at: 5.into(),
+        revision: 5.into(),
         digest: 7,
         watching: true,
-        settled: true,
+        synced: true,
         ..State::new(vm.vm.clone(), vm.incarnation)
     };
-    Beat { echo: None, echo_of: 0, granted: 0, wants, state, is_client: false }
+    Heartbeat {
+        echo: None,
+        echo_of: 0,
+        last_grant: 0,
+        requests_heartbeats: wants,
+        state,
+        is_client: false,
+    }
 }
 
 /// A VM of 120 thousandths that heard a stronger one at that moment.
--- a/request/src/message.rs
+++ b/request/src/message.rs
@@ -19,19 +19,22 @@
 use crate::{flight, quarantine, rate_limit, report};
 
 /// Maximum size of an encoded message in bytes; it fits a UDP datagram.
-pub const MOST: usize = 60_000;
+pub const MAX_BYTES: usize = 60_000;
 
 /// A message from one VM to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// The sender's state.
-    Beat(Beat),
+    #[serde(rename = "Beat")]
+    Heartbeat(Heartbeat),
     /// Requests a placement from the scheduler.
-    Asked(Asked),
+    #[serde(rename = "Asked")]
+    GrantRequest(GrantRequest),
     /// Withdraws a grant request.
-    Cancelled(Number),
+    Cancelled(RequestNumber),
     /// The scheduler's reply to a grant request.
-    Answered(Answered),
+    #[serde(rename = "Answered")]
+    GrantReply(GrantReply),
     /// Asks the receiver to fetch the report of this engine.
     Poll(Tag),
     /// Rate limits that the receiver needs before its next grant.
@@ -40,16 +43,18 @@
 
 /// The state of a VM, as sent to one peer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The latest stamp that the sender received from the receiver: the state was taken after it.
     pub echo: Option<u64>,
     /// The incarnation of the receiver that the echoed stamp belongs to.
     pub echo_of: u64,
     /// The number of the latest grant from the receiver that has reached the sender.
-    pub granted: u64,
+    #[serde(rename = "granted")]
+    pub last_grant: u64,
     /// Whether the sender requests heartbeats from the receiver, which is its scheduler or a
     /// standby scheduler.
-    pub wants: bool,
+    #[serde(rename = "wants")]
+    pub requests_heartbeats: bool,
     /// The part of the heartbeat that is the same for all receivers.
     pub state: State,
     /// Whether the sender is a client of the receiver, which then manages the sender's share of the
@@ -72,7 +77,8 @@
     /// Time since that version was confirmed as the newest, in milliseconds.
     pub age_ms: Option<u64>,
     /// The revision up to which it has the directory's listings.
-    pub at: Revision,
+    #[serde(rename = "at")]
+    pub revision: Revision,
     /// A digest of those listings, equal on two VMs that have the same listings.
     pub digest: u64,
     /// Whether it is shutting down.
@@ -80,20 +86,24 @@
     /// Whether its watch on the directory works.
     pub watching: bool,
     /// Whether it has run for long enough to have received the in-flight attempts of all peers.
-    pub settled: bool,
+    #[serde(rename = "settled")]
+    pub synced: bool,
     /// Restarts of upstreams that it learned from the upstreams themselves.
-    pub starts: Vec<Start>,
+    #[serde(rename = "starts")]
+    pub restarts: Vec<Start>,
     /// Upstream incarnations whose responses say that they are leaving and which the directory does
     /// not list as leaving yet. Sent only in heartbeats to all peers, five a second plus one
     /// immediately on a change: in every heartbeat, 45 of them would take 80 kB/s of a busy VM.
-    pub departures: Vec<Tag>,
+    #[serde(rename = "departures")]
+    pub leaving_upstreams: Vec<Tag>,
     /// Recent changes of the listings for VMs that do not watch the directory, encoded by
     /// [`crate::step::encode`] and deflated; empty if there are none. Sent only in heartbeats to
     /// all peers.
     pub steps: Bytes,
     /// Its in-flight attempts and observations; `None` if the receiver does not schedule its
     /// requests.
-    pub work: Option<Work>,
+    #[serde(rename = "work")]
+    pub activity: Option<Activity>,
     /// Whether it is shutting down and asks the receiver to withdraw its directory entry.
     #[serde(default)]
     pub withdraw: bool,
@@ -112,15 +122,15 @@
             stamp: 0,
             version: 0,
             age_ms: None,
-            at: Revision::default(),
+            revision: Revision::default(),
             digest: 0,
             leaving: false,
             watching: false,
-            settled: false,
-            starts: Vec::new(),
-            departures: Vec::new(),
+            synced: false,
+            restarts: Vec::new(),
+            leaving_upstreams: Vec::new(),
             steps: Bytes::new(),
-            work: None,
+            activity: None,
             withdraw: false,
             rate_limits: Vec::new(),
         }
@@ -129,7 +139,7 @@
 
 /// In-flight attempts of a VM, and its recent observations.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Work {
+pub struct Activity {
     /// Its in-flight attempts.
     pub flights: Vec<flight::Told>,
     /// Outcomes of recent attempts.
@@ -145,7 +155,7 @@
 
 /// Identifies a request by the number that its VM assigned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Number {
+pub struct RequestNumber {
     /// The incarnation of the VM's process.
     pub incarnation: u64,
     /// The number, unique within the incarnation.
@@ -154,9 +164,9 @@
 
 /// A request for a placement. Times are sent as durations, since the clocks of VMs differ.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Asked {
+pub struct GrantRequest {
     /// The request.
-    pub request: Number,
+    pub request: RequestNumber,
     /// The service that it is for.
     pub service: Tag,
     prompt: u64,
@@ -164,9 +174,12 @@
     objective_ms: u32,
     pause_ms: Option<u32>,
     waited_ms: u32,
-    limit_ms: u32,
-    hold_limit_ms: u32,
-    avoid: Vec<Tag>,
+    #[serde(rename = "limit_ms")]
+    queue_timeout_ms: u32,
+    #[serde(rename = "hold_limit_ms")]
+    reservation_timeout_ms: u32,
+    #[serde(rename = "avoid")]
+    excluded: Vec<Tag>,
     fingerprint: Fingerprint,
     #[serde(default)]
     connected: Vec<Tag>,
@@ -178,16 +191,16 @@
     pub is_client: bool,
 }
 
-impl Asked {
+impl GrantRequest {
     /// The grant request for these requirements, as of `now`.
     pub fn new(
-        request: Number,
+        request: RequestNumber,
         service: Tag,
         requirements: &Requirements,
         is_client: bool,
         now: Instant,
-    ) -> Asked {
-        Asked {
+    ) -> GrantRequest {
+        GrantRequest {
             request,
             service,
             prompt: requirements.prompt.0,
@@ -195,9 +208,9 @@
             objective_ms: requirements.objective.as_millis() as u32,
             pause_ms: requirements.pause.map(|pause| pause.as_millis() as u32),
             waited_ms: now.saturating_duration_since(requirements.arrived).as_millis() as u32,
-            limit_ms: requirements.limit.as_millis() as u32,
-            hold_limit_ms: requirements.hold_limit.as_millis() as u32,
-            avoid: requirements.avoid.clone(),
+            queue_timeout_ms: requirements.limit.as_millis() as u32,
+            reservation_timeout_ms: requirements.hold_limit.as_millis() as u32,
+            excluded: requirements.avoid.clone(),
             fingerprint: requirements.fingerprint,
             connected: requirements.connected.clone(),
             charge: requirements.charge,
@@ -214,11 +227,11 @@
             objective: millis(self.objective_ms),
             pause: self.pause_ms.map(millis),
             arrived: now.checked_sub(millis(self.waited_ms)).unwrap_or(now),
-            limit: millis(self.limit_ms),
-            avoid: self.avoid.clone(),
+            limit: millis(self.queue_timeout_ms),
+            avoid: self.excluded.clone(),
             connected: self.connected.clone(),
             hall,
-            hold_limit: millis(self.hold_limit_ms),
+            hold_limit: millis(self.reservation_timeout_ms),
             fingerprint: self.fingerprint,
             offset: 0,
             schedulers: 1,
@@ -229,20 +242,23 @@
 
 /// The reply to a grant request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Answered {
+pub struct GrantReply {
     /// The request.
-    pub request: Number,
+    pub request: RequestNumber,
     /// The reply.
-    pub answer: Answer,
+    #[serde(rename = "answer")]
+    pub reply: Reply,
 }
 
 /// The scheduler's decision on a grant request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum Reply {
     /// A placement is reserved for the request.
-    Placed(Placed),
+    #[serde(rename = "Placed")]
+    Granted(Grant),
     /// The request is queued.
-    Waits,
+    #[serde(rename = "Waits")]
+    Queued,
     /// The request is rejected: there is no placement for it, and queuing would not help.
     #[serde(rename = "Nowhere")]
     Rejected(Rejection),
@@ -250,9 +266,10 @@
 
 /// A placement; upstreams are identified by their tags.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Placed {
+pub struct Grant {
     /// The number of the grant, higher than that of each grant before.
-    pub grant: u64,
+    #[serde(rename = "grant")]
+    pub number: u64,
     /// The upstream that generates the response.
     pub upstream: Tag,
     /// The upstreams that prefill a part of the prompt, each with the number of tokens reserved
@@ -270,11 +287,14 @@
     /// The load of the upstream on which the decision was based.
     pub load: Load,
     /// The helpers with the longest backlog, and their loads.
-    pub slowest: Vec<(Tag, Load)>,
+    #[serde(rename = "slowest")]
+    pub busiest_helpers: Vec<(Tag, Load)>,
     /// The number of upstreams that were candidates.
-    pub open: usize,
+    #[serde(rename = "open")]
+    pub candidates: usize,
     /// The request's fingerprint, if it runs isolated.
-    pub alone: Option<Fingerprint>,
+    #[serde(rename = "alone")]
+    pub isolated: Option<Fingerprint>,
     /// Upstreams that were at their rate limits.
     #[serde(default)]
     pub limited: usize,
--- a/request/tests/message.rs
+++ b/request/tests/message.rs
@@ -5,25 +5,27 @@
 use foldlock_base::size::Tokens;
 use foldlock_request::budget::Charge;
 use foldlock_request::fingerprint::Fingerprint;
-use foldlock_request::message::{Asked, Beat, Message, Number, State, Work, decode, encode};
+use foldlock_request::message::{
+    Activity, GrantRequest, Heartbeat, Message, RequestNumber, State, decode, encode,
+};
 use foldlock_request::placement::Requirements;
 use foldlock_request::tag::Tag;
 use proptest::prelude::*;
 
-fn beat() -> Message {
-    Message::Beat(Beat {
+fn heartbeat() -> Message {
+    Message::Heartbeat(Heartbeat {
         echo: Some(9),
         echo_of: 3,
-        granted: 12,
-        wants: true,
+        last_grant: 12,
+        requests_heartbeats: true,
         state: State {
             stamp: 42,
             version: 7,
             age_ms: Some(300),
-            at: 530.into(),
+            revision: 530.into(),
             digest: u64::MAX,
             watching: true,
-            work: Some(Work::default()),
+            activity: Some(Activity::default()),
             ..State::new("vm-1".parse().unwrap(), 1_780_012_754_015)
         },
         is_client: true,
@@ -31,12 +33,12 @@
 }
 
 #[test]
-fn a_beat_comes_out_as_it_went_in() {
-    assert_eq!(decode(&encode(&beat())).unwrap(), beat());
+fn a_heartbeat_round_trips() {
+    assert_eq!(decode(&encode(&heartbeat())).unwrap(), heartbeat());
 }
 
 #[test]
-fn what_is_asked_for_is_told_by_ages() {
+fn a_grant_request_carries_times_as_durations() {
     let sent = Instant::now();
     let requirements = Requirements {
         prompt: Tokens(5_000),
@@ -54,25 +56,36 @@
         schedulers: 1,
         charge: Charge::Withdraw,
     };
-    let request = Number { incarnation: 1, number: 8 };
-    let message = Message::Asked(Asked::new(request, Tag::of("model"), &requirements, true, sent));
-    let Message::Asked(asked) = decode(&encode(&message)).unwrap() else { panic!("{message:?}") };
-    assert_eq!((asked.request, asked.service), (request, Tag::of("model")));
-    let heard = sent + Duration::from_millis(3);
-    let arrived = heard.checked_sub(Duration::from_millis(70)).unwrap();
-    assert_eq!(asked.requirements("a".to_owned(), heard), Requirements { arrived, ..requirements });
+    let request = RequestNumber { incarnation: 1, number: 8 };
+    let message = Message::GrantRequest(GrantRequest::new(
+        request,
+        Tag::of("model"),
+        &requirements,
+        true,
+        sent,
+    ));
+    let Message::GrantRequest(received) = decode(&encode(&message)).unwrap() else {
+        panic!("{message:?}")
+    };
+    assert_eq!((received.request, received.service), (request, Tag::of("model")));
+    let received_at = sent + Duration::from_millis(3);
+    let arrived = received_at.checked_sub(Duration::from_millis(70)).unwrap();
+    assert_eq!(
+        received.requirements("a".to_owned(), received_at),
+        Requirements { arrived, ..requirements }
+    );
 }
 
 #[test]
-fn a_cut_message_is_refused() {
-    let bytes = encode(&beat());
+fn a_truncated_message_is_rejected() {
+    let bytes = encode(&heartbeat());
     for length in 0..bytes.len() {
         assert!(decode(&bytes[..length]).is_err(), "{length} bytes");
     }
 }
 
 #[test]
-fn a_tag_is_read_as_it_is_shown() {
+fn a_tag_parses_from_its_text() {
     let tag = Tag::of("i-7f3a91c2");
     assert_eq!(tag.to_string().parse(), Ok(tag));
     assert!("no tag".parse::<Tag>().is_err());
@@ -80,7 +93,7 @@
 
 proptest! {
     #[test]
-    fn any_bytes_are_read_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = decode(&bytes);
     }
 }
--- a/request/tests/step.rs
+++ b/request/tests/step.rs
@@ -97,7 +97,7 @@
     let mut steps = Steps::default();
     (0..3_000).for_each(|from| steps.note(one(from)));
     let told = encode(&steps.told(Revision::default()));
-    assert!(told.len() < foldlock_request::message::MOST, "{}", told.len());
+    assert!(told.len() < foldlock_request::message::MAX_BYTES, "{}", told.len());
 }
 
 #[test]
