--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -74,19 +74,19 @@
 }
 
 /// A change as peers are told of it; none where it is told in another way, or may not hold.
-pub fn told(change: &Change, provenance: Provenance) -> Option<step::Change> {
+pub fn told(change: &Change, provenance: Provenance) -> Option<step::ListingChange> {
     Some(match change {
-        Change::Upstream(listed) => step::Change::Upstream(listed.clone()),
+        Change::Upstream(listed) => step::ListingChange::Upstream(listed.clone()),
         // It may live; once it is taken for gone, that is told.
         Change::UpstreamGone(..) if provenance.may_live() => return None,
         Change::UpstreamGone(id, revision) | Change::UpstreamUnreadable(id, revision, _) => {
-            step::Change::UpstreamGone(id.clone(), *revision)
+            step::ListingChange::UpstreamRemoved(id.clone(), *revision)
         }
-        Change::Member(member) => step::Change::Member(member.clone()),
-        Change::MemberGone(vm) => step::Change::MemberGone(vm.clone()),
-        Change::Hall(hall) => step::Change::Hall(hall.clone()),
-        Change::Quarantined(entry) => step::Change::Held(entry.clone()),
-        Change::Released(fingerprint) => step::Change::Released(*fingerprint),
+        Change::Member(member) => step::ListingChange::Member(member.clone()),
+        Change::MemberGone(vm) => step::ListingChange::MemberWithdrawn(vm.clone()),
+        Change::Hall(hall) => step::ListingChange::Hall(hall.clone()),
+        Change::Quarantined(entry) => step::ListingChange::Quarantined(entry.clone()),
+        Change::Released(fingerprint) => step::ListingChange::Released(*fingerprint),
         Change::Settings(_) | Change::SettingsUnreadable(_) | Change::Unreadable { .. } => {
             return None;
         }
--- a/daemon/src/fleet/follow.rs
+++ b/daemon/src/fleet/follow.rs
@@ -211,14 +211,14 @@
     let changed = !changes.is_empty();
     contact.goes_on(at);
     process.known_to(at);
-    let mut step: Vec<step::Change> =
+    let mut step: Vec<step::ListingChange> =
         changes.iter().filter_map(|change| changes::told(change, provenance)).collect();
     changes
         .into_iter()
         .for_each(|change| changes::apply(process, change, provenance, &mut change_log));
     let gone = process.cluster.lock().unwrap().expire(RELIST_TIMEOUT, at, now);
     gone.iter().for_each(|id| changes::ended(process, id, "not listed again", &mut change_log));
-    step.extend(gone.into_iter().map(|id| step::Change::UpstreamGone(id, at)));
+    step.extend(gone.into_iter().map(|id| step::ListingChange::UpstreamRemoved(id, at)));
     note_step(process, from, at, step);
     change_log.log(process, at, "the directory");
     if !contact.is_behind() {
@@ -236,12 +236,12 @@
     process: &Process<D>,
     from: Option<Revision>,
     to: Revision,
-    changes: Vec<step::Change>,
+    changes: Vec<step::ListingChange>,
 ) {
     let mut steps = process.steps.lock().unwrap();
     match from {
         Some(from) if from != to || !changes.is_empty() => {
-            steps.note(Step { from, to, changes });
+            steps.push(Step { from, to, changes });
         }
         Some(_) => {}
         None => steps.clear(),
--- a/daemon/src/fleet/peer_sync.rs
+++ b/daemon/src/fleet/peer_sync.rs
@@ -66,20 +66,20 @@
 }
 
 /// A change that a peer told, unless something newer is known here.
-fn accepted<D: Dialect>(process: &Process<D>, change: step::Change) -> Option<Change> {
+fn accepted<D: Dialect>(process: &Process<D>, change: step::ListingChange) -> Option<Change> {
     let cluster = process.cluster.lock().unwrap();
     Some(match change {
-        step::Change::Upstream(listed) => {
+        step::ListingChange::Upstream(listed) => {
             cluster.accepts(&listed).then_some(Change::Upstream(listed))?
         }
-        step::Change::UpstreamGone(id, revision) => {
+        step::ListingChange::UpstreamRemoved(id, revision) => {
             let is_newer = cluster.get(&id).is_some_and(|known| known.listed.revision > revision);
             (!is_newer).then_some(Change::UpstreamGone(id, revision))?
         }
-        step::Change::Member(member) => Change::Member(member),
-        step::Change::MemberGone(vm) => Change::MemberGone(vm),
-        step::Change::Hall(hall) => Change::Hall(hall),
-        step::Change::Held(entry) => Change::Quarantined(entry),
-        step::Change::Released(fingerprint) => Change::Released(fingerprint),
+        step::ListingChange::Member(member) => Change::Member(member),
+        step::ListingChange::MemberWithdrawn(vm) => Change::MemberGone(vm),
+        step::ListingChange::Hall(hall) => Change::Hall(hall),
+        step::ListingChange::Quarantined(entry) => Change::Quarantined(entry),
+        step::ListingChange::Released(fingerprint) => Change::Released(fingerprint),
     })
 }
--- a/daemon/src/fleet/tell.rs
+++ b/daemon/src/fleet/tell.rs
@@ -139,7 +139,7 @@
 /// What changed of late, unless a VM before this one in the order tells it.
 fn steps<D: Dialect>(process: &Process<D>, now: Instant) -> Bytes {
     let known = process.peers.told_by_others(now);
-    let steps = process.steps.lock().unwrap().told(known);
+    let steps = process.steps.lock().unwrap().announced(known);
     if steps.is_empty() { Bytes::new() } else { packed::pack(&step::encode(&steps)) }
 }
 
--- a/request/src/step.rs
+++ b/request/src/step.rs
@@ -17,23 +17,26 @@
 
 /// Maximum number of changes announced at once. A change takes some 100 bytes, and all of them
 /// share a datagram with the rest of a VM's state. A VM that misses a step reads all listings.
-const MOST_CHANGES: usize = 200;
+const MAX_CHANGES: usize = 200;
 
 /// One change of the listings.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Change {
+pub enum ListingChange {
     /// An upstream was listed.
     Upstream(Listed),
     /// An upstream was removed, as of this revision.
-    UpstreamGone(id::Upstream, Revision),
+    #[serde(rename = "UpstreamGone")]
+    UpstreamRemoved(id::Upstream, Revision),
     /// A VM was listed.
     Member(Member),
     /// A VM has withdrawn.
-    MemberGone(id::Vm),
+    #[serde(rename = "MemberGone")]
+    MemberWithdrawn(id::Vm),
     /// A data hall was drained or undrained.
     Hall(Hall),
     /// A request was quarantined.
-    Held(Quarantined),
+    #[serde(rename = "Held")]
+    Quarantined(Quarantined),
     /// A request was released from quarantine.
     Released(Fingerprint),
 }
@@ -46,7 +49,7 @@
     /// The revision after the changes.
     pub to: Revision,
     /// The changes, in order.
-    pub changes: Vec<Change>,
+    pub changes: Vec<ListingChange>,
 }
 
 impl Step {
@@ -54,8 +57,8 @@
     /// equal: an upstream that does not renew its listing in time is removed without a change in
     /// the directory.
     pub fn follows(&self, at: Revision) -> bool {
-        let is_of_era = self.from.era == at.era && self.to.era == at.era;
-        is_of_era && self.from <= at && (at < self.to || self.from == self.to && at == self.to)
+        let is_same_era = self.from.era == at.era && self.to.era == at.era;
+        is_same_era && self.from <= at && (at < self.to || self.from == self.to && at == self.to)
     }
 }
 
@@ -70,27 +73,27 @@
 }
 
 /// Number of heartbeats that announce each step, since datagrams may be lost.
-const ROUNDS: u32 = 2;
+const HEARTBEATS_PER_STEP: u32 = 2;
 
 /// A step that is being announced.
 #[derive(Debug)]
-struct Told {
+struct Announcement {
     step: Step,
     /// Heartbeats that are still to announce the step.
-    rounds: u32,
+    heartbeats_left: u32,
 }
 
 /// The recent steps that a VM which watches the directory announces.
 #[derive(Debug, Default)]
 pub struct Steps {
-    steps: VecDeque<Told>,
+    steps: VecDeque<Announcement>,
 }
 
 impl Steps {
     /// Adds a step, and drops the oldest ones if there are too many changes for a datagram.
-    pub fn note(&mut self, step: Step) {
-        self.steps.push_back(Told { step, rounds: ROUNDS });
-        while self.changes() > MOST_CHANGES {
+    pub fn push(&mut self, step: Step) {
+        self.steps.push_back(Announcement { step, heartbeats_left: HEARTBEATS_PER_STEP });
+        while self.change_count() > MAX_CHANGES {
             self.steps.pop_front();
         }
     }
@@ -102,19 +105,19 @@
     }
 
     /// The steps for the next heartbeat, without those that another VM announces, whose listings
-    /// are at revision `known`. Counts the heartbeat against each returned step.
-    pub fn told(&mut self, known: Revision) -> Vec<Step> {
-        let is_told = |step: &Step| step.to <= known && step.from < step.to;
-        self.steps.retain(|told| told.rounds > 0 && !is_told(&told.step));
-        let tell = |told: &mut Told| {
-            told.rounds -= 1;
-            told.step.clone()
+    /// are at `peer_revision`. Counts the heartbeat against each returned step.
+    pub fn announced(&mut self, peer_revision: Revision) -> Vec<Step> {
+        let is_announced = |step: &Step| step.to <= peer_revision && step.from < step.to;
+        self.steps.retain(|pending| pending.heartbeats_left > 0 && !is_announced(&pending.step));
+        let announce = |pending: &mut Announcement| {
+            pending.heartbeats_left -= 1;
+            pending.step.clone()
         };
-        self.steps.iter_mut().map(tell).collect()
+        self.steps.iter_mut().map(announce).collect()
     }
 
     /// The total number of changes; a step without changes counts as one.
-    fn changes(&self) -> usize {
-        self.steps.iter().map(|told| told.step.changes.len().max(1)).sum()
+    fn change_count(&self) -> usize {
+        self.steps.iter().map(|pending| pending.step.changes.len().max(1)).sum()
     }
 }
--- a/request/tests/step.rs
+++ b/request/tests/step.rs
@@ -3,7 +3,7 @@
 use foldlock_request::cluster::{Cluster, Listed};
 use foldlock_request::directory::Member;
 use foldlock_request::revision::Revision;
-use foldlock_request::step::{Change, Step, Steps, decode, encode};
+use foldlock_request::step::{ListingChange, Step, Steps, decode, encode};
 use proptest::prelude::*;
 
 fn listed(i: usize) -> Listed {
@@ -30,21 +30,21 @@
     }
 }
 
-fn step(from: u64, to: u64, changes: Vec<Change>) -> Step {
+fn step(from: u64, to: u64, changes: Vec<ListingChange>) -> Step {
     Step { from: from.into(), to: to.into(), changes }
 }
 
-fn one(from: u64) -> Step {
-    step(from, from + 1, vec![Change::Upstream(listed(from as usize))])
+fn single_change(from: u64) -> Step {
+    step(from, from + 1, vec![ListingChange::Upstream(listed(from as usize))])
 }
 
 #[test]
-fn steps_come_out_as_they_went_in() {
+fn steps_round_trip() {
     let changes = vec![
-        Change::Upstream(Listed { born: None, cold_ms: 300, ..listed(1) }),
-        Change::UpstreamGone("i-2".parse().unwrap(), 7.into()),
-        Change::Member(member(3)),
-        Change::MemberGone("vm-4".parse().unwrap()),
+        ListingChange::Upstream(Listed { born: None, cold_ms: 300, ..listed(1) }),
+        ListingChange::UpstreamRemoved("i-2".parse().unwrap(), 7.into()),
+        ListingChange::Member(member(3)),
+        ListingChange::MemberWithdrawn("vm-4".parse().unwrap()),
     ];
     let steps = vec![step(1, 9, changes), step(9, 12, Vec::new())];
     assert_eq!(decode(&encode(&steps)).unwrap(), steps);
@@ -54,7 +54,7 @@
 /// An upstream leaves in a fleet of 1,000 VMs and 3,000 upstreams: checks the size of what each VM
 /// receives.
 #[test]
-fn a_change_is_told_in_bytes_that_do_not_grow_with_the_fleet() {
+fn the_size_of_a_change_does_not_grow_with_the_fleet() {
     let sizes = [(10, 30), (1_000, 3_000)].map(|(vms, upstreams)| {
         let mut cluster = Cluster::default();
         (0..upstreams).for_each(|i| {
@@ -64,84 +64,84 @@
         let members: Vec<Member> = (0..vms).map(member).collect();
         let whole = serde_json::to_vec(&(all, members)).unwrap().len();
         let leaving = Listed { leaving: true, ..listed(upstreams / 2) };
-        (encode(&[step(5_000, 5_001, vec![Change::Upstream(leaving)])]).len(), whole)
+        (encode(&[step(5_000, 5_001, vec![ListingChange::Upstream(leaving)])]).len(), whole)
     });
     let [(small, _), (large, whole)] = sizes;
     assert!(large <= small + 8, "{small} and {large} bytes");
     // 40 changes a second take at most 16 kB, an eighth of what a VM may receive for control.
     assert!(large * 40 <= 16_000, "{large} bytes");
-    assert!(whole > 100 * large, "the whole takes {whole} bytes");
+    assert!(whole > 100 * large, "all listings take {whole} bytes");
 }
 
 #[test]
-fn each_step_is_told_in_two_rounds_and_no_more() {
+fn each_step_is_announced_in_exactly_two_heartbeats() {
     let mut steps = Steps::default();
-    steps.note(one(1));
-    assert_eq!(steps.told(Revision::default()).len(), 1);
-    steps.note(one(2));
-    assert_eq!(steps.told(Revision::default()).len(), 2);
-    assert_eq!(steps.told(Revision::default()), [one(2)]);
-    assert!(steps.told(Revision::default()).is_empty());
+    steps.push(single_change(1));
+    assert_eq!(steps.announced(Revision::default()).len(), 1);
+    steps.push(single_change(2));
+    assert_eq!(steps.announced(Revision::default()).len(), 2);
+    assert_eq!(steps.announced(Revision::default()), [single_change(2)]);
+    assert!(steps.announced(Revision::default()).is_empty());
 }
 
 #[test]
-fn what_another_vm_tells_is_left_to_it() {
+fn steps_that_another_vm_announces_are_skipped() {
     let mut steps = Steps::default();
-    (1..5).for_each(|from| steps.note(one(from)));
-    assert_eq!(steps.told(3.into()), [one(3), one(4)]);
+    (1..5).for_each(|from| steps.push(single_change(from)));
+    assert_eq!(steps.announced(3.into()), [single_change(3), single_change(4)]);
 }
 
 /// 3,000 upstreams are listed at once: the announced steps fit a datagram.
 #[test]
-fn a_flood_of_changes_fits_a_datagram() {
+fn many_changes_at_once_fit_a_datagram() {
     let mut steps = Steps::default();
-    (0..3_000).for_each(|from| steps.note(one(from)));
-    let told = encode(&steps.told(Revision::default()));
-    assert!(told.len() < foldlock_request::message::MAX_BYTES, "{}", told.len());
+    (0..3_000).for_each(|from| steps.push(single_change(from)));
+    let announced = encode(&steps.announced(Revision::default()));
+    assert!(announced.len() < foldlock_request::message::MAX_BYTES, "{}", announced.len());
 }
 
 #[test]
-fn a_step_of_another_era_or_beyond_what_is_known_is_not_taken() {
+fn a_step_follows_only_revisions_in_its_range_and_era() {
     let at = |era, number| Revision { era, number };
     let step = Step { from: at(1, 5), to: at(1, 9), changes: Vec::new() };
     assert!(step.follows(at(1, 5)) && step.follows(at(1, 8)));
-    assert!(!step.follows(at(1, 4)), "what came in between is missing");
-    assert!(!step.follows(at(1, 9)), "it is known");
+    assert!(!step.follows(at(1, 4)), "the changes in between are missing");
+    assert!(!step.follows(at(1, 9)), "it is applied already");
     assert!(!step.follows(at(0, 5)) && !step.follows(at(2, 5)));
 }
 
 /// An upstream that does not renew its listing in time is removed without a change in the
 /// directory.
 #[test]
-fn what_is_known_without_a_change_in_the_directory_is_told_as_well() {
-    let gone = step(9, 9, vec![Change::UpstreamGone("i-1".parse().unwrap(), 9.into())]);
+fn a_step_without_a_new_revision_is_announced() {
+    let gone = step(9, 9, vec![ListingChange::UpstreamRemoved("i-1".parse().unwrap(), 9.into())]);
     assert!(gone.follows(9.into()) && !gone.follows(8.into()) && !gone.follows(10.into()));
     let mut steps = Steps::default();
-    steps.note(gone.clone());
-    assert_eq!(steps.told(9.into()), [gone]);
+    steps.push(gone.clone());
+    assert_eq!(steps.announced(9.into()), [gone]);
 }
 
 proptest! {
     /// Steps of two watchers with arbitrary bounds, some of them lost: a VM that applies those that
     /// follow has all changes up to its revision.
     #[test]
-    fn whoever_takes_steps_that_follow_misses_nothing(
+    fn applying_steps_that_follow_misses_no_change(
         cuts in prop::collection::vec((1..5_u64, 1..5_u64, any::<bool>(), any::<bool>()), 1..20),
     ) {
-        let (mut at, mut known, mut ends) = (0_u64, Vec::new(), [0_u64, 0]);
+        let (mut at, mut applied, mut ends) = (0_u64, Vec::new(), [0_u64, 0]);
         for (one, other, one_lost, other_lost) in cuts {
             for (end, (length, lost)) in ends.iter_mut().zip([(one, one_lost), (other, other_lost)]) {
                 let changes: Vec<u64> = (*end + 1..=*end + length).collect();
                 let step = step(*end, *end + length, Vec::new());
                 *end += length;
                 if !lost && step.follows(at.into()) {
-                    known.extend(changes);
+                    applied.extend(changes);
                     at = step.to.number;
                 }
             }
         }
-        known.sort_unstable();
-        known.dedup();
-        prop_assert_eq!(known, (1..=at).collect::<Vec<_>>());
+        applied.sort_unstable();
+        applied.dedup();
+        prop_assert_eq!(applied, (1..=at).collect::<Vec<_>>());
     }
 }
