--- a/cli/src/vm.rs
+++ b/cli/src/vm.rs
@@ -71,8 +71,8 @@
             output.value(&line);
         } else {
             let id = output.mark(Mark::Dim, line.request.as_str());
-            let at = line.step.at_ms;
-            output.line(&format!("{id} {at:>9.1} ms  {}", line.step.decision));
+            let at = line.decision.at_ms;
+            output.line(&format!("{id} {at:>9.1} ms  {}", line.decision.decision));
         }
     }
     Ok(())
--- a/daemon/src/complete.rs
+++ b/daemon/src/complete.rs
@@ -12,7 +12,7 @@
 use foldlock_connection::wire::Verdict;
 use foldlock_request::affinity;
 use foldlock_request::claim;
-use foldlock_request::decision::{Decision, Step, Subject};
+use foldlock_request::decision::{Decision, Subject, TimedDecision};
 use foldlock_request::limit::Permit;
 use foldlock_request::prompt::{self, Style};
 use foldlock_request::ring::Entry;
@@ -219,14 +219,14 @@
     /// Adds a decision to a record.
     pub fn step(&self, entry: &Entry, decision: Decision) {
         let at_ms = millis(self.process.clock.now() - self.arrived);
-        entry.add(Step { at_ms, decision });
+        entry.add(TimedDecision { at_ms, decision });
     }
 
     /// Records that the request is refused.
     pub fn refused(&self, entry: &Entry, error: &Error) {
         let retry_after_ms = error.retry().map(|d| d.as_millis() as u64);
         let why = error.message().to_owned();
-        self.step(entry, Decision::Refused { kind: error.kind(), why, retry_after_ms });
+        self.step(entry, Decision::Rejected { kind: error.kind(), why, retry_after_ms });
     }
 
     /// Claims the idempotency key of a request that may not be repeated.
--- a/daemon/src/fleet/ending.rs
+++ b/daemon/src/fleet/ending.rs
@@ -68,7 +68,7 @@
     tell::tell_scheduler(&job.process);
     job.process.pool.forget(&upstream);
     job.process.metrics.ended_under.inc();
-    job.record(Decision::Ended { upstream, known, alone });
+    job.record(Decision::Crashed { upstream, crashes: known, isolated: alone });
     if let Some(held) = held {
         hold(job, held);
     }
@@ -81,7 +81,7 @@
     let Held { proofs, time, ended } = held;
     let held_ms = time.as_millis() as u64;
     job.process.metrics.held.inc();
-    job.record(Decision::Quarantined { held_ms, proofs });
+    job.record(Decision::Quarantined { quarantine_ms: held_ms, solo_crashes: proofs });
     job.process.register.order(Order::Hold(Quarantined {
         fingerprint: job.fingerprint,
         organisation: job.organisation.as_ref().map_or_else(String::new, |o| o.name.clone()),
--- a/daemon/src/fleet/hold.rs
+++ b/daemon/src/fleet/hold.rs
@@ -72,7 +72,7 @@
         }
         let engines = reservations.iter().map(|r| r.upstream.clone()).collect();
         let waited_ms = millis(job.process.now().saturating_duration_since(started));
-        job.record(Decision::Held { engines, waited_ms });
+        job.record(Decision::Reserved { engines, waited_ms });
         hold.renewal = Some(tokio::spawn(renew(job.process.clone(), reservations)));
         Ok(hold)
     }
--- a/daemon/src/fleet/outcome.rs
+++ b/daemon/src/fleet/outcome.rs
@@ -34,7 +34,7 @@
     let why = error.message().to_owned();
     let retry_after_ms = error.retry().map(|d| d.as_millis() as u64);
     job.record(if error.ran() == Ran::No {
-        Decision::Refused { kind: error.kind(), why, retry_after_ms }
+        Decision::Rejected { kind: error.kind(), why, retry_after_ms }
     } else {
         Decision::Failed { kind: error.kind(), ran: error.ran(), why }
     });
--- a/daemon/src/fleet/tries.rs
+++ b/daemon/src/fleet/tries.rs
@@ -83,7 +83,7 @@
         };
         if let Some(Failure { upstream, why }) = self.failure.take() {
             let reason = rejection.to_string();
-            job.record(Decision::NotRepeated { upstream, why, reason, budget });
+            job.record(Decision::NotRetried { upstream, why, reason, budget });
         }
     }
 }
--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -8,7 +8,7 @@
 use foldlock_base::clock::millis;
 use foldlock_base::prelude::*;
 use foldlock_connection::wire::{self, Grant};
-use foldlock_request::decision::{Cause, Decision};
+use foldlock_request::decision::{Decision, WaitCause};
 use foldlock_request::fair::Ticket;
 use foldlock_version::policy::{Class, Route};
 use tarpc::context::Context;
@@ -141,10 +141,10 @@
         predicted_ms: flight.predicted * 1e3,
         engines: 1,
         part_ms: 0.0,
-        seen: flight.seen.clone(),
+        candidates: flight.seen.clone(),
         by: None,
         limited: 0,
-        asked_ms: 0.0,
+        placement_ms: 0.0,
     });
 }
 
@@ -182,7 +182,7 @@
     }
 }
 
-type Placed = (Place, Option<Cause>);
+type Placed = (Place, Option<WaitCause>);
 
 /// Waits for an engine. The request is the next one of its queue.
 async fn engine(job: &Job, progress: &Progress, ticket: &Ticket) -> Result<Placed, Refused> {
@@ -192,7 +192,7 @@
         let changed = engines.changed();
         if !ticket.is_next() {
             ticket.next().await;
-            waited.get_or_insert(Cause::Queue);
+            waited.get_or_insert(WaitCause::Queue);
         }
         match engines.choose(&wanted(job, progress)) {
             Chosen::Engine(flight) => {
--- a/daemon/src/group.rs
+++ b/daemon/src/group.rs
@@ -97,7 +97,7 @@
             if let Some(group) = try_shard(job, requirements, shard).await {
                 let waited_ms = millis(job.process.clock.now() - started);
                 let engines = group.segments.iter().map(|s| s.engine.clone()).collect();
-                job.record(Decision::Held { engines, waited_ms });
+                job.record(Decision::Reserved { engines, waited_ms });
                 return Ok(Place::Group(group));
             }
         }
--- a/daemon/src/log.rs
+++ b/daemon/src/log.rs
@@ -1,7 +1,7 @@
 //! Structured logs: numbered events as JSON lines on standard output.
 
 use foldlock_base::prelude::*;
-use foldlock_request::decision::Step;
+use foldlock_request::decision::TimedDecision;
 use slog::{Drain, Level, LevelFilter, Logger, o};
 
 /// Events that wait to be written; beyond that they are dropped and counted.
@@ -39,7 +39,13 @@
 
 /// Logs a decision on a request with the inputs that led to it, and how many lines were left out
 /// before it for their number.
-pub fn decision(log: &Logger, request: &id::Request, route: &str, step: &Step, left_out: u64) {
+pub fn decision(
+    log: &Logger,
+    request: &id::Request,
+    route: &str,
+    step: &TimedDecision,
+    left_out: u64,
+) {
     let event = step.decision.event();
     let inputs = o!(
         "event" => event.number(),
--- a/daemon/src/plain.rs
+++ b/daemon/src/plain.rs
@@ -192,10 +192,10 @@
                     predicted_ms: 0.0,
                     engines: 1,
                     part_ms: 0.0,
-                    seen: Vec::new(),
+                    candidates: Vec::new(),
                     by: None,
                     limited: 0,
-                    asked_ms: 0.0,
+                    placement_ms: 0.0,
                 },
             );
             let attempt = proof.send();
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -9,7 +9,7 @@
 use foldlock_base::prelude::*;
 use foldlock_connection::engine::Job as Order;
 use foldlock_connection::events::Event as Part;
-use foldlock_request::decision::{Decision, Step};
+use foldlock_request::decision::{Decision, TimedDecision};
 use foldlock_request::prompt::Prompt;
 use foldlock_request::ring::Entry;
 use foldlock_request::route::Requirements;
@@ -94,7 +94,7 @@
         if event.level().is_at_least(slog::Level::Info) {
             log::event(&self.process.log, event, format_args!("{}: {decision}", self.request));
         }
-        self.entry.add(Step { at_ms, decision });
+        self.entry.add(TimedDecision { at_ms, decision });
     }
 
     /// The time left.
@@ -162,7 +162,7 @@
     job.process.metrics.error(e.kind());
     let why = e.message().to_owned();
     job.record(match e.ran() {
-        Ran::No => Decision::Refused {
+        Ran::No => Decision::Rejected {
             kind: e.kind(),
             why,
             retry_after_ms: e.retry().map(|d| d.as_millis() as u64),
--- a/request/src/decision.rs
+++ b/request/src/decision.rs
@@ -14,7 +14,7 @@
 
 /// A candidate upstream as it was when a request was routed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct CandidateSnapshot {
     /// The upstream.
     pub upstream: id::Upstream,
     /// The predicted time to the first token, in milliseconds.
@@ -34,7 +34,7 @@
 /// Why a request is queued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum WaitCause {
     /// Each engine's queue is full.
     Engines,
     /// No engine has enough free memory.
@@ -44,7 +44,8 @@
     /// The VM that coordinates the engines has no placement for a long prompt yet.
     Grant,
     /// All upstreams asked this VM for a backoff.
-    Resting,
+    #[serde(rename = "resting")]
+    Backoff,
 }
 
 /// A decision on a request.
@@ -70,7 +71,7 @@
     /// The request was queued.
     Waited {
         /// Why it was queued.
-        cause: Cause,
+        cause: WaitCause,
         /// Time in the queue, in milliseconds.
         waited_ms: f64,
     },
@@ -89,7 +90,8 @@
         #[serde(default)]
         part_ms: f64,
         /// Some of the candidates, best first.
-        seen: Vec<Seen>,
+        #[serde(rename = "seen")]
+        candidates: Vec<CandidateSnapshot>,
         /// The VM that placed it; none if the request's own VM placed it from its local state
         /// alone.
         #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -98,8 +100,8 @@
         #[serde(default, skip_serializing_if = "is_zero")]
         limited: u32,
         /// Time until the request was placed, in milliseconds.
-        #[serde(default)]
-        asked_ms: f64,
+        #[serde(default, rename = "asked_ms")]
+        placement_ms: f64,
     },
     /// A queued request was moved to another upstream before it ran.
     Moved {
@@ -109,7 +111,8 @@
         why: String,
     },
     /// The request was rejected, or given up before it ran.
-    Refused {
+    #[serde(rename = "refused")]
+    Rejected {
         /// The error kind of the response.
         kind: Kind,
         /// Why it was rejected.
@@ -125,7 +128,8 @@
         why: String,
     },
     /// The request is not retried after a failure.
-    NotRepeated {
+    #[serde(rename = "not_repeated")]
+    NotRetried {
         /// The upstream that failed.
         upstream: id::Upstream,
         /// The failure.
@@ -137,20 +141,25 @@
         budget: Option<Exhausted>,
     },
     /// An upstream crashed while it processed the request.
-    Ended {
+    #[serde(rename = "ended")]
+    Crashed {
         /// The upstream.
         upstream: id::Upstream,
         /// The number of crashes during this request so far, at all VMs.
-        known: u32,
+        #[serde(rename = "known")]
+        crashes: u32,
         /// Whether the request ran isolated on the upstream.
-        alone: bool,
+        #[serde(rename = "alone")]
+        isolated: bool,
     },
     /// The request is quarantined: no upstream gets it.
     Quarantined {
         /// The duration of the quarantine, in milliseconds.
-        held_ms: u64,
+        #[serde(rename = "held_ms")]
+        quarantine_ms: u64,
         /// The number of solo crashes: crashes of upstreams on which the request ran isolated.
-        proofs: u32,
+        #[serde(rename = "proofs")]
+        solo_crashes: u32,
     },
     /// The request got a complete response, so that earlier crashes no longer count against it.
     Cleared,
@@ -169,7 +178,8 @@
         waited_ms: f64,
     },
     /// Memory was reserved at a group of engines for a prompt that is divided among them.
-    Held {
+    #[serde(rename = "held")]
+    Reserved {
         /// The engines, in the order of the prompt's segments.
         engines: Vec<id::Upstream>,
         /// Duration of the reservations, in milliseconds.
@@ -211,15 +221,15 @@
             Decision::Waited { .. } => Event::Waited,
             Decision::Routed { .. } => Event::Routed,
             Decision::Moved { .. } => Event::Moved,
-            Decision::Refused { .. } => Event::Refused,
+            Decision::Rejected { .. } => Event::Refused,
             Decision::Retried { .. } => Event::Retried,
-            Decision::NotRepeated { .. } => Event::NotRepeated,
-            Decision::Ended { .. } => Event::EndedUnder,
+            Decision::NotRetried { .. } => Event::NotRepeated,
+            Decision::Crashed { .. } => Event::EndedUnder,
             Decision::Quarantined { .. } => Event::Quarantined,
             Decision::Cleared => Event::Released,
             Decision::Resumed { .. } => Event::Resumed,
             Decision::Claimed { .. } => Event::Claimed,
-            Decision::Held { .. } => Event::Held,
+            Decision::Reserved { .. } => Event::Held,
             Decision::Finished { .. } => Event::Finished,
             Decision::Failed { .. } => Event::Failed,
         }
@@ -235,27 +245,27 @@
             Decision::Waited { cause, waited_ms } => {
                 write!(f, "waited {waited_ms:.1} ms: {}", cause.text())
             }
-            Decision::Routed { upstream, route, predicted_ms, seen, limited, .. } => {
+            Decision::Routed { upstream, route, predicted_ms, candidates, limited, .. } => {
                 write!(f, "routed to {upstream}")?;
                 if *limited > 0 {
                     write!(f, ", {limited} others at their rate limits")?;
                 }
                 if let Some(route) = route {
-                    write!(f, " by {}", name(route))?;
+                    write!(f, " by {}", route_name(route))?;
                     write!(f, ", first token predicted in {predicted_ms:.1} ms")?;
                 }
-                for s in seen {
+                for c in candidates {
                     write!(
                         f,
                         "\n    {}: predicted {:.1} ms, score {:.1}, {} outstanding ({} long), \
                          {} tokens queued, {} cached",
-                        s.upstream, s.predicted_ms, s.score, s.requests, s.long, s.queued, s.cached
+                        c.upstream, c.predicted_ms, c.score, c.requests, c.long, c.queued, c.cached
                     )?;
                 }
                 Ok(())
             }
             Decision::Moved { from, why } => write!(f, "moved away from {from}: {why}"),
-            Decision::Refused { kind, why, retry_after_ms } => {
+            Decision::Rejected { kind, why, retry_after_ms } => {
                 write!(f, "refused ({kind}): {why}")?;
                 match retry_after_ms {
                     Some(ms) => write!(f, "; told to come back in {ms} ms"),
@@ -265,7 +275,7 @@
             Decision::Retried { upstream, why } => {
                 write!(f, "sent again, since {upstream} failed: {why}")
             }
-            Decision::NotRepeated { upstream, why, reason, budget } => {
+            Decision::NotRetried { upstream, why, reason, budget } => {
                 write!(f, "not sent again after {upstream} failed ({why}): {reason}")?;
                 match budget {
                     Some(Exhausted { spent, slack, clients, vms }) => write!(
@@ -275,12 +285,15 @@
                     None => Ok(()),
                 }
             }
-            Decision::Ended { upstream, known, alone } => {
-                let beside = if *alone { "; it was alone there" } else { "" };
-                write!(f, "{upstream} ended under it, {known} in all{beside}")
+            Decision::Crashed { upstream, crashes, isolated } => {
+                let suffix = if *isolated { "; it was alone there" } else { "" };
+                write!(f, "{upstream} ended under it, {crashes} in all{suffix}")
             }
-            Decision::Quarantined { held_ms, proofs } => {
-                write!(f, "kept from all upstreams for {held_ms} ms, for the {proofs}. time")
+            Decision::Quarantined { quarantine_ms, solo_crashes } => {
+                write!(
+                    f,
+                    "kept from all upstreams for {quarantine_ms} ms, for the {solo_crashes}. time"
+                )
             }
             Decision::Cleared => f.write_str("no longer suspected of what ended under it"),
             Decision::Resumed { index, upstream } => {
@@ -290,7 +303,7 @@
                 let word = if *won { "claimed" } else { "found claimed" };
                 write!(f, "{word} the idempotency key in {waited_ms:.1} ms")
             }
-            Decision::Held { engines, waited_ms } => {
+            Decision::Reserved { engines, waited_ms } => {
                 let names: Vec<&str> = engines.iter().map(id::Upstream::as_str).collect();
                 write!(f, "held memory at {} in {waited_ms:.1} ms", names.join(", "))
             }
@@ -310,26 +323,26 @@
     }
 }
 
-impl Cause {
+impl WaitCause {
     fn text(self) -> &'static str {
         match self {
-            Cause::Resting => "all upstreams asked for a rest",
-            Cause::Engines => "each engine has as much queued as it may",
-            Cause::Memory => "no engine has the memory",
-            Cause::Queue => "others are ahead",
-            Cause::Grant => "no place for a long prompt yet",
+            WaitCause::Backoff => "all upstreams asked for a rest",
+            WaitCause::Engines => "each engine has as much queued as it may",
+            WaitCause::Memory => "no engine has the memory",
+            WaitCause::Queue => "others are ahead",
+            WaitCause::Grant => "no place for a long prompt yet",
         }
     }
 }
 
 /// The name of a route as in the settings.
-pub fn name(route: &Route) -> String {
+pub fn route_name(route: &Route) -> String {
     serde_json::to_value(route).ok().and_then(|v| v.as_str().map(str::to_owned)).unwrap_or_default()
 }
 
 /// A decision with its time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Step {
+pub struct TimedDecision {
     /// Time since the request arrived, in milliseconds.
     pub at_ms: f64,
     /// The decision.
@@ -363,7 +376,8 @@
     #[serde(flatten)]
     pub subject: Subject,
     /// The decisions, in chronological order.
-    pub steps: Vec<Step>,
+    #[serde(rename = "steps")]
+    pub decisions: Vec<TimedDecision>,
 }
 
 impl fmt::Display for Record {
@@ -374,8 +388,8 @@
             write!(f, "/{kind}")?;
         }
         writeln!(f, ", {}, {} prompt tokens", s.target, s.prompt)?;
-        for step in &self.steps {
-            writeln!(f, "  {:>9.1} ms  {}", step.at_ms, step.decision)?;
+        for timed in &self.decisions {
+            writeln!(f, "  {:>9.1} ms  {}", timed.at_ms, timed.decision)?;
         }
         Ok(())
     }
--- a/request/src/ring.rs
+++ b/request/src/ring.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::broadcast;
 
-use crate::decision::{Record, Step, Subject};
+use crate::decision::{Record, Subject, TimedDecision};
 
 /// Maximum number of records.
 pub const CAPACITY: usize = 4096;
@@ -24,7 +24,7 @@
     pub organisation: id::Organisation,
     /// The decision.
     #[serde(flatten)]
-    pub step: Step,
+    pub decision: TimedDecision,
 }
 
 type Shared = Arc<Mutex<Record>>;
@@ -64,7 +64,7 @@
     /// Adds a record for a new request; drops the oldest one if the buffer is full.
     pub fn begin(&self, subject: Subject) -> Entry {
         let request = subject.request.clone();
-        let record = Arc::new(Mutex::new(Record { subject, steps: Vec::with_capacity(4) }));
+        let record = Arc::new(Mutex::new(Record { subject, decisions: Vec::with_capacity(4) }));
         let mut kept = self.kept.lock().unwrap();
         if kept.order.len() >= self.capacity
             && let Some(oldest) = kept.order.pop_front()
@@ -98,16 +98,16 @@
 
 impl Entry {
     /// Adds a decision to the record and the feed.
-    pub fn add(&self, step: Step) {
+    pub fn add(&self, decision: TimedDecision) {
         let mut record = self.record.lock().unwrap();
         if self.feed.receiver_count() > 0 {
-            let line = Line {
+            let event = Line {
                 request: record.subject.request.clone(),
                 organisation: record.subject.organisation.clone(),
-                step: step.clone(),
+                decision: decision.clone(),
             };
-            let _ = self.feed.send(line);
+            let _ = self.feed.send(event);
         }
-        record.steps.push(step);
+        record.decisions.push(decision);
     }
 }
--- a/standin/examples/load/policies.rs
+++ b/standin/examples/load/policies.rs
@@ -73,7 +73,7 @@
 
     fn name(self) -> String {
         match self {
-            Policy::Route(route) => foldlock_request::decision::name(&route),
+            Policy::Route(route) => foldlock_request::decision::route_name(&route),
             Policy::Oracle => "oracle".to_owned(),
         }
     }
@@ -236,7 +236,7 @@
 
 fn plan(args: &Args, program: &Path, case: &Case, engine: engine::Settings) -> Plan {
     let route = match case.policy {
-        Policy::Route(route) => foldlock_request::decision::name(&route),
+        Policy::Route(route) => foldlock_request::decision::route_name(&route),
         Policy::Oracle => "length_aware".to_owned(),
     };
     let kinds: serde_json::Map<String, serde_json::Value> = case
