--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -12,7 +12,7 @@
 use foldlock_request::dialect::Dialect;
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::quarantine::Verdict;
-use foldlock_request::ring::Line;
+use foldlock_request::ring::FeedEvent;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -262,11 +262,14 @@
 /// Streams decisions as JSON lines until the watcher leaves.
 fn decisions<D: Dialect>(process: &Arc<Process<D>>) -> Response<Body> {
     let (lines, receiver) = mpsc::channel(LINES);
-    tokio::spawn(feed(process.ring.watch(), lines));
+    tokio::spawn(feed(process.ring.subscribe(), lines));
     Response::new(Body::Lines(receiver))
 }
 
-async fn feed(mut decisions: broadcast::Receiver<Line>, lines: mpsc::Sender<Result<Bytes, Cut>>) {
+async fn feed(
+    mut decisions: broadcast::Receiver<FeedEvent>,
+    lines: mpsc::Sender<Result<Bytes, Cut>>,
+) {
     loop {
         let line = tokio::select! {
             line = decisions.recv() => line,
--- a/daemon/src/operators.rs
+++ b/daemon/src/operators.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use foldlock_base::id;
-use foldlock_request::ring::Line;
+use foldlock_request::ring::FeedEvent;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use serde::Serialize;
@@ -127,11 +127,11 @@
 /// Streams decisions as JSON lines until the watcher leaves or the process stops.
 fn decisions(process: &Arc<Process>) -> Response<Body> {
     let (lines, receiver) = mpsc::channel(LINES);
-    tokio::spawn(feed(process.ring.watch(), lines));
+    tokio::spawn(feed(process.ring.subscribe(), lines));
     answer::stream("application/x-ndjson", receiver)
 }
 
-async fn feed(mut decisions: broadcast::Receiver<Line>, lines: mpsc::Sender<Bytes>) {
+async fn feed(mut decisions: broadcast::Receiver<FeedEvent>, lines: mpsc::Sender<Bytes>) {
     loop {
         let line = tokio::select! {
             line = decisions.recv() => line,
--- a/request/src/ring.rs
+++ b/request/src/ring.rs
@@ -13,11 +13,11 @@
 pub const CAPACITY: usize = 4096;
 
 /// Number of decisions by which a slow subscriber may lag before it misses some.
-const FEED: usize = 1024;
+const FEED_CAPACITY: usize = 1024;
 
 /// An entry of the feed: a decision with its request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Line {
+pub struct FeedEvent {
     /// The request.
     pub request: id::Request,
     /// The organisation.
@@ -27,18 +27,18 @@
     pub decision: TimedDecision,
 }
 
-type Shared = Arc<Mutex<Record>>;
+type SharedRecord = Arc<Mutex<Record>>;
 
 #[derive(Default)]
-struct Kept {
+struct Records {
     order: VecDeque<id::Request>,
-    records: HashMap<id::Request, Shared>,
+    by_request: HashMap<id::Request, SharedRecord>,
 }
 
 /// A ring buffer of request records.
 pub struct Ring {
-    kept: Mutex<Kept>,
-    feed: broadcast::Sender<Line>,
+    records: Mutex<Records>,
+    feed: broadcast::Sender<FeedEvent>,
     capacity: usize,
 }
 
@@ -51,47 +51,50 @@
 /// A handle for adding decisions to a record.
 #[derive(Clone)]
 pub struct Entry {
-    record: Shared,
-    feed: broadcast::Sender<Line>,
+    record: SharedRecord,
+    feed: broadcast::Sender<FeedEvent>,
 }
 
 impl Ring {
     /// A buffer for up to `capacity` records.
     pub fn new(capacity: usize) -> Ring {
-        Ring { kept: Mutex::default(), feed: broadcast::channel(FEED).0, capacity }
+        Ring { records: Mutex::default(), feed: broadcast::channel(FEED_CAPACITY).0, capacity }
     }
 
     /// Adds a record for a new request; drops the oldest one if the buffer is full.
     pub fn begin(&self, subject: Subject) -> Entry {
         let request = subject.request.clone();
         let record = Arc::new(Mutex::new(Record { subject, decisions: Vec::with_capacity(4) }));
-        let mut kept = self.kept.lock().unwrap();
-        if kept.order.len() >= self.capacity
-            && let Some(oldest) = kept.order.pop_front()
+        let mut records = self.records.lock().unwrap();
+        if records.order.len() >= self.capacity
+            && let Some(oldest) = records.order.pop_front()
         {
-            kept.records.remove(&oldest);
+            records.by_request.remove(&oldest);
         }
-        kept.order.push_back(request.clone());
-        kept.records.insert(request, record.clone());
+        records.order.push_back(request.clone());
+        records.by_request.insert(request, record.clone());
         Entry { record, feed: self.feed.clone() }
     }
 
     /// The record of a request, if it is still in the buffer.
     pub fn get(&self, request: &id::Request) -> Option<Record> {
-        let record = self.kept.lock().unwrap().records.get(request).cloned()?;
+        let record = self.records.lock().unwrap().by_request.get(request).cloned()?;
         let record = record.lock().unwrap().clone();
         Some(record)
     }
 
-    /// Up to `most` records, newest first.
-    pub fn newest(&self, most: usize) -> Vec<Record> {
-        let kept = self.kept.lock().unwrap();
-        let newest = kept.order.iter().rev().take(most);
-        newest.filter_map(|r| kept.records.get(r)).map(|r| r.lock().unwrap().clone()).collect()
+    /// Up to `max` records, newest first.
+    pub fn newest(&self, max: usize) -> Vec<Record> {
+        let records = self.records.lock().unwrap();
+        let newest = records.order.iter().rev().take(max);
+        newest
+            .filter_map(|r| records.by_request.get(r))
+            .map(|r| r.lock().unwrap().clone())
+            .collect()
     }
 
     /// Subscribes to the decisions from now on.
-    pub fn watch(&self) -> broadcast::Receiver<Line> {
+    pub fn subscribe(&self) -> broadcast::Receiver<FeedEvent> {
         self.feed.subscribe()
     }
 }
@@ -101,7 +104,7 @@
     pub fn add(&self, decision: TimedDecision) {
         let mut record = self.record.lock().unwrap();
         if self.feed.receiver_count() > 0 {
-            let event = Line {
+            let event = FeedEvent {
                 request: record.subject.request.clone(),
                 organisation: record.subject.organisation.clone(),
                 decision: decision.clone(),
