--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -78,12 +78,12 @@
     Some(match change {
         Change::Upstream(listed) => step::ListingChange::Upstream(listed.clone()),
         // It may live; once it is taken for gone, that is told.
-        Change::UpstreamGone(..) if provenance.may_live() => return None,
-        Change::UpstreamGone(id, revision) | Change::UpstreamUnreadable(id, revision, _) => {
+        Change::UpstreamRemoved(..) if provenance.may_live() => return None,
+        Change::UpstreamRemoved(id, revision) | Change::UpstreamUnreadable(id, revision, _) => {
             step::ListingChange::UpstreamRemoved(id.clone(), *revision)
         }
         Change::Member(member) => step::ListingChange::Member(member.clone()),
-        Change::MemberGone(vm) => step::ListingChange::MemberWithdrawn(vm.clone()),
+        Change::MemberWithdrawn(vm) => step::ListingChange::MemberWithdrawn(vm.clone()),
         Change::Hall(hall) => step::ListingChange::Hall(hall.clone()),
         Change::Quarantined(entry) => step::ListingChange::Quarantined(entry.clone()),
         Change::Released(fingerprint) => step::ListingChange::Released(*fingerprint),
@@ -220,7 +220,7 @@
     match change {
         Change::Settings(settings) => process.take_settings(*settings, "the directory"),
         Change::Upstream(listed) => upstream_listed(process, listed, provenance, change_log),
-        Change::UpstreamGone(id, revision) => {
+        Change::UpstreamRemoved(id, revision) => {
             listing_ended(process, &id, revision, provenance, change_log);
         }
         Change::UpstreamUnreadable(id, revision, why) => {
@@ -233,13 +233,13 @@
                 change_log.add(Event::MemberUp, what);
             }
         }
-        Change::MemberGone(vm) if vm == process.member.vm => {
+        Change::MemberWithdrawn(vm) if vm == process.member.vm => {
             if process.stopping.is_cancelled() {
                 process.withdrawals.withdrawn();
             }
             list_again(process);
         }
-        Change::MemberGone(vm) => {
+        Change::MemberWithdrawn(vm) => {
             members::withdrawn(process, &vm);
         }
         Change::Hall(hall) => hall_noted(process, hall, change_log),
--- a/daemon/src/fleet/follow.rs
+++ b/daemon/src/fleet/follow.rs
@@ -7,7 +7,7 @@
 use foldlock_base::clock::Moment;
 use foldlock_base::prelude::*;
 use foldlock_request::dialect::Dialect;
-use foldlock_request::directory::{Changes, Directory, Fault};
+use foldlock_request::directory::{Changes, Directory, DirectoryError};
 use foldlock_request::revision::Revision;
 use foldlock_request::step::{self, Step};
 
@@ -115,13 +115,13 @@
                 heard(&process, &mut contact, from, changes, asked);
                 tokio::time::sleep(gather(&process)).await;
             }
-            Err(Fault::Compacted) => {
+            Err(DirectoryError::Compacted) => {
                 log::event(&process.log, Event::DirectoryCompacted, "reading all anew");
                 contact.forget();
             }
             // What it holds now is read anew; its new era is noted then.
-            Err(Fault::Restored) => contact.forget(),
-            Err(Fault::Unavailable(why)) => failed(&process, &mut contact, &why).await,
+            Err(DirectoryError::Restored) => contact.forget(),
+            Err(DirectoryError::Unavailable(why)) => failed(&process, &mut contact, &why).await,
         }
     }
 }
@@ -198,7 +198,7 @@
         log::event(&process.log, Event::DirectoryUp, format!("after {failures} failed calls"));
     }
     let mut change_log = ChangeLog::default();
-    let Changes { at, changes } = changes;
+    let Changes { revision: at, changes } = changes;
     note_era(process, at, "the directory");
     // Also where a peer told of it first.
     contact.note_restored(process.restored(RESTORE_PERIOD));
@@ -300,7 +300,7 @@
     let mut pause = RETRY_INTERVAL;
     loop {
         process.metrics.called(Call::Write);
-        let Err(fault) = directory.announce(&process.member).await else { break };
+        let Err(fault) = directory.register(&process.member).await else { break };
         log::event(
             &process.log,
             Event::DirectoryDown,
--- a/daemon/src/fleet/peer_sync.rs
+++ b/daemon/src/fleet/peer_sync.rs
@@ -20,11 +20,11 @@
 /// stays so.
 pub fn listing<D: Dialect>(process: &Arc<Process<D>>, listing: Listing) {
     let at = process.at();
-    if process.watching.load(Ordering::Relaxed) || listing.at < at {
+    if process.watching.load(Ordering::Relaxed) || listing.revision < at {
         return;
     }
-    let newer = listing.at > at;
-    let revision = listing.at;
+    let newer = listing.revision > at;
+    let revision = listing.revision;
     // The peer may know the copy alone.
     let restored = follow::note_era(process, revision, "a peer");
     let provenance = if restored { Provenance::Lapsed } else { Provenance::Sound };
@@ -35,7 +35,7 @@
     };
     let members = listing.members.into_iter().map(Change::Member);
     let upstreams = upstreams.into_iter().map(Change::Upstream);
-    let held = listing.held.into_iter().map(Change::Quarantined);
+    let held = listing.quarantined.into_iter().map(Change::Quarantined);
     let changes: Vec<Change> = upstreams.chain(members).chain(held).collect();
     let mut change_log = ChangeLog::default();
     changes::halls_told(process, &listing.halls, &mut change_log);
@@ -74,10 +74,10 @@
         }
         step::ListingChange::UpstreamRemoved(id, revision) => {
             let is_newer = cluster.get(&id).is_some_and(|known| known.listed.revision > revision);
-            (!is_newer).then_some(Change::UpstreamGone(id, revision))?
+            (!is_newer).then_some(Change::UpstreamRemoved(id, revision))?
         }
         step::ListingChange::Member(member) => Change::Member(member),
-        step::ListingChange::MemberWithdrawn(vm) => Change::MemberGone(vm),
+        step::ListingChange::MemberWithdrawn(vm) => Change::MemberWithdrawn(vm),
         step::ListingChange::Hall(hall) => Change::Hall(hall),
         step::ListingChange::Quarantined(entry) => Change::Quarantined(entry),
         step::ListingChange::Released(fingerprint) => Change::Released(fingerprint),
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -330,7 +330,7 @@
         let halls = cluster.halls().clone();
         drop(cluster);
         let members = self.peers.members();
-        Listing { at: self.at(), upstreams, members, held, halls }
+        Listing { revision: self.at(), upstreams, members, quarantined: held, halls }
     }
 
     /// An id for a request whose own cannot be used.
--- a/daemon/src/fleet/withdrawals.rs
+++ b/daemon/src/fleet/withdrawals.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use foldlock_base::prelude::*;
-use foldlock_request::directory::TOGETHER;
+use foldlock_request::directory::WITHDRAW_BATCH_SIZE;
 use tokio::sync::Notify;
 
 /// The VMs that are to be withdrawn, and whether this one was.
@@ -53,6 +53,6 @@
     /// As many as go with one call.
     pub fn some(&self) -> Vec<id::Vm> {
         let mut waiting = self.waiting.lock().unwrap();
-        std::iter::from_fn(|| waiting.pop_first()).take(TOGETHER).collect()
+        std::iter::from_fn(|| waiting.pop_first()).take(WITHDRAW_BATCH_SIZE).collect()
     }
 }
--- a/daemon/src/fleet/writer.rs
+++ b/daemon/src/fleet/writer.rs
@@ -8,7 +8,7 @@
 
 use foldlock_base::prelude::*;
 use foldlock_request::dialect::Dialect;
-use foldlock_request::directory::{Directory, Fault};
+use foldlock_request::directory::{Directory, DirectoryError};
 
 use crate::fleet::metrics::Call;
 use crate::fleet::peers::Scheduler;
@@ -66,13 +66,13 @@
     process: &Process<D>,
     directory: &R,
     order: &Order,
-) -> Result<(), Fault> {
+) -> Result<(), DirectoryError> {
     match order {
-        Order::Hold(entry) => directory.hold(entry).await,
+        Order::Hold(entry) => directory.quarantine(entry).await,
         Order::Release(fingerprint) | Order::Remove(fingerprint) => {
             directory.release(*fingerprint).await
         }
-        Order::Announce => directory.announce(&process.member).await,
+        Order::Announce => directory.register(&process.member).await,
     }
 }
 
--- a/request/src/directory.rs
+++ b/request/src/directory.rs
@@ -45,14 +45,15 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Listing {
     /// The revision of the listings.
-    pub at: Revision,
+    #[serde(rename = "at")]
+    pub revision: Revision,
     /// The upstreams.
     pub upstreams: Vec<Listed>,
     /// The VMs.
     pub members: Vec<Member>,
     /// The quarantined requests.
-    #[serde(default)]
-    pub held: Vec<Quarantined>,
+    #[serde(default, rename = "held")]
+    pub quarantined: Vec<Quarantined>,
     /// The data halls that are drained or were undrained.
     #[serde(default)]
     pub halls: Halls,
@@ -66,14 +67,14 @@
     /// An upstream was listed.
     Upstream(Listed),
     /// An upstream was removed, at this revision.
-    UpstreamGone(id::Upstream, Revision),
+    UpstreamRemoved(id::Upstream, Revision),
     /// The entry of an upstream cannot be decoded, with the revision at which it was written and
     /// the reason. Another writer wrote it. From then on it lists no upstream.
     UpstreamUnreadable(id::Upstream, Revision, String),
     /// A VM was listed.
     Member(Member),
     /// A VM has withdrawn.
-    MemberGone(id::Vm),
+    MemberWithdrawn(id::Vm),
     /// A data hall was drained or undrained.
     Hall(Hall),
     /// A request was quarantined.
@@ -97,14 +98,14 @@
 #[derive(Debug)]
 pub struct Changes {
     /// The revision of the listings after the changes.
-    pub at: Revision,
+    pub revision: Revision,
     /// The changes, in order.
     pub changes: Vec<Change>,
 }
 
 /// Why a call to the directory failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Fault {
+pub enum DirectoryError {
     /// The changes since the requested revision are compacted; a full sync is needed.
     Compacted,
     /// The directory was restored from an older copy, and revisions read before belong to another
@@ -114,29 +115,30 @@
     Unavailable(String),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for DirectoryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Compacted => write!(f, "the changes asked for are no longer known"),
-            Fault::Restored => write!(f, "it has come back from an older copy"),
-            Fault::Unavailable(why) => f.write_str(why),
+            DirectoryError::Compacted => write!(f, "the changes asked for are no longer known"),
+            DirectoryError::Restored => write!(f, "it has come back from an older copy"),
+            DirectoryError::Unavailable(why) => f.write_str(why),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for DirectoryError {}
 
 /// Maximum number of VMs withdrawn with one call.
-pub const TOGETHER: usize = 32;
+pub const WITHDRAW_BATCH_SIZE: usize = 32;
 
 /// The operations on the directory that foldlock uses.
 pub trait Directory: Clone + Send + Sync + 'static {
     /// Reads all current listings.
-    fn read(&self) -> impl Future<Output = Result<Changes, Fault>> + Send;
+    fn read(&self) -> impl Future<Output = Result<Changes, DirectoryError>> + Send;
 
     /// Reads the VMs whose ids begin with `prefix`. Cheap for the directory; the result may be
     /// seconds old.
-    fn members(&self, prefix: &str) -> impl Future<Output = Result<Changes, Fault>> + Send;
+    fn members(&self, prefix: &str)
+    -> impl Future<Output = Result<Changes, DirectoryError>> + Send;
 
     /// Waits for changes after revision `since`, and returns them at once when there are some, or
     /// none after `wait`.
@@ -144,19 +146,25 @@
         &self,
         since: Revision,
         wait: Duration,
-    ) -> impl Future<Output = Result<Changes, Fault>> + Send;
+    ) -> impl Future<Output = Result<Changes, DirectoryError>> + Send;
 
     /// Lists this VM.
-    fn announce(&self, member: &Member) -> impl Future<Output = Result<(), Fault>> + Send;
+    fn register(&self, member: &Member) -> impl Future<Output = Result<(), DirectoryError>> + Send;
 
-    /// Withdraws VMs, with one call for each [`TOGETHER`] of them.
-    fn withdraw(&self, vms: &[id::Vm]) -> impl Future<Output = Result<(), Fault>> + Send;
+    /// Withdraws VMs, with one call for each [`WITHDRAW_BATCH_SIZE`] of them.
+    fn withdraw(&self, vms: &[id::Vm]) -> impl Future<Output = Result<(), DirectoryError>> + Send;
 
     /// Lists a request as quarantined.
-    fn hold(&self, entry: &Quarantined) -> impl Future<Output = Result<(), Fault>> + Send;
+    fn quarantine(
+        &self,
+        entry: &Quarantined,
+    ) -> impl Future<Output = Result<(), DirectoryError>> + Send;
 
     /// Releases a request from quarantine.
-    fn release(&self, fingerprint: Fingerprint) -> impl Future<Output = Result<(), Fault>> + Send;
+    fn release(
+        &self,
+        fingerprint: Fingerprint,
+    ) -> impl Future<Output = Result<(), DirectoryError>> + Send;
 
     /// Decodes settings that were received from a peer.
     fn decode(&self, text: Bytes) -> Result<Settings, String>;
