--- a/daemon/src/fleet/hold.rs
+++ b/daemon/src/fleet/hold.rs
@@ -9,7 +9,7 @@
 use foldlock_request::decision::Decision;
 use foldlock_request::dialect::Dialect;
 use foldlock_request::memory::{Fault, Memory, Reservation};
-use foldlock_request::notice::Noted;
+use foldlock_request::notice::WithNotice;
 use foldlock_request::tag::Tag;
 use foldlock_request::terms::Helper;
 use futures::future::join_all;
@@ -62,7 +62,7 @@
         reservations.iter().for_each(|reservation| note_order(&job.process, reservation));
         let sent = job.process.now();
         let answers = join_all(reservations.iter().map(|r| memory.reserve(r, time))).await;
-        for ((reservation, start), Noted { notice, answer }) in
+        for ((reservation, start), WithNotice { notice, value: answer }) in
             reservations.iter().zip(starts).zip(answers)
         {
             notices::heard(&job.process, &reservation.upstream, start, sent, notice);
@@ -144,7 +144,7 @@
     let start = notices::start(process, &reservation.upstream);
     note_order(process, reservation);
     let sent = process.now();
-    let Noted { notice, answer } = process.memory.reserve(reservation, time).await;
+    let WithNotice { notice, value: answer } = process.memory.reserve(reservation, time).await;
     notices::heard(process, &reservation.upstream, start, sent, notice);
     answer
 }
@@ -165,7 +165,7 @@
         let start = notices::start(process, &reservation.upstream);
         note_order(process, reservation);
         let sent = process.now();
-        let Noted { notice, answer } = process.memory.release(reservation).await;
+        let WithNotice { notice, value: answer } = process.memory.release(reservation).await;
         notices::heard(process, &reservation.upstream, start, sent, notice);
         match answer {
             Ok(()) => return,
--- a/daemon/src/fleet/notices.rs
+++ b/daemon/src/fleet/notices.rs
@@ -35,7 +35,7 @@
     if notice.leaving {
         leaves(process, start, &process.member.vm);
     }
-    if let Some(rest) = notice.rest {
+    if let Some(rest) = notice.backoff {
         rests(process, upstream, start, rest);
     }
     match notice.rate_limit {
--- a/request/src/memory.rs
+++ b/request/src/memory.rs
@@ -6,7 +6,7 @@
 
 use foldlock_base::prelude::*;
 
-use crate::notice::Noted;
+use crate::notice::WithNotice;
 
 /// A reservation of memory at an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -48,11 +48,11 @@
         &self,
         reservation: &Reservation,
         hold: Duration,
-    ) -> impl Future<Output = Noted<Result<(), Fault>>> + Send;
+    ) -> impl Future<Output = WithNotice<Result<(), Fault>>> + Send;
 
     /// Releases a reservation. Releasing one that does not exist is not an error.
     fn release(
         &self,
         reservation: &Reservation,
-    ) -> impl Future<Output = Noted<Result<(), Fault>>> + Send;
+    ) -> impl Future<Output = WithNotice<Result<(), Fault>>> + Send;
 }
--- a/request/src/notice.rs
+++ b/request/src/notice.rs
@@ -13,7 +13,7 @@
     pub leaving: bool,
     /// Time from the response for which it accepts no requests from the VM that receives the
     /// response.
-    pub rest: Option<Duration>,
+    pub backoff: Option<Duration>,
     /// Its rate limit for the whole fleet.
     pub rate_limit: RateLimit,
 }
@@ -36,39 +36,39 @@
     /// Whether it requires no action of the VMs.
     pub fn is_empty(self) -> bool {
         let is_limited = matches!(self.rate_limit, RateLimit::Limited(_) | RateLimit::Unreadable);
-        !self.leaving && self.rest.is_none() && !is_limited
+        !self.leaving && self.backoff.is_none() && !is_limited
     }
 }
 
 impl fmt::Display for Notice {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let leaves = self.leaving.then(|| "leaves".to_owned());
-        let rest = self.rest.map(|rest| format!("asks for {} ms of rest", rest.as_millis()));
+        let backoff = self.backoff.map(|time| format!("asks for {} ms of rest", time.as_millis()));
         let limit = match self.rate_limit {
             RateLimit::Unknown | RateLimit::Unlimited => None,
             RateLimit::Limited(rate) => Some(format!("takes {rate} from all VMs")),
             RateLimit::Unreadable => Some("names a rate limit that cannot be read".to_owned()),
         };
-        let said: Vec<String> = [leaves, rest, limit].into_iter().flatten().collect();
-        if said.is_empty() {
+        let parts: Vec<String> = [leaves, backoff, limit].into_iter().flatten().collect();
+        if parts.is_empty() {
             return f.write_str("says nothing of itself");
         }
-        f.write_str(&said.join(" and "))
+        f.write_str(&parts.join(" and "))
     }
 }
 
 /// A response with its upstream's notice. The notice is empty if there was no response.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Noted<T> {
+pub struct WithNotice<T> {
     /// The notice.
     pub notice: Notice,
     /// The decoded response.
-    pub answer: T,
+    pub value: T,
 }
 
-impl<T> Noted<T> {
+impl<T> WithNotice<T> {
     /// A response without a notice, or a failure without a response.
-    pub fn plain(answer: T) -> Noted<T> {
-        Noted { notice: Notice::default(), answer }
+    pub fn without_notice(value: T) -> WithNotice<T> {
+        WithNotice { notice: Notice::default(), value }
     }
 }
