--- a/daemon/src/fleet/hold.rs
+++ b/daemon/src/fleet/hold.rs
@@ -8,7 +8,7 @@
 use foldlock_base::prelude::*;
 use foldlock_request::decision::Decision;
 use foldlock_request::dialect::Dialect;
-use foldlock_request::memory::{Fault, Memory, Reservation};
+use foldlock_request::memory::{Memory, MemoryError, Reservation};
 use foldlock_request::notice::WithNotice;
 use foldlock_request::tag::Tag;
 use foldlock_request::terms::Helper;
@@ -32,7 +32,7 @@
     /// The upstream.
     pub upstream: id::Upstream,
     /// Why.
-    pub fault: Fault,
+    pub fault: MemoryError,
 }
 
 /// The memory of one attempt. It is given back when this is dropped.
@@ -86,7 +86,7 @@
     pub fn helpers(&self, grant: &Grant) -> Vec<Helper> {
         let ticket = |upstream: &id::Upstream| {
             let reservation = self.reservations.iter().find(|r| r.upstream == *upstream)?;
-            Some(reservation.ticket.clone())
+            Some(reservation.reservation_id.clone())
         };
         let helpers = grant.placement.flight.helpers.iter().zip(&grant.helpers);
         helpers
@@ -116,7 +116,7 @@
     held.map(|(helping, address)| Reservation {
         upstream: helping.upstream.clone(),
         address: address.clone(),
-        ticket: job.process.ticket(),
+        reservation_id: job.process.ticket(),
         tokens: Tokens(helping.held),
     })
     .collect()
@@ -131,7 +131,7 @@
 
 async fn renew_one<D: Dialect>(process: &Process<D>, reservation: &Reservation) {
     if let Err(fault) = reserve(process, reservation).await {
-        let what = format!("{} at {}: {fault}", reservation.ticket, reservation.upstream);
+        let what = format!("{} at {}: {fault}", reservation.reservation_id, reservation.upstream);
         log::event(&process.log, Event::RenewalFailed, what);
         tokio::time::sleep(RETRY_INTERVAL).await;
         // The last try within the hold; without it the engine cuts the request, which is seen.
@@ -139,7 +139,10 @@
     }
 }
 
-async fn reserve<D: Dialect>(process: &Process<D>, reservation: &Reservation) -> Result<(), Fault> {
+async fn reserve<D: Dialect>(
+    process: &Process<D>,
+    reservation: &Reservation,
+) -> Result<(), MemoryError> {
     let time = process.config.fleet.hold();
     let start = notices::start(process, &reservation.upstream);
     note_order(process, reservation);
@@ -174,6 +177,6 @@
         tokio::time::sleep(RETRY_INTERVAL).await;
     }
     let why = last.map_or_else(String::new, |fault| fault.to_string());
-    let what = format!("{} at {}: {why}", reservation.ticket, reservation.upstream);
+    let what = format!("{} at {}: {why}", reservation.reservation_id, reservation.upstream);
     log::event(&process.log, Event::ReleaseFailed, what);
 }
--- a/request/src/memory.rs
+++ b/request/src/memory.rs
@@ -16,43 +16,43 @@
     /// Its address, `IP:port`.
     pub address: String,
     /// The reservation id, unique for each attempt.
-    pub ticket: String,
+    pub reservation_id: String,
     /// The amount of memory.
     pub tokens: Tokens,
 }
 
 /// Why a reservation failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Fault {
+pub enum MemoryError {
     /// The engine has not enough free memory.
-    Taken,
+    Insufficient,
     /// The engine did not respond: the memory may be reserved, now or later.
-    Unknown(String),
+    Unconfirmed(String),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for MemoryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Taken => write!(f, "its memory is taken"),
-            Fault::Unknown(why) => f.write_str(why),
+            MemoryError::Insufficient => write!(f, "its memory is taken"),
+            MemoryError::Unconfirmed(why) => f.write_str(why),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for MemoryError {}
 
 /// Reserves and releases engine memory. The platform adapter implements it.
 pub trait Memory: Clone + Send + Sync + 'static {
-    /// Reserves memory for the duration `hold`, or extends the reservation with the same id.
+    /// Reserves memory for `duration`, or extends the reservation with the same id.
     fn reserve(
         &self,
         reservation: &Reservation,
-        hold: Duration,
-    ) -> impl Future<Output = WithNotice<Result<(), Fault>>> + Send;
+        duration: Duration,
+    ) -> impl Future<Output = WithNotice<Result<(), MemoryError>>> + Send;
 
     /// Releases a reservation. Releasing one that does not exist is not an error.
     fn release(
         &self,
         reservation: &Reservation,
-    ) -> impl Future<Output = WithNotice<Result<(), Fault>>> + Send;
+    ) -> impl Future<Output = WithNotice<Result<(), MemoryError>>> + Send;
 }
