--- a/daemon/src/fleet/admit.rs
+++ b/daemon/src/fleet/admit.rs
@@ -52,7 +52,7 @@
         }
     })?;
     let Admitted { route, service, organisation, version, body_bytes } = admitted;
-    let patience = terms.patience.unwrap_or(USUAL_PATIENCE).min(route.timeout);
+    let patience = terms.timeout.unwrap_or(USUAL_PATIENCE).min(route.timeout);
     let deadline = arrived + patience;
     let held = process.now().saturating_duration_since(arrived);
     let due = process.moment().after(patience.saturating_sub(held));
@@ -106,7 +106,7 @@
     terms: &Terms,
     request: &Request<Incoming>,
 ) -> Result<Admitted, Error> {
-    let time = terms.patience.unwrap_or(USUAL_PATIENCE);
+    let time = terms.timeout.unwrap_or(USUAL_PATIENCE);
     if process.closing() {
         let error = refuse(Kind::Draining, "this VM is about to end");
         return Err(error.retry_after(Cause::Stopping.retry_after(time)));
@@ -147,7 +147,7 @@
     if !table.keyed() || route.public {
         return Ok(None);
     }
-    let found = terms.key.as_deref().and_then(|key| table.organisation(key));
+    let found = terms.api_key.as_deref().and_then(|key| table.organisation(key));
     let Some(organisation) = found else {
         let why = format!("settings version {} does not know this key", table.number());
         return Err(refuse(Kind::Unauthorized, why));
@@ -161,7 +161,7 @@
             ),
             None => "the settings have not been confirmed since this VM started".to_owned(),
         };
-        let time = terms.patience.unwrap_or(USUAL_PATIENCE);
+        let time = terms.timeout.unwrap_or(USUAL_PATIENCE);
         let after = Cause::OldSettings.retry_after(time);
         return Err(refuse(Kind::StoreUnavailable, why).retry_after(after));
     }
--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -14,7 +14,7 @@
 use foldlock_request::placement::Placement;
 use foldlock_request::suspicion::{Failure as Cause, Outcome};
 use foldlock_request::tag::Tag;
-use foldlock_request::terms::{Handover, Helper, Verdict};
+use foldlock_request::terms::{Helper, UpstreamHeaders, Verdict};
 use foldlock_version::routes::Shape;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header;
@@ -174,14 +174,14 @@
     let notice = D::notice(head.status, &head.headers);
     notices::heard(&job.process, &upstream, start, sent, notice);
     let rest = rest(&head.headers);
-    match D::verdict(&job.terms.request, head.status, &head.headers) {
+    match D::verdict(&job.terms.request_id, head.status, &head.headers) {
         Verdict::Ran if notice.rate_limit == RateLimit::Unlimited => {
             rate_limits::observe(&job.process, start, None, sent);
         }
         Verdict::Ran => {}
         verdict => return refused(job, &placement.flight, start, verdict, &head),
     }
-    if head.status.is_success() && !D::genuine(&head.headers) {
+    if head.status.is_success() && !D::is_unaltered(&head.headers) {
         note(job, &upstream, Cause::Broken);
         return End::Broken(format!("response signature does not match upstream {upstream}"));
     }
@@ -230,20 +230,20 @@
     let status = head.status;
     let upstream = &flight.upstream;
     match verdict {
-        Verdict::Elsewhere => {
+        Verdict::WrongInstance => {
             notices::leaves(&job.process, start, &job.process.member.vm);
             let why = "another instance has its address".to_owned();
             End::NotRun { why, at_fault: upstream.clone() }
         }
         Verdict::NotRun => {
-            let culprit = D::culprit(&head.headers)
+            let culprit = D::faulty_upstream(&head.headers)
                 .and_then(|name| job.process.cluster.lock().unwrap().find(name));
             let suspect = culprit.as_ref().unwrap_or(upstream);
             note(job, suspect, Cause::Full);
             let why = format!("it refused with {status}; at fault is {suspect}");
             End::NotRun { why, at_fault: flight.left_out(suspect).clone() }
         }
-        Verdict::Ran | Verdict::Foreign => {
+        Verdict::Ran | Verdict::Mismatched => {
             note(job, upstream, Cause::Broken);
             End::Broken(format!("its answer ({status}) belongs to another request"))
         }
@@ -273,10 +273,10 @@
     strip(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
-    D::hand_over(
+    D::rewrite_headers(
         &mut headers,
-        &Handover {
-            left: job.left(),
+        &UpstreamHeaders {
+            remaining: job.left(),
             instance: placement.flight.upstream.as_str(),
             organisation: job.organisation.as_ref().map(|o| o.name.as_str()),
             last_event,
--- a/daemon/src/fleet/hold.rs
+++ b/daemon/src/fleet/hold.rs
@@ -92,7 +92,7 @@
         helpers
             .map(|(helping, address)| Helper {
                 address: address.clone(),
-                ticket: ticket(&helping.upstream),
+                reservation_id: ticket(&helping.upstream),
             })
             .collect()
     }
--- a/daemon/src/fleet/job.rs
+++ b/daemon/src/fleet/job.rs
@@ -81,7 +81,7 @@
     /// Memory for prompt and answer. A caller who tells no limit gets what answers usually take.
     fn memory(&self) -> Tokens {
         let usual = self.service.engine.as_ref().map_or(Tokens(0), |engine| engine.usual_answer);
-        let most = if self.terms.most.0 > 0 { self.terms.most } else { usual };
+        let most = if self.terms.max_answer.0 > 0 { self.terms.max_answer } else { usual };
         self.terms.prompt + most
     }
 
--- a/daemon/src/fleet/serve.rs
+++ b/daemon/src/fleet/serve.rs
@@ -42,7 +42,7 @@
 ) -> Result<Response<Body>, Infallible> {
     let arrived = process.now();
     let terms = D::terms(request.headers());
-    let id = terms.request.parse().unwrap_or_else(|_| process.request_id());
+    let id = terms.request_id.parse().unwrap_or_else(|_| process.request_id());
     process.metrics.requests.inc();
     let answered = match admit::admit(&process, &id, terms, request, arrived).await {
         Ok(job) => run(job).await,
--- a/request/src/dialect.rs
+++ b/request/src/dialect.rs
@@ -6,7 +6,7 @@
 use crate::memory::Memory;
 use crate::notice::Notice;
 use crate::report::Reports;
-use crate::terms::{Handover, Terms, Verdict};
+use crate::terms::{Terms, UpstreamHeaders, Verdict};
 
 /// The headers of requests and responses on a platform.
 pub trait Dialect: Send + Sync + 'static {
@@ -20,7 +20,7 @@
     fn terms(headers: &HeaderMap) -> Terms;
 
     /// Removes headers that an upstream must not receive, and adds those for the upstream.
-    fn hand_over(headers: &mut HeaderMap, handover: &Handover<'_>);
+    fn rewrite_headers(headers: &mut HeaderMap, additions: &UpstreamHeaders<'_>);
 
     /// What a response to `request` states about the attempt.
     fn verdict(request: &str, status: StatusCode, headers: &HeaderMap) -> Verdict;
@@ -29,8 +29,8 @@
     fn notice(status: StatusCode, headers: &HeaderMap) -> Notice;
 
     /// The upstream that caused a failure, by id or address, if the response names one.
-    fn culprit(headers: &HeaderMap) -> Option<&str>;
+    fn faulty_upstream(headers: &HeaderMap) -> Option<&str>;
 
     /// Whether the body is as the upstream sent it, and was not altered on the way.
-    fn genuine(headers: &HeaderMap) -> bool;
+    fn is_unaltered(headers: &HeaderMap) -> bool;
 }
--- a/request/src/terms.rs
+++ b/request/src/terms.rs
@@ -9,20 +9,20 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Terms {
     /// The caller's id of this request; empty if it sent none.
-    pub request: String,
+    pub request_id: String,
     /// The API key, if the caller sent one.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// The time for which the caller waits for the response.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The last event that the caller received of an interrupted stream.
     pub last_event: Option<u64>,
     /// The number of prompt tokens.
     pub prompt: Tokens,
     /// The maximum number of tokens in the answer.
-    pub most: Tokens,
+    pub max_answer: Tokens,
     /// The caller's estimate of the number of tokens in the answer: right in the median, often far
     /// off.
-    pub expected: Option<Tokens>,
+    pub expected_answer: Option<Tokens>,
 }
 
 /// What the status and headers of a response state about an attempt.
@@ -34,16 +34,16 @@
     NotRun,
     /// The upstream did not run the request, since it is another instance than the one that the
     /// request is for.
-    Elsewhere,
+    WrongInstance,
     /// The response does not belong to this request.
-    Foreign,
+    Mismatched,
 }
 
 /// What an upstream is sent in addition to the caller's own headers.
 #[derive(Debug, Clone)]
-pub struct Handover<'a> {
+pub struct UpstreamHeaders<'a> {
     /// The time until the deadline.
-    pub left: Duration,
+    pub remaining: Duration,
     /// The instance that the request is for.
     pub instance: &'a str,
     /// The organisation, if the request has a key.
@@ -60,5 +60,5 @@
     /// Its address, `IP:port`.
     pub address: String,
     /// The id of the memory reservation there, if it has one.
-    pub ticket: Option<String>,
+    pub reservation_id: Option<String>,
 }
