--- a/daemon/src/fleet/admit.rs
+++ b/daemon/src/fleet/admit.rs
@@ -115,7 +115,7 @@
         let error = refuse(Kind::StoreUnavailable, "there are no settings yet");
         // Where keys have to be confirmed, VMs with settings refuse as well while the directory is away.
         let confirmed = process.config.fleet.settings_age().is_some();
-        let cause = if confirmed { Cause::OldSettings } else { Cause::NoSettings };
+        let cause = if confirmed { Cause::StaleSettings } else { Cause::NoSettings };
         return Err(error.retry_after(cause.retry_after(time)));
     };
     let table = &settings.table;
@@ -162,7 +162,7 @@
             None => "the settings have not been confirmed since this VM started".to_owned(),
         };
         let time = terms.timeout.unwrap_or(USUAL_PATIENCE);
-        let after = Cause::OldSettings.retry_after(time);
+        let after = Cause::StaleSettings.retry_after(time);
         return Err(refuse(Kind::StoreUnavailable, why).retry_after(after));
     }
     Ok(Some(organisation.clone()))
--- a/daemon/src/fleet/gate.rs
+++ b/daemon/src/fleet/gate.rs
@@ -195,7 +195,8 @@
         Rejection::Full | Rejection::TooLarge => Kind::Overloaded,
     };
     let long = read_ms(job, &job.requirements(&[], Charge::Free)).is_some();
-    let cause = if long { retry_after::Cause::FullForLong } else { retry_after::Cause::Full };
+    let cause =
+        if long { retry_after::Cause::FullForLongPrompts } else { retry_after::Cause::Full };
     let after = cause.retry_after(job.left());
     Error::unsent(kind, format!("{}: {rejection}", job.service.name), proof).retry_after(after)
 }
--- a/request/src/retry_after.rs
+++ b/request/src/retry_after.rs
@@ -12,11 +12,11 @@
     NoSettings,
     /// No VM serves requests with this key until the directory confirms the settings: those of this
     /// VM are too old, or it has none.
-    OldSettings,
+    StaleSettings,
     /// No upstream has capacity for the request.
     Full,
     /// No group of upstreams has capacity for a long prompt.
-    FullForLong,
+    FullForLongPrompts,
 }
 
 /// Short, since a new connection reaches another VM.
@@ -25,28 +25,28 @@
 /// Share of the caller's remaining time. This happens when all VMs have started during an outage of
 /// the directory, which usually lasts seconds. Most callers retry once, so the retry should come
 /// after the outage; two thirds of the time are left for the response.
-const NO_SETTINGS: f64 = 1.0 / 3.0;
+const NO_SETTINGS_SHARE: f64 = 1.0 / 3.0;
 
 /// All VMs reject until the directory is back. With a third of the caller's time instead, the
 /// callers rejected in an outage would return together, on top of as many new requests, and both
 /// would be late.
-const OLD_SETTINGS: Duration = Duration::from_millis(500);
+const STALE_SETTINGS: Duration = Duration::from_millis(500);
 
 /// Short requests finish within a second or two, which frees capacity.
 const FULL: Duration = Duration::from_millis(500);
 
 /// The mix of prompt lengths changes within seconds.
-const FULL_FOR_LONG: Duration = Duration::from_secs(3);
+const FULL_FOR_LONG_PROMPTS: Duration = Duration::from_secs(3);
 
 impl Cause {
     /// The retry time for a caller that has `time` left.
     pub fn retry_after(self, time: Duration) -> Duration {
         match self {
             Cause::Stopping => STOPPING,
-            Cause::NoSettings => time.mul_f64(NO_SETTINGS),
-            Cause::OldSettings => OLD_SETTINGS,
+            Cause::NoSettings => time.mul_f64(NO_SETTINGS_SHARE),
+            Cause::StaleSettings => STALE_SETTINGS,
             Cause::Full => FULL,
-            Cause::FullForLong => FULL_FOR_LONG,
+            Cause::FullForLongPrompts => FULL_FOR_LONG_PROMPTS,
         }
     }
 }
