--- a/request/tests/fingerprint.rs
+++ b/request/tests/fingerprint.rs
@@ -3,10 +3,10 @@
 use foldlock_request::fingerprint::Fingerprint;
 
 #[test]
-fn a_request_that_comes_again_has_the_same_and_any_other_has_not() {
+fn only_repeated_requests_have_equal_fingerprints() {
     let of = Fingerprint::of;
-    let one = of("registry", "POST", "/audit/1?full", b"the body");
-    assert_eq!(one, of("registry", "POST", "/audit/1?full", b"the body"));
+    let fingerprint = of("registry", "POST", "/audit/1?full", b"the body");
+    assert_eq!(fingerprint, of("registry", "POST", "/audit/1?full", b"the body"));
     let others = [
         of("cards", "POST", "/audit/1?full", b"the body"),
         of("registry", "PUT", "/audit/1?full", b"the body"),
@@ -15,12 +15,12 @@
         of("registryP", "OST", "/audit/1?full", b"the body"),
         of("", "registry", "POST/audit/1?full", b"the body"),
     ];
-    assert!(others.iter().all(|other| *other != one));
+    assert!(others.iter().all(|other| *other != fingerprint));
 }
 
 #[test]
-fn its_text_reads_back() {
-    let one = Fingerprint::of("", "GET", "/", b"");
-    assert_eq!(one.to_string().parse(), Ok(one));
+fn a_fingerprint_parses_from_its_text() {
+    let fingerprint = Fingerprint::of("", "GET", "/", b"");
+    assert_eq!(fingerprint.to_string().parse(), Ok(fingerprint));
     assert!("no fingerprint".parse::<Fingerprint>().is_err());
 }
