--- a/request/tests/patterns/crash.rs
+++ b/request/tests/patterns/crash.rs
@@ -22,25 +22,25 @@
 
 const ENGINES: usize = 18;
 const TICK: Duration = Duration::from_millis(5);
-const ANSWER: Duration = Duration::from_millis(1_500);
-const BEGINS: Duration = Duration::from_millis(300);
-const DOWN: Duration = Duration::from_secs(3);
-const PATIENCE: Duration = Duration::from_secs(4);
-const ATTEMPTS: u32 = 2;
+const RESPONSE_TIME: Duration = Duration::from_millis(1_500);
+const CRASH_DELAY: Duration = Duration::from_millis(300);
+const RESTART_TIME: Duration = Duration::from_secs(3);
+const QUEUE_TIMEOUT: Duration = Duration::from_secs(4);
+const MAX_ATTEMPTS: u32 = 2;
 
 #[derive(Debug, Clone)]
 enum State {
-    Waits,
-    Runs { engine: usize, number: u64, since: Instant, alone: bool },
+    Queued,
+    Running { engine: usize, number: u64, since: Instant, isolated: bool },
 }
 
 #[derive(Debug, Clone)]
 struct Request {
     fingerprint: Fingerprint,
-    deadly: bool,
+    crashes_engine: bool,
     arrived: Instant,
     attempts: u32,
-    came_back: bool,
+    repeated: bool,
     state: State,
 }
 
@@ -48,20 +48,20 @@
 #[derive(Debug, Default)]
 struct Score {
     /// Crashed engines.
-    ended: usize,
-    asked: usize,
+    crashed: usize,
+    total: usize,
     served: usize,
     /// Interrupted responses, each interruption counted.
-    cut: usize,
+    interrupted: usize,
     failed: usize,
-    held: usize,
+    quarantined: usize,
 }
 
 struct Fleet {
     cluster: Cluster,
     service: Service,
-    starts: [usize; ENGINES],
-    back: [Option<Instant>; ENGINES],
+    incarnations: [usize; ENGINES],
+    restarts_at: [Option<Instant>; ENGINES],
     requests: Vec<Request>,
     score: Score,
     now: Instant,
@@ -78,8 +78,8 @@
         let mut fleet = Fleet {
             cluster: Cluster::default(),
             service,
-            starts: [0; ENGINES],
-            back: [None; ENGINES],
+            incarnations: [0; ENGINES],
+            restarts_at: [None; ENGINES],
             requests: Vec::new(),
             score: Score::default(),
             now: Instant::now(),
@@ -89,12 +89,12 @@
     }
 
     fn id(&self, engine: usize) -> id::Upstream {
-        format!("i-{engine:02}-{}", self.starts[engine]).parse().unwrap()
+        format!("i-{engine:02}-{}", self.incarnations[engine]).parse().unwrap()
     }
 
     fn start(&mut self, engine: usize) {
-        self.starts[engine] += 1;
-        self.back[engine] = None;
+        self.incarnations[engine] += 1;
+        self.restarts_at[engine] = None;
         self.cluster.list(Listed {
             id: self.id(engine),
             born: None,
@@ -108,15 +108,15 @@
         });
     }
 
-    fn arrive(&mut self, fingerprint: Fingerprint, deadly: bool) {
-        self.score.asked += usize::from(!deadly);
+    fn arrive(&mut self, fingerprint: Fingerprint, crashes_engine: bool) {
+        self.score.total += usize::from(!crashes_engine);
         self.requests.push(Request {
             fingerprint,
-            deadly,
+            crashes_engine,
             arrived: self.now,
             attempts: 0,
-            came_back: false,
-            state: State::Waits,
+            repeated: false,
+            state: State::Queued,
         });
     }
 
@@ -141,100 +141,108 @@
         let number = self.cluster.number();
         let name = placement.flight.upstream.as_str();
         let engine = name[2..4].parse().unwrap();
-        let alone = placement.flight.alone.is_some();
+        let isolated = placement.flight.alone.is_some();
         self.cluster.enter(number, placement.flight, self.now);
-        request.state = State::Runs { engine, number, since: self.now, alone };
+        request.state = State::Running { engine, number, since: self.now, isolated };
         Ok(())
     }
 
     /// Advances a request to the current time. Returns whether it continues.
     fn step(&mut self, request: &mut Request) -> bool {
         match request.state {
-            State::Waits => match self.place(request) {
+            State::Queued => match self.place(request) {
                 Ok(()) => true,
                 Err(Rejection::Quarantined { .. }) => {
-                    self.score.held += usize::from(!request.deadly);
+                    self.score.quarantined += usize::from(!request.crashes_engine);
                     false
                 }
-                Err(_) if self.now - request.arrived > PATIENCE => {
-                    self.score.failed += usize::from(!request.deadly);
+                Err(_) if self.now - request.arrived > QUEUE_TIMEOUT => {
+                    self.score.failed += usize::from(!request.crashes_engine);
                     false
                 }
                 Err(_) => true,
             },
-            State::Runs { number, since, .. } if !request.deadly && self.now - since >= ANSWER => {
+            State::Running { number, since, .. }
+                if !request.crashes_engine && self.now - since >= RESPONSE_TIME =>
+            {
                 self.cluster.leave(number, self.now);
                 self.cluster.quarantine.answered(request.fingerprint, self.now);
                 self.score.served += 1;
                 false
             }
-            State::Runs { .. } => true,
+            State::Running { .. } => true,
         }
     }
 
     /// An engine crashes, which interrupts all requests on it.
-    fn end(&mut self, ended: usize, requests: &mut Vec<Request>) {
-        self.score.ended += 1;
-        let upstream = self.cluster.tag_of(&self.id(ended));
+    fn crash(&mut self, crashed: usize, requests: &mut Vec<Request>) {
+        self.score.crashed += 1;
+        let upstream = self.cluster.tag_of(&self.id(crashed));
         let (cluster, score, now) = (&mut self.cluster, &mut self.score, self.now);
         requests.retain_mut(|request| {
-            let State::Runs { engine, number, alone, .. } = request.state else { return true };
-            if engine != ended {
+            let State::Running { engine, number, isolated, .. } = request.state else {
+                return true;
+            };
+            if engine != crashed {
                 return true;
             }
             cluster.leave(number, now);
-            cluster.quarantine.ended(request.fingerprint, Ending { upstream, alone }, now);
-            score.cut += usize::from(!request.deadly);
+            cluster.quarantine.ended(
+                request.fingerprint,
+                Ending { upstream, alone: isolated },
+                now,
+            );
+            score.interrupted += usize::from(!request.crashes_engine);
             request.attempts += 1;
-            request.state = State::Waits;
-            if request.attempts < ATTEMPTS {
+            request.state = State::Queued;
+            if request.attempts < MAX_ATTEMPTS {
                 return true;
             }
             request.attempts = 0;
-            let gives_up = std::mem::replace(&mut request.came_back, true);
-            score.failed += usize::from(gives_up && !request.deadly);
+            let gives_up = std::mem::replace(&mut request.repeated, true);
+            score.failed += usize::from(gives_up && !request.crashes_engine);
             !gives_up
         });
-        let id = self.id(ended);
+        let id = self.id(crashed);
         self.cluster.remove(&id, 0.into());
-        self.back[ended] = Some(self.now + DOWN);
+        self.restarts_at[crashed] = Some(self.now + RESTART_TIME);
     }
 
     fn tick(&mut self) {
         self.now += TICK;
         for engine in 0..ENGINES {
-            if self.back[engine].is_some_and(|back| back <= self.now) {
+            if self.restarts_at[engine].is_some_and(|at| at <= self.now) {
                 self.start(engine);
             }
         }
         let mut requests = std::mem::take(&mut self.requests);
         requests.retain_mut(|request| self.step(request));
-        let deadly = |request: &Request| match request.state {
-            State::Runs { engine, since, .. } if request.deadly => {
-                (self.now - since >= BEGINS).then_some(engine)
+        let crash_due = |request: &Request| match request.state {
+            State::Running { engine, since, .. } if request.crashes_engine => {
+                (self.now - since >= CRASH_DELAY).then_some(engine)
             }
             _ => None,
         };
-        let mut ending: Vec<usize> = requests.iter().filter_map(deadly).collect();
-        ending.sort_unstable();
-        ending.dedup();
-        ending.into_iter().for_each(|engine| self.end(engine, &mut requests));
+        let mut crashing: Vec<usize> = requests.iter().filter_map(crash_due).collect();
+        crashing.sort_unstable();
+        crashing.dedup();
+        crashing.into_iter().for_each(|engine| self.crash(engine, &mut requests));
         requests.append(&mut self.requests);
         self.requests = requests;
     }
 }
 
-fn play(seed: u64, seconds: u64) -> Score {
-    let mut draw = StdRng::seed_from_u64(seed);
+fn simulate(seed: u64, seconds: u64) -> Score {
+    let mut rng = StdRng::seed_from_u64(seed);
     let mut fleet = Fleet::new();
-    let deadly = Fingerprint::of("one", "POST", "/audit/", b"deadly");
+    let crashing = Fingerprint::of("one", "POST", "/audit/", b"deadly");
     for tick in 0..seconds * 200 {
-        if draw.random_bool(38.0 / 200.0) {
+        if rng.random_bool(38.0 / 200.0) {
             let other = Fingerprint::of("one", "POST", "/audit/", &tick.to_be_bytes());
             fleet.arrive(other, false);
         }
         if tick >= 400 && tick % 50 == 0 {
-            fleet.arrive(deadly, true);
+            fleet.arrive(crashing, true);
         }
         fleet.tick();
     }
@@ -245,11 +253,11 @@
 /// requests fail (mean of 20 seeds). The bound allows for the crashes before the quarantine starts,
 /// and one solo crash each time that the request is released.
 #[test]
-fn a_deadly_request_costs_few_engines_and_nobody_else_is_held_for_it() {
+fn a_crashing_request_crashes_few_engines_and_no_other_is_quarantined() {
     for seed in [1, 2, 3] {
-        let score = play(seed, 20);
-        assert!(score.ended <= 8, "seed {seed}: {score:?}");
-        assert_eq!(score.held, 0, "seed {seed}: {score:?}");
-        assert!(score.failed * 100 <= score.asked, "seed {seed}: {score:?}");
+        let score = simulate(seed, 20);
+        assert!(score.crashed <= 8, "seed {seed}: {score:?}");
+        assert_eq!(score.quarantined, 0, "seed {seed}: {score:?}");
+        assert!(score.failed * 100 <= score.total, "seed {seed}: {score:?}");
     }
 }
--- a/request/tests/patterns/play.rs
+++ b/request/tests/patterns/simulation.rs
@@ -34,7 +34,7 @@
 
 /// Requests of one kind that arrive at a constant rate for some time.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Stretch {
+pub(crate) struct LoadPhase {
     pub(crate) kind: Kind,
     pub(crate) from_ms: u64,
     pub(crate) to_ms: u64,
@@ -44,30 +44,30 @@
 #[derive(Debug, Clone)]
 struct Request {
     kind: Kind,
-    arrives: Instant,
+    arrival: Instant,
     tokens: u64,
     /// The prompt parts that are not prefilled yet.
-    parts: usize,
+    parts_left: usize,
     placement: Option<Placement>,
-    first: Option<Instant>,
-    last: Option<Instant>,
-    pause: Duration,
-    left: u32,
+    first_event: Option<Instant>,
+    last_event: Option<Instant>,
+    max_pause: Duration,
+    events_left: u32,
 }
 
 #[derive(Debug, Default)]
 struct Engine {
-    waits: Vec<(usize, f64)>,
-    reads: Vec<usize>,
-    writes: Vec<usize>,
-    ends: Option<Instant>,
-    dark: bool,
+    queued: Vec<(usize, f64)>,
+    prefilling: Vec<usize>,
+    decoding: Vec<usize>,
+    pass_ends: Option<Instant>,
+    stalled: bool,
 }
 
 /// Results for the requests of one kind.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct Score {
-    pub(crate) asked: usize,
+    pub(crate) total: usize,
     /// Complete responses whose first event and pauses were all within their targets.
     pub(crate) in_time: usize,
     /// Other complete responses.
@@ -75,13 +75,13 @@
 }
 
 impl Score {
-    pub(crate) fn part_in_time(self) -> f64 {
-        self.in_time as f64 / self.asked.max(1) as f64
+    pub(crate) fn in_time_share(self) -> f64 {
+        self.in_time as f64 / self.total.max(1) as f64
     }
 }
 
 /// A simulation.
-pub(crate) struct Play {
+pub(crate) struct Simulation {
     figures: Figures,
     service: Tag,
     table: Table,
@@ -92,11 +92,11 @@
     by_number: HashMap<u64, usize>,
     start: Instant,
     /// The largest number of engines that decoded at the same time.
-    pub(crate) most_writing: usize,
+    pub(crate) max_decoding: usize,
 }
 
-impl Play {
-    pub(crate) fn new(engines: usize, figures: Figures) -> Play {
+impl Simulation {
+    pub(crate) fn new(engines: usize, figures: Figures) -> Simulation {
         let service = Service {
             name: "model".to_owned(),
             connections: 9,
@@ -120,7 +120,7 @@
                 cold_ms: 0,
             });
         }
-        Play {
+        Simulation {
             figures,
             service: Tag::of(&service.name),
             table: Table::builder(1, bounds).service(service).build(),
@@ -130,69 +130,69 @@
             requests: Vec::new(),
             by_number: HashMap::new(),
             start: Instant::now(),
-            most_writing: 0,
+            max_decoding: 0,
         }
     }
 
     /// The last engines become unresponsive for good, which their reports state from the start.
-    pub(crate) fn darken(&mut self, engines: usize) {
-        let dark: Vec<id::Upstream> = self.engines.keys().rev().take(engines).cloned().collect();
-        for id in dark {
-            self.engines.get_mut(&id).unwrap().dark = true;
+    pub(crate) fn stall(&mut self, engines: usize) {
+        let stalled: Vec<id::Upstream> = self.engines.keys().rev().take(engines).cloned().collect();
+        for id in stalled {
+            self.engines.get_mut(&id).unwrap().stalled = true;
             self.cluster.observe(&id, Observed { report: None, at: self.start });
         }
     }
 
     /// Draws the arrivals from a seed and simulates until all requests have ended.
-    pub(crate) fn run(&mut self, stretches: &[Stretch], seed: u64) -> HashMap<&'static str, Score> {
-        let mut draw = StdRng::seed_from_u64(seed);
-        for stretch in stretches {
-            self.draw(stretch, &mut draw);
+    pub(crate) fn run(&mut self, phases: &[LoadPhase], seed: u64) -> HashMap<&'static str, Score> {
+        let mut rng = StdRng::seed_from_u64(seed);
+        for phase in phases {
+            self.draw_arrivals(phase, &mut rng);
         }
-        self.requests.sort_by_key(|request| request.arrives);
+        self.requests.sort_by_key(|request| request.arrival);
         let mut next = 0;
         let end = self.start + Duration::from_secs(60);
-        let mut look = self.start;
+        let mut next_attempt = self.start;
         loop {
-            let arrives = self.requests.get(next).map(|request| request.arrives);
-            let ends = self.engines.values().filter_map(|engine| engine.ends).min();
-            let waits = (!self.scheduler.is_idle()).then_some(look);
-            let Some(now) = [arrives, ends, waits].into_iter().flatten().min() else { break };
+            let arrival = self.requests.get(next).map(|request| request.arrival);
+            let pass_end = self.engines.values().filter_map(|engine| engine.pass_ends).min();
+            let retry = (!self.scheduler.is_idle()).then_some(next_attempt);
+            let Some(now) = [arrival, pass_end, retry].into_iter().flatten().min() else { break };
             if now > end {
                 break;
             }
-            if arrives == Some(now) {
-                self.ask(next, now);
+            if arrival == Some(now) {
+                self.arrive(next, now);
                 next += 1;
             }
             self.finish_passes(now);
-            self.ask_again(now);
-            self.look(now);
-            look = now + Duration::from_millis(20);
+            self.cancel_expired(now);
+            self.place_queued(now);
+            next_attempt = now + Duration::from_millis(20);
             self.begin_passes(now);
         }
         self.scores()
     }
 
-    fn draw(&mut self, stretch: &Stretch, draw: &mut StdRng) {
-        let mut at_ms = stretch.from_ms as f64;
+    fn draw_arrivals(&mut self, phase: &LoadPhase, rng: &mut StdRng) {
+        let mut at_ms = phase.from_ms as f64;
         loop {
             // Poisson arrivals: the time to the next one is exponentially distributed.
-            at_ms -= draw.random_range(f64::EPSILON..1.0).ln() * 1e3 / stretch.per_s;
-            if at_ms >= stretch.to_ms as f64 {
+            at_ms -= rng.random_range(f64::EPSILON..1.0).ln() * 1e3 / phase.per_s;
+            if at_ms >= phase.to_ms as f64 {
                 return;
             }
-            let spread = draw.random_range(-1.1..0.7_f64).exp();
+            let spread = rng.random_range(-1.1..0.7_f64).exp();
             self.requests.push(Request {
-                kind: stretch.kind,
-                arrives: self.start + Duration::from_secs_f64(at_ms / 1e3),
-                tokens: (stretch.kind.tokens as f64 * spread) as u64,
-                parts: 0,
+                kind: phase.kind,
+                arrival: self.start + Duration::from_secs_f64(at_ms / 1e3),
+                tokens: (phase.kind.tokens as f64 * spread) as u64,
+                parts_left: 0,
                 placement: None,
-                first: None,
-                last: None,
-                pause: Duration::ZERO,
-                left: stretch.kind.events,
+                first_event: None,
+                last_event: None,
+                max_pause: Duration::ZERO,
+                events_left: phase.kind.events,
             });
         }
     }
@@ -205,7 +205,7 @@
             memory: Tokens(request.tokens + self.figures.usual_answer.0),
             objective: Duration::from_millis(kind.objective_ms),
             pause: Some(Duration::from_millis(kind.pause_ms)),
-            arrived: request.arrives,
+            arrived: request.arrival,
             limit: Duration::from_millis(kind.time_ms),
             avoid: Vec::new(),
             hall: "a".to_owned(),
@@ -222,46 +222,52 @@
         Key { holder: Holder::Own, incarnation: 1, number }
     }
 
-    fn ask(&mut self, index: usize, now: Instant) {
+    fn arrive(&mut self, index: usize, now: Instant) {
         let number = self.cluster.number();
         self.by_number.insert(number, index);
-        self.ask_as(number, index, now);
+        self.request_placement(number, index, now);
     }
 
-    fn ask_as(&mut self, number: u64, index: usize, now: Instant) {
+    fn request_placement(&mut self, number: u64, index: usize, now: Instant) {
         let requirements = self.requirements_for(index);
         let (cluster, table) = (&mut self.cluster, &self.table);
-        let answer =
-            self.scheduler.ask(cluster, table, Play::key(number), self.service, requirements, now);
+        let answer = self.scheduler.ask(
+            cluster,
+            table,
+            Simulation::key(number),
+            self.service,
+            requirements,
+            now,
+        );
         if let Answer::Placed(placement, _) = answer {
-            self.placed(number, *placement, now);
+            self.on_placed(number, *placement, now);
         }
     }
 
     /// Cancels requests whose callers have no time left.
-    fn ask_again(&mut self, now: Instant) {
-        let over = |(_, index): &(&u64, &usize)| {
+    fn cancel_expired(&mut self, now: Instant) {
+        let is_expired = |(_, index): &(&u64, &usize)| {
             let request = &self.requests[**index];
             let time = Duration::from_millis(request.kind.time_ms);
-            request.placement.is_none() && now >= request.arrives + time
+            request.placement.is_none() && now >= request.arrival + time
         };
-        let over: Vec<u64> =
-            self.by_number.iter().filter(over).map(|(number, _)| *number).collect();
-        for number in over {
-            self.scheduler.cancel(&mut self.cluster, &Play::key(number), now);
+        let expired: Vec<u64> =
+            self.by_number.iter().filter(is_expired).map(|(number, _)| *number).collect();
+        for number in expired {
+            self.scheduler.cancel(&mut self.cluster, &Simulation::key(number), now);
             self.by_number.remove(&number);
         }
     }
 
-    fn look(&mut self, now: Instant) {
+    fn place_queued(&mut self, now: Instant) {
         for (key, answer) in self.scheduler.look(&mut self.cluster, &self.table, now) {
             if let Answer::Placed(placement, _) = answer {
-                self.placed(key.number, *placement, now);
+                self.on_placed(key.number, *placement, now);
             }
         }
     }
 
-    fn placed(&mut self, number: u64, placement: Placement, now: Instant) {
+    fn on_placed(&mut self, number: u64, placement: Placement, now: Instant) {
         let index = self.by_number[&number];
         if self.requests[index].placement.is_some() {
             return;
@@ -270,10 +276,10 @@
         self.cluster.enter(number, flight.clone(), now);
         let helpers = flight.helpers.iter().map(|helping| &helping.upstream);
         let all: Vec<&id::Upstream> = helpers.chain([&flight.upstream]).collect();
-        self.requests[index].parts = all.len();
+        self.requests[index].parts_left = all.len();
         for id in all {
             let engine = self.engines.get_mut(id).unwrap();
-            engine.waits.push((index, f64::from(flight.part_ms)));
+            engine.queued.push((index, f64::from(flight.part_ms)));
         }
         self.requests[index].placement = Some(placement);
     }
@@ -284,35 +290,35 @@
         let ended: Vec<id::Upstream> = self
             .engines
             .iter()
-            .filter(|(_, engine)| engine.ends == Some(now))
+            .filter(|(_, engine)| engine.pass_ends == Some(now))
             .map(|(id, _)| id.clone())
             .collect();
         for id in ended {
             let engine = self.engines.get_mut(&id).unwrap();
-            engine.ends = None;
-            let reads = std::mem::take(&mut engine.reads);
-            let mut events = std::mem::take(&mut engine.writes);
-            for index in reads {
-                self.requests[index].parts -= 1;
-                let answers = self.answers(index, &id);
-                if answers || self.requests[index].parts == 0 {
+            engine.pass_ends = None;
+            let prefilled = std::mem::take(&mut engine.prefilling);
+            let mut events = std::mem::take(&mut engine.decoding);
+            for index in prefilled {
+                self.requests[index].parts_left -= 1;
+                let generates_response = self.generates_response_at(index, &id);
+                if generates_response || self.requests[index].parts_left == 0 {
                     events.push(index);
                 }
             }
             events.sort_unstable();
             events.dedup();
-            let writes: Vec<usize> =
-                events.into_iter().filter(|index| self.event(*index, now)).collect();
+            let decoding: Vec<usize> =
+                events.into_iter().filter(|index| self.add_event(*index, now)).collect();
             // The engine that generates the response starts to decode after all parts are
             // prefilled.
-            for index in writes {
+            for index in decoding {
                 let at = self.requests[index].placement.as_ref().unwrap().flight.upstream.clone();
-                self.engines.get_mut(&at).unwrap().writes.push(index);
+                self.engines.get_mut(&at).unwrap().decoding.push(index);
             }
         }
     }
 
-    fn answers(&self, index: usize, id: &id::Upstream) -> bool {
+    fn generates_response_at(&self, index: usize, id: &id::Upstream) -> bool {
         self.requests[index]
             .placement
             .as_ref()
@@ -320,64 +326,68 @@
     }
 
     /// Adds an event to a response if its prompt is prefilled. Returns whether more events follow.
-    fn event(&mut self, index: usize, now: Instant) -> bool {
-        if self.requests[index].parts > 0 {
+    fn add_event(&mut self, index: usize, now: Instant) -> bool {
+        if self.requests[index].parts_left > 0 {
             return false;
         }
         let number = self.number_of(index);
         let request = &mut self.requests[index];
-        if let Some(last) = request.last.replace(now) {
-            request.pause = request.pause.max(now - last);
+        if let Some(last) = request.last_event.replace(now) {
+            request.max_pause = request.max_pause.max(now - last);
         }
-        if request.first.is_none() {
-            request.first = Some(now);
+        if request.first_event.is_none() {
+            request.first_event = Some(now);
             self.cluster.began(number, now);
         }
-        request.left = request.left.saturating_sub(1);
-        if request.left == 0 {
+        request.events_left = request.events_left.saturating_sub(1);
+        if request.events_left == 0 {
             self.cluster.leave(number, now);
         }
-        request.left > 0
+        request.events_left > 0
     }
 
     fn number_of(&self, index: usize) -> u64 {
-        let found = self.by_number.iter().find(|(_, known)| **known == index);
-        *found.expect("it was asked for").0
+        let found = self.by_number.iter().find(|(_, other)| **other == index);
+        *found.expect("the request has a number").0
     }
 
     fn begin_passes(&mut self, now: Instant) {
-        for engine in self.engines.values_mut().filter(|engine| !engine.dark) {
-            if engine.ends.is_some() || engine.waits.is_empty() && engine.writes.is_empty() {
+        for engine in self.engines.values_mut().filter(|engine| !engine.stalled) {
+            if engine.pass_ends.is_some() || engine.queued.is_empty() && engine.decoding.is_empty()
+            {
                 continue;
             }
-            let reads_ms: f64 = engine.waits.iter().map(|(_, ms)| ms).sum();
-            engine.reads = engine.waits.drain(..).map(|(index, _)| index).collect();
-            let answers = engine.reads.iter().filter(|index| {
+            let prefill_ms: f64 = engine.queued.iter().map(|(_, ms)| ms).sum();
+            engine.prefilling = engine.queued.drain(..).map(|(index, _)| index).collect();
+            let starting = engine.prefilling.iter().filter(|index| {
                 let request = &self.requests[**index];
-                request.parts <= 1
+                request.parts_left <= 1
             });
-            let writers = engine.writes.len() + answers.count();
-            let memory: u64 = engine.writes.iter().map(|index| self.requests[*index].tokens).sum();
-            let steps_ms = if writers > 0 {
-                forecast::pass_ms(&self.figures, writers as u32, memory)
+            let decoders = engine.decoding.len() + starting.count();
+            let memory: u64 =
+                engine.decoding.iter().map(|index| self.requests[*index].tokens).sum();
+            let pass_ms = if decoders > 0 {
+                forecast::pass_ms(&self.figures, decoders as u32, memory)
             } else {
                 0.0
             };
-            engine.ends = Some(now + Duration::from_secs_f64((reads_ms + steps_ms) / 1e3));
+            engine.pass_ends = Some(now + Duration::from_secs_f64((prefill_ms + pass_ms) / 1e3));
         }
-        let writing = self.engines.values().filter(|engine| !engine.writes.is_empty()).count();
-        self.most_writing = self.most_writing.max(writing);
+        let decoding = self.engines.values().filter(|engine| !engine.decoding.is_empty()).count();
+        self.max_decoding = self.max_decoding.max(decoding);
     }
 
     fn scores(&self) -> HashMap<&'static str, Score> {
         let mut scores: HashMap<&'static str, Score> = HashMap::new();
         for request in &self.requests {
             let score = scores.entry(request.kind.name).or_default();
-            score.asked += 1;
-            let Some(first) = request.first.filter(|_| request.left == 0) else { continue };
+            score.total += 1;
+            let Some(first) = request.first_event.filter(|_| request.events_left == 0) else {
+                continue;
+            };
             let objective = Duration::from_millis(request.kind.objective_ms);
             let pause = Duration::from_millis(request.kind.pause_ms);
-            if first <= request.arrives + objective && request.pause <= pause {
+            if first <= request.arrival + objective && request.max_pause <= pause {
                 score.in_time += 1;
             } else {
                 score.late += 1;
