--- a/request/src/decision.rs
+++ b/request/src/decision.rs
@@ -266,36 +266,36 @@
             }
             Decision::Moved { from, why } => write!(f, "moved away from {from}: {why}"),
             Decision::Rejected { kind, why, retry_after_ms } => {
-                write!(f, "refused ({kind}): {why}")?;
+                write!(f, "rejected ({kind}): {why}")?;
                 match retry_after_ms {
-                    Some(ms) => write!(f, "; told to come back in {ms} ms"),
+                    Some(ms) => write!(f, "; retry after {ms} ms"),
                     None => Ok(()),
                 }
             }
             Decision::Retried { upstream, why } => {
-                write!(f, "sent again, since {upstream} failed: {why}")
+                write!(f, "retried, since {upstream} failed: {why}")
             }
             Decision::NotRetried { upstream, why, reason, budget } => {
-                write!(f, "not sent again after {upstream} failed ({why}): {reason}")?;
+                write!(f, "not retried after {upstream} failed ({why}): {reason}")?;
                 match budget {
                     Some(Exhausted { spent, slack, clients, vms }) => write!(
                         f,
-                        "; {spent} of the {slack} repeats of {clients} clients, of {vms} VMs, were spent"
+                        "; {spent} of the {slack} retries for {clients} clients among {vms} VMs were spent"
                     ),
                     None => Ok(()),
                 }
             }
             Decision::Crashed { upstream, crashes, isolated } => {
-                let suffix = if *isolated { "; it was alone there" } else { "" };
-                write!(f, "{upstream} ended under it, {crashes} in all{suffix}")
-            }
-            Decision::Quarantined { quarantine_ms, solo_crashes } => {
+                let suffix = if *isolated { "; the request ran isolated there" } else { "" };
                 write!(
                     f,
-                    "kept from all upstreams for {quarantine_ms} ms, for the {solo_crashes}. time"
+                    "{upstream} crashed while it processed the request, {crashes} crashes in all{suffix}"
                 )
             }
-            Decision::Cleared => f.write_str("no longer suspected of what ended under it"),
+            Decision::Quarantined { quarantine_ms, solo_crashes } => {
+                write!(f, "quarantined for {quarantine_ms} ms after solo crash {solo_crashes}")
+            }
+            Decision::Cleared => f.write_str("no longer suspected of the crashes during it"),
             Decision::Resumed { index, upstream } => {
                 write!(f, "resumed from token {index} at {upstream}")
             }
@@ -327,10 +327,10 @@
     fn text(self) -> &'static str {
         match self {
             WaitCause::Backoff => "all upstreams asked for a rest",
-            WaitCause::Engines => "each engine has as much queued as it may",
-            WaitCause::Memory => "no engine has the memory",
-            WaitCause::Queue => "others are ahead",
-            WaitCause::Grant => "no place for a long prompt yet",
+            WaitCause::Engines => "each engine's queue is full",
+            WaitCause::Memory => "no engine has enough free memory",
+            WaitCause::Queue => "other requests are ahead",
+            WaitCause::Grant => "no placement for a long prompt yet",
         }
     }
 }
--- a/request/src/directory.rs
+++ b/request/src/directory.rs
@@ -118,8 +118,8 @@
 impl fmt::Display for DirectoryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DirectoryError::Compacted => write!(f, "the changes asked for are no longer known"),
-            DirectoryError::Restored => write!(f, "it has come back from an older copy"),
+            DirectoryError::Compacted => write!(f, "the requested changes are compacted"),
+            DirectoryError::Restored => write!(f, "the directory was restored from an older copy"),
             DirectoryError::Unavailable(why) => f.write_str(why),
         }
     }
--- a/request/src/memory.rs
+++ b/request/src/memory.rs
@@ -33,7 +33,7 @@
 impl fmt::Display for MemoryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            MemoryError::Insufficient => write!(f, "its memory is taken"),
+            MemoryError::Insufficient => write!(f, "the engine has not enough free memory"),
             MemoryError::Unconfirmed(why) => f.write_str(why),
         }
     }
--- a/request/src/notice.rs
+++ b/request/src/notice.rs
@@ -43,15 +43,16 @@
 impl fmt::Display for Notice {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let leaves = self.leaving.then(|| "leaves".to_owned());
-        let backoff = self.backoff.map(|time| format!("asks for {} ms of rest", time.as_millis()));
+        let backoff =
+            self.backoff.map(|time| format!("asks for a backoff of {} ms", time.as_millis()));
         let limit = match self.rate_limit {
             RateLimit::Unknown | RateLimit::Unlimited => None,
-            RateLimit::Limited(rate) => Some(format!("takes {rate} from all VMs")),
-            RateLimit::Unreadable => Some("names a rate limit that cannot be read".to_owned()),
+            RateLimit::Limited(rate) => Some(format!("limits requests from all VMs to {rate}")),
+            RateLimit::Unreadable => Some("states a malformed rate limit".to_owned()),
         };
         let parts: Vec<String> = [leaves, backoff, limit].into_iter().flatten().collect();
         if parts.is_empty() {
-            return f.write_str("says nothing of itself");
+            return f.write_str("states nothing about itself");
         }
         f.write_str(&parts.join(" and "))
     }
