--- a/cli/src/vm.rs
+++ b/cli/src/vm.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use foldlock_connection::http::{Client, body};
 use foldlock_request::decision::Record;
-use foldlock_request::ring::FeedEvent;
+use foldlock_request::ring::Item;
 use http_body_util::BodyExt;
 use hyper::Request;
 use serde_json::Value;
@@ -62,7 +62,7 @@
     while left > 0
         && let Some(line) = lines.recv().await
     {
-        let line: FeedEvent = line?;
+        let line: Item = line?;
         if args.organisation.as_ref().is_some_and(|o| *o != line.organisation) {
             continue;
         }
@@ -81,7 +81,7 @@
 async fn follow(
     client: &Client,
     vm: SocketAddr,
-    lines: &mpsc::Sender<Result<FeedEvent, Error>>,
+    lines: &mpsc::Sender<Result<Item, Error>>,
 ) -> Result<(), Error> {
     let failed = |e: &dyn std::fmt::Display| Error::Vm(format!("{vm}: {e}"));
     let request =
--- a/daemon/src/complete.rs
+++ b/daemon/src/complete.rs
@@ -12,7 +12,7 @@
 use foldlock_connection::wire::Verdict;
 use foldlock_request::affinity;
 use foldlock_request::claim;
-use foldlock_request::decision::{Decision, Subject, TimedDecision};
+use foldlock_request::decision::{self, Decision, Subject};
 use foldlock_request::limit::Permit;
 use foldlock_request::prompt::{self, Style};
 use foldlock_request::ring::Entry;
@@ -219,7 +219,7 @@
     /// Adds a decision to a record.
     pub fn step(&self, entry: &Entry, decision: Decision) {
         let at_ms = millis(self.process.clock.now() - self.arrived);
-        entry.add(TimedDecision { at_ms, decision });
+        entry.add(decision::Entry { at_ms, decision });
     }
 
     /// Records that the request is refused.
--- a/daemon/src/engines.rs
+++ b/daemon/src/engines.rs
@@ -14,7 +14,7 @@
 use foldlock_connection::http::Client;
 use foldlock_connection::wire::{Load, State};
 use foldlock_request::affinity::Table;
-use foldlock_request::decision::{CandidateSnapshot, WaitCause};
+use foldlock_request::decision::{Cause, Snapshot};
 use foldlock_request::health::Health;
 use foldlock_request::route::{Candidate, Requirements, Routes};
 use foldlock_request::speed::Model;
@@ -60,7 +60,7 @@
     /// None now.
     Wait {
         /// Why.
-        cause: WaitCause,
+        cause: Cause,
         /// The predicted seconds to the first token at the best of them.
         predicted: f64,
     },
@@ -275,7 +275,7 @@
         inner: &mut Inner,
         wanted: &Wanted<'_>,
         candidate: &Candidate,
-        seen: Vec<CandidateSnapshot>,
+        seen: Vec<Snapshot>,
         now: Instant,
     ) -> Flight<C> {
         let requirements = &wanted.requirements;
@@ -330,7 +330,7 @@
     let predicted = |c: &&Candidate| c.predict(requirements);
     let best = candidates.iter().min_by(|a, b| predicted(a).total_cmp(&predicted(b)));
     Chosen::Wait {
-        cause: best.and_then(|c| c.closed(requirements)).unwrap_or(WaitCause::Engines),
+        cause: best.and_then(|c| c.closed(requirements)).unwrap_or(Cause::Engines),
         predicted: best.map_or(0.0, |c| c.predict(requirements)),
     }
 }
--- a/daemon/src/engines/flight.rs
+++ b/daemon/src/engines/flight.rs
@@ -8,7 +8,7 @@
 use foldlock_base::prelude::*;
 use foldlock_connection::engine::HttpEngine;
 use foldlock_connection::wire::Load;
-use foldlock_request::decision::CandidateSnapshot;
+use foldlock_request::decision::Snapshot;
 use foldlock_request::speed::Work;
 
 use super::Engines;
@@ -22,7 +22,7 @@
     /// The predicted seconds to the first token.
     pub predicted: f64,
     /// What was compared.
-    pub seen: Vec<CandidateSnapshot>,
+    pub seen: Vec<Snapshot>,
     /// When the engine was chosen.
     pub sent: Instant,
     pub(super) engines: Arc<Engines<C>>,
--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -14,7 +14,7 @@
 use foldlock_request::placement::Placement;
 use foldlock_request::suspicion::{Failure as Cause, Outcome};
 use foldlock_request::tag::Tag;
-use foldlock_request::terms::{Helper, UpstreamHeaders, Verdict};
+use foldlock_request::terms::{self, Helper, Verdict};
 use foldlock_version::routes::Shape;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header;
@@ -275,7 +275,7 @@
     headers.remove(header::EXPECT);
     D::rewrite_headers(
         &mut headers,
-        &UpstreamHeaders {
+        &terms::Headers {
             remaining: job.left(),
             instance: placement.flight.upstream.as_str(),
             organisation: job.organisation.as_ref().map(|o| o.name.as_str()),
--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -74,19 +74,19 @@
 }
 
 /// A change as peers are told of it; none where it is told in another way, or may not hold.
-pub fn told(change: &Change, provenance: Provenance) -> Option<step::ListingChange> {
+pub fn told(change: &Change, provenance: Provenance) -> Option<step::Change> {
     Some(match change {
-        Change::Upstream(listed) => step::ListingChange::Upstream(listed.clone()),
+        Change::Upstream(listed) => step::Change::Upstream(listed.clone()),
         // It may live; once it is taken for gone, that is told.
         Change::UpstreamRemoved(..) if provenance.may_live() => return None,
         Change::UpstreamRemoved(id, revision) | Change::UpstreamUnreadable(id, revision, _) => {
-            step::ListingChange::UpstreamRemoved(id.clone(), *revision)
+            step::Change::UpstreamRemoved(id.clone(), *revision)
         }
-        Change::Member(member) => step::ListingChange::Member(member.clone()),
-        Change::MemberWithdrawn(vm) => step::ListingChange::MemberWithdrawn(vm.clone()),
-        Change::Hall(hall) => step::ListingChange::Hall(hall.clone()),
-        Change::Quarantined(entry) => step::ListingChange::Quarantined(entry.clone()),
-        Change::Released(fingerprint) => step::ListingChange::Released(*fingerprint),
+        Change::Member(member) => step::Change::Member(member.clone()),
+        Change::MemberWithdrawn(vm) => step::Change::MemberWithdrawn(vm.clone()),
+        Change::Hall(hall) => step::Change::Hall(hall.clone()),
+        Change::Quarantined(entry) => step::Change::Quarantined(entry.clone()),
+        Change::Released(fingerprint) => step::Change::Released(*fingerprint),
         Change::Settings(_) | Change::SettingsUnreadable(_) | Change::Unreadable { .. } => {
             return None;
         }
--- a/daemon/src/fleet/follow.rs
+++ b/daemon/src/fleet/follow.rs
@@ -7,7 +7,7 @@
 use foldlock_base::clock::Moment;
 use foldlock_base::prelude::*;
 use foldlock_request::dialect::Dialect;
-use foldlock_request::directory::{Changes, Directory, DirectoryError};
+use foldlock_request::directory::{self, Changes, Directory};
 use foldlock_request::revision::Revision;
 use foldlock_request::step::{self, Step};
 
@@ -115,13 +115,13 @@
                 heard(&process, &mut contact, from, changes, asked);
                 tokio::time::sleep(gather(&process)).await;
             }
-            Err(DirectoryError::Compacted) => {
+            Err(directory::Failure::Compacted) => {
                 log::event(&process.log, Event::DirectoryCompacted, "reading all anew");
                 contact.forget();
             }
             // What it holds now is read anew; its new era is noted then.
-            Err(DirectoryError::Restored) => contact.forget(),
-            Err(DirectoryError::Unavailable(why)) => failed(&process, &mut contact, &why).await,
+            Err(directory::Failure::Restored) => contact.forget(),
+            Err(directory::Failure::Unavailable(why)) => failed(&process, &mut contact, &why).await,
         }
     }
 }
@@ -211,14 +211,14 @@
     let changed = !changes.is_empty();
     contact.goes_on(at);
     process.known_to(at);
-    let mut step: Vec<step::ListingChange> =
+    let mut step: Vec<step::Change> =
         changes.iter().filter_map(|change| changes::told(change, provenance)).collect();
     changes
         .into_iter()
         .for_each(|change| changes::apply(process, change, provenance, &mut change_log));
     let gone = process.cluster.lock().unwrap().expire(RELIST_TIMEOUT, at, now);
     gone.iter().for_each(|id| changes::ended(process, id, "not listed again", &mut change_log));
-    step.extend(gone.into_iter().map(|id| step::ListingChange::UpstreamRemoved(id, at)));
+    step.extend(gone.into_iter().map(|id| step::Change::UpstreamRemoved(id, at)));
     note_step(process, from, at, step);
     change_log.log(process, at, "the directory");
     if !contact.is_behind() {
@@ -236,7 +236,7 @@
     process: &Process<D>,
     from: Option<Revision>,
     to: Revision,
-    changes: Vec<step::ListingChange>,
+    changes: Vec<step::Change>,
 ) {
     let mut steps = process.steps.lock().unwrap();
     match from {
--- a/daemon/src/fleet/gate.rs
+++ b/daemon/src/fleet/gate.rs
@@ -7,7 +7,7 @@
 use foldlock_base::prelude::*;
 use foldlock_request::budget::Charge;
 use foldlock_request::cluster::Load;
-use foldlock_request::decision::{CandidateSnapshot, Decision, WaitCause};
+use foldlock_request::decision::{Cause, Decision, Snapshot};
 use foldlock_request::dialect::Dialect;
 use foldlock_request::forecast;
 use foldlock_request::placement::{self, Rejection, Requirements};
@@ -119,7 +119,7 @@
         return Err(Rejection::Resting { left_ms: left.as_millis() as u64 });
     }
     tokio::time::sleep(left).await;
-    job.record(Decision::Waited { cause: WaitCause::Backoff, waited_ms: millis(left) });
+    job.record(Decision::Waited { cause: Cause::Backoff, waited_ms: millis(left) });
     Ok(true)
 }
 
@@ -145,7 +145,7 @@
 fn placed<D: Dialect>(job: &Job<D>, grant: &Grant, started: Instant) {
     let asked = job.process.now().saturating_duration_since(started);
     if asked >= LEAST_QUEUED {
-        job.record(Decision::Waited { cause: WaitCause::Engines, waited_ms: millis(asked) });
+        job.record(Decision::Waited { cause: Cause::Engines, waited_ms: millis(asked) });
     }
     let placement = &grant.placement;
     if placement.limited > 0 {
@@ -168,8 +168,8 @@
     });
 }
 
-fn seen(id: &id::Upstream, load: &Load, predicted_ms: f64) -> CandidateSnapshot {
-    CandidateSnapshot {
+fn seen(id: &id::Upstream, load: &Load, predicted_ms: f64) -> Snapshot {
+    Snapshot {
         upstream: id.clone(),
         predicted_ms,
         score: load.backlog_ms,
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -11,7 +11,7 @@
 use foldlock_request::dialect::Dialect;
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::flight::{Flight, Helping};
-use foldlock_request::message::{self, GrantReply, GrantRequest, Message, RequestNumber};
+use foldlock_request::message::{self, GrantReply, GrantRequest, Message, Number};
 use foldlock_request::placement::{Placement, Rejection, Requirements};
 use foldlock_request::rate_limit::Entry;
 use foldlock_request::scheduler::Answer;
@@ -55,7 +55,7 @@
 
 /// A peer has answered.
 pub fn answered<D: Dialect>(process: &Process<D>, answered: GrantReply, from: SocketAddr) {
-    let RequestNumber { incarnation, number } = answered.request;
+    let Number { incarnation, number } = answered.request;
     if incarnation != process.member.incarnation {
         return;
     }
@@ -293,7 +293,7 @@
         requirements
     }
 
-    fn request(&self) -> RequestNumber {
+    fn request(&self) -> Number {
         self.process.numbered(self.number)
     }
 
--- a/daemon/src/fleet/hold.rs
+++ b/daemon/src/fleet/hold.rs
@@ -8,8 +8,8 @@
 use foldlock_base::prelude::*;
 use foldlock_request::decision::Decision;
 use foldlock_request::dialect::Dialect;
-use foldlock_request::memory::{Memory, MemoryError, Reservation};
-use foldlock_request::notice::WithNotice;
+use foldlock_request::memory::{self, Memory, Reservation};
+use foldlock_request::notice::Annotated;
 use foldlock_request::tag::Tag;
 use foldlock_request::terms::Helper;
 use futures::future::join_all;
@@ -32,7 +32,7 @@
     /// The upstream.
     pub upstream: id::Upstream,
     /// Why.
-    pub fault: MemoryError,
+    pub fault: memory::Failure,
 }
 
 /// The memory of one attempt. It is given back when this is dropped.
@@ -62,7 +62,7 @@
         reservations.iter().for_each(|reservation| note_order(&job.process, reservation));
         let sent = job.process.now();
         let answers = join_all(reservations.iter().map(|r| memory.reserve(r, time))).await;
-        for ((reservation, start), WithNotice { notice, value: answer }) in
+        for ((reservation, start), Annotated { notice, value: answer }) in
             reservations.iter().zip(starts).zip(answers)
         {
             notices::heard(&job.process, &reservation.upstream, start, sent, notice);
@@ -142,12 +142,12 @@
 async fn reserve<D: Dialect>(
     process: &Process<D>,
     reservation: &Reservation,
-) -> Result<(), MemoryError> {
+) -> Result<(), memory::Failure> {
     let time = process.config.fleet.hold();
     let start = notices::start(process, &reservation.upstream);
     note_order(process, reservation);
     let sent = process.now();
-    let WithNotice { notice, value: answer } = process.memory.reserve(reservation, time).await;
+    let Annotated { notice, value: answer } = process.memory.reserve(reservation, time).await;
     notices::heard(process, &reservation.upstream, start, sent, notice);
     answer
 }
@@ -168,7 +168,7 @@
         let start = notices::start(process, &reservation.upstream);
         note_order(process, reservation);
         let sent = process.now();
-        let WithNotice { notice, value: answer } = process.memory.release(reservation).await;
+        let Annotated { notice, value: answer } = process.memory.release(reservation).await;
         notices::heard(process, &reservation.upstream, start, sent, notice);
         match answer {
             Ok(()) => return,
--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -12,7 +12,7 @@
 use foldlock_request::dialect::Dialect;
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::quarantine::Verdict;
-use foldlock_request::ring::FeedEvent;
+use foldlock_request::ring::Item;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -266,10 +266,7 @@
     Response::new(Body::Lines(receiver))
 }
 
-async fn feed(
-    mut decisions: broadcast::Receiver<FeedEvent>,
-    lines: mpsc::Sender<Result<Bytes, Cut>>,
-) {
+async fn feed(mut decisions: broadcast::Receiver<Item>, lines: mpsc::Sender<Result<Bytes, Cut>>) {
     loop {
         let line = tokio::select! {
             line = decisions.recv() => line,
--- a/daemon/src/fleet/peer_sync.rs
+++ b/daemon/src/fleet/peer_sync.rs
@@ -66,20 +66,20 @@
 }
 
 /// A change that a peer told, unless something newer is known here.
-fn accepted<D: Dialect>(process: &Process<D>, change: step::ListingChange) -> Option<Change> {
+fn accepted<D: Dialect>(process: &Process<D>, change: step::Change) -> Option<Change> {
     let cluster = process.cluster.lock().unwrap();
     Some(match change {
-        step::ListingChange::Upstream(listed) => {
+        step::Change::Upstream(listed) => {
             cluster.accepts(&listed).then_some(Change::Upstream(listed))?
         }
-        step::ListingChange::UpstreamRemoved(id, revision) => {
+        step::Change::UpstreamRemoved(id, revision) => {
             let is_newer = cluster.get(&id).is_some_and(|known| known.listed.revision > revision);
             (!is_newer).then_some(Change::UpstreamRemoved(id, revision))?
         }
-        step::ListingChange::Member(member) => Change::Member(member),
-        step::ListingChange::MemberWithdrawn(vm) => Change::MemberWithdrawn(vm),
-        step::ListingChange::Hall(hall) => Change::Hall(hall),
-        step::ListingChange::Quarantined(entry) => Change::Quarantined(entry),
-        step::ListingChange::Released(fingerprint) => Change::Released(fingerprint),
+        step::Change::Member(member) => Change::Member(member),
+        step::Change::MemberWithdrawn(vm) => Change::MemberWithdrawn(vm),
+        step::Change::Hall(hall) => Change::Hall(hall),
+        step::Change::Quarantined(entry) => Change::Quarantined(entry),
+        step::Change::Released(fingerprint) => Change::Released(fingerprint),
     })
 }
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -12,7 +12,7 @@
 use foldlock_request::dialect::Dialect;
 use foldlock_request::directory::{Listing, Member, Settings};
 use foldlock_request::flight::Flight;
-use foldlock_request::message::RequestNumber;
+use foldlock_request::message::Number;
 use foldlock_request::rest::Rests;
 use foldlock_request::revision::Revision;
 use foldlock_request::ring::Ring;
@@ -341,8 +341,8 @@
     }
 
     /// A request of this VM, as it is named to others.
-    pub fn numbered(&self, number: u64) -> RequestNumber {
-        RequestNumber { incarnation: self.member.incarnation, number }
+    pub fn numbered(&self, number: u64) -> Number {
+        Number { incarnation: self.member.incarnation, number }
     }
 
     /// A name for memory that is set aside, never used again.
--- a/daemon/src/fleet/record.rs
+++ b/daemon/src/fleet/record.rs
@@ -1,7 +1,7 @@
 //! Records and log lines of what is decided for a request.
 
 use foldlock_base::clock::millis;
-use foldlock_request::decision::{Decision, TimedDecision};
+use foldlock_request::decision::{self, Decision};
 use foldlock_request::dialect::Dialect;
 use slog::Level;
 
@@ -11,7 +11,7 @@
 impl<D: Dialect> Job<D> {
     /// Records a decision, and logs it with its inputs as far as the volume allows.
     pub fn record(&self, decision: Decision) {
-        let step = TimedDecision { at_ms: millis(self.held()), decision };
+        let step = decision::Entry { at_ms: millis(self.held()), decision };
         let level = step.decision.event().level();
         let volume = if level.is_at_least(Level::Info) {
             &self.process.trouble_lines
--- a/daemon/src/fleet/reports.rs
+++ b/daemon/src/fleet/reports.rs
@@ -9,7 +9,7 @@
 use foldlock_request::dialect::Dialect;
 use foldlock_request::directory::Member;
 use foldlock_request::message::Message;
-use foldlock_request::notice::WithNotice;
+use foldlock_request::notice::Annotated;
 use foldlock_request::report::{Fault, Observed, Report, Reports};
 use foldlock_request::tag::Tag;
 use xxhash_rust::xxh3::xxh3_64;
@@ -90,7 +90,7 @@
     let at = process.now();
     let start = notices::start(&process, &listed.id);
     process.metrics.reports.inc();
-    let WithNotice { notice, value: answer } =
+    let Annotated { notice, value: answer } =
         process.reports.report(&listed.id, &listed.address).await;
     notices::heard(&process, &listed.id, start, at, notice);
     if let Err(Fault::Unreadable(why)) = &answer {
--- a/daemon/src/fleet/scheduler.rs
+++ b/daemon/src/fleet/scheduler.rs
@@ -7,7 +7,7 @@
 use foldlock_base::prelude::*;
 use foldlock_request::cluster::{Cluster, Holder};
 use foldlock_request::dialect::Dialect;
-use foldlock_request::message::{self, GrantReply, GrantRequest, Message, RequestNumber};
+use foldlock_request::message::{self, GrantReply, GrantRequest, Message, Number};
 use foldlock_request::placement::{self, Placement, Rejection, Requirements};
 use foldlock_request::scheduler::{Answer, Key};
 use foldlock_request::tag::Tag;
@@ -96,7 +96,7 @@
 }
 
 /// A peer asks no more.
-pub fn cancelled<D: Dialect>(process: &Process<D>, request: RequestNumber, from: SocketAddr) {
+pub fn cancelled<D: Dialect>(process: &Process<D>, request: Number, from: SocketAddr) {
     if let Some(peer) = process.peers.at(from) {
         cancel(process, &key(Holder::Peer(peer.vm), request));
     }
@@ -107,7 +107,7 @@
     cancel(process, &key(Holder::Own, process.numbered(number)));
 }
 
-fn key(holder: Holder, request: RequestNumber) -> Key {
+fn key(holder: Holder, request: Number) -> Key {
     Key { holder, incarnation: request.incarnation, number: request.number }
 }
 
@@ -138,24 +138,19 @@
     for (Key { holder, incarnation, number }, answer) in answers {
         match holder {
             Holder::Own => process.questions.deliver(number, answer),
-            Holder::Peer(vm) => tell(process, &vm, RequestNumber { incarnation, number }, answer),
+            Holder::Peer(vm) => tell(process, &vm, Number { incarnation, number }, answer),
         }
     }
 }
 
-fn tell<D: Dialect>(process: &Process<D>, vm: &id::Vm, request: RequestNumber, answer: Answer) {
+fn tell<D: Dialect>(process: &Process<D>, vm: &id::Vm, request: Number, answer: Answer) {
     // A peer that is listed no more asks elsewhere.
     if let Some(member) = process.peers.member(vm) {
         answered(process, request, member.address, answer);
     }
 }
 
-fn answered<D: Dialect>(
-    process: &Process<D>,
-    request: RequestNumber,
-    to: SocketAddr,
-    answer: Answer,
-) {
+fn answered<D: Dialect>(process: &Process<D>, request: Number, to: SocketAddr, answer: Answer) {
     let reply = encode(&process.cluster.lock().unwrap(), answer);
     let message = Message::GrantReply(GrantReply { request, reply });
     tell::send(process, &message, to);
--- a/daemon/src/fleet/writer.rs
+++ b/daemon/src/fleet/writer.rs
@@ -8,7 +8,7 @@
 
 use foldlock_base::prelude::*;
 use foldlock_request::dialect::Dialect;
-use foldlock_request::directory::{Directory, DirectoryError};
+use foldlock_request::directory::{self, Directory};
 
 use crate::fleet::metrics::Call;
 use crate::fleet::peers::Scheduler;
@@ -66,7 +66,7 @@
     process: &Process<D>,
     directory: &R,
     order: &Order,
-) -> Result<(), DirectoryError> {
+) -> Result<(), directory::Failure> {
     match order {
         Order::Hold(entry) => directory.quarantine(entry).await,
         Order::Release(fingerprint) | Order::Remove(fingerprint) => {
--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -8,7 +8,7 @@
 use foldlock_base::clock::millis;
 use foldlock_base::prelude::*;
 use foldlock_connection::wire::{self, Grant};
-use foldlock_request::decision::{Decision, WaitCause};
+use foldlock_request::decision::{Cause, Decision};
 use foldlock_request::fair::Ticket;
 use foldlock_version::policy::{Class, Route};
 use tarpc::context::Context;
@@ -182,7 +182,7 @@
     }
 }
 
-type Placed = (Place, Option<WaitCause>);
+type Placed = (Place, Option<Cause>);
 
 /// Waits for an engine. The request is the next one of its queue.
 async fn engine(job: &Job, progress: &Progress, ticket: &Ticket) -> Result<Placed, Refused> {
@@ -192,7 +192,7 @@
         let changed = engines.changed();
         if !ticket.is_next() {
             ticket.next().await;
-            waited.get_or_insert(WaitCause::Queue);
+            waited.get_or_insert(Cause::Queue);
         }
         match engines.choose(&wanted(job, progress)) {
             Chosen::Engine(flight) => {
--- a/daemon/src/log.rs
+++ b/daemon/src/log.rs
@@ -1,7 +1,7 @@
 //! Structured logs: numbered events as JSON lines on standard output.
 
 use foldlock_base::prelude::*;
-use foldlock_request::decision::TimedDecision;
+use foldlock_request::decision;
 use slog::{Drain, Level, LevelFilter, Logger, o};
 
 /// Events that wait to be written; beyond that they are dropped and counted.
@@ -43,7 +43,7 @@
     log: &Logger,
     request: &id::Request,
     route: &str,
-    step: &TimedDecision,
+    step: &decision::Entry,
     left_out: u64,
 ) {
     let event = step.decision.event();
--- a/daemon/src/operators.rs
+++ b/daemon/src/operators.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use foldlock_base::id;
-use foldlock_request::ring::FeedEvent;
+use foldlock_request::ring::Item;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use serde::Serialize;
@@ -131,7 +131,7 @@
     answer::stream("application/x-ndjson", receiver)
 }
 
-async fn feed(mut decisions: broadcast::Receiver<FeedEvent>, lines: mpsc::Sender<Bytes>) {
+async fn feed(mut decisions: broadcast::Receiver<Item>, lines: mpsc::Sender<Bytes>) {
     loop {
         let line = tokio::select! {
             line = decisions.recv() => line,
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -9,7 +9,7 @@
 use foldlock_base::prelude::*;
 use foldlock_connection::engine::Job as Order;
 use foldlock_connection::events::Event as Part;
-use foldlock_request::decision::{Decision, TimedDecision};
+use foldlock_request::decision::{self, Decision};
 use foldlock_request::prompt::Prompt;
 use foldlock_request::ring::Entry;
 use foldlock_request::route::Requirements;
@@ -94,7 +94,7 @@
         if event.level().is_at_least(slog::Level::Info) {
             log::event(&self.process.log, event, format_args!("{}: {decision}", self.request));
         }
-        self.entry.add(TimedDecision { at_ms, decision });
+        self.entry.add(decision::Entry { at_ms, decision });
     }
 
     /// The time left.
--- a/request/src/decision.rs
+++ b/request/src/decision.rs
@@ -14,7 +14,7 @@
 
 /// A candidate upstream as it was when a request was routed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct CandidateSnapshot {
+pub struct Snapshot {
     /// The upstream.
     pub upstream: id::Upstream,
     /// The predicted time to the first token, in milliseconds.
@@ -34,7 +34,7 @@
 /// Why a request is queued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum WaitCause {
+pub enum Cause {
     /// Each engine's queue is full.
     Engines,
     /// No engine has enough free memory.
@@ -71,7 +71,7 @@
     /// The request was queued.
     Waited {
         /// Why it was queued.
-        cause: WaitCause,
+        cause: Cause,
         /// Time in the queue, in milliseconds.
         waited_ms: f64,
     },
@@ -91,7 +91,7 @@
         part_ms: f64,
         /// Some of the candidates, best first.
         #[serde(rename = "seen")]
-        candidates: Vec<CandidateSnapshot>,
+        candidates: Vec<Snapshot>,
         /// The VM that placed it; none if the request's own VM placed it from its local state
         /// alone.
         #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -323,14 +323,14 @@
     }
 }
 
-impl WaitCause {
+impl Cause {
     fn text(self) -> &'static str {
         match self {
-            WaitCause::Backoff => "all upstreams asked for a rest",
-            WaitCause::Engines => "each engine's queue is full",
-            WaitCause::Memory => "no engine has enough free memory",
-            WaitCause::Queue => "other requests are ahead",
-            WaitCause::Grant => "no placement for a long prompt yet",
+            Cause::Backoff => "all upstreams asked for a rest",
+            Cause::Engines => "each engine's queue is full",
+            Cause::Memory => "no engine has enough free memory",
+            Cause::Queue => "other requests are ahead",
+            Cause::Grant => "no placement for a long prompt yet",
         }
     }
 }
@@ -342,7 +342,7 @@
 
 /// A decision with its time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TimedDecision {
+pub struct Entry {
     /// Time since the request arrived, in milliseconds.
     pub at_ms: f64,
     /// The decision.
@@ -377,7 +377,7 @@
     pub subject: Subject,
     /// The decisions, in chronological order.
     #[serde(rename = "steps")]
-    pub decisions: Vec<TimedDecision>,
+    pub decisions: Vec<Entry>,
 }
 
 impl fmt::Display for Record {
--- a/request/src/dialect.rs
+++ b/request/src/dialect.rs
@@ -6,7 +6,7 @@
 use crate::memory::Memory;
 use crate::notice::Notice;
 use crate::report::Reports;
-use crate::terms::{Terms, UpstreamHeaders, Verdict};
+use crate::terms::{Headers, Terms, Verdict};
 
 /// The headers of requests and responses on a platform.
 pub trait Dialect: Send + Sync + 'static {
@@ -20,7 +20,7 @@
     fn terms(headers: &HeaderMap) -> Terms;
 
     /// Removes headers that an upstream must not receive, and adds those for the upstream.
-    fn rewrite_headers(headers: &mut HeaderMap, additions: &UpstreamHeaders<'_>);
+    fn rewrite_headers(headers: &mut HeaderMap, additions: &Headers<'_>);
 
     /// What a response to `request` states about the attempt.
     fn verdict(request: &str, status: StatusCode, headers: &HeaderMap) -> Verdict;
--- a/request/src/directory.rs
+++ b/request/src/directory.rs
@@ -105,7 +105,7 @@
 
 /// Why a call to the directory failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum DirectoryError {
+pub enum Failure {
     /// The changes since the requested revision are compacted; a full sync is needed.
     Compacted,
     /// The directory was restored from an older copy, and revisions read before belong to another
@@ -115,17 +115,17 @@
     Unavailable(String),
 }
 
-impl fmt::Display for DirectoryError {
+impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            DirectoryError::Compacted => write!(f, "the requested changes are compacted"),
-            DirectoryError::Restored => write!(f, "the directory was restored from an older copy"),
-            DirectoryError::Unavailable(why) => f.write_str(why),
+            Failure::Compacted => write!(f, "the requested changes are compacted"),
+            Failure::Restored => write!(f, "the directory was restored from an older copy"),
+            Failure::Unavailable(why) => f.write_str(why),
         }
     }
 }
 
-impl std::error::Error for DirectoryError {}
+impl std::error::Error for Failure {}
 
 /// Maximum number of VMs withdrawn with one call.
 pub const WITHDRAW_BATCH_SIZE: usize = 32;
@@ -133,12 +133,11 @@
 /// The operations on the directory that foldlock uses.
 pub trait Directory: Clone + Send + Sync + 'static {
     /// Reads all current listings.
-    fn read(&self) -> impl Future<Output = Result<Changes, DirectoryError>> + Send;
+    fn read(&self) -> impl Future<Output = Result<Changes, Failure>> + Send;
 
     /// Reads the VMs whose ids begin with `prefix`. Cheap for the directory; the result may be
     /// seconds old.
-    fn members(&self, prefix: &str)
-    -> impl Future<Output = Result<Changes, DirectoryError>> + Send;
+    fn members(&self, prefix: &str) -> impl Future<Output = Result<Changes, Failure>> + Send;
 
     /// Waits for changes after revision `since`, and returns them at once when there are some, or
     /// none after `wait`.
@@ -146,25 +145,20 @@
         &self,
         since: Revision,
         wait: Duration,
-    ) -> impl Future<Output = Result<Changes, DirectoryError>> + Send;
+    ) -> impl Future<Output = Result<Changes, Failure>> + Send;
 
     /// Lists this VM.
-    fn register(&self, member: &Member) -> impl Future<Output = Result<(), DirectoryError>> + Send;
+    fn register(&self, member: &Member) -> impl Future<Output = Result<(), Failure>> + Send;
 
     /// Withdraws VMs, with one call for each [`WITHDRAW_BATCH_SIZE`] of them.
-    fn withdraw(&self, vms: &[id::Vm]) -> impl Future<Output = Result<(), DirectoryError>> + Send;
+    fn withdraw(&self, vms: &[id::Vm]) -> impl Future<Output = Result<(), Failure>> + Send;
 
     /// Lists a request as quarantined.
-    fn quarantine(
-        &self,
-        entry: &Quarantined,
-    ) -> impl Future<Output = Result<(), DirectoryError>> + Send;
+    fn quarantine(&self, entry: &Quarantined) -> impl Future<Output = Result<(), Failure>> + Send;
 
     /// Releases a request from quarantine.
-    fn release(
-        &self,
-        fingerprint: Fingerprint,
-    ) -> impl Future<Output = Result<(), DirectoryError>> + Send;
+    fn release(&self, fingerprint: Fingerprint)
+    -> impl Future<Output = Result<(), Failure>> + Send;
 
     /// Decodes settings that were received from a peer.
     fn decode(&self, text: Bytes) -> Result<Settings, String>;
--- a/request/src/memory.rs
+++ b/request/src/memory.rs
@@ -6,7 +6,7 @@
 
 use foldlock_base::prelude::*;
 
-use crate::notice::WithNotice;
+use crate::notice::Annotated;
 
 /// A reservation of memory at an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -23,23 +23,23 @@
 
 /// Why a reservation failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum MemoryError {
+pub enum Failure {
     /// The engine has not enough free memory.
     Insufficient,
     /// The engine did not respond: the memory may be reserved, now or later.
     Unconfirmed(String),
 }
 
-impl fmt::Display for MemoryError {
+impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            MemoryError::Insufficient => write!(f, "the engine has not enough free memory"),
-            MemoryError::Unconfirmed(why) => f.write_str(why),
+            Failure::Insufficient => write!(f, "the engine has not enough free memory"),
+            Failure::Unconfirmed(why) => f.write_str(why),
         }
     }
 }
 
-impl std::error::Error for MemoryError {}
+impl std::error::Error for Failure {}
 
 /// Reserves and releases engine memory. The platform adapter implements it.
 pub trait Memory: Clone + Send + Sync + 'static {
@@ -48,11 +48,11 @@
         &self,
         reservation: &Reservation,
         duration: Duration,
-    ) -> impl Future<Output = WithNotice<Result<(), MemoryError>>> + Send;
+    ) -> impl Future<Output = Annotated<Result<(), Failure>>> + Send;
 
     /// Releases a reservation. Releasing one that does not exist is not an error.
     fn release(
         &self,
         reservation: &Reservation,
-    ) -> impl Future<Output = WithNotice<Result<(), MemoryError>>> + Send;
+    ) -> impl Future<Output = Annotated<Result<(), Failure>>> + Send;
 }
--- a/request/src/message.rs
+++ b/request/src/message.rs
@@ -31,7 +31,7 @@
     #[serde(rename = "Asked")]
     GrantRequest(GrantRequest),
     /// Withdraws a grant request.
-    Cancelled(RequestNumber),
+    Cancelled(Number),
     /// The scheduler's reply to a grant request.
     #[serde(rename = "Answered")]
     GrantReply(GrantReply),
@@ -155,7 +155,7 @@
 
 /// Identifies a request by the number that its VM assigned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct RequestNumber {
+pub struct Number {
     /// The incarnation of the VM's process.
     pub incarnation: u64,
     /// The number, unique within the incarnation.
@@ -166,7 +166,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GrantRequest {
     /// The request.
-    pub request: RequestNumber,
+    pub request: Number,
     /// The service that it is for.
     pub service: Tag,
     prompt: u64,
@@ -194,7 +194,7 @@
 impl GrantRequest {
     /// The grant request for these requirements, as of `now`.
     pub fn new(
-        request: RequestNumber,
+        request: Number,
         service: Tag,
         requirements: &Requirements,
         is_client: bool,
@@ -244,7 +244,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GrantReply {
     /// The request.
-    pub request: RequestNumber,
+    pub request: Number,
     /// The reply.
     #[serde(rename = "answer")]
     pub reply: Reply,
--- a/request/src/notice.rs
+++ b/request/src/notice.rs
@@ -60,16 +60,16 @@
 
 /// A response with its upstream's notice. The notice is empty if there was no response.
 #[derive(Debug, Clone, PartialEq)]
-pub struct WithNotice<T> {
+pub struct Annotated<T> {
     /// The notice.
     pub notice: Notice,
     /// The decoded response.
     pub value: T,
 }
 
-impl<T> WithNotice<T> {
+impl<T> Annotated<T> {
     /// A response without a notice, or a failure without a response.
-    pub fn without_notice(value: T) -> WithNotice<T> {
-        WithNotice { notice: Notice::default(), value }
+    pub fn without_notice(value: T) -> Annotated<T> {
+        Annotated { notice: Notice::default(), value }
     }
 }
--- a/request/src/report.rs
+++ b/request/src/report.rs
@@ -6,7 +6,7 @@
 use foldlock_base::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::notice::WithNotice;
+use crate::notice::Annotated;
 use crate::tag::Tag;
 
 /// What one engine told.
@@ -41,7 +41,7 @@
         &self,
         upstream: &id::Upstream,
         address: &str,
-    ) -> impl Future<Output = WithNotice<Result<Report, Fault>>> + Send;
+    ) -> impl Future<Output = Annotated<Result<Report, Fault>>> + Send;
 }
 
 /// A report, or that there was none, with the time at which it was asked for.
--- a/request/src/ring.rs
+++ b/request/src/ring.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::broadcast;
 
-use crate::decision::{Record, Subject, TimedDecision};
+use crate::decision::{self, Record, Subject};
 
 /// Maximum number of records.
 pub const CAPACITY: usize = 4096;
@@ -17,14 +17,14 @@
 
 /// An entry of the feed: a decision with its request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct FeedEvent {
+pub struct Item {
     /// The request.
     pub request: id::Request,
     /// The organisation.
     pub organisation: id::Organisation,
     /// The decision.
     #[serde(flatten)]
-    pub decision: TimedDecision,
+    pub decision: decision::Entry,
 }
 
 type SharedRecord = Arc<Mutex<Record>>;
@@ -38,7 +38,7 @@
 /// A ring buffer of request records.
 pub struct Ring {
     records: Mutex<Records>,
-    feed: broadcast::Sender<FeedEvent>,
+    feed: broadcast::Sender<Item>,
     capacity: usize,
 }
 
@@ -52,7 +52,7 @@
 #[derive(Clone)]
 pub struct Entry {
     record: SharedRecord,
-    feed: broadcast::Sender<FeedEvent>,
+    feed: broadcast::Sender<Item>,
 }
 
 impl Ring {
@@ -94,17 +94,17 @@
     }
 
     /// Subscribes to the decisions from now on.
-    pub fn subscribe(&self) -> broadcast::Receiver<FeedEvent> {
+    pub fn subscribe(&self) -> broadcast::Receiver<Item> {
         self.feed.subscribe()
     }
 }
 
 impl Entry {
     /// Adds a decision to the record and the feed.
-    pub fn add(&self, decision: TimedDecision) {
+    pub fn add(&self, decision: decision::Entry) {
         let mut record = self.record.lock().unwrap();
         if self.feed.receiver_count() > 0 {
-            let event = FeedEvent {
+            let event = Item {
                 request: record.subject.request.clone(),
                 organisation: record.subject.organisation.clone(),
                 decision: decision.clone(),
--- a/request/src/route.rs
+++ b/request/src/route.rs
@@ -11,7 +11,7 @@
 use foldlock_version::policy::{self, Class};
 use rand::Rng;
 
-use crate::decision::{CandidateSnapshot, WaitCause};
+use crate::decision::{Cause, Snapshot};
 use crate::speed::{Model, Work};
 
 /// What is asked of an engine.
@@ -76,19 +76,19 @@
 
     /// Why it is not to be given the request now, though it may be the best. What waits in
     /// foldlock rather than at an engine can still go elsewhere, and in fair order.
-    pub fn closed(&self, requirements: &Requirements) -> Option<WaitCause> {
+    pub fn closed(&self, requirements: &Requirements) -> Option<Cause> {
         if !self.fits(requirements) {
-            return Some(WaitCause::Memory);
+            return Some(Cause::Memory);
         }
         let queued = self.fleet.ahead(requirements.class).0 as f64 * self.speed.seconds_per_token();
         let own = requirements.prompt.0 as f64 * self.speed.seconds_per_token();
         let most = if requirements.class.is_long() { own * LONG_QUEUED } else { SHORT_QUEUED };
-        (queued > most).then_some(WaitCause::Engines)
+        (queued > most).then_some(Cause::Engines)
     }
 
     /// What a record says of it.
-    pub fn seen(&self, requirements: &Requirements, score: f64) -> CandidateSnapshot {
-        CandidateSnapshot {
+    pub fn seen(&self, requirements: &Requirements, score: f64) -> Snapshot {
+        Snapshot {
             upstream: self.engine.clone(),
             predicted_ms: self.predict(requirements) * 1e3,
             score,
@@ -117,7 +117,7 @@
     /// The index of the candidate.
     pub index: usize,
     /// The candidates, best first; a few of them.
-    pub seen: Vec<CandidateSnapshot>,
+    pub seen: Vec<Snapshot>,
 }
 
 /// How many candidates a record names.
--- a/request/src/step.rs
+++ b/request/src/step.rs
@@ -21,7 +21,7 @@
 
 /// One change of the listings.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum ListingChange {
+pub enum Change {
     /// An upstream was listed.
     Upstream(Listed),
     /// An upstream was removed, as of this revision.
@@ -49,7 +49,7 @@
     /// The revision after the changes.
     pub to: Revision,
     /// The changes, in order.
-    pub changes: Vec<ListingChange>,
+    pub changes: Vec<Change>,
 }
 
 impl Step {
--- a/request/src/terms.rs
+++ b/request/src/terms.rs
@@ -41,7 +41,7 @@
 
 /// What an upstream is sent in addition to the caller's own headers.
 #[derive(Debug, Clone)]
-pub struct UpstreamHeaders<'a> {
+pub struct Headers<'a> {
     /// The time until the deadline.
     pub remaining: Duration,
     /// The instance that the request is for.
--- a/request/tests/message.rs
+++ b/request/tests/message.rs
@@ -6,7 +6,7 @@
 use foldlock_request::budget::Charge;
 use foldlock_request::fingerprint::Fingerprint;
 use foldlock_request::message::{
-    Activity, GrantRequest, Heartbeat, Message, RequestNumber, State, decode, encode,
+    Activity, GrantRequest, Heartbeat, Message, Number, State, decode, encode,
 };
 use foldlock_request::placement::Requirements;
 use foldlock_request::tag::Tag;
@@ -56,7 +56,7 @@
         schedulers: 1,
         charge: Charge::Withdraw,
     };
-    let request = RequestNumber { incarnation: 1, number: 8 };
+    let request = Number { incarnation: 1, number: 8 };
     let message = Message::GrantRequest(GrantRequest::new(
         request,
         Tag::of("model"),
--- a/request/tests/step.rs
+++ b/request/tests/step.rs
@@ -3,7 +3,7 @@
 use foldlock_request::cluster::{Cluster, Listed};
 use foldlock_request::directory::Member;
 use foldlock_request::revision::Revision;
-use foldlock_request::step::{ListingChange, Step, Steps, decode, encode};
+use foldlock_request::step::{Change, Step, Steps, decode, encode};
 use proptest::prelude::*;
 
 fn listed(i: usize) -> Listed {
@@ -30,21 +30,21 @@
     }
 }
 
-fn step(from: u64, to: u64, changes: Vec<ListingChange>) -> Step {
+fn step(from: u64, to: u64, changes: Vec<Change>) -> Step {
     Step { from: from.into(), to: to.into(), changes }
 }
 
 fn single_change(from: u64) -> Step {
-    step(from, from + 1, vec![ListingChange::Upstream(listed(from as usize))])
+    step(from, from + 1, vec![Change::Upstream(listed(from as usize))])
 }
 
 #[test]
 fn steps_round_trip() {
     let changes = vec![
-        ListingChange::Upstream(Listed { born: None, cold_ms: 300, ..listed(1) }),
-        ListingChange::UpstreamRemoved("i-2".parse().unwrap(), 7.into()),
-        ListingChange::Member(member(3)),
-        ListingChange::MemberWithdrawn("vm-4".parse().unwrap()),
+        Change::Upstream(Listed { born: None, cold_ms: 300, ..listed(1) }),
+        Change::UpstreamRemoved("i-2".parse().unwrap(), 7.into()),
+        Change::Member(member(3)),
+        Change::MemberWithdrawn("vm-4".parse().unwrap()),
     ];
     let steps = vec![step(1, 9, changes), step(9, 12, Vec::new())];
     assert_eq!(decode(&encode(&steps)).unwrap(), steps);
@@ -64,7 +64,7 @@
         let members: Vec<Member> = (0..vms).map(member).collect();
         let whole = serde_json::to_vec(&(all, members)).unwrap().len();
         let leaving = Listed { leaving: true, ..listed(upstreams / 2) };
-        (encode(&[step(5_000, 5_001, vec![ListingChange::Upstream(leaving)])]).len(), whole)
+        (encode(&[step(5_000, 5_001, vec![Change::Upstream(leaving)])]).len(), whole)
     });
     let [(small, _), (large, whole)] = sizes;
     assert!(large <= small + 8, "{small} and {large} bytes");
@@ -114,7 +114,7 @@
 /// directory.
 #[test]
 fn a_step_without_a_new_revision_is_announced() {
-    let gone = step(9, 9, vec![ListingChange::UpstreamRemoved("i-1".parse().unwrap(), 9.into())]);
+    let gone = step(9, 9, vec![Change::UpstreamRemoved("i-1".parse().unwrap(), 9.into())]);
     assert!(gone.follows(9.into()) && !gone.follows(8.into()) && !gone.follows(10.into()));
     let mut steps = Steps::default();
     steps.push(gone.clone());
