--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -74,19 +74,19 @@
 }
 
 /// A change as peers are told of it; none where it is told in another way, or may not hold.
-pub fn told(change: &Change, provenance: Provenance) -> Option<step::Change> {
+pub fn told(change: &Change, provenance: Provenance) -> Option<step::ListingChange> {
     Some(match change {
-        Change::Upstream(listed) => step::Change::Upstream(listed.clone()),
+        Change::Upstream(listed) => step::ListingChange::Upstream(listed.clone()),
         // It may live; once it is taken for gone, that is told.
-        Change::UpstreamGone(..) if provenance.may_live() => return None,
-        Change::UpstreamGone(id, revision) | Change::UpstreamUnreadable(id, revision, _) => {
-            step::Change::UpstreamGone(id.clone(), *revision)
+        Change::UpstreamRemoved(..) if provenance.may_live() => return None,
+        Change::UpstreamRemoved(id, revision) | Change::UpstreamUnreadable(id, revision, _) => {
+            step::ListingChange::UpstreamRemoved(id.clone(), *revision)
         }
-        Change::Member(member) => step::Change::Member(member.clone()),
-        Change::MemberGone(vm) => step::Change::MemberGone(vm.clone()),
-        Change::Hall(hall) => step::Change::Hall(hall.clone()),
-        Change::Quarantined(entry) => step::Change::Held(entry.clone()),
-        Change::Released(fingerprint) => step::Change::Released(*fingerprint),
+        Change::Member(member) => step::ListingChange::Member(member.clone()),
+        Change::MemberWithdrawn(vm) => step::ListingChange::MemberWithdrawn(vm.clone()),
+        Change::Hall(hall) => step::ListingChange::Hall(hall.clone()),
+        Change::Quarantined(entry) => step::ListingChange::Quarantined(entry.clone()),
+        Change::Released(fingerprint) => step::ListingChange::Released(*fingerprint),
         Change::Settings(_) | Change::SettingsUnreadable(_) | Change::Unreadable { .. } => {
             return None;
         }
@@ -221,7 +221,7 @@
     match change {
         Change::Settings(settings) => process.take_settings(*settings, "the directory"),
         Change::Upstream(listed) => upstream_listed(process, listed, provenance, change_log),
-        Change::UpstreamGone(id, revision) => {
+        Change::UpstreamRemoved(id, revision) => {
             listing_ended(process, &id, revision, provenance, change_log);
         }
         Change::UpstreamUnreadable(id, revision, why) => {
@@ -234,13 +234,13 @@
                 change_log.add(Event::MemberUp, what);
             }
         }
-        Change::MemberGone(vm) if vm == process.member.vm => {
+        Change::MemberWithdrawn(vm) if vm == process.member.vm => {
             if process.stopping.is_cancelled() {
                 process.withdrawals.withdrawn();
             }
             list_again(process);
         }
-        Change::MemberGone(vm) => {
+        Change::MemberWithdrawn(vm) => {
             members::withdrawn(process, &vm);
         }
         Change::Hall(hall) => hall_noted(process, hall, change_log),
--- a/daemon/src/fleet/gate.rs
+++ b/daemon/src/fleet/gate.rs
@@ -7,7 +7,7 @@
 use foldlock_base::prelude::*;
 use foldlock_request::budget::Charge;
 use foldlock_request::cluster::Load;
-use foldlock_request::decision::{Cause, Decision, Seen};
+use foldlock_request::decision::{CandidateSnapshot, Decision, WaitCause};
 use foldlock_request::dialect::Dialect;
 use foldlock_request::forecast;
 use foldlock_request::placement::{self, Rejection, Requirements};
@@ -124,7 +124,7 @@
         return Err(Rejection::Backoff { left_ms: left.as_millis() as u64 });
     }
     tokio::time::sleep(left).await;
-    job.record(Decision::Waited { cause: Cause::Resting, waited_ms: millis(left) });
+    job.record(Decision::Waited { cause: WaitCause::Backoff, waited_ms: millis(left) });
     Ok(true)
 }
 
@@ -140,7 +140,7 @@
 /// The time that a long prompt needs from its placement to the end of its answer, if that is no longer than usual. A
 /// caller's guess is often far too long, and a prompt that was refused for it finds engines free.
 fn last_start<D: Dialect>(job: &Job<D>, engine: &Engine, read_ms: f64) -> Duration {
-    let expected = job.terms.expected.unwrap_or(engine.usual_answer);
+    let expected = job.terms.expected_answer.unwrap_or(engine.usual_answer);
     let answer = expected.min(engine.usual_answer);
     let passes = answer.0 as f64 / f64::from(engine.stride.max(1));
     let pass_ms = forecast::pass_ms(engine, USUAL_WRITERS, engine.memory.0 / 2);
@@ -150,7 +150,7 @@
 fn placed<D: Dialect>(job: &Job<D>, grant: &Grant, started: Instant) {
     let asked = job.process.now().saturating_duration_since(started);
     if asked >= LEAST_QUEUED {
-        job.record(Decision::Waited { cause: Cause::Engines, waited_ms: millis(asked) });
+        job.record(Decision::Waited { cause: WaitCause::Engines, waited_ms: millis(asked) });
     }
     let placement = &grant.placement;
     if placement.limited > 0 {
@@ -166,15 +166,15 @@
         predicted_ms: placement.predicted_ms,
         engines: placement.flight.helpers.len() as u32 + 1,
         part_ms: f64::from(placement.flight.part_ms),
-        seen,
+        candidates: seen,
         by: grant.by.clone(),
         limited: placement.limited as u32,
-        asked_ms: millis(asked),
+        placement_ms: millis(asked),
     });
 }
 
-fn seen(id: &id::Upstream, load: &Load, predicted_ms: f64) -> Seen {
-    Seen {
+fn seen(id: &id::Upstream, load: &Load, predicted_ms: f64) -> CandidateSnapshot {
+    CandidateSnapshot {
         upstream: id.clone(),
         predicted_ms,
         score: load.backlog_ms,
@@ -200,7 +200,8 @@
         Rejection::Full | Rejection::TooLarge => Kind::Overloaded,
     };
     let long = read_ms(job, &job.requirements(&[], Charge::Free)).is_some();
-    let cause = if long { retry_after::Cause::FullForLong } else { retry_after::Cause::Full };
+    let cause =
+        if long { retry_after::Cause::FullForLongPrompts } else { retry_after::Cause::Full };
     let after = cause.retry_after(job.left());
     Error::unsent(kind, format!("{}: {rejection}", job.service.name), proof).retry_after(after)
 }
--- a/daemon/src/fleet/hold.rs
+++ b/daemon/src/fleet/hold.rs
@@ -8,8 +8,8 @@
 use foldlock_base::prelude::*;
 use foldlock_request::decision::Decision;
 use foldlock_request::dialect::Dialect;
-use foldlock_request::memory::{Fault, Memory, Reservation};
-use foldlock_request::notice::Noted;
+use foldlock_request::memory::{Memory, MemoryError, Reservation};
+use foldlock_request::notice::WithNotice;
 use foldlock_request::tag::Tag;
 use foldlock_request::terms::Helper;
 use futures::future::join_all;
@@ -32,7 +32,7 @@
     /// The upstream.
     pub upstream: id::Upstream,
     /// Why.
-    pub fault: Fault,
+    pub fault: MemoryError,
 }
 
 /// The memory of one attempt. It is given back when this is dropped.
@@ -62,7 +62,7 @@
         reservations.iter().for_each(|reservation| note_order(&job.process, reservation));
         let sent = job.process.now();
         let answers = join_all(reservations.iter().map(|r| memory.reserve(r, time))).await;
-        for ((reservation, start), Noted { notice, answer }) in
+        for ((reservation, start), WithNotice { notice, value: answer }) in
             reservations.iter().zip(starts).zip(answers)
         {
             notices::heard(&job.process, &reservation.upstream, start, sent, notice);
@@ -72,7 +72,7 @@
         }
         let engines = reservations.iter().map(|r| r.upstream.clone()).collect();
         let waited_ms = millis(job.process.now().saturating_duration_since(started));
-        job.record(Decision::Held { engines, waited_ms });
+        job.record(Decision::Reserved { engines, waited_ms });
         hold.renewal = Some(tokio::spawn(renew(job.process.clone(), reservations)));
         Ok(hold)
     }
@@ -86,13 +86,13 @@
     pub fn helpers(&self, grant: &Grant) -> Vec<Helper> {
         let ticket = |upstream: &id::Upstream| {
             let reservation = self.reservations.iter().find(|r| r.upstream == *upstream)?;
-            Some(reservation.ticket.clone())
+            Some(reservation.reservation_id.clone())
         };
         let helpers = grant.placement.flight.helpers.iter().zip(&grant.helpers);
         helpers
             .map(|(helping, address)| Helper {
                 address: address.clone(),
-                ticket: ticket(&helping.upstream),
+                reservation_id: ticket(&helping.upstream),
             })
             .collect()
     }
@@ -116,7 +116,7 @@
     held.map(|(helping, address)| Reservation {
         upstream: helping.upstream.clone(),
         address: address.clone(),
-        ticket: job.process.ticket(),
+        reservation_id: job.process.ticket(),
         tokens: Tokens(helping.reserved),
     })
     .collect()
@@ -131,7 +131,7 @@
 
 async fn renew_one<D: Dialect>(process: &Process<D>, reservation: &Reservation) {
     if let Err(fault) = reserve(process, reservation).await {
-        let what = format!("{} at {}: {fault}", reservation.ticket, reservation.upstream);
+        let what = format!("{} at {}: {fault}", reservation.reservation_id, reservation.upstream);
         log::event(&process.log, Event::RenewalFailed, what);
         tokio::time::sleep(RETRY_INTERVAL).await;
         // The last try within the hold; without it the engine cuts the request, which is seen.
@@ -139,12 +139,15 @@
     }
 }
 
-async fn reserve<D: Dialect>(process: &Process<D>, reservation: &Reservation) -> Result<(), Fault> {
+async fn reserve<D: Dialect>(
+    process: &Process<D>,
+    reservation: &Reservation,
+) -> Result<(), MemoryError> {
     let time = process.config.fleet.hold();
     let start = notices::start(process, &reservation.upstream);
     note_order(process, reservation);
     let sent = process.now();
-    let Noted { notice, answer } = process.memory.reserve(reservation, time).await;
+    let WithNotice { notice, value: answer } = process.memory.reserve(reservation, time).await;
     notices::heard(process, &reservation.upstream, start, sent, notice);
     answer
 }
@@ -165,7 +168,7 @@
         let start = notices::start(process, &reservation.upstream);
         note_order(process, reservation);
         let sent = process.now();
-        let Noted { notice, answer } = process.memory.release(reservation).await;
+        let WithNotice { notice, value: answer } = process.memory.release(reservation).await;
         notices::heard(process, &reservation.upstream, start, sent, notice);
         match answer {
             Ok(()) => return,
@@ -174,6 +177,6 @@
         tokio::time::sleep(RETRY_INTERVAL).await;
     }
     let why = last.map_or_else(String::new, |fault| fault.to_string());
-    let what = format!("{} at {}: {why}", reservation.ticket, reservation.upstream);
+    let what = format!("{} at {}: {why}", reservation.reservation_id, reservation.upstream);
     log::event(&process.log, Event::ReleaseFailed, what);
 }
--- a/daemon/src/fleet/notices.rs
+++ b/daemon/src/fleet/notices.rs
@@ -35,12 +35,12 @@
     if notice.leaving {
         leaves(process, start, &process.member.vm);
     }
-    if let Some(rest) = notice.rest {
+    if let Some(rest) = notice.backoff {
         rests(process, upstream, start, rest);
     }
     match notice.rate_limit {
         RateLimit::Limited(rate) => rate_limits::observe(process, start, Some(rate), sent),
-        RateLimit::Unreadable if process.trouble_lines.admit(process.now()).is_some() => {
+        RateLimit::Malformed if process.trouble_lines.admit(process.now()).is_some() => {
             log::event(&process.log, Event::UpstreamLimited, format!("{upstream} {notice}"));
         }
         _ => {}
--- a/request/src/cluster/limits.rs
+++ b/request/src/cluster/limits.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Cluster, Holder, Upstream};
-use crate::sliding_window::Bound;
 use crate::rate_limit::{self, Entry, Limit, Merge, State};
+use crate::sliding_window::Bound;
 use crate::tag::Tag;
 
 /// How long a dispatch is included in heartbeats: several of them, since some are lost.
--- a/request/src/notice.rs
+++ b/request/src/notice.rs
@@ -1,73 +1,75 @@
-//! What an upstream says of itself in an answer, beside the answer.
+//! Notices: what an upstream states about itself in the headers of a response.
 
 use std::fmt;
 use std::time::Duration;
 
 use foldlock_base::prelude::*;
 
-/// What an upstream says of itself. It concerns the start of its program that gave the answer, and no
-/// later one.
+/// What an upstream states about itself. It applies to the incarnation of the upstream that sent
+/// the response, and to no later one.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Notice {
-    /// It is about to leave and wants no new work of anybody.
+    /// It is about to shut down and accepts no new work from any VM.
     pub leaving: bool,
-    /// For how long it wants nothing from the VM that it answers, counted from the answer.
-    pub rest: Option<Duration>,
+    /// Time from the response for which it accepts no requests from the VM that receives the
+    /// response.
+    pub backoff: Option<Duration>,
     /// Its rate limit for the whole fleet.
     pub rate_limit: RateLimit,
 }
 
-/// What an answer says of its upstream's rate limit.
+/// What a response states about its upstream's rate limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum RateLimit {
-    /// The answer says nothing about the upstream that was asked.
+    /// The response says nothing about the upstream that the request was sent to.
     #[default]
     Unknown,
-    /// No limit.
+    /// No rate limit.
     Unlimited,
-    /// A limit.
+    /// A rate limit.
     Limited(Rate),
-    /// A malformed limit.
-    Unreadable,
+    /// A malformed rate limit.
+    Malformed,
 }
 
 impl Notice {
-    /// Whether it asks VMs to change nothing.
+    /// Whether it requires no action of the VMs.
     pub fn is_empty(self) -> bool {
-        let is_limited = matches!(self.rate_limit, RateLimit::Limited(_) | RateLimit::Unreadable);
-        !self.leaving && self.rest.is_none() && !is_limited
+        let is_limited = matches!(self.rate_limit, RateLimit::Limited(_) | RateLimit::Malformed);
+        !self.leaving && self.backoff.is_none() && !is_limited
     }
 }
 
 impl fmt::Display for Notice {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let leaves = self.leaving.then(|| "leaves".to_owned());
-        let rest = self.rest.map(|rest| format!("asks for {} ms of rest", rest.as_millis()));
+        let backoff =
+            self.backoff.map(|time| format!("asks for a backoff of {} ms", time.as_millis()));
         let limit = match self.rate_limit {
             RateLimit::Unknown | RateLimit::Unlimited => None,
-            RateLimit::Limited(rate) => Some(format!("takes {rate} from all VMs")),
-            RateLimit::Unreadable => Some("names a rate limit that cannot be read".to_owned()),
+            RateLimit::Limited(rate) => Some(format!("limits requests from all VMs to {rate}")),
+            RateLimit::Malformed => Some("states a malformed rate limit".to_owned()),
         };
-        let said: Vec<String> = [leaves, rest, limit].into_iter().flatten().collect();
-        if said.is_empty() {
-            return f.write_str("says nothing of itself");
+        let parts: Vec<String> = [leaves, backoff, limit].into_iter().flatten().collect();
+        if parts.is_empty() {
+            return f.write_str("states nothing about itself");
         }
-        f.write_str(&said.join(" and "))
+        f.write_str(&parts.join(" and "))
     }
 }
 
-/// An answer with what its upstream says of itself; nothing where there was no answer.
+/// A response with its upstream's notice. The notice is empty if there was no response.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Noted<T> {
-    /// What it says.
+pub struct WithNotice<T> {
+    /// The notice.
     pub notice: Notice,
-    /// The answer, decoded.
-    pub answer: T,
+    /// The decoded response.
+    pub value: T,
 }
 
-impl<T> Noted<T> {
-    /// An answer by which the upstream says nothing of itself, or none.
-    pub fn plain(answer: T) -> Noted<T> {
-        Noted { notice: Notice::default(), answer }
+impl<T> WithNotice<T> {
+    /// A response without a notice, or a failure without a response.
+    pub fn without_notice(value: T) -> WithNotice<T> {
+        WithNotice { notice: Notice::default(), value }
     }
 }
--- a/request/src/ring.rs
+++ b/request/src/ring.rs
@@ -1,4 +1,4 @@
-//! The bounded ring of records that a process keeps, and the live feed of decisions.
+//! The ring buffer of request records that a process keeps, and the live feed of decisions.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -7,38 +7,38 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::broadcast;
 
-use crate::decision::{Record, Step, Subject};
+use crate::decision::{Record, Subject, TimedDecision};
 
-/// Records that are kept.
+/// Maximum number of records.
 pub const CAPACITY: usize = 4096;
 
-/// Decisions that a slow watcher may lag behind before it misses some.
-const FEED: usize = 1024;
+/// Number of decisions by which a slow subscriber may lag before it misses some.
+const FEED_CAPACITY: usize = 1024;
 
-/// A decision as a watcher sees it.
+/// An entry of the feed: a decision with its request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Line {
+pub struct FeedEvent {
     /// The request.
     pub request: id::Request,
     /// The organisation.
     pub organisation: id::Organisation,
     /// The decision.
     #[serde(flatten)]
-    pub step: Step,
+    pub decision: TimedDecision,
 }
 
-type Shared = Arc<Mutex<Record>>;
+type SharedRecord = Arc<Mutex<Record>>;
 
 #[derive(Default)]
-struct Kept {
+struct Records {
     order: VecDeque<id::Request>,
-    records: HashMap<id::Request, Shared>,
+    by_request: HashMap<id::Request, SharedRecord>,
 }
 
-/// The ring.
+/// A ring buffer of request records.
 pub struct Ring {
-    kept: Mutex<Kept>,
-    feed: broadcast::Sender<Line>,
+    records: Mutex<Records>,
+    feed: broadcast::Sender<FeedEvent>,
     capacity: usize,
 }
 
@@ -48,66 +48,69 @@
     }
 }
 
-/// The place of one request in the ring.
+/// A handle for adding decisions to a record.
 #[derive(Clone)]
 pub struct Entry {
-    record: Shared,
-    feed: broadcast::Sender<Line>,
+    record: SharedRecord,
+    feed: broadcast::Sender<FeedEvent>,
 }
 
 impl Ring {
-    /// A ring that keeps `capacity` records.
+    /// A buffer for up to `capacity` records.
     pub fn new(capacity: usize) -> Ring {
-        Ring { kept: Mutex::default(), feed: broadcast::channel(FEED).0, capacity }
+        Ring { records: Mutex::default(), feed: broadcast::channel(FEED_CAPACITY).0, capacity }
     }
 
-    /// Begins a record; the oldest one makes room.
+    /// Adds a record for a new request; drops the oldest one if the buffer is full.
     pub fn begin(&self, subject: Subject) -> Entry {
         let request = subject.request.clone();
-        let record = Arc::new(Mutex::new(Record { subject, steps: Vec::with_capacity(4) }));
-        let mut kept = self.kept.lock().unwrap();
-        if kept.order.len() >= self.capacity
-            && let Some(oldest) = kept.order.pop_front()
+        let record = Arc::new(Mutex::new(Record { subject, decisions: Vec::with_capacity(4) }));
+        let mut records = self.records.lock().unwrap();
+        if records.order.len() >= self.capacity
+            && let Some(oldest) = records.order.pop_front()
         {
-            kept.records.remove(&oldest);
+            records.by_request.remove(&oldest);
         }
-        kept.order.push_back(request.clone());
-        kept.records.insert(request, record.clone());
+        records.order.push_back(request.clone());
+        records.by_request.insert(request, record.clone());
         Entry { record, feed: self.feed.clone() }
     }
 
-    /// The record of a request, if it is still kept.
+    /// The record of a request, if it is still in the buffer.
     pub fn get(&self, request: &id::Request) -> Option<Record> {
-        let record = self.kept.lock().unwrap().records.get(request).cloned()?;
+        let record = self.records.lock().unwrap().by_request.get(request).cloned()?;
         let record = record.lock().unwrap().clone();
         Some(record)
     }
 
-    /// The newest records, newest first.
-    pub fn newest(&self, most: usize) -> Vec<Record> {
-        let kept = self.kept.lock().unwrap();
-        let newest = kept.order.iter().rev().take(most);
-        newest.filter_map(|r| kept.records.get(r)).map(|r| r.lock().unwrap().clone()).collect()
+    /// Up to `max` records, newest first.
+    pub fn newest(&self, max: usize) -> Vec<Record> {
+        let records = self.records.lock().unwrap();
+        let newest = records.order.iter().rev().take(max);
+        newest
+            .filter_map(|r| records.by_request.get(r))
+            .map(|r| r.lock().unwrap().clone())
+            .collect()
     }
 
-    /// The decisions from now on.
-    pub fn watch(&self) -> broadcast::Receiver<Line> {
+    /// Subscribes to the decisions from now on.
+    pub fn subscribe(&self) -> broadcast::Receiver<FeedEvent> {
         self.feed.subscribe()
     }
 }
 
 impl Entry {
-    /// Adds a decision.
-    pub fn add(&self, step: Step) {
+    /// Adds a decision to the record and the feed.
+    pub fn add(&self, decision: TimedDecision) {
         let mut record = self.record.lock().unwrap();
         if self.feed.receiver_count() > 0 {
-            let line = Line {
+            let event = FeedEvent {
                 request: record.subject.request.clone(),
                 organisation: record.subject.organisation.clone(),
-                step: step.clone(),
+                decision: decision.clone(),
             };
-            let _ = self.feed.send(line);
+            let _ = self.feed.send(event);
         }
-        record.steps.push(step);
+        record.decisions.push(decision);
     }
 }
