--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -9,7 +9,7 @@
 use foldlock_base::prelude::*;
 use foldlock_connection::wire::{self, Grant};
 use foldlock_request::decision::{Cause, Decision};
-use foldlock_request::fair::Ticket;
+use foldlock_request::fair::Entry;
 use foldlock_version::policy::{Class, Route};
 use tarpc::context::Context;
 
@@ -111,12 +111,12 @@
         return Ok(place);
     }
     let queue = job.process.queue(&job.prompt.model, requirements.class);
-    let ticket = queue.enter(&job.organisation, job.policy.weight, requirements.prompt.0);
-    if !ticket.is_next() {
+    let entry = queue.enqueue(&job.organisation, job.policy.weight, requirements.prompt.0);
+    if !entry.is_next() {
         admit_behind(job, queue.tokens(), progress)?;
-        ticket.next().await;
+        entry.wait_until_next().await;
     }
-    let (place, cause) = engine(job, progress, &ticket).await?;
+    let (place, cause) = engine(job, progress, &entry).await?;
     let waited_ms = millis(job.process.clock.now() - started);
     if let Some(cause) = cause {
         job.record(Decision::Waited { cause, waited_ms });
@@ -185,13 +185,13 @@
 type Placed = (Place, Option<Cause>);
 
 /// Waits for an engine. The request is the next one of its queue.
-async fn engine(job: &Job, progress: &Progress, ticket: &Ticket) -> Result<Placed, Refused> {
+async fn engine(job: &Job, progress: &Progress, entry: &Entry) -> Result<Placed, Refused> {
     let mut waited = None;
     let engines = &job.process.engines;
     loop {
         let changed = engines.changed();
-        if !ticket.is_next() {
-            ticket.next().await;
+        if !entry.is_next() {
+            entry.wait_until_next().await;
             waited.get_or_insert(Cause::Queue);
         }
         match engines.choose(&wanted(job, progress)) {
--- a/request/src/fair.rs
+++ b/request/src/fair.rs
@@ -10,23 +10,23 @@
 use tokio::sync::Notify;
 
 /// The place of a request: its virtual finish, then its arrival.
-type Place = (u64, u64);
+type Position = (u64, u64);
 
 /// Virtual units a token at weight 1.
-const UNIT: u64 = 1_000;
+const UNITS_PER_TOKEN: u64 = 1_000;
 
 #[derive(Default)]
 struct State {
-    now: u64,
+    virtual_now: u64,
     arrivals: u64,
     finishes: HashMap<id::Organisation, u64>,
-    waiting: BTreeMap<Place, Waiting>,
+    queued: BTreeMap<Position, Queued>,
     /// Tokens of all who wait.
     tokens: u64,
 }
 
-struct Waiting {
-    turn: Arc<Notify>,
+struct Queued {
+    wake: Arc<Notify>,
     start: u64,
     tokens: u64,
 }
@@ -38,35 +38,38 @@
 }
 
 /// A place in a queue, left when dropped.
-pub struct Ticket {
+pub struct Entry {
     queue: Arc<Queue>,
-    place: Place,
-    turn: Arc<Notify>,
+    position: Position,
+    wake: Arc<Notify>,
 }
 
 impl Queue {
     /// Takes a place for a request of so many tokens.
-    pub fn enter(
+    pub fn enqueue(
         self: &Arc<Queue>,
         organisation: &id::Organisation,
         weight: u32,
         tokens: u64,
-    ) -> Ticket {
+    ) -> Entry {
         let mut state = self.state.lock().unwrap();
-        let start = state.finishes.get(organisation).map_or(state.now, |f| (*f).max(state.now));
-        let finish = start + tokens.max(1) * UNIT / u64::from(weight.max(1));
+        let start = state
+            .finishes
+            .get(organisation)
+            .map_or(state.virtual_now, |f| (*f).max(state.virtual_now));
+        let finish = start + tokens.max(1) * UNITS_PER_TOKEN / u64::from(weight.max(1));
         state.finishes.insert(organisation.clone(), finish);
         state.arrivals += 1;
         state.tokens += tokens;
-        let place = (finish, state.arrivals);
-        let turn = Arc::new(Notify::new());
-        state.waiting.insert(place, Waiting { turn: turn.clone(), start, tokens });
-        Ticket { queue: self.clone(), place, turn }
+        let position = (finish, state.arrivals);
+        let wake = Arc::new(Notify::new());
+        state.queued.insert(position, Queued { wake: wake.clone(), start, tokens });
+        Entry { queue: self.clone(), position, wake }
     }
 
     /// Requests that wait.
     pub fn len(&self) -> usize {
-        self.state.lock().unwrap().waiting.len()
+        self.state.lock().unwrap().queued.len()
     }
 
     /// Whether none waits.
@@ -80,33 +83,33 @@
     }
 }
 
-impl Ticket {
+impl Entry {
     /// Whether this request is next.
     pub fn is_next(&self) -> bool {
         let state = self.queue.state.lock().unwrap();
-        state.waiting.first_key_value().is_some_and(|(place, _)| *place == self.place)
+        state.queued.first_key_value().is_some_and(|(position, _)| *position == self.position)
     }
 
     /// Waits until this request is next. Another one may still overtake it afterwards.
-    pub async fn next(&self) {
+    pub async fn wait_until_next(&self) {
         while !self.is_next() {
-            self.turn.notified().await;
+            self.wake.notified().await;
         }
     }
 }
 
-impl Drop for Ticket {
+impl Drop for Entry {
     fn drop(&mut self) {
         let mut state = self.queue.state.lock().unwrap();
-        if let Some(left) = state.waiting.remove(&self.place) {
-            state.now = state.now.max(left.start);
+        if let Some(left) = state.queued.remove(&self.position) {
+            state.virtual_now = state.virtual_now.max(left.start);
             state.tokens -= left.tokens;
         }
-        if state.waiting.is_empty() {
+        if state.queued.is_empty() {
             state.finishes.clear();
         }
-        if let Some((_, next)) = state.waiting.first_key_value() {
-            next.turn.notify_one();
+        if let Some((_, next)) = state.queued.first_key_value() {
+            next.wake.notify_one();
         }
     }
 }
--- a/request/tests/limits.rs
+++ b/request/tests/limits.rs
@@ -119,13 +119,13 @@
         let (a, b): (id::Organisation, id::Organisation) = ("a".parse().unwrap(), "b".parse().unwrap());
         let mut waiting = Vec::new();
         for _ in 0..200 {
-            waiting.push(("a", queue.enter(&a, heavy, tokens)));
-            waiting.push(("b", queue.enter(&b, 1, tokens)));
+            waiting.push(("a", queue.enqueue(&a, heavy, tokens)));
+            waiting.push(("b", queue.enqueue(&b, 1, tokens)));
         }
         let mut served = (0u32, 0u32);
         while served.0 + served.1 < 110 {
             let next = waiting.iter().position(|(_, t)| t.is_next()).unwrap();
-            let (who, _ticket) = waiting.swap_remove(next);
+            let (who, _entry) = waiting.swap_remove(next);
             if who == "a" { served.0 += 1 } else { served.1 += 1 }
         }
         let share = f64::from(served.0) / 110.0;
@@ -138,8 +138,8 @@
     fn a_flood_does_not_delay_others(flood in 1usize..300, tokens in 1u64..100_000) {
         let queue = Arc::new(Queue::default());
         let (a, b): (id::Organisation, id::Organisation) = ("a".parse().unwrap(), "b".parse().unwrap());
-        let mut waiting: Vec<_> = (0..flood).map(|_| queue.enter(&a, 1, tokens)).collect();
-        let other = queue.enter(&b, 1, tokens);
+        let mut waiting: Vec<_> = (0..flood).map(|_| queue.enqueue(&a, 1, tokens)).collect();
+        let other = queue.enqueue(&b, 1, tokens);
         let mut before = 0;
         while !other.is_next() {
             let next = waiting.iter().position(|t| t.is_next()).unwrap();
