--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -247,8 +247,8 @@
                 return nothing;
             };
             let Some(text) = &batch.text else { return batch.verdicts };
-            let key = claim::key(self.log.shard(), batch.slot);
-            match self.store.swap(&key, batch.expected, text.clone().into_bytes()).await {
+            let key = claim::slot_key(self.log.shard(), batch.slot);
+            match self.store.swap(&key, batch.expected_revision, text.clone().into_bytes()).await {
                 Ok(revision) => {
                     self.log.commit(&batch, revision);
                     return batch.verdicts;
@@ -279,7 +279,7 @@
 
     async fn load(&mut self, slot: usize) -> Result<bool, Failure> {
         let before = self.log.current();
-        let entry = self.store.get(&claim::key(self.log.shard(), slot)).await?;
+        let entry = self.store.get(&claim::slot_key(self.log.shard(), slot)).await?;
         let Some(entry) = entry else { return Ok(false) };
         let text = text_of(&entry)?;
         let more = self.log.load(slot, Some((&text, entry.revision))).map_err(unreadable)?;
@@ -289,7 +289,7 @@
     async fn read_all(&mut self) -> Result<(), Failure> {
         let mut entries = Vec::new();
         for slot in 0..claim::SLOTS {
-            let entry = self.store.get(&claim::key(self.log.shard(), slot)).await?;
+            let entry = self.store.get(&claim::slot_key(self.log.shard(), slot)).await?;
             let Some(entry) = entry else { break };
             entries.push((slot, text_of(&entry)?, entry.revision));
         }
--- a/request/src/claim.rs
+++ b/request/src/claim.rs
@@ -18,7 +18,7 @@
 pub const SLOTS: usize = 256;
 
 /// A slot with at least this many bytes is full.
-pub const SLOT_BYTES: usize = 64 << 10;
+pub const SLOT_FULL_BYTES: usize = 64 << 10;
 
 /// How long a claim is remembered at least.
 pub const RETENTION: Duration = Duration::from_secs(3600);
@@ -34,7 +34,7 @@
 }
 
 /// The key of a slot in the store.
-pub fn key(shard: u32, slot: usize) -> String {
+pub fn slot_key(shard: u32, slot: usize) -> String {
     format!("once/{shard}/{slot}")
 }
 
@@ -51,7 +51,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Held {
+struct Owner {
     nonce: u128,
     ran: bool,
     seq: u64,
@@ -64,7 +64,7 @@
     slots: Vec<Slot>,
     current: usize,
     text: String,
-    held: HashMap<u128, Option<Held>>,
+    owners: HashMap<u128, Option<Owner>>,
 }
 
 /// A batch that is decided and, where it has entries, to be written.
@@ -73,13 +73,13 @@
     /// The slot.
     pub slot: usize,
     /// The revision that the slot has to have.
-    pub expected: u64,
+    pub expected_revision: u64,
     /// The slot's new text; none where there is nothing to write.
     pub text: Option<String>,
     /// What becomes of each claim once the text is written.
     pub verdicts: Vec<Verdict>,
     seq: u64,
-    changes: Vec<(u128, Option<Held>)>,
+    changes: Vec<(u128, Option<Owner>)>,
     at_ms: u64,
 }
 
@@ -95,7 +95,7 @@
             slots: vec![Slot::default(); SLOTS],
             current: 0,
             text: String::new(),
-            held: HashMap::new(),
+            owners: HashMap::new(),
         }
     }
 
@@ -111,12 +111,12 @@
 
     /// Keys that are remembered.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.owners.len()
     }
 
     /// Whether none is remembered.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.owners.is_empty()
     }
 
     /// Takes a slot as it was read. Gives whether the next slot has to be read too.
@@ -128,13 +128,13 @@
         if seq < self.slots[self.current].seq {
             return Ok(false);
         }
-        let known = if self.slots[slot].seq == seq { self.slots[slot].keys.len() } else { 0 };
-        if known == 0 {
-            self.forget(slot);
+        let applied = if self.slots[slot].seq == seq { self.slots[slot].keys.len() } else { 0 };
+        if applied == 0 {
+            self.clear_slot(slot);
         }
         self.slots[slot].seq = seq;
         self.slots[slot].revision = revision;
-        for line in lines.skip(known) {
+        for line in lines.skip(applied) {
             let (claim, at_ms) = parse(line).ok_or_else(|| Unreadable(line.to_owned()))?;
             let read = &mut self.slots[slot];
             read.newest_ms = read.newest_ms.max(at_ms);
@@ -160,41 +160,41 @@
     }
 
     fn apply(&mut self, claim: &Claim, seq: u64) {
-        let current = self.held.get(&claim.key).copied().flatten();
+        let current = self.owners.get(&claim.key).copied().flatten();
         let change = match (claim.word, current) {
             // The claim itself lay in a slot that is gone.
-            (Word::Done, None) => Some(Some(Held { nonce: claim.nonce, ran: true, seq })),
+            (Word::Done, None) => Some(Some(Owner { nonce: claim.nonce, ran: true, seq })),
             _ => decide(current, claim, seq).1,
         };
         if let Some(next) = change {
-            self.held.insert(claim.key, next);
+            self.owners.insert(claim.key, next);
         }
     }
 
     /// Forgets what an older occupant of a slot said.
-    fn forget(&mut self, slot: usize) {
+    fn clear_slot(&mut self, slot: usize) {
         let old = std::mem::take(&mut self.slots[slot]);
         for key in old.keys {
-            let last = match self.held.get(&key) {
-                Some(Some(held)) => held.seq == old.seq,
+            let last = match self.owners.get(&key) {
+                Some(Some(owner)) => owner.seq == old.seq,
                 Some(None) => true,
                 None => false,
             };
             if last {
-                self.held.remove(&key);
+                self.owners.remove(&key);
             }
         }
     }
 
     /// Decides a batch. Nothing holds until [`Log::commit`].
     pub fn prepare(&self, claims: &[Claim], now_ms: u64) -> Result<Batch, Full> {
-        let (slot, seq, mut text) = self.place(now_ms)?;
-        let mut overlay: HashMap<u128, Option<Held>> = HashMap::new();
+        let (slot, seq, mut text) = self.next_slot(now_ms)?;
+        let mut overlay: HashMap<u128, Option<Owner>> = HashMap::new();
         let mut changes = Vec::new();
         let mut verdicts = Vec::with_capacity(claims.len());
         for claim in claims {
-            let known = overlay.get(&claim.key).or_else(|| self.held.get(&claim.key));
-            let (verdict, change) = decide(known.copied().flatten(), claim, seq);
+            let current = overlay.get(&claim.key).or_else(|| self.owners.get(&claim.key));
+            let (verdict, change) = decide(current.copied().flatten(), claim, seq);
             if let Some(next) = change {
                 overlay.insert(claim.key, next);
                 changes.push((claim.key, next));
@@ -202,15 +202,15 @@
             }
             verdicts.push(verdict);
         }
-        let expected = self.slots[slot].revision;
+        let expected_revision = self.slots[slot].revision;
         let text = (!changes.is_empty()).then_some(text);
-        Ok(Batch { slot, expected, text, verdicts, seq, changes, at_ms: now_ms })
+        Ok(Batch { slot, expected_revision, text, verdicts, seq, changes, at_ms: now_ms })
     }
 
     /// The slot that the next entries go to.
-    fn place(&self, now_ms: u64) -> Result<(usize, u64, String), Full> {
+    fn next_slot(&self, now_ms: u64) -> Result<(usize, u64, String), Full> {
         let current = &self.slots[self.current];
-        if current.revision != 0 && self.text.len() < SLOT_BYTES {
+        if current.revision != 0 && self.text.len() < SLOT_FULL_BYTES {
             return Ok((self.current, current.seq, self.text.clone()));
         }
         let seq = current.seq + 1;
@@ -226,36 +226,36 @@
     pub fn commit(&mut self, batch: &Batch, revision: u64) {
         let Some(text) = &batch.text else { return };
         if self.slots[batch.slot].seq != batch.seq {
-            self.forget(batch.slot);
+            self.clear_slot(batch.slot);
         }
         let slot = &mut self.slots[batch.slot];
         slot.seq = batch.seq;
         slot.revision = revision;
         slot.newest_ms = slot.newest_ms.max(batch.at_ms);
-        for (key, held) in &batch.changes {
+        for (key, owner) in &batch.changes {
             slot.keys.push(*key);
-            self.held.insert(*key, *held);
+            self.owners.insert(*key, *owner);
         }
         self.current = batch.slot;
         self.text = text.clone();
     }
 }
 
-type Change = Option<Option<Held>>;
+type Change = Option<Option<Owner>>;
 
 /// What a word does to a key: the verdict, and the change if it makes one.
-fn decide(current: Option<Held>, claim: &Claim, seq: u64) -> (Verdict, Change) {
+fn decide(current: Option<Owner>, claim: &Claim, seq: u64) -> (Verdict, Change) {
     let own = current.is_some_and(|h| h.nonce == claim.nonce);
     match (claim.word, current) {
         (Word::Claim, None) => {
-            (Verdict::Won, Some(Some(Held { nonce: claim.nonce, ran: false, seq })))
+            (Verdict::Won, Some(Some(Owner { nonce: claim.nonce, ran: false, seq })))
         }
-        (Word::Claim, Some(held)) if own && !held.ran => (Verdict::Won, None),
-        (Word::Claim, Some(held)) if held.ran => (Verdict::Ran, None),
+        (Word::Claim, Some(owner)) if own && !owner.ran => (Verdict::Won, None),
+        (Word::Claim, Some(owner)) if owner.ran => (Verdict::Ran, None),
         (Word::Claim, Some(_)) => (Verdict::Taken, None),
-        (Word::Release, Some(held)) if own && !held.ran => (Verdict::Won, Some(None)),
-        (Word::Done, Some(held)) if own && !held.ran => {
-            (Verdict::Won, Some(Some(Held { ran: true, seq, ..held })))
+        (Word::Release, Some(owner)) if own && !owner.ran => (Verdict::Won, Some(None)),
+        (Word::Done, Some(owner)) if own && !owner.ran => {
+            (Verdict::Won, Some(Some(Owner { ran: true, seq, ..owner })))
         }
         (Word::Release | Word::Done, _) => (Verdict::Won, None),
     }
--- a/request/tests/claim.rs
+++ b/request/tests/claim.rs
@@ -24,7 +24,7 @@
         Some(self.revision)
     }
 
-    fn read_on(&self, log: &mut Log) {
+    fn read_new_entries(&self, log: &mut Log) {
         let mut slot = log.current();
         for _ in 0..SLOTS {
             let entry = self.slots.get(&slot).map(|(text, revision)| (text.as_str(), *revision));
@@ -62,7 +62,7 @@
 }
 
 #[derive(Default)]
-struct World {
+struct Simulation {
     store: Store,
     logs: Vec<Log>,
     /// Attempts that were let run and not given back, by key.
@@ -71,22 +71,22 @@
     now_ms: u64,
 }
 
-impl World {
+impl Simulation {
     fn write(&mut self, writer: usize, claim: &Claim, lost: bool) -> Verdict {
         loop {
             let batch =
                 self.logs[writer].prepare(std::slice::from_ref(claim), self.now_ms).unwrap();
             let Some(text) = &batch.text else { return batch.verdicts[0] };
-            match self.store.swap(batch.slot, batch.expected, text) {
+            match self.store.swap(batch.slot, batch.expected_revision, text) {
                 Some(_) if lost => {
                     // No answer came: the writer reads on, and decides again.
-                    self.store.read_on(&mut self.logs[writer]);
+                    self.store.read_new_entries(&mut self.logs[writer]);
                 }
                 Some(revision) => {
                     self.logs[writer].commit(&batch, revision);
                     return batch.verdicts[0];
                 }
-                None => self.store.read_on(&mut self.logs[writer]),
+                None => self.store.read_new_entries(&mut self.logs[writer]),
             }
         }
     }
@@ -120,27 +120,27 @@
     /// Over seeded schedules of three writers that conflict, lose answers and restart.
     #[test]
     fn at_most_one_attempt_holds_a_key(steps in prop::collection::vec(step(), 1..60)) {
-        let mut world = World { logs: (0..3).map(|_| Log::new(0)).collect(), ..World::default() };
+        let mut simulation = Simulation { logs: (0..3).map(|_| Log::new(0)).collect(), ..Simulation::default() };
         for step in steps {
-            world.now_ms += 10;
+            simulation.now_ms += 10;
             match step {
-                Step::Claim { writer, key } => world.claim(writer, key, false),
-                Step::Lost { writer, key } => world.claim(writer, key, true),
+                Step::Claim { writer, key } => simulation.claim(writer, key, false),
+                Step::Lost { writer, key } => simulation.claim(writer, key, true),
                 Step::Settle { writer, key, done } => {
-                    let ran = world.holders.get(&key.into()).is_some_and(|h| h.len() > 1);
+                    let ran = simulation.holders.get(&key.into()).is_some_and(|h| h.len() > 1);
                     if !ran {
-                        world.settle(writer, key, done);
+                        simulation.settle(writer, key, done);
                     }
                 }
                 Step::Restart { writer } => {
                     let mut log = Log::new(0);
-                    let slots = world.store.slots.iter();
+                    let slots = simulation.store.slots.iter();
                     let all = slots.map(|(slot, (text, rev))| (*slot, text.clone(), *rev));
                     log.restore(all.collect()).unwrap();
-                    world.logs[writer] = log;
+                    simulation.logs[writer] = log;
                 }
             }
-            for (key, holders) in &world.holders {
+            for (key, holders) in &simulation.holders {
                 let live = holders.iter().filter(|n| **n != 0).count();
                 prop_assert!(live <= 1, "key {key} is held by {holders:?}");
             }
@@ -150,7 +150,7 @@
 
 /// A full ring refuses rather than forgets.
 #[test]
-fn what_is_young_is_never_overwritten() {
+fn claims_within_retention_are_never_overwritten() {
     let now_ms = 1_000;
     let mut log = Log::new(0);
     let mut revision = 0;
