--- a/request/src/cursor.rs
+++ b/request/src/cursor.rs
@@ -28,15 +28,15 @@
 
 /// A text that is not a genuine cursor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NotGenuine;
+pub struct InvalidCursor;
 
-impl fmt::Display for NotGenuine {
+impl fmt::Display for InvalidCursor {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the cursor is not genuine")
     }
 }
 
-impl std::error::Error for NotGenuine {}
+impl std::error::Error for InvalidCursor {}
 
 /// The secret that signs cursors.
 #[derive(Clone)]
@@ -52,23 +52,23 @@
 }
 
 /// Writes the cursors of one stream: the part that does not change is hashed and encoded once.
-pub struct Writer {
+pub struct CursorWriter {
     prefix: String,
     hasher: SipHasher24,
 }
 
 const SEPARATOR: char = '~';
 
-impl Writer {
+impl CursorWriter {
     /// A writer of cursors into this stream.
-    pub fn new(key: &Key, at: &Cursor) -> Writer {
-        let plain = format!(
+    pub fn new(key: &Key, at: &Cursor) -> CursorWriter {
+        let payload = format!(
             "{}{SEPARATOR}{}{SEPARATOR}{}{SEPARATOR}{}",
             at.engine, at.stream, at.request, at.organisation
         );
         let mut hasher = SipHasher24::new_with_key(&key.0);
-        hasher.write(plain.as_bytes());
-        Writer { prefix: URL_SAFE_NO_PAD.encode(plain), hasher }
+        hasher.write(payload.as_bytes());
+        CursorWriter { prefix: URL_SAFE_NO_PAD.encode(payload), hasher }
     }
 
     /// Writes the cursor of a token.
@@ -84,22 +84,22 @@
     /// Writes the cursor as text.
     pub fn sign(&self, key: &Key) -> String {
         let mut text = String::new();
-        Writer::new(key, self).write(self.index, &mut text).expect("strings take all text");
+        CursorWriter::new(key, self).write(self.index, &mut text).expect("strings take all text");
         text
     }
 
     /// Reads a cursor; only one that was signed with this key.
-    pub fn verify(key: &Key, text: &str) -> Result<Cursor, NotGenuine> {
+    pub fn verify(key: &Key, text: &str) -> Result<Cursor, InvalidCursor> {
         let mut parts = text.split('.');
         let (Some(prefix), Some(index), Some(_), None) =
             (parts.next(), parts.next(), parts.next(), parts.next())
         else {
-            return Err(NotGenuine);
+            return Err(InvalidCursor);
         };
-        let plain = URL_SAFE_NO_PAD.decode(prefix).map_err(|_| NotGenuine)?;
-        let plain = String::from_utf8(plain).map_err(|_| NotGenuine)?;
-        let fields: Vec<&str> = plain.split(SEPARATOR).collect();
-        let [engine, stream, request, organisation] = fields[..] else { return Err(NotGenuine) };
+        let payload = URL_SAFE_NO_PAD.decode(prefix).map_err(|_| InvalidCursor)?;
+        let payload = String::from_utf8(payload).map_err(|_| InvalidCursor)?;
+        let fields: Vec<&str> = payload.split(SEPARATOR).collect();
+        let [engine, stream, request, organisation] = fields[..] else { return Err(InvalidCursor) };
         let cursor = Cursor {
             engine: parse(engine)?,
             stream: stream.to_owned(),
@@ -107,19 +107,19 @@
             organisation: parse(organisation)?,
             index: parse(index)?,
         };
-        if same(cursor.sign(key).as_bytes(), text.as_bytes()) {
+        if constant_time_eq(cursor.sign(key).as_bytes(), text.as_bytes()) {
             Ok(cursor)
         } else {
-            Err(NotGenuine)
+            Err(InvalidCursor)
         }
     }
 }
 
-fn parse<T: FromStr>(text: &str) -> Result<T, NotGenuine> {
-    text.parse().map_err(|_| NotGenuine)
+fn parse<T: FromStr>(text: &str) -> Result<T, InvalidCursor> {
+    text.parse().map_err(|_| InvalidCursor)
 }
 
 /// Compares in a time that does not tell where the first difference is.
-fn same(a: &[u8], b: &[u8]) -> bool {
+fn constant_time_eq(a: &[u8], b: &[u8]) -> bool {
     a.len() == b.len() && a.iter().zip(b).fold(0, |acc, (x, y)| acc | (x ^ y)) == 0
 }
