--- a/daemon/src/complete.rs
+++ b/daemon/src/complete.rs
@@ -312,7 +312,7 @@
     body: &[u8],
     busy: drain::Busy,
 ) -> Result<Response<Body>, Error> {
-    let prompt = prompt::read(style, body).map_err(|e| refuse(Kind::BadRequest, e.to_string()))?;
+    let prompt = prompt::parse(style, body).map_err(|e| refuse(Kind::BadRequest, e.to_string()))?;
     let models = &caller.version.tree.fleet.models;
     let Some(model) = models.get(&prompt.model) else {
         let mut why = format!("there is no model `{}`", prompt.model);
--- a/request/src/prompt.rs
+++ b/request/src/prompt.rs
@@ -44,9 +44,9 @@
     /// Not JSON of the shape that is expected.
     Json(String),
     /// There is no text.
-    Empty,
+    EmptyPrompt,
     /// An answer of no tokens is asked for.
-    NoTokens,
+    ZeroMaxTokens,
     /// The model's name is not a name.
     Model(id::Invalid),
 }
@@ -55,8 +55,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Malformed::Json(why) => write!(f, "the body cannot be read: {why}"),
-            Malformed::Empty => write!(f, "the prompt is empty"),
-            Malformed::NoTokens => write!(f, "`max_tokens` must be at least 1"),
+            Malformed::EmptyPrompt => write!(f, "the prompt is empty"),
+            Malformed::ZeroMaxTokens => write!(f, "`max_tokens` must be at least 1"),
             Malformed::Model(why) => write!(f, "`model`: {why}"),
         }
     }
@@ -95,23 +95,23 @@
 }
 
 /// Reads a body.
-pub fn read(style: Style, body: &[u8]) -> Result<Prompt, Malformed> {
+pub fn parse(style: Style, body: &[u8]) -> Result<Prompt, Malformed> {
     let json = |e: serde_json::Error| Malformed::Json(e.to_string());
     let (model, text, common) = match style {
         Style::Completion => {
-            let read: Completion = serde_json::from_slice(body).map_err(json)?;
-            (read.model, read.prompt, read.common)
+            let body: Completion = serde_json::from_slice(body).map_err(json)?;
+            (body.model, body.prompt, body.common)
         }
         Style::Chat => {
-            let read: Chat = serde_json::from_slice(body).map_err(json)?;
-            (read.model, transcript(&read.messages), read.common)
+            let body: Chat = serde_json::from_slice(body).map_err(json)?;
+            (body.model, transcript(&body.messages), body.common)
         }
     };
     if text.is_empty() {
-        return Err(Malformed::Empty);
+        return Err(Malformed::EmptyPrompt);
     }
     if common.max_tokens == Some(0) {
-        return Err(Malformed::NoTokens);
+        return Err(Malformed::ZeroMaxTokens);
     }
     Ok(Prompt {
         style,
