--- a/daemon/src/limits.rs
+++ b/daemon/src/limits.rs
@@ -104,7 +104,7 @@
             let Some(policy) = policy(tree, name) else { continue };
             let limits = quota::Limits { concurrency: policy.concurrency };
             let ledger = ledgers.entry(name.clone()).or_default();
-            quotas.insert(name.clone(), ledger.exchange(limits, vm, *demand, now));
+            quotas.insert(name.clone(), ledger.renew(limits, vm, *demand, now));
         }
         quotas
     }
--- a/request/src/limit.rs
+++ b/request/src/limit.rs
@@ -161,7 +161,7 @@
     fn quota(&self, policy: &Policy, vms: usize, now: Instant) -> Quota {
         match self.quota {
             Some((quota, at)) if now < at + quota::LEASE => quota,
-            _ => quota::equal(quota::Limits { concurrency: policy.concurrency }, vms),
+            _ => quota::equal_share(quota::Limits { concurrency: policy.concurrency }, vms),
         }
     }
 
--- a/request/src/quota.rs
+++ b/request/src/quota.rs
@@ -16,11 +16,11 @@
 pub const LEASE: Duration = Duration::from_secs(3);
 
 /// How much longer than a lease the home counts it, for messages on their way.
-const MARGIN: Duration = Duration::from_secs(1);
+const LEASE_MARGIN: Duration = Duration::from_secs(1);
 
 /// The demand that each known VM is counted with at least, as a part of the mean, so that a VM
 /// without demand can let a first request in.
-const FLOOR: f64 = 0.1;
+const MIN_DEMAND_SHARE: f64 = 0.1;
 
 /// The limits that are split.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -30,7 +30,7 @@
 }
 
 /// Splits among the VMs that demand.
-pub fn split(limits: Limits, demands: &BTreeMap<id::Vm, Demand>) -> BTreeMap<id::Vm, Quota> {
+pub fn allocate(limits: Limits, demands: &BTreeMap<id::Vm, Demand>) -> BTreeMap<id::Vm, Quota> {
     let slots = slots(limits.concurrency, demands);
     let requests = shares(demands, |d| f64::from(d.requests_per_s));
     let tokens = shares(demands, |d| f64::from(d.prompt_tokens_per_s));
@@ -49,7 +49,7 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Told {
+struct Lease {
     demand: Demand,
     quota: Quota,
     at: Instant,
@@ -58,18 +58,18 @@
 /// What the home of a limit told each VM of late.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
-    told: BTreeMap<id::Vm, Told>,
+    leases: BTreeMap<id::Vm, Lease>,
 }
 
 impl Ledger {
     /// Takes a VM's demand and gives its part: its share, as far as no other VM holds it.
-    pub fn exchange(&mut self, limits: Limits, vm: &id::Vm, demand: Demand, now: Instant) -> Quota {
-        self.told.retain(|_, t| now < t.at + LEASE + MARGIN);
+    pub fn renew(&mut self, limits: Limits, vm: &id::Vm, demand: Demand, now: Instant) -> Quota {
+        self.leases.retain(|_, l| now < l.at + LEASE + LEASE_MARGIN);
         let mut demands: BTreeMap<id::Vm, Demand> =
-            self.told.iter().map(|(vm, t)| (vm.clone(), t.demand)).collect();
+            self.leases.iter().map(|(vm, l)| (vm.clone(), l.demand)).collect();
         demands.insert(vm.clone(), demand);
-        let ideal = split(limits, &demands).remove(vm).expect("the asker demands");
-        let others = || self.told.iter().filter(|(other, _)| *other != vm).map(|(_, t)| t.quota);
+        let ideal = allocate(limits, &demands).remove(vm).expect("the asker demands");
+        let others = || self.leases.iter().filter(|(other, _)| *other != vm).map(|(_, l)| l.quota);
         let slots: u32 = others().map(|q| q.concurrency).sum();
         let requests: f32 = others().map(|q| q.requests).sum();
         let tokens: f32 = others().map(|q| q.prompt_tokens).sum();
@@ -78,7 +78,7 @@
             requests: ideal.requests.min((1.0 - requests).max(0.0)),
             prompt_tokens: ideal.prompt_tokens.min((1.0 - tokens).max(0.0)),
         };
-        self.told.insert(vm.clone(), Told { demand, quota, at: now });
+        self.leases.insert(vm.clone(), Lease { demand, quota, at: now });
         quota
     }
 }
@@ -86,7 +86,7 @@
 /// Shares that sum to 1, in proportion to demand above the floor.
 fn shares(demands: &BTreeMap<id::Vm, Demand>, of: impl Fn(&Demand) -> f64) -> Vec<f64> {
     let total: f64 = demands.values().map(&of).sum();
-    let floor = if total > 0.0 { FLOOR * total / demands.len() as f64 } else { 1.0 };
+    let floor = if total > 0.0 { MIN_DEMAND_SHARE * total / demands.len() as f64 } else { 1.0 };
     let raised: Vec<f64> = demands.values().map(|d| of(d).max(0.0) + floor).collect();
     let sum: f64 = raised.iter().sum();
     raised.iter().map(|r| r / sum).collect()
@@ -111,7 +111,7 @@
 }
 
 /// The equal part of a VM that has no quota.
-pub fn equal(limits: Limits, vms: usize) -> Quota {
+pub fn equal_share(limits: Limits, vms: usize) -> Quota {
     let vms = vms.max(1);
     Quota {
         concurrency: (limits.concurrency / vms as u32).max(u32::from(limits.concurrency > 0)),
--- a/request/tests/limits.rs
+++ b/request/tests/limits.rs
@@ -38,15 +38,15 @@
     ) {
         let limits = Limits { concurrency };
         let mut ledger = Ledger::default();
-        let mut held: BTreeMap<usize, (Limits, u32, f32, Instant)> = BTreeMap::new();
+        let mut leases: BTreeMap<usize, (Limits, u32, f32, Instant)> = BTreeMap::new();
         let mut now = Instant::now();
         for (i, demand, passed_ms) in exchanges {
             now += Duration::from_millis(passed_ms);
-            let quota = ledger.exchange(limits, &vm(i), demand, now);
-            held.insert(i, (limits, quota.concurrency, quota.requests, now));
-            held.retain(|_, (_, _, _, at)| now < *at + LEASE);
-            let slots: u32 = held.values().map(|h| h.1).sum();
-            let shares: f32 = held.values().map(|h| h.2).sum();
+            let quota = ledger.renew(limits, &vm(i), demand, now);
+            leases.insert(i, (limits, quota.concurrency, quota.requests, now));
+            leases.retain(|_, (_, _, _, at)| now < *at + LEASE);
+            let slots: u32 = leases.values().map(|l| l.1).sum();
+            let shares: f32 = leases.values().map(|l| l.2).sum();
             prop_assert!(slots <= concurrency, "{slots} slots of {concurrency}");
             prop_assert!(shares <= 1.0 + 1e-3, "{shares}");
         }
@@ -54,7 +54,7 @@
 
     /// After each VM has asked twice with steady demand, all of the limit is given out.
     #[test]
-    fn nothing_is_left_over(concurrency in 1u32..200, demands in prop::collection::vec(demand(), 1..10)) {
+    fn the_whole_limit_is_allocated(concurrency in 1u32..200, demands in prop::collection::vec(demand(), 1..10)) {
         let limits = Limits { concurrency };
         let mut ledger = Ledger::default();
         let now = Instant::now();
@@ -62,7 +62,7 @@
         for _ in 0..2 + demands.len() {
             slots = 0;
             for (i, demand) in demands.iter().enumerate() {
-                slots += ledger.exchange(limits, &vm(i), *demand, now).concurrency;
+                slots += ledger.renew(limits, &vm(i), *demand, now).concurrency;
             }
         }
         prop_assert_eq!(slots, concurrency);
@@ -70,15 +70,15 @@
 
     /// A split follows demand: who demands more gets no less.
     #[test]
-    fn a_split_follows_demand(concurrency in 1u32..200, demands in prop::collection::vec(demand(), 2..10)) {
+    fn quotas_follow_demand(concurrency in 1u32..200, demands in prop::collection::vec(demand(), 2..10)) {
         let by_vm: BTreeMap<id::Vm, Demand> =
             demands.iter().enumerate().map(|(i, d)| (vm(i), *d)).collect();
-        let split = quota::split(Limits { concurrency }, &by_vm);
-        prop_assert_eq!(split.values().map(|q| q.concurrency).sum::<u32>(), concurrency);
+        let quotas = quota::allocate(Limits { concurrency }, &by_vm);
+        prop_assert_eq!(quotas.values().map(|q| q.concurrency).sum::<u32>(), concurrency);
         for (a, da) in &by_vm {
             for (b, db) in &by_vm {
                 if da.concurrency > db.concurrency {
-                    prop_assert!(split[a].concurrency + 1 >= split[b].concurrency);
+                    prop_assert!(quotas[a].concurrency + 1 >= quotas[b].concurrency);
                 }
             }
         }
