--- a/daemon/src/limits.rs
+++ b/daemon/src/limits.rs
@@ -7,7 +7,7 @@
 use foldlock_base::id;
 use foldlock_base::size::Tokens;
 use foldlock_connection::wire::{Demand, Quota};
-use foldlock_request::limit::{Limit, Over, Permit};
+use foldlock_request::limit::{Exceeded, Limit, Permit};
 use foldlock_request::quota;
 use foldlock_version::policy::Policy;
 use foldlock_version::tree::Tree;
@@ -55,7 +55,7 @@
         policy: &Policy,
         vms: usize,
         prompt: Tokens,
-    ) -> Result<Option<Permit<C>>, Over> {
+    ) -> Result<Option<Permit<C>>, Exceeded> {
         if !limits(policy) {
             return Ok(None);
         }
@@ -85,7 +85,7 @@
         let own = self.own.lock().unwrap();
         for (name, quota) in quotas {
             if let Some(limit) = own.get(name) {
-                limit.told(*quota);
+                limit.set_quota(*quota);
             }
         }
     }
--- a/request/src/limit.rs
+++ b/request/src/limit.rs
@@ -12,20 +12,20 @@
 use crate::quota;
 
 /// A second's worth may be used at once.
-const BURST: f64 = 1.0;
+const BURST_S: f64 = 1.0;
 
 /// Over how long demand is averaged.
 const DEMAND_WINDOW: Duration = Duration::from_secs(2);
 
 /// Fewer requests a second than this are no demand.
-const QUIET: f32 = 0.01;
+const MIN_DEMAND_PER_S: f32 = 0.01;
 
 /// When to come back after a refusal for concurrency: there is no way to know when one ends.
-const CONCURRENCY_RETRY: Duration = Duration::from_millis(500);
+const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Why a request is over a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Over {
+pub struct Exceeded {
     /// The limit's name, as in the settings.
     pub limit: &'static str,
     /// When there is room again.
@@ -43,7 +43,7 @@
     requests: Bucket,
     tokens: Bucket,
     /// Requests at a time, at the highest of late; falls with time.
-    peak: f32,
+    peak_concurrency: f32,
     requests_per_s: f32,
     tokens_per_s: f32,
     demand_at: Instant,
@@ -64,12 +64,12 @@
 
     fn refill(&mut self, rate: f64, now: Instant) {
         let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.left = (self.left + rate * passed).min((rate * BURST).max(1.0));
+        self.left = (self.left + rate * passed).min((rate * BURST_S).max(1.0));
         self.at = now;
     }
 
     /// How long until it is above zero; zero where it is.
-    fn wait(&self, rate: f64, need: f64) -> Duration {
+    fn time_until(&self, rate: f64, need: f64) -> Duration {
         if self.left >= need {
             return Duration::ZERO;
         }
@@ -96,7 +96,7 @@
             running: 0,
             requests: Bucket::full(now),
             tokens: Bucket::full(now),
-            peak: 0.0,
+            peak_concurrency: 0.0,
             requests_per_s: 0.0,
             tokens_per_s: 0.0,
             demand_at: now,
@@ -106,7 +106,7 @@
     }
 
     /// Takes a new quota from the limit's home.
-    pub fn told(&self, quota: Quota) {
+    pub fn set_quota(&self, quota: Quota) {
         let now = self.clock.now();
         self.state.lock().unwrap().quota = Some((quota, now));
     }
@@ -116,11 +116,11 @@
         let mut state = self.state.lock().unwrap();
         state.decay(self.clock.now());
         let demand = Demand {
-            concurrency: state.running.max(state.peak.round() as u32),
+            concurrency: state.running.max(state.peak_concurrency.round() as u32),
             requests_per_s: state.requests_per_s,
             prompt_tokens_per_s: state.tokens_per_s,
         };
-        (demand.concurrency > 0 || demand.requests_per_s > QUIET).then_some(demand)
+        (demand.concurrency > 0 || demand.requests_per_s > MIN_DEMAND_PER_S).then_some(demand)
     }
 
     /// Lets a request in, or says which limit it is over.
@@ -129,11 +129,11 @@
         policy: &Policy,
         vms: usize,
         prompt: Tokens,
-    ) -> Result<Permit<C>, Over> {
+    ) -> Result<Permit<C>, Exceeded> {
         let now = self.clock.now();
         let mut state = self.state.lock().unwrap();
         state.decay(now);
-        state.want(prompt);
+        state.record_demand(prompt);
         let quota = state.quota(policy, vms, now);
         state.check(policy, quota, prompt, now)?;
         state.running += 1;
@@ -147,15 +147,15 @@
         let factor = (-passed / DEMAND_WINDOW.as_secs_f32()).exp();
         self.requests_per_s *= factor;
         self.tokens_per_s *= factor;
-        self.peak *= factor;
+        self.peak_concurrency *= factor;
         self.demand_at = now;
     }
 
-    fn want(&mut self, prompt: Tokens) {
+    fn record_demand(&mut self, prompt: Tokens) {
         let window = DEMAND_WINDOW.as_secs_f32();
         self.requests_per_s += 1.0 / window;
         self.tokens_per_s += prompt.0 as f32 / window;
-        self.peak = self.peak.max((self.running + 1) as f32);
+        self.peak_concurrency = self.peak_concurrency.max((self.running + 1) as f32);
     }
 
     fn quota(&self, policy: &Policy, vms: usize, now: Instant) -> Quota {
@@ -171,23 +171,23 @@
         quota: Quota,
         prompt: Tokens,
         now: Instant,
-    ) -> Result<(), Over> {
+    ) -> Result<(), Exceeded> {
         if policy.concurrency > 0 && self.running >= quota.concurrency {
-            return Err(Over { limit: "concurrency", retry_after: CONCURRENCY_RETRY });
+            return Err(Exceeded { limit: "concurrency", retry_after: CONCURRENCY_RETRY_AFTER });
         }
         let requests = f64::from(policy.requests_per_s) * f64::from(quota.requests);
         let tokens = policy.prompt_tokens_per_s as f64 * f64::from(quota.prompt_tokens);
         self.requests.refill(requests, now);
         self.tokens.refill(tokens, now);
         let limited = policy.requests_per_s > 0;
-        let wait = self.requests.wait(requests, 1.0);
+        let wait = self.requests.time_until(requests, 1.0);
         if limited && !wait.is_zero() {
-            return Err(Over { limit: "requests_per_s", retry_after: wait });
+            return Err(Exceeded { limit: "requests_per_s", retry_after: wait });
         }
         let limited_tokens = policy.prompt_tokens_per_s > 0;
-        let wait = self.tokens.wait(tokens, f64::MIN_POSITIVE);
+        let wait = self.tokens.time_until(tokens, f64::MIN_POSITIVE);
         if limited_tokens && !wait.is_zero() {
-            return Err(Over { limit: "prompt_tokens_per_s", retry_after: wait });
+            return Err(Exceeded { limit: "prompt_tokens_per_s", retry_after: wait });
         }
         if limited {
             self.requests.left -= 1.0;
--- a/request/tests/limits.rs
+++ b/request/tests/limits.rs
@@ -86,7 +86,7 @@
 
     /// At one VM no more run than its part, and the rate is kept over any time.
     #[test]
-    fn a_vm_keeps_its_part(
+    fn a_vm_stays_within_its_quota(
         concurrency in 1u32..10,
         rate in 1u32..50,
         steps in prop::collection::vec((0u64..200, any::<bool>()), 1..200),
