--- a/daemon/src/engines.rs
+++ b/daemon/src/engines.rs
@@ -231,7 +231,7 @@
             return wait(&candidates, requirements);
         };
         let candidate = &candidates[choice.index];
-        let flight = self.begin(inner, wanted, candidate, choice.seen, now);
+        let flight = self.begin(inner, wanted, candidate, choice.compared, now);
         Chosen::Engine(Box::new(flight))
     }
 
@@ -250,7 +250,7 @@
         let candidates = self.candidates(wanted);
         let others = candidates.iter().filter(|c| c.engine != *than);
         others
-            .filter(|c| c.closed(&wanted.requirements).is_none())
+            .filter(|c| c.blocked_by(&wanted.requirements).is_none())
             .any(|c| c.predict(&wanted.requirements) < seconds)
     }
 
@@ -261,7 +261,7 @@
         let inner = &mut *guard;
         let candidates = inner.candidates(wanted, now);
         let candidate = candidates.iter().find(|c| c.engine == *engine)?;
-        let seen = vec![candidate.seen(&wanted.requirements, 0.0)];
+        let seen = vec![candidate.snapshot(&wanted.requirements, 0.0)];
         Some(self.begin(inner, wanted, candidate, seen, now))
     }
 
@@ -330,7 +330,7 @@
     let predicted = |c: &&Candidate| c.predict(requirements);
     let best = candidates.iter().min_by(|a, b| predicted(a).total_cmp(&predicted(b)));
     Chosen::Wait {
-        cause: best.and_then(|c| c.closed(requirements)).unwrap_or(Cause::Engines),
+        cause: best.and_then(|c| c.blocked_by(requirements)).unwrap_or(Cause::Engines),
         predicted: best.map_or(0.0, |c| c.predict(requirements)),
     }
 }
@@ -390,7 +390,7 @@
             cached: cached.min(most),
             memory: Tokens(self.entry.memory_tokens),
             speed: self.speed.clone(),
-            overdue: self.overdue(wanted.requirements.class, now),
+            overdue_s: self.overdue(wanted.requirements.class, now),
             long_rank,
         }
     }
--- a/daemon/tests/route.rs
+++ b/daemon/tests/route.rs
@@ -26,7 +26,7 @@
                 cached: Tokens(cached),
                 memory: Tokens(400_000),
                 speed: Model::default(),
-                overdue: 0.0,
+                overdue_s: 0.0,
                 long_rank,
             }
         },
@@ -51,9 +51,9 @@
         let choice = Routes::default().choose(Route::LengthAware, &requirements, &candidates, &mut rng);
         if let Some(choice) = choice {
             prop_assert!(candidates[choice.index].fits(&requirements));
-            prop_assert!(candidates[choice.index].closed(&requirements).is_none());
+            prop_assert!(candidates[choice.index].blocked_by(&requirements).is_none());
         } else {
-            prop_assert!(candidates.iter().all(|c| c.closed(&requirements).is_some()));
+            prop_assert!(candidates.iter().all(|c| c.blocked_by(&requirements).is_some()));
         }
     }
 
--- a/request/src/route.rs
+++ b/request/src/route.rs
@@ -26,10 +26,10 @@
 }
 
 /// Seconds of short prompts that may be queued at an engine.
-const SHORT_QUEUED: f64 = 0.25;
+const MAX_SHORT_QUEUE_S: f64 = 0.25;
 
 /// What may be queued at an engine before a long prompt, as a part of its own time.
-const LONG_QUEUED: f64 = 0.25;
+const MAX_LONG_QUEUE_RATIO: f64 = 0.25;
 
 /// An engine that can serve the request, as this VM knows it.
 #[derive(Debug, Clone)]
@@ -49,7 +49,7 @@
     /// Its speed as learnt.
     pub speed: Model,
     /// Seconds by which this VM's oldest request there is late.
-    pub overdue: f64,
+    pub overdue_s: f64,
     /// Its place among the engines of the model in the order in which long prompts take them.
     pub long_rank: u32,
 }
@@ -59,14 +59,14 @@
     pub fn work(&self, requirements: &Requirements) -> Work {
         let uncached = requirements.prompt - self.cached;
         let queued = self.fleet.ahead(requirements.class);
-        let beside = !requirements.class.is_long() && self.fleet.has_long_prefill();
-        let long = u32::from(beside);
+        let shared_with_long = !requirements.class.is_long() && self.fleet.has_long_prefill();
+        let long = u32::from(shared_with_long);
         Work::new(queued.0 as f64, uncached.0 as f64, self.cached.0 as f64, long)
     }
 
     /// The predicted seconds to the first token of a request on it.
     pub fn predict(&self, requirements: &Requirements) -> f64 {
-        self.speed.predict(self.work(requirements)) + self.overdue
+        self.speed.predict(self.work(requirements)) + self.overdue_s
     }
 
     /// Whether the memory has room by what is known.
@@ -76,18 +76,22 @@
 
     /// Why it is not to be given the request now, though it may be the best. What waits in
     /// foldlock rather than at an engine can still go elsewhere, and in fair order.
-    pub fn closed(&self, requirements: &Requirements) -> Option<Cause> {
+    pub fn blocked_by(&self, requirements: &Requirements) -> Option<Cause> {
         if !self.fits(requirements) {
             return Some(Cause::Memory);
         }
         let queued = self.fleet.ahead(requirements.class).0 as f64 * self.speed.seconds_per_token();
         let own = requirements.prompt.0 as f64 * self.speed.seconds_per_token();
-        let most = if requirements.class.is_long() { own * LONG_QUEUED } else { SHORT_QUEUED };
-        (queued > most).then_some(Cause::Engines)
+        let max_queued = if requirements.class.is_long() {
+            own * MAX_LONG_QUEUE_RATIO
+        } else {
+            MAX_SHORT_QUEUE_S
+        };
+        (queued > max_queued).then_some(Cause::Engines)
     }
 
     /// What a record says of it.
-    pub fn seen(&self, requirements: &Requirements, score: f64) -> Seen {
+    pub fn snapshot(&self, requirements: &Requirements, score: f64) -> Seen {
         Seen {
             upstream: self.engine.clone(),
             predicted_ms: self.predict(requirements) * 1e3,
@@ -117,11 +121,11 @@
     /// The index of the candidate.
     pub index: usize,
     /// The candidates, best first; a few of them.
-    pub seen: Vec<Seen>,
+    pub compared: Vec<Seen>,
 }
 
 /// How many candidates a record names.
-const SEEN: usize = 4;
+const MAX_COMPARED: usize = 4;
 
 /// Each route that the settings can name, with its state.
 #[derive(Debug, Default)]
@@ -144,14 +148,19 @@
                 least_outstanding::LeastOutstanding.score(requirements, candidates, rng)
             }
             policy::Route::TwoChoices => {
-                two_choices::TwoChoices { basis: two_choices::Basis::Report }.score(
+                two_choices::TwoChoices { source: two_choices::LoadSource::Report }.score(
+                    requirements,
+                    candidates,
+                    rng,
+                )
+            }
+            policy::Route::Shared => {
+                two_choices::TwoChoices { source: two_choices::LoadSource::Fleet }.score(
                     requirements,
                     candidates,
                     rng,
                 )
             }
-            policy::Route::Shared => two_choices::TwoChoices { basis: two_choices::Basis::Fleet }
-                .score(requirements, candidates, rng),
             policy::Route::LengthAware => {
                 length_aware::LengthAware.score(requirements, candidates, rng)
             }
@@ -170,7 +179,10 @@
         scores.iter().enumerate().filter_map(|(i, s)| s.map(|s| (i, s))).collect();
     ranked.sort_by(|a, b| a.1.total_cmp(&b.1));
     let (index, _) = *ranked.first()?;
-    let seen =
-        ranked.iter().take(SEEN).map(|(i, s)| candidates[*i].seen(requirements, *s)).collect();
-    Some(Choice { index, seen })
+    let compared = ranked
+        .iter()
+        .take(MAX_COMPARED)
+        .map(|(i, s)| candidates[*i].snapshot(requirements, *s))
+        .collect();
+    Some(Choice { index, compared })
 }
--- a/request/src/route/length_aware.rs
+++ b/request/src/route/length_aware.rs
@@ -9,28 +9,29 @@
 use super::{Candidate, Requirements, Route};
 
 /// The share of its own time that a long prompt gives up for each place further down the order.
-const RANK_COST: f64 = 0.25;
+const RANK_COST_RATIO: f64 = 0.25;
 
 /// The share of its own time that a prompt puts on each request that an engine answers already.
-const OTHERS_COST: f64 = 0.02;
+const IN_FLIGHT_COST_RATIO: f64 = 0.02;
 
 /// Scores that differ by less than this part and these milliseconds are equal, so that VMs that
 /// see the same do not choose the same, and an engine that seems a little slower is still used.
-const NEAR: (f64, f64) = (0.05, 2.0);
+const SCORE_NOISE: (f64, f64) = (0.05, 2.0);
 
 /// The route.
 #[derive(Debug)]
 pub struct LengthAware;
 
 impl LengthAware {
-    fn of(requirements: &Requirements, candidate: &Candidate) -> f64 {
+    fn score_ms(requirements: &Requirements, candidate: &Candidate) -> f64 {
         let predicted = candidate.predict(requirements);
-        let mut alone = candidate.work(requirements);
-        alone.tokens -= candidate.fleet.ahead(requirements.class).0 as f64;
-        let own = candidate.speed.predict(alone);
-        let mut score = predicted + own * OTHERS_COST * f64::from(candidate.fleet.requests);
+        let mut own_work = candidate.work(requirements);
+        own_work.tokens -= candidate.fleet.ahead(requirements.class).0 as f64;
+        let own = candidate.speed.predict(own_work);
+        let mut score =
+            predicted + own * IN_FLIGHT_COST_RATIO * f64::from(candidate.fleet.requests);
         if requirements.class.is_long() {
-            score += own * RANK_COST * f64::from(candidate.long_rank);
+            score += own * RANK_COST_RATIO * f64::from(candidate.long_rank);
         }
         score * 1e3
     }
@@ -44,11 +45,11 @@
         rng: &mut R,
     ) -> Vec<Option<f64>> {
         let mut score = |c: &Candidate| {
-            let (part, millis) = NEAR;
+            let (ratio, millis) = SCORE_NOISE;
             let random: f64 = rng.random();
-            LengthAware::of(requirements, c) * (1.0 + part * random) + millis * random
+            LengthAware::score_ms(requirements, c) * (1.0 + ratio * random) + millis * random
         };
-        let open = |c: &&Candidate| c.closed(requirements).is_none();
-        candidates.iter().map(|c| Some(c).filter(open).map(&mut score)).collect()
+        let eligible = |c: &&Candidate| c.blocked_by(requirements).is_none();
+        candidates.iter().map(|c| Some(c).filter(eligible).map(&mut score)).collect()
     }
 }
--- a/request/src/route/round_robin.rs
+++ b/request/src/route/round_robin.rs
@@ -7,7 +7,7 @@
 /// The route with its turn.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
-    turn: u64,
+    calls: u64,
 }
 
 impl Route for RoundRobin {
@@ -17,13 +17,13 @@
         candidates: &[Candidate],
         _rng: &mut R,
     ) -> Vec<Option<f64>> {
-        self.turn += 1;
+        self.calls += 1;
         let count = candidates.len() as u64;
         let mut order: Vec<usize> = (0..candidates.len()).collect();
         order.sort_by(|a, b| candidates[*a].engine.cmp(&candidates[*b].engine));
         let mut scores = vec![None; candidates.len()];
-        for (place, index) in order.into_iter().enumerate() {
-            let distance = (place as u64 + count - self.turn % count.max(1)) % count.max(1);
+        for (position, index) in order.into_iter().enumerate() {
+            let distance = (position as u64 + count - self.calls % count.max(1)) % count.max(1);
             scores[index] = Some(distance as f64);
         }
         scores
--- a/request/src/route/two_choices.rs
+++ b/request/src/route/two_choices.rs
@@ -7,7 +7,7 @@
 
 /// What tells the load.
 #[derive(Debug, Clone, Copy)]
-pub enum Basis {
+pub enum LoadSource {
     /// The engine's report, which lags: a baseline.
     Report,
     /// The work that all VMs announce.
@@ -18,17 +18,17 @@
 #[derive(Debug)]
 pub struct TwoChoices {
     /// What tells the load.
-    pub basis: Basis,
+    pub source: LoadSource,
 }
 
 impl TwoChoices {
     fn load(&self, candidate: &Candidate) -> f64 {
-        match self.basis {
-            Basis::Report => candidate
+        match self.source {
+            LoadSource::Report => candidate
                 .report
                 .as_ref()
                 .map_or(0.0, |r| r.prefill.0 as f64 + f64::from(r.requests)),
-            Basis::Fleet => {
+            LoadSource::Fleet => {
                 let load = candidate.fleet;
                 load.queued().0 as f64 + f64::from(load.requests)
             }
--- a/standin/examples/load/oracle.rs
+++ b/standin/examples/load/oracle.rs
@@ -127,7 +127,7 @@
             cached: Tokens(0),
             memory: Tokens(self.memory),
             speed: l.speed.clone(),
-            overdue: 0.0,
+            overdue_s: 0.0,
             long_rank: i as u32,
         };
         let candidates: Vec<Candidate> = locals.iter().enumerate().map(candidate).collect();
