--- a/daemon/src/complete.rs
+++ b/daemon/src/complete.rs
@@ -345,7 +345,7 @@
     let claim = caller.claim(&entry, caller.policy.repeatable).await;
     let claim = claim.inspect_err(|e| caller.refused(&entry, e))?;
     let job = Job {
-        blocks: prefix::blocks(&prompt.text, affinity::BLOCKS),
+        blocks: prefix::blocks(&prompt.text, affinity::MAX_PROMPT_BLOCKS),
         process: caller.process.clone(),
         entry,
         arrived: caller.arrived,
--- a/daemon/src/engines/flight.rs
+++ b/daemon/src/engines/flight.rs
@@ -49,8 +49,8 @@
                 local.speed.learn(work, seconds);
                 local.learnt_at = now;
             }
-            local.affinity.correct(&blocks, hits);
-            local.affinity.stored(&blocks, now);
+            local.affinity.remove_misses(&blocks, hits);
+            local.affinity.insert(&blocks, now);
         });
     }
 
--- a/daemon/tests/route.rs
+++ b/daemon/tests/route.rs
@@ -97,9 +97,9 @@
         let mut table = Table::default();
         for first in prompts {
             let blocks: Vec<u64> = (0..64).map(|i| first.wrapping_add(i)).collect();
-            table.stored(&blocks, now);
+            table.insert(&blocks, now);
             prop_assert_eq!(table.cached(&blocks, now, 4), Tokens(64 * 256));
-            table.correct(&blocks, 10);
+            table.remove_misses(&blocks, 10);
             prop_assert_eq!(table.cached(&blocks, now, 4), Tokens(10 * 256));
         }
     }
--- a/request/src/affinity.rs
+++ b/request/src/affinity.rs
@@ -8,10 +8,10 @@
 use foldlock_base::size::Tokens;
 
 /// Blocks that are remembered for each engine.
-const CAPACITY: usize = 16_384;
+const MAX_BLOCKS: usize = 16_384;
 
 /// Leading blocks of a prompt that are remembered.
-pub const BLOCKS: usize = 64;
+pub const MAX_PROMPT_BLOCKS: usize = 64;
 
 /// How long an unused block is remembered.
 const TTL: Duration = Duration::from_secs(300);
@@ -31,15 +31,15 @@
     }
 
     /// The engine computed these blocks.
-    pub fn stored(&mut self, blocks: &[u64], now: Instant) {
-        if self.blocks.len() + blocks.len() > CAPACITY {
-            self.forget_older_half();
+    pub fn insert(&mut self, blocks: &[u64], now: Instant) {
+        if self.blocks.len() + blocks.len() > MAX_BLOCKS {
+            self.evict_older_half();
         }
         self.blocks.extend(blocks.iter().map(|b| (*b, now)));
     }
 
     /// The engine said that it had only the first `hits` of these blocks.
-    pub fn correct(&mut self, blocks: &[u64], hits: usize) {
+    pub fn remove_misses(&mut self, blocks: &[u64], hits: usize) {
         for block in blocks.iter().skip(hits) {
             self.blocks.remove(block);
         }
@@ -50,7 +50,7 @@
         self.blocks.clear();
     }
 
-    fn forget_older_half(&mut self) {
+    fn evict_older_half(&mut self) {
         let mut times: Vec<Instant> = self.blocks.values().copied().collect();
         let middle = times.len() / 2;
         let (_, median, _) = times.select_nth_unstable(middle);
