--- a/request/src/claim.rs
+++ b/request/src/claim.rs
@@ -1,10 +1,10 @@
-//! The log of claims of idempotency keys, as it stands in the key-value service.
+//! The log of idempotency key claims, stored in the key-value service.
 //!
-//! Claims lie in a ring of slots, each one key of the store. A batch is written by one
-//! compare-and-swap of the newest slot, which is the fence: a writer that was paused finds the
-//! slot's revision changed, reads on and decides anew, so no lease is needed. A slot that is full
-//! is followed by the next one, which is overwritten only once its claims are past retention.
-//! Everything here is free of waiting; the process does the calls.
+//! Claims are stored in a ring of slots, each under one key of the store. A batch is written by one
+//! compare-and-swap of the newest slot, which acts as the fence: a writer that was paused finds the
+//! slot's revision changed, reads the new entries and decides its batch again, so no lease is
+//! needed. When a slot is full, the next one is used; its old claims are overwritten only after
+//! their retention time. This module does no I/O; the process calls the store.
 
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -14,16 +14,16 @@
 use foldlock_connection::wire::{Claim, Verdict, Word};
 use sha2::{Digest, Sha256};
 
-/// Slots of a ring.
+/// Number of slots in a ring.
 pub const SLOTS: usize = 256;
 
-/// A slot with at least this many bytes is full.
+/// Size in bytes from which a slot counts as full.
 pub const SLOT_FULL_BYTES: usize = 64 << 10;
 
-/// How long a claim is remembered at least.
+/// Minimum time for which a claim is kept.
 pub const RETENTION: Duration = Duration::from_secs(3600);
 
-/// The hash by which an organisation's idempotency key is claimed.
+/// Hash of an organisation's idempotency key, under which the key is claimed.
 pub fn hash(organisation: &id::Organisation, key: &str) -> u128 {
     let mut hasher = Sha256::new();
     hasher.update(organisation.as_str());
@@ -33,12 +33,12 @@
     u128::from_be_bytes(hash[..16].try_into().expect("a hash has 32 bytes"))
 }
 
-/// The key of a slot in the store.
+/// Key of a slot in the key-value service.
 pub fn slot_key(shard: u32, slot: usize) -> String {
     format!("once/{shard}/{slot}")
 }
 
-/// What a slot's text cannot be read as.
+/// A slot's text could not be parsed; holds the reason or the offending line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Unreadable(pub String);
 
@@ -57,7 +57,7 @@
     seq: u64,
 }
 
-/// A shard's log as one VM has read it.
+/// A shard's log as read by one VM.
 #[derive(Debug)]
 pub struct Log {
     shard: u32,
@@ -67,28 +67,28 @@
     owners: HashMap<u128, Option<Owner>>,
 }
 
-/// A batch that is decided and, where it has entries, to be written.
+/// A batch whose verdicts are decided, to be written if it has entries.
 #[derive(Debug)]
 pub struct Batch {
-    /// The slot.
+    /// The slot to write.
     pub slot: usize,
-    /// The revision that the slot has to have.
+    /// The revision at which the compare-and-swap expects the slot.
     pub expected_revision: u64,
-    /// The slot's new text; none where there is nothing to write.
+    /// The slot's new text; `None` if there is nothing to write.
     pub text: Option<String>,
-    /// What becomes of each claim once the text is written.
+    /// The verdict on each claim, valid once the text is written.
     pub verdicts: Vec<Verdict>,
     seq: u64,
     changes: Vec<(u128, Option<Owner>)>,
     at_ms: u64,
 }
 
-/// The ring has no slot whose claims are past retention.
+/// The next slot of the ring still has claims within their retention time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Full;
 
 impl Log {
-    /// A log of which nothing has been read.
+    /// An empty log, before any slot is read.
     pub fn new(shard: u32) -> Log {
         Log {
             shard,
@@ -99,27 +99,27 @@
         }
     }
 
-    /// The shard.
+    /// The shard of this log.
     pub fn shard(&self) -> u32 {
         self.shard
     }
 
-    /// The newest slot, from which reading on begins.
+    /// The newest slot, from which new entries are read.
     pub fn current(&self) -> usize {
         self.current
     }
 
-    /// Keys that are remembered.
+    /// Number of keys with an entry, released keys included.
     pub fn len(&self) -> usize {
         self.owners.len()
     }
 
-    /// Whether none is remembered.
+    /// Whether no key has an entry.
     pub fn is_empty(&self) -> bool {
         self.owners.is_empty()
     }
 
-    /// Takes a slot as it was read. Gives whether the next slot has to be read too.
+    /// Applies a slot as read from the store. Returns whether the next slot has to be read too.
     pub fn load(&mut self, slot: usize, entry: Option<(&str, u64)>) -> Result<bool, Unreadable> {
         let Some((text, revision)) = entry else { return Ok(false) };
         let mut lines = text.lines();
@@ -146,7 +146,7 @@
         Ok(true)
     }
 
-    /// Takes all slots of a ring, in any order.
+    /// Applies all slots of a ring, given in any order.
     pub fn restore(&mut self, mut entries: Vec<(usize, String, u64)>) -> Result<(), Unreadable> {
         let seq = |text: &str| {
             let line = text.lines().next().and_then(|l| l.strip_prefix("seq "));
@@ -162,7 +162,7 @@
     fn apply(&mut self, claim: &Claim, seq: u64) {
         let current = self.owners.get(&claim.key).copied().flatten();
         let change = match (claim.word, current) {
-            // The claim itself lay in a slot that is gone.
+            // The entry of the claim itself was in a slot that has been overwritten.
             (Word::Done, None) => Some(Some(Owner { nonce: claim.nonce, ran: true, seq })),
             _ => decide(current, claim, seq).1,
         };
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Forgets what an older occupant of a slot said.
+    /// Clears a slot before reuse, and removes the keys whose last entry was in it.
     fn clear_slot(&mut self, slot: usize) {
         let old = std::mem::take(&mut self.slots[slot]);
         for key in old.keys {
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Decides a batch. Nothing holds until [`Log::commit`].
+    /// Decides a batch. It takes effect only with [`Log::commit`].
     pub fn prepare(&self, claims: &[Claim], now_ms: u64) -> Result<Batch, Full> {
         let (slot, seq, mut text) = self.next_slot(now_ms)?;
         let mut overlay: HashMap<u128, Option<Owner>> = HashMap::new();
@@ -207,7 +207,7 @@
         Ok(Batch { slot, expected_revision, text, verdicts, seq, changes, at_ms: now_ms })
     }
 
-    /// The slot that the next entries go to.
+    /// The slot for the next entries, its sequence number and its text so far.
     fn next_slot(&self, now_ms: u64) -> Result<(usize, u64, String), Full> {
         let current = &self.slots[self.current];
         if current.revision != 0 && self.text.len() < SLOT_FULL_BYTES {
@@ -222,7 +222,7 @@
         Ok((slot, seq, format!("seq {seq}\n")))
     }
 
-    /// A batch was written and its slot has a new revision.
+    /// Applies a batch that was written, with the new revision of its slot.
     pub fn commit(&mut self, batch: &Batch, revision: u64) {
         let Some(text) = &batch.text else { return };
         if self.slots[batch.slot].seq != batch.seq {
@@ -243,7 +243,7 @@
 
 type Change = Option<Option<Owner>>;
 
-/// What a word does to a key: the verdict, and the change if it makes one.
+/// The verdict on a claim entry, and the change that it makes to the owner of its key, if any.
 fn decide(current: Option<Owner>, claim: &Claim, seq: u64) -> (Verdict, Change) {
     let own = current.is_some_and(|h| h.nonce == claim.nonce);
     match (claim.word, current) {
--- a/request/tests/claim.rs
+++ b/request/tests/claim.rs
@@ -1,4 +1,4 @@
-//! Claims: of any number of attempts on a key at most one is ever let run.
+//! Claims: of any number of attempts with the same key, at most one may run.
 
 use std::collections::HashMap;
 
@@ -36,16 +36,17 @@
     }
 }
 
-/// What a writer does next.
+/// One operation of a writer.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     /// Claims a key for a new attempt.
     Claim { writer: usize, key: u8 },
-    /// Says what became of the newest attempt that won a key here.
+    /// Writes the outcome of the newest attempt that won the key: done, or released.
     Settle { writer: usize, key: u8, done: bool },
-    /// Writes without an answer: the writer does not know whether it took effect.
+    /// Claims a key, but the store's response is lost: the writer cannot tell whether the write
+    /// took effect.
     Lost { writer: usize, key: u8 },
-    /// Starts anew, and reads the whole log.
+    /// Restarts the writer, which reads the whole log.
     Restart { writer: usize },
 }
 
@@ -65,7 +66,7 @@
 struct Simulation {
     store: Store,
     logs: Vec<Log>,
-    /// Attempts that were let run and not given back, by key.
+    /// Attempts that won a key and did not release it, by key.
     holders: HashMap<u128, Vec<u128>>,
     nonce: u128,
     now_ms: u64,
@@ -79,7 +80,7 @@
             let Some(text) = &batch.text else { return batch.verdicts[0] };
             match self.store.swap(batch.slot, batch.expected_revision, text) {
                 Some(_) if lost => {
-                    // No answer came: the writer reads on, and decides again.
+                    // The response is lost: the writer reads new entries and decides again.
                     self.store.read_new_entries(&mut self.logs[writer]);
                 }
                 Some(revision) => {
@@ -108,7 +109,7 @@
         }
         self.write(writer, &Claim { key: key.into(), nonce, word }, false);
         if done {
-            // It ran for good: nothing can be given back any more.
+            // The attempt ran to its end, so the key cannot be released any more.
             self.holders.insert(key.into(), vec![nonce, 0]);
         }
     }
@@ -117,7 +118,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(3000))]
 
-    /// Over seeded schedules of three writers that conflict, lose answers and restart.
+    /// Random schedules of three writers that conflict, lose responses of the store and restart.
     #[test]
     fn at_most_one_attempt_holds_a_key(steps in prop::collection::vec(step(), 1..60)) {
         let mut simulation = Simulation { logs: (0..3).map(|_| Log::new(0)).collect(), ..Simulation::default() };
@@ -148,7 +149,7 @@
     }
 }
 
-/// A full ring refuses rather than forgets.
+/// A full ring rejects new claims instead of overwriting claims within their retention time.
 #[test]
 fn claims_within_retention_are_never_overwritten() {
     let now_ms = 1_000;
@@ -166,6 +167,6 @@
     assert_eq!(log.len() as u128, key);
     let again = Claim { key: 5, nonce: 2, word: Word::Claim };
     assert!(log.prepare(std::slice::from_ref(&again), now_ms).is_err());
-    // Once the oldest are past retention, there is room again.
+    // Once the oldest claims are past retention, new ones are accepted.
     assert!(log.prepare(&[again], now_ms + 4_000_000).is_ok());
 }
