--- a/request/src/cursor.rs
+++ b/request/src/cursor.rs
@@ -1,6 +1,6 @@
-//! The cursor of a stream: the `id` of each event sent to a caller. With it a caller who was cut
-//! off goes on through any VM, which holds no state for it: the cursor names the engine, the
-//! stream and the next token, and a keyed hash makes it genuine.
+//! The cursor of a stream: the `id` of each event sent to a caller. A caller whose connection broke
+//! resumes the stream with it through any VM, without state kept there: the cursor names the
+//! engine, the stream and the last token sent, and is authenticated by a keyed hash.
 
 use std::fmt;
 use std::hash::Hasher;
@@ -11,39 +11,39 @@
 use foldlock_base::id;
 use siphasher::sip128::{Hasher128, SipHasher24};
 
-/// A position in a stream.
+/// A position in a stream of events.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Cursor {
-    /// The engine.
+    /// The engine that generates the stream.
     pub engine: id::Upstream,
-    /// The stream's id at the engine.
+    /// The stream's id on the engine.
     pub stream: String,
-    /// The request.
+    /// The request that the stream belongs to.
     pub request: id::Request,
-    /// The organisation whose request it is.
+    /// The organisation of the caller.
     pub organisation: id::Organisation,
-    /// The index of the token that the event carries.
+    /// The index of the event's token.
     pub index: u64,
 }
 
-/// A text that is not a genuine cursor.
+/// The text is not a cursor, or was not signed with this key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InvalidCursor;
 
 impl fmt::Display for InvalidCursor {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the cursor is not genuine")
+        f.write_str("invalid cursor: malformed, or signed with another key")
     }
 }
 
 impl std::error::Error for InvalidCursor {}
 
-/// The secret that signs cursors.
+/// The key with which cursors are signed.
 #[derive(Clone)]
 pub struct Key([u8; 16]);
 
 impl Key {
-    /// The key from the fleet's secret text.
+    /// Derives the key from the fleet's cursor secret.
     pub fn new(secret: &str) -> Key {
         let mut hasher = SipHasher24::new();
         hasher.write(secret.as_bytes());
@@ -51,7 +51,8 @@
     }
 }
 
-/// Writes the cursors of one stream: the part that does not change is hashed and encoded once.
+/// Writes the cursors of one stream. The part that is the same in all of them is hashed and encoded
+/// only once.
 pub struct CursorWriter {
     prefix: String,
     hasher: SipHasher24,
@@ -60,7 +61,7 @@
 const SEPARATOR: char = '~';
 
 impl CursorWriter {
-    /// A writer of cursors into this stream.
+    /// A writer for the cursors of the stream of `at`.
     pub fn new(key: &Key, at: &Cursor) -> CursorWriter {
         let payload = format!(
             "{}{SEPARATOR}{}{SEPARATOR}{}{SEPARATOR}{}",
@@ -71,7 +72,7 @@
         CursorWriter { prefix: URL_SAFE_NO_PAD.encode(payload), hasher }
     }
 
-    /// Writes the cursor of a token.
+    /// Writes the cursor for the token with this index.
     pub fn write(&self, index: u64, out: &mut impl fmt::Write) -> fmt::Result {
         let mut hasher = self.hasher;
         hasher.write_u64(index);
@@ -81,14 +82,16 @@
 }
 
 impl Cursor {
-    /// Writes the cursor as text.
+    /// Encodes and signs the cursor as text.
     pub fn sign(&self, key: &Key) -> String {
         let mut text = String::new();
-        CursorWriter::new(key, self).write(self.index, &mut text).expect("strings take all text");
+        CursorWriter::new(key, self)
+            .write(self.index, &mut text)
+            .expect("writing to a String cannot fail");
         text
     }
 
-    /// Reads a cursor; only one that was signed with this key.
+    /// Parses a cursor and checks that it was signed with this key.
     pub fn verify(key: &Key, text: &str) -> Result<Cursor, InvalidCursor> {
         let mut parts = text.split('.');
         let (Some(prefix), Some(index), Some(_), None) =
@@ -119,7 +122,8 @@
     text.parse().map_err(|_| InvalidCursor)
 }
 
-/// Compares in a time that does not tell where the first difference is.
+/// Compares in time independent of where the first difference is, so that timing does not help to
+/// forge a signature.
 fn constant_time_eq(a: &[u8], b: &[u8]) -> bool {
     a.len() == b.len() && a.iter().zip(b).fold(0, |acc, (x, y)| acc | (x ^ y)) == 0
 }
