--- a/request/src/prompt.rs
+++ b/request/src/prompt.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's completion or chat request.
+//! Parsing of callers' completion and chat requests.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 use foldlock_base::size::Tokens;
 use serde::Deserialize;
 
-/// Which of the two styles of answer a caller expects.
+/// The API style of a request and of its response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Style {
     /// `/v1/completions`.
@@ -16,38 +16,38 @@
     Chat,
 }
 
-/// A request as foldlock routes it.
+/// A parsed request.
 #[derive(Debug, Clone)]
 pub struct Prompt {
-    /// The style of the answer.
+    /// The API style of the response.
     pub style: Style,
-    /// The model.
+    /// The requested model.
     pub model: id::Model,
-    /// The text that the engine reads.
+    /// The prompt text that is sent to the engine.
     pub text: Bytes,
-    /// The most tokens of the answer, if the caller said so.
+    /// Maximum number of tokens to generate, if the caller set one.
     pub max_tokens: Option<u64>,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
 }
 
 impl Prompt {
-    /// The tokens of the text.
+    /// Estimated number of tokens of the text.
     pub fn tokens(&self, bytes_per_token: u32) -> Tokens {
         Tokens::of_bytes(self.text.len(), bytes_per_token)
     }
 }
 
-/// A body that is not a request.
+/// Why a request body is invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Malformed {
-    /// Not JSON of the shape that is expected.
+    /// It is not JSON, or does not have the expected fields.
     Json(String),
-    /// There is no text.
+    /// The prompt is empty.
     EmptyPrompt,
-    /// An answer of no tokens is asked for.
+    /// `max_tokens` is 0.
     ZeroMaxTokens,
-    /// The model's name is not a name.
+    /// The model name is invalid.
     Model(id::Invalid),
 }
 
@@ -94,7 +94,7 @@
     content: String,
 }
 
-/// Reads a body.
+/// Parses a request body.
 pub fn parse(style: Style, body: &[u8]) -> Result<Prompt, Malformed> {
     let json = |e: serde_json::Error| Malformed::Json(e.to_string());
     let (model, text, common) = match style {
@@ -122,7 +122,7 @@
     })
 }
 
-/// The messages as one text, each behind its role.
+/// Joins the messages into one text, each prefixed with its role.
 fn transcript(messages: &[Message]) -> String {
     let mut text = String::new();
     for message in messages {
