--- a/request/src/quota.rs
+++ b/request/src/quota.rs
@@ -1,10 +1,12 @@
-//! Splitting a limit among VMs by their demand. The home of a limit does this at each exchange.
+//! Allocation of a limit to VMs by their demand. The limit's home, the VM that coordinates it, does
+//! this at each heartbeat exchange.
 //!
-//! What a VM is told it keeps for [`LEASE`], and the home gives out only what no other VM holds.
-//! So under one home the parts that VMs hold never sum to more than the limit, whoever joins, dies
-//! or is cut off. What a dead VM held comes back a lease later. A VM that hears no home falls back
-//! to an equal part among the VMs that it knows; a new home begins with an empty ledger. In both
-//! cases the sum can reach twice the limit, for one lease.
+//! A quota is valid for [`LEASE`], and the home grants only what is not leased to other VMs. So
+//! under one home the quotas never sum to more than the limit, even if VMs join, crash or are
+//! partitioned. The quota of a crashed VM becomes available when its lease expires. A VM that gets
+//! no quota from a home falls back to an equal share among the VMs in its member list; a new home
+//! starts with an empty ledger. In both cases the sum can reach twice the limit, for the time of
+//! one lease.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -12,24 +14,24 @@
 use foldlock_base::id;
 use foldlock_connection::wire::{Demand, Quota};
 
-/// How long a quota holds without a new one.
+/// How long a quota is valid without renewal.
 pub const LEASE: Duration = Duration::from_secs(3);
 
-/// How much longer than a lease the home counts it, for messages on their way.
+/// How much longer than [`LEASE`] the home counts a lease, to allow for messages in transit.
 const LEASE_MARGIN: Duration = Duration::from_secs(1);
 
-/// The demand that each known VM is counted with at least, as a part of the mean, so that a VM
-/// without demand can let a first request in.
+/// Minimum demand that each VM is counted with, as a share of the mean, so that a VM without demand
+/// can admit a first request.
 const MIN_DEMAND_SHARE: f64 = 0.1;
 
-/// The limits that are split.
+/// The limits to allocate. Of the rates only shares are allocated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Requests at a time; 0 for no limit.
+    /// Maximum concurrent requests; 0 for no limit.
     pub concurrency: u32,
 }
 
-/// Splits among the VMs that demand.
+/// Allocates the limits to the VMs in `demands`.
 pub fn allocate(limits: Limits, demands: &BTreeMap<id::Vm, Demand>) -> BTreeMap<id::Vm, Quota> {
     let slots = slots(limits.concurrency, demands);
     let requests = shares(demands, |d| f64::from(d.requests_per_s));
@@ -55,20 +57,21 @@
     at: Instant,
 }
 
-/// What the home of a limit told each VM of late.
+/// The leases that the home of a limit granted and still counts, by VM.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     leases: BTreeMap<id::Vm, Lease>,
 }
 
 impl Ledger {
-    /// Takes a VM's demand and gives its part: its share, as far as no other VM holds it.
+    /// Renews a VM's lease: records its demand and grants its share, less what is still leased to
+    /// other VMs.
     pub fn renew(&mut self, limits: Limits, vm: &id::Vm, demand: Demand, now: Instant) -> Quota {
         self.leases.retain(|_, l| now < l.at + LEASE + LEASE_MARGIN);
         let mut demands: BTreeMap<id::Vm, Demand> =
             self.leases.iter().map(|(vm, l)| (vm.clone(), l.demand)).collect();
         demands.insert(vm.clone(), demand);
-        let ideal = allocate(limits, &demands).remove(vm).expect("the asker demands");
+        let ideal = allocate(limits, &demands).remove(vm).expect("`demands` contains the VM");
         let others = || self.leases.iter().filter(|(other, _)| *other != vm).map(|(_, l)| l.quota);
         let slots: u32 = others().map(|q| q.concurrency).sum();
         let requests: f32 = others().map(|q| q.requests).sum();
@@ -83,7 +86,7 @@
     }
 }
 
-/// Shares that sum to 1, in proportion to demand above the floor.
+/// Shares that sum to 1, in proportion to demand plus the floor.
 fn shares(demands: &BTreeMap<id::Vm, Demand>, of: impl Fn(&Demand) -> f64) -> Vec<f64> {
     let total: f64 = demands.values().map(&of).sum();
     let floor = if total > 0.0 { MIN_DEMAND_SHARE * total / demands.len() as f64 } else { 1.0 };
@@ -92,7 +95,7 @@
     raised.iter().map(|r| r / sum).collect()
 }
 
-/// Whole slots that sum to the limit: the largest remainders get what rounding down leaves.
+/// Integer slots that sum to the limit, rounded by the largest remainder method.
 fn slots(limit: u32, demands: &BTreeMap<id::Vm, Demand>) -> Vec<u32> {
     let shares = shares(demands, |d| f64::from(d.concurrency));
     let exact: Vec<f64> = shares.iter().map(|s| s * f64::from(limit)).collect();
@@ -110,7 +113,8 @@
     slots
 }
 
-/// The equal part of a VM that has no quota.
+/// The equal share that a VM without a valid quota uses. At least one slot if there is a
+/// concurrency limit.
 pub fn equal_share(limits: Limits, vms: usize) -> Quota {
     let vms = vms.max(1);
     Quota {
