--- a/request/src/limit.rs
+++ b/request/src/limit.rs
@@ -1,5 +1,5 @@
-//! One VM's part of a limit, by organisation or kind: requests at a time, requests a second and
-//! prompt tokens a second.
+//! Enforces this VM's share of the limits of an organisation or a kind of request: concurrent
+//! requests, requests per second and prompt tokens per second.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -11,28 +11,29 @@
 
 use crate::quota;
 
-/// A second's worth may be used at once.
+/// Burst size of the rate limits, in seconds of the rate.
 const BURST_S: f64 = 1.0;
 
-/// Over how long demand is averaged.
+/// Time constant over which demand is averaged.
 const DEMAND_WINDOW: Duration = Duration::from_secs(2);
 
-/// Fewer requests a second than this are no demand.
+/// Below this rate of requests per second, a limit has no demand.
 const MIN_DEMAND_PER_S: f32 = 0.01;
 
-/// When to come back after a refusal for concurrency: there is no way to know when one ends.
+/// Retry-after time of a rejection for concurrency. It is fixed, since it is not possible to
+/// predict when a running request ends.
 const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Why a request is over a limit.
+/// The limit that rejects a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Exceeded {
     /// The limit's name, as in the settings.
     pub limit: &'static str,
-    /// When there is room again.
+    /// Time after which a retry may succeed.
     pub retry_after: Duration,
 }
 
-/// The state of a limit at one VM.
+/// The state of an organisation's or kind's limits at this VM.
 pub struct Limit<C> {
     clock: C,
     state: Mutex<State>,
@@ -42,7 +43,7 @@
     running: u32,
     requests: Bucket,
     tokens: Bucket,
-    /// Requests at a time, at the highest of late; falls with time.
+    /// Recent maximum of concurrent requests, which decays over time.
     peak_concurrency: f32,
     requests_per_s: f32,
     tokens_per_s: f32,
@@ -50,7 +51,8 @@
     quota: Option<(Quota, Instant)>,
 }
 
-/// A token bucket. It may go below zero once, so that one large prompt fits any limit.
+/// A token bucket. Its balance may go negative, so that a prompt larger than the burst is still
+/// admitted; nothing more is admitted until the balance is positive again.
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
     left: f64,
@@ -68,7 +70,7 @@
         self.at = now;
     }
 
-    /// How long until it is above zero; zero where it is.
+    /// Time until the balance reaches `need`, at most an hour; zero if it does already.
     fn time_until(&self, rate: f64, need: f64) -> Duration {
         if self.left >= need {
             return Duration::ZERO;
@@ -77,7 +79,7 @@
     }
 }
 
-/// A request that counts against a limit until this is dropped.
+/// Counts a request against the concurrency limit until dropped.
 pub struct Permit<C: Clock> {
     limit: Arc<Limit<C>>,
 }
@@ -89,7 +91,7 @@
 }
 
 impl<C: Clock> Limit<C> {
-    /// An unused limit.
+    /// Creates a limit without requests or quota.
     pub fn new(clock: C) -> Limit<C> {
         let now = clock.now();
         let state = State {
@@ -105,13 +107,13 @@
         Limit { clock, state: Mutex::new(state) }
     }
 
-    /// Takes a new quota from the limit's home.
+    /// Sets the quota granted by the limit's home.
     pub fn set_quota(&self, quota: Quota) {
         let now = self.clock.now();
         self.state.lock().unwrap().quota = Some((quota, now));
     }
 
-    /// The demand, for the limit's home. None once there was none for a while.
+    /// The current demand, to be sent to the limit's home; `None` if there was none recently.
     pub fn demand(&self) -> Option<Demand> {
         let mut state = self.state.lock().unwrap();
         state.decay(self.clock.now());
@@ -123,7 +125,7 @@
         (demand.concurrency > 0 || demand.requests_per_s > MIN_DEMAND_PER_S).then_some(demand)
     }
 
-    /// Lets a request in, or says which limit it is over.
+    /// Admits a request, or returns the limit that it exceeds.
     pub fn admit(
         self: &Arc<Self>,
         policy: &Policy,
--- a/request/tests/limits.rs
+++ b/request/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that are split among VMs, fair queues and budgets.
+//! Limits that are allocated to VMs, fair queues, retry budgets and upstream health.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -29,8 +29,8 @@
 }
 
 proptest! {
-    /// Whoever asks, joins, falls silent or comes back: what VMs hold under one home, by their own
-    /// leases, never sums to more than the limit.
+    /// The valid quotas that one home granted never sum to more than the limit, in whatever order
+    /// VMs join, stop renewing their leases or return.
     #[test]
     fn quotas_never_sum_to_more_than_the_limit(
         concurrency in 1u32..200,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// After each VM has asked twice with steady demand, all of the limit is given out.
+    /// After a few renewals by each VM with constant demand, the whole limit is allocated.
     #[test]
     fn the_whole_limit_is_allocated(concurrency in 1u32..200, demands in prop::collection::vec(demand(), 1..10)) {
         let limits = Limits { concurrency };
@@ -68,7 +68,7 @@
         prop_assert_eq!(slots, concurrency);
     }
 
-    /// A split follows demand: who demands more gets no less.
+    /// A VM with higher demand gets no smaller quota, up to one slot of rounding.
     #[test]
     fn quotas_follow_demand(concurrency in 1u32..200, demands in prop::collection::vec(demand(), 2..10)) {
         let by_vm: BTreeMap<id::Vm, Demand> =
@@ -84,7 +84,7 @@
         }
     }
 
-    /// At one VM no more run than its part, and the rate is kept over any time.
+    /// One VM never exceeds its concurrency quota, nor its request rate over any period.
     #[test]
     fn a_vm_stays_within_its_quota(
         concurrency in 1u32..10,
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Where two organisations always have requests waiting, they are served by weight.
+    /// Two organisations that always have queued requests are served in proportion to their
+    /// weights.
     #[test]
     fn weights_are_respected(heavy in 1u32..10, tokens in 100u64..10_000) {
         let queue = Arc::new(Queue::default());
@@ -133,7 +134,8 @@
         prop_assert!((share - expected).abs() < 0.05, "{share} {expected}");
     }
 
-    /// One organisation that queues a flood delays another's next request by at most one of its own.
+    /// A flood of queued requests from one organisation delays another's next request by at most
+    /// one request.
     #[test]
     fn a_flood_does_not_delay_others(flood in 1usize..300, tokens in 1u64..100_000) {
         let queue = Arc::new(Queue::default());
@@ -149,7 +151,7 @@
         prop_assert!(before <= 1);
     }
 
-    /// Retries stay within their share of requests, and a floor.
+    /// Retries never exceed their share of the requests plus a fixed minimum.
     #[test]
     fn retries_stay_within_budget(percent in 1u8..100, requests in 0u32..500) {
         let budget = Budget::new(Manual::default());
@@ -160,7 +162,7 @@
         prop_assert!(allowed <= f64::from(requests) * f64::from(percent) / 100.0 + 3.0);
     }
 
-    /// An upstream that fails is left alone for a while that grows, then tried by one request.
+    /// A failing upstream is excluded for a growing time, then probed with a single request.
     #[test]
     fn a_failing_upstream_is_tried_by_one_request(failures in 1u32..40) {
         let clock = Manual::default();
@@ -174,7 +176,7 @@
         }
         prop_assert!(health.usable(clock.now()));
         health.sent();
-        prop_assert!(!health.usable(clock.now()), "the probe is on its way");
+        prop_assert!(!health.usable(clock.now()), "the probe is in flight");
         health.succeeded();
         prop_assert!(health.usable(clock.now()));
     }
