--- a/request/src/fair.rs
+++ b/request/src/fair.rs
@@ -1,7 +1,8 @@
-//! Weighted fair queues: who is next where requests wait for engines.
+//! Weighted fair queues: the order in which queued requests get engines.
 //!
-//! Start-time fair queueing: each request gets the virtual time at which it would finish if each
-//! organisation had its weight's share of one server; the lowest goes first.
+//! Start-time fair queueing: each request is given the virtual time at which it would finish if
+//! each organisation had a share of one server by its weight. The request with the lowest finish
+//! time is next.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
@@ -9,10 +10,10 @@
 use foldlock_base::id;
 use tokio::sync::Notify;
 
-/// The place of a request: its virtual finish, then its arrival.
+/// A request's position in the queue: its virtual finish time, then its arrival number.
 type Position = (u64, u64);
 
-/// Virtual units a token at weight 1.
+/// Units of virtual time per token at weight 1.
 const UNITS_PER_TOKEN: u64 = 1_000;
 
 #[derive(Default)]
@@ -21,7 +22,7 @@
     arrivals: u64,
     finishes: HashMap<id::Organisation, u64>,
     queued: BTreeMap<Position, Queued>,
-    /// Tokens of all who wait.
+    /// Prompt tokens of all queued requests.
     tokens: u64,
 }
 
@@ -31,13 +32,13 @@
     tokens: u64,
 }
 
-/// A queue.
+/// A weighted fair queue.
 #[derive(Default)]
 pub struct Queue {
     state: Mutex<State>,
 }
 
-/// A place in a queue, left when dropped.
+/// A queued request, removed from the queue when dropped.
 pub struct Entry {
     queue: Arc<Queue>,
     position: Position,
@@ -45,7 +46,7 @@
 }
 
 impl Queue {
-    /// Takes a place for a request of so many tokens.
+    /// Adds a request with this many prompt tokens to the queue.
     pub fn enqueue(
         self: &Arc<Queue>,
         organisation: &id::Organisation,
@@ -67,30 +68,31 @@
         Entry { queue: self.clone(), position, wake }
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.state.lock().unwrap().queued.len()
     }
 
-    /// Whether none waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Tokens of all who wait.
+    /// Prompt tokens of all queued requests.
     pub fn tokens(&self) -> u64 {
         self.state.lock().unwrap().tokens
     }
 }
 
 impl Entry {
-    /// Whether this request is next.
+    /// Whether this request is the next one in the queue.
     pub fn is_next(&self) -> bool {
         let state = self.queue.state.lock().unwrap();
         state.queued.first_key_value().is_some_and(|(position, _)| *position == self.position)
     }
 
-    /// Waits until this request is next. Another one may still overtake it afterwards.
+    /// Waits until this request is the next one. A request that arrives afterwards may still be
+    /// placed before it.
     pub async fn wait_until_next(&self) {
         while !self.is_next() {
             self.wake.notified().await;
