--- a/request/src/affinity.rs
+++ b/request/src/affinity.rs
@@ -1,5 +1,6 @@
-//! Which prefixes each engine likely has in its cache, from this VM's own routing, corrected by
-//! the engine's answers: a bounded table of block hashes.
+//! Prefix cache affinity: which prompt prefixes an engine probably has in its cache. A bounded
+//! table of block hashes records what this VM routed to the engine, and is corrected by the hits in
+//! the engine's responses.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -7,30 +8,30 @@
 use foldlock_base::prefix::BLOCK;
 use foldlock_base::size::Tokens;
 
-/// Blocks that are remembered for each engine.
+/// Maximum number of blocks in an engine's table.
 const MAX_BLOCKS: usize = 16_384;
 
-/// Leading blocks of a prompt that are remembered.
+/// Maximum number of leading blocks of a prompt that are recorded.
 pub const MAX_PROMPT_BLOCKS: usize = 64;
 
-/// How long an unused block is remembered.
+/// Time after which an unused block is considered evicted from the engine's cache.
 const TTL: Duration = Duration::from_secs(300);
 
-/// One engine's blocks.
+/// Hashes of the blocks that one engine probably has cached.
 #[derive(Debug, Default)]
 pub struct Table {
     blocks: HashMap<u64, Instant>,
 }
 
 impl Table {
-    /// The leading tokens that are likely cached.
+    /// Number of leading prompt tokens that are probably cached.
     pub fn cached(&self, blocks: &[u64], now: Instant, bytes_per_token: u32) -> Tokens {
         let fresh = |b: &&u64| self.blocks.get(*b).is_some_and(|at| now < *at + TTL);
         let hits = blocks.iter().take_while(fresh).count();
         Tokens((hits * BLOCK) as u64 / u64::from(bytes_per_token.max(1)))
     }
 
-    /// The engine computed these blocks.
+    /// Records blocks that the engine computed.
     pub fn insert(&mut self, blocks: &[u64], now: Instant) {
         if self.blocks.len() + blocks.len() > MAX_BLOCKS {
             self.evict_older_half();
@@ -38,14 +39,15 @@
         self.blocks.extend(blocks.iter().map(|b| (*b, now)));
     }
 
-    /// The engine said that it had only the first `hits` of these blocks.
+    /// Removes the blocks after the first `hits`: the engine reported that it had only those
+    /// cached.
     pub fn remove_misses(&mut self, blocks: &[u64], hits: usize) {
         for block in blocks.iter().skip(hits) {
             self.blocks.remove(block);
         }
     }
 
-    /// Forgets all, as after a restart of the engine.
+    /// Removes all blocks, such as after a restart of the engine.
     pub fn clear(&mut self) {
         self.blocks.clear();
     }
