--- a/request/src/route.rs
+++ b/request/src/route.rs
@@ -1,4 +1,5 @@
-//! How an upstream is chosen: a small trait, the routes that the settings name, and what they see.
+//! Choice of an upstream for a request: the trait of a routing policy, the policies that the
+//! settings can name, and the data that they compare.
 
 pub mod least_outstanding;
 pub mod length_aware;
@@ -14,48 +15,50 @@
 use crate::decision::{Cause, Seen};
 use crate::speed::{Model, Work};
 
-/// What is asked of an engine.
+/// What a request needs of an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct Requirements {
-    /// The prompt's tokens.
+    /// Number of prompt tokens.
     pub prompt: Tokens,
-    /// Memory for prompt and answer.
+    /// Engine memory for the prompt and the generated tokens.
     pub memory: Tokens,
-    /// The prompt's class of length.
+    /// Length class of the prompt.
     pub class: Class,
 }
 
-/// Seconds of short prompts that may be queued at an engine.
+/// Maximum seconds of work queued at an engine to which a short prompt is sent.
 const MAX_SHORT_QUEUE_S: f64 = 0.25;
 
-/// What may be queued at an engine before a long prompt, as a part of its own time.
+/// Maximum work queued at an engine to which a long prompt is sent, as a ratio of the time of the
+/// prompt itself.
 const MAX_LONG_QUEUE_RATIO: f64 = 0.25;
 
-/// An engine that can serve the request, as this VM knows it.
+/// An engine that can serve the request, with this VM's data on it.
 #[derive(Debug, Clone)]
 pub struct Candidate {
-    /// The engine.
+    /// The engine's id.
     pub engine: id::Upstream,
-    /// This VM's own work on it.
+    /// Load from requests of this VM.
     pub own: Load,
-    /// The work of all VMs on it, as far as known.
+    /// Load from requests of all VMs, as last announced.
     pub fleet: Load,
-    /// Its load by its newest report.
+    /// Load in the engine's newest report.
     pub report: Option<Reported>,
-    /// Prompt tokens that are likely in its cache.
+    /// Prompt tokens that are probably in the engine's cache.
     pub cached: Tokens,
-    /// The tokens that its memory holds.
+    /// Memory capacity, in tokens.
     pub memory: Tokens,
-    /// Its speed as learnt.
+    /// Speed model fitted to the engine's past requests.
     pub speed: Model,
-    /// Seconds by which this VM's oldest request there is late.
+    /// Longest time in seconds by which a request of this VM there exceeds its predicted time to
+    /// the first token.
     pub overdue_s: f64,
-    /// Its place among the engines of the model in the order in which long prompts take them.
+    /// Rank in the order in which long prompts prefer the engines of the model.
     pub long_rank: u32,
 }
 
 impl Candidate {
-    /// The work until the first token of a request on it.
+    /// The work until the first token of the request on this engine.
     pub fn work(&self, requirements: &Requirements) -> Work {
         let uncached = requirements.prompt - self.cached;
         let queued = self.fleet.ahead(requirements.class);
@@ -64,18 +67,19 @@
         Work::new(queued.0 as f64, uncached.0 as f64, self.cached.0 as f64, long)
     }
 
-    /// The predicted seconds to the first token of a request on it.
+    /// Predicted time to the first token on this engine, in seconds.
     pub fn predict(&self, requirements: &Requirements) -> f64 {
         self.speed.predict(self.work(requirements)) + self.overdue_s
     }
 
-    /// Whether the memory has room by what is known.
+    /// Whether the request fits into the free memory, as far as announced.
     pub fn fits(&self, requirements: &Requirements) -> bool {
         self.fleet.memory + requirements.memory <= self.memory
     }
 
-    /// Why it is not to be given the request now, though it may be the best. What waits in
-    /// foldlock rather than at an engine can still go elsewhere, and in fair order.
+    /// Why the request must not be sent to this engine now, even if it has the best score; `None`
+    /// if it may be. A request that is queued in foldlock and not at an engine can still go to
+    /// another engine, and is served in fair order.
     pub fn blocked_by(&self, requirements: &Requirements) -> Option<Cause> {
         if !self.fits(requirements) {
             return Some(Cause::Memory);
@@ -90,7 +94,7 @@
         (queued > max_queued).then_some(Cause::Engines)
     }
 
-    /// What a record says of it.
+    /// The engine's state for the decision record.
     pub fn snapshot(&self, requirements: &Requirements, score: f64) -> Seen {
         Seen {
             upstream: self.engine.clone(),
@@ -104,9 +108,9 @@
     }
 }
 
-/// A way to choose.
+/// A routing policy.
 pub trait Route {
-    /// The score of each candidate, lowest best; none for one that is not to be used now.
+    /// Scores the candidates; the lowest is best, `None` excludes a candidate for now.
     fn score<R: Rng>(
         &mut self,
         requirements: &Requirements,
@@ -115,26 +119,26 @@
     ) -> Vec<Option<f64>>;
 }
 
-/// A choice with what was compared.
+/// A chosen candidate and the candidates that were compared.
 #[derive(Debug, Clone)]
 pub struct Choice {
-    /// The index of the candidate.
+    /// Index of the chosen candidate.
     pub index: usize,
-    /// The candidates, best first; a few of them.
+    /// The best few candidates, best first.
     pub compared: Vec<Seen>,
 }
 
-/// How many candidates a record names.
+/// Maximum number of candidates in a decision record.
 const MAX_COMPARED: usize = 4;
 
-/// Each route that the settings can name, with its state.
+/// The routing policies that the settings can name, with their state.
 #[derive(Debug, Default)]
 pub struct Routes {
     round_robin: round_robin::RoundRobin,
 }
 
 impl Routes {
-    /// Chooses by the route that the settings name.
+    /// Chooses a candidate by the policy named in the settings.
     pub fn choose<R: Rng>(
         &mut self,
         route: policy::Route,
@@ -169,7 +173,8 @@
     }
 }
 
-/// The candidate with the lowest score. Equal scores go to the earlier one: callers shuffle.
+/// Returns the candidate with the lowest score, of equal ones the first. Callers shuffle the
+/// candidates, so that ties are broken at random.
 pub fn best(
     requirements: &Requirements,
     candidates: &[Candidate],
--- a/request/src/route/least_outstanding.rs
+++ b/request/src/route/least_outstanding.rs
@@ -1,10 +1,10 @@
-//! The fewest of this VM's own requests outstanding: a baseline.
+//! Chooses the engine with the fewest outstanding requests of this VM. A baseline.
 
 use rand::Rng;
 
 use super::{Candidate, Requirements, Route};
 
-/// The route.
+/// The policy, without state.
 #[derive(Debug)]
 pub struct LeastOutstanding;
 
--- a/request/src/route/length_aware.rs
+++ b/request/src/route/length_aware.rs
@@ -1,24 +1,29 @@
-//! The least predicted time to the first token plus the delay put on others, among the engines
-//! that are open to the request; where none is, it waits in foldlock.
+//! Chooses the engine with the lowest predicted time to the first token plus the delay caused to
+//! other requests, among the engines to which the request may be sent. If there is none, the
+//! request stays queued in foldlock.
 //!
-//! Long prompts prefer engines in one order that all VMs compute alike, so that few engines have
-//! long prompts at a time, and short prompts, whose prediction grows on such engines, find others.
+//! Long prompts prefer engines in an order that is the same at all VMs. So only few engines have
+//! long prompts at a time, and short prompts, whose predicted time is higher on these, use the
+//! others.
 
 use rand::Rng;
 
 use super::{Candidate, Requirements, Route};
 
-/// The share of its own time that a long prompt gives up for each place further down the order.
+/// Cost of each rank further down the order for a long prompt, as a share of the prompt's own time
+/// to the first token.
 const RANK_COST_RATIO: f64 = 0.25;
 
-/// The share of its own time that a prompt puts on each request that an engine answers already.
+/// Delay that a prompt causes to each request in progress on the engine, as a share of the prompt's
+/// own time to the first token.
 const IN_FLIGHT_COST_RATIO: f64 = 0.02;
 
-/// Scores that differ by less than this part and these milliseconds are equal, so that VMs that
-/// see the same do not choose the same, and an engine that seems a little slower is still used.
+/// Maximum random addition to a score: a share of it, and milliseconds. Engines whose scores differ
+/// by less are chosen at random, so that VMs with the same data do not all choose the same engine,
+/// and an engine with a slightly higher prediction is still used.
 const SCORE_NOISE: (f64, f64) = (0.05, 2.0);
 
-/// The route.
+/// The policy, without state.
 #[derive(Debug)]
 pub struct LengthAware;
 
--- a/request/src/route/round_robin.rs
+++ b/request/src/route/round_robin.rs
@@ -1,10 +1,10 @@
-//! Each engine in turn, whatever its load: a baseline.
+//! Chooses the engines in turn, regardless of their load. A baseline.
 
 use rand::Rng;
 
 use super::{Candidate, Requirements, Route};
 
-/// The route with its turn.
+/// The policy, with the number of choices so far.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     calls: u64,
--- a/request/src/route/two_choices.rs
+++ b/request/src/route/two_choices.rs
@@ -1,23 +1,23 @@
-//! The less loaded of two engines at random.
+//! Power of two choices: chooses the less loaded of two random engines.
 
 use rand::Rng;
 use rand::seq::index;
 
 use super::{Candidate, Requirements, Route};
 
-/// What tells the load.
+/// Which load is compared.
 #[derive(Debug, Clone, Copy)]
 pub enum LoadSource {
-    /// The engine's report, which lags: a baseline.
+    /// The load in the engine's report, which lags behind. A baseline.
     Report,
-    /// The work that all VMs announce.
+    /// The load that all VMs announce.
     Fleet,
 }
 
-/// The route.
+/// The policy.
 #[derive(Debug)]
 pub struct TwoChoices {
-    /// What tells the load.
+    /// Which load is compared.
     pub source: LoadSource,
 }
 
