--- a/daemon/src/attempt.rs
+++ b/daemon/src/attempt.rs
@@ -10,7 +10,7 @@
 use foldlock_connection::events::{Checker, Event as Part};
 use foldlock_request::decision::Decision;
 
-use crate::engines::{Flight, Wanted};
+use crate::engines::{EngineQuery, Flight};
 use crate::gate::{self, Place};
 use crate::group;
 use crate::serve::{Job, Progress, Sink};
@@ -82,8 +82,8 @@
 /// What an attempt's end says of its engine.
 fn judge(place: &Place, end: &End) {
     match end {
-        End::Broken(_) | End::Slow(_) => place.flight().failed(),
-        End::NotRun { why, .. } if why.starts_with("no connection") => place.flight().failed(),
+        End::Broken(_) | End::Slow(_) => place.flight().on_failure(),
+        End::NotRun { why, .. } if why.starts_with("no connection") => place.flight().on_failure(),
         _ => {}
     }
 }
@@ -141,8 +141,8 @@
     }
     let waited = (job.process.clock.now() - flight.sent).as_secs_f64();
     // An engine that failed the request before may do by now what this one does not.
-    let wanted = Wanted { avoid: &[], ..gate::wanted(job, progress) };
-    job.process.engines.better(&wanted, &flight.engine, waited / 2.0)
+    let query = EngineQuery { avoid: &[], ..gate::engine_query(job, progress) };
+    job.process.engines.has_faster(&query, &flight.engine, waited / 2.0)
 }
 
 async fn read<S: Sink>(
--- a/daemon/src/engines.rs
+++ b/daemon/src/engines.rs
@@ -27,20 +27,20 @@
 pub use flight::Flight;
 
 /// What a home says counts for this long.
-const HOME_FRESH: Duration = Duration::from_secs(2);
+const HOME_STATE_TTL: Duration = Duration::from_secs(2);
 
 /// A sign that an engine is leaving counts for this long, unless it is renewed.
-pub const LEAVING_KEPT: Duration = Duration::from_secs(10);
+pub const LEAVING_TTL: Duration = Duration::from_secs(10);
 
 /// What was learnt of an engine's speed counts half after so long without use.
-const FADE: Duration = Duration::from_secs(5);
+const DECAY_INTERVAL: Duration = Duration::from_secs(5);
 
 /// A sign of its own is passed on by a VM for this long. Signs that were passed on are not passed
 /// on again, so that they end when their cause does.
-const LEAVING_TOLD: Duration = Duration::from_secs(2);
+const LEAVING_ANNOUNCE_WINDOW: Duration = Duration::from_secs(2);
 
 /// What is asked for, with what helps to choose.
-pub struct Wanted<'a> {
+pub struct EngineQuery<'a> {
     /// The model.
     pub model: &'a id::Model,
     /// The sizes.
@@ -74,7 +74,7 @@
     own: Load,
     flights: HashMap<u64, Pending>,
     speed: Model,
-    learnt_at: Instant,
+    speed_updated_at: Instant,
     health: Health,
     affinity: Table,
     home: Option<(State, Instant)>,
@@ -94,7 +94,7 @@
     engines: BTreeMap<id::Upstream, Local>,
     bytes_per_token: HashMap<id::Model, u32>,
     routes: Routes,
-    next: u64,
+    next_slot: u64,
 }
 
 /// The engines.
@@ -151,7 +151,7 @@
             own: Load::default(),
             flights: HashMap::new(),
             speed: Model::default(),
-            learnt_at: self.clock.now(),
+            speed_updated_at: self.clock.now(),
             health: Health::default(),
             affinity: Table::default(),
             home: None,
@@ -185,7 +185,7 @@
     }
 
     /// Takes what a home says of its engines.
-    pub fn told(&self, states: &[State]) {
+    pub fn merge_states(&self, states: &[State]) {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
         for state in states {
@@ -197,93 +197,100 @@
     }
 
     /// Notes a sign that an engine is leaving. Gives whether it is news.
-    pub fn leaving(&self, engine: &id::Upstream) -> bool {
+    pub fn mark_leaving(&self, engine: &id::Upstream) -> bool {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
         let Some(local) = inner.engines.get_mut(engine) else { return false };
-        let news = !local.is_leaving(now);
+        let is_new = !local.is_leaving(now);
         local.leaving_at = Some(now);
-        news
+        is_new
     }
 
     /// The engines of which this VM itself had a sign of late that they are leaving.
-    pub fn signs_of_leaving(&self) -> Vec<id::Upstream> {
+    pub fn announced_leaving(&self) -> Vec<id::Upstream> {
         let now = self.clock.now();
         let inner = self.inner.lock().unwrap();
-        let told = |l: &Local| l.leaving_at.is_some_and(|at| now < at + LEAVING_TOLD);
-        let leaving = inner.engines.iter().filter(|(_, l)| told(l));
+        let is_recent =
+            |l: &Local| l.leaving_at.is_some_and(|at| now < at + LEAVING_ANNOUNCE_WINDOW);
+        let leaving = inner.engines.iter().filter(|(_, l)| is_recent(l));
         leaving.map(|(id, _)| id.clone()).collect()
     }
 
     /// Chooses an engine and counts the request as its load.
-    pub fn choose(self: &Arc<Self>, wanted: &Wanted<'_>) -> Chosen<C> {
+    pub fn choose(self: &Arc<Self>, query: &EngineQuery<'_>) -> Chosen<C> {
         let now = self.clock.now();
         let mut guard = self.inner.lock().unwrap();
         let inner = &mut *guard;
-        let candidates = inner.candidates(wanted, now);
+        let candidates = inner.candidates(query, now);
         if candidates.is_empty() {
             return Chosen::None;
         }
-        let route = wanted.policy.route;
-        let requirements = &wanted.requirements;
+        let route = query.policy.route;
+        let requirements = &query.requirements;
         let Some(choice) = inner.routes.choose(route, requirements, &candidates, &mut rand::rng())
         else {
-            return wait(&candidates, requirements);
+            return no_eligible(&candidates, requirements);
         };
         let candidate = &candidates[choice.index];
-        let flight = self.begin(inner, wanted, candidate, choice.compared, now);
+        let flight = self.start_flight(inner, query, candidate, choice.compared, now);
         Chosen::Engine(Box::new(flight))
     }
 
     /// Lets what was learnt of engines fade that have not been used for a while.
-    pub fn fade(&self) {
+    pub fn decay_speeds(&self) {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
-        for local in inner.engines.values_mut().filter(|l| now >= l.learnt_at + FADE) {
+        for local in
+            inner.engines.values_mut().filter(|l| now >= l.speed_updated_at + DECAY_INTERVAL)
+        {
             local.speed.fade();
-            local.learnt_at = now;
+            local.speed_updated_at = now;
         }
     }
 
     /// Whether another engine is open and would give a first token within `seconds`.
-    pub fn better(&self, wanted: &Wanted<'_>, than: &id::Upstream, seconds: f64) -> bool {
-        let candidates = self.candidates(wanted);
+    pub fn has_faster(&self, query: &EngineQuery<'_>, than: &id::Upstream, seconds: f64) -> bool {
+        let candidates = self.candidates(query);
         let others = candidates.iter().filter(|c| c.engine != *than);
         others
-            .filter(|c| c.blocked_by(&wanted.requirements).is_none())
-            .any(|c| c.predict(&wanted.requirements) < seconds)
+            .filter(|c| c.blocked_by(&query.requirements).is_none())
+            .any(|c| c.predict(&query.requirements) < seconds)
     }
 
     /// Takes an engine that another VM chose.
-    pub fn take(self: &Arc<Self>, wanted: &Wanted<'_>, engine: &id::Upstream) -> Option<Flight<C>> {
+    pub fn assign(
+        self: &Arc<Self>,
+        query: &EngineQuery<'_>,
+        engine: &id::Upstream,
+    ) -> Option<Flight<C>> {
         let now = self.clock.now();
         let mut guard = self.inner.lock().unwrap();
         let inner = &mut *guard;
-        let candidates = inner.candidates(wanted, now);
+        let candidates = inner.candidates(query, now);
         let candidate = candidates.iter().find(|c| c.engine == *engine)?;
-        let seen = vec![candidate.snapshot(&wanted.requirements, 0.0)];
-        Some(self.begin(inner, wanted, candidate, seen, now))
+        let compared = vec![candidate.snapshot(&query.requirements, 0.0)];
+        Some(self.start_flight(inner, query, candidate, compared, now))
     }
 
     /// The candidates for a request, for a home that decides on grants.
-    pub fn candidates(&self, wanted: &Wanted<'_>) -> Vec<Candidate> {
-        self.inner.lock().unwrap().candidates(wanted, self.clock.now())
+    pub fn candidates(&self, query: &EngineQuery<'_>) -> Vec<Candidate> {
+        self.inner.lock().unwrap().candidates(query, self.clock.now())
     }
 
-    fn begin(
+    fn start_flight(
         self: &Arc<Self>,
         inner: &mut Inner,
-        wanted: &Wanted<'_>,
+        query: &EngineQuery<'_>,
         candidate: &Candidate,
-        seen: Vec<Seen>,
+        compared: Vec<Seen>,
         now: Instant,
     ) -> Flight<C> {
-        let requirements = &wanted.requirements;
+        let requirements = &query.requirements;
         let uncached = requirements.prompt - candidate.cached;
         let load = Load::of(requirements.class, uncached, requirements.memory);
         let predicted = candidate.predict(requirements);
-        inner.next += 1;
-        let slot = inner.next;
+        inner.next_slot += 1;
+        let slot = inner.next_slot;
         let local = inner.engines.get_mut(&candidate.engine).expect("candidates are engines");
         local.own = local.own.plus(load);
         local.flights.insert(slot, Pending { sent: now, predicted, class: requirements.class });
@@ -295,15 +302,15 @@
             slot,
             load,
             work: candidate.work(requirements),
-            blocks: wanted.blocks.to_vec(),
+            blocks: query.blocks.to_vec(),
             predicted,
-            seen,
+            compared,
             sent: now,
-            bytes_per_token: inner.bytes_per_token.get(wanted.model).copied().unwrap_or(4),
+            bytes_per_token: inner.bytes_per_token.get(query.model).copied().unwrap_or(4),
         }
     }
 
-    fn with<R>(&self, engine: &id::Upstream, f: impl FnOnce(&mut Local) -> R) -> Option<R> {
+    fn update<R>(&self, engine: &id::Upstream, f: impl FnOnce(&mut Local) -> R) -> Option<R> {
         let result = self.inner.lock().unwrap().engines.get_mut(engine).map(f);
         self.changed.notify_waiters();
         result
@@ -326,7 +333,7 @@
 }
 
 /// Why the best of the candidates, none of which is open, is closed.
-fn wait<C: Clock>(candidates: &[Candidate], requirements: &Requirements) -> Chosen<C> {
+fn no_eligible<C: Clock>(candidates: &[Candidate], requirements: &Requirements) -> Chosen<C> {
     let predicted = |c: &&Candidate| c.predict(requirements);
     let best = candidates.iter().min_by(|a, b| predicted(a).total_cmp(&predicted(b)));
     Chosen::Wait {
@@ -336,13 +343,13 @@
 }
 
 impl Inner {
-    fn candidates(&self, wanted: &Wanted<'_>, now: Instant) -> Vec<Candidate> {
-        let bytes = self.bytes_per_token.get(wanted.model).copied().unwrap_or(4);
-        let ids = self.usable(wanted, now);
-        let mut found: Vec<Candidate> = hash::ranked(wanted.model.as_str(), ids.iter().copied())
+    fn candidates(&self, query: &EngineQuery<'_>, now: Instant) -> Vec<Candidate> {
+        let bytes = self.bytes_per_token.get(query.model).copied().unwrap_or(4);
+        let ids = self.usable(query, now);
+        let mut found: Vec<Candidate> = hash::ranked(query.model.as_str(), ids.iter().copied())
             .into_iter()
             .enumerate()
-            .map(|(rank, id)| self.engines[id].candidate(id, wanted, rank as u32, bytes, now))
+            .map(|(rank, id)| self.engines[id].candidate(id, query, rank as u32, bytes, now))
             .collect();
         shuffle(&mut found);
         found
@@ -350,16 +357,16 @@
 
     /// The engines that can serve. Those that failed of late, or failed this request, are left out
     /// as long as there are others.
-    fn usable(&self, wanted: &Wanted<'_>, now: Instant) -> Vec<&id::Upstream> {
+    fn usable(&self, query: &EngineQuery<'_>, now: Instant) -> Vec<&id::Upstream> {
         let serving: Vec<(&id::Upstream, &Local)> = self
             .engines
             .iter()
-            .filter(|(_, l)| l.entry.models.contains(wanted.model))
-            .filter(|(_, l)| wanted.requirements.memory.0 <= l.entry.memory_tokens)
+            .filter(|(_, l)| l.entry.models.contains(query.model))
+            .filter(|(_, l)| query.requirements.memory.0 <= l.entry.memory_tokens)
             .filter(|(_, l)| !l.is_leaving(now))
             .collect();
         let rank =
-            |(id, l): &(&id::Upstream, &Local)| (wanted.avoid.contains(id), !l.health.usable(now));
+            |(id, l): &(&id::Upstream, &Local)| (query.avoid.contains(id), !l.health.usable(now));
         let Some(best) = serving.iter().map(rank).min() else { return Vec::new() };
         serving.iter().filter(|s| rank(s) == best).map(|(id, _)| *id).collect()
     }
@@ -375,22 +382,22 @@
     fn candidate(
         &self,
         id: &id::Upstream,
-        wanted: &Wanted<'_>,
+        query: &EngineQuery<'_>,
         long_rank: u32,
         bytes_per_token: u32,
         now: Instant,
     ) -> Candidate {
-        let cached = self.affinity.cached(wanted.blocks, now, bytes_per_token);
-        let most = wanted.requirements.prompt.saturating_sub(Tokens(1));
+        let cached = self.affinity.cached(query.blocks, now, bytes_per_token);
+        let max_cached = query.requirements.prompt.saturating_sub(Tokens(1));
         Candidate {
             engine: id.clone(),
             own: self.own,
             fleet: self.fleet(now),
             report: self.home.as_ref().and_then(|(state, _)| state.reported),
-            cached: cached.min(most),
+            cached: cached.min(max_cached),
             memory: Tokens(self.entry.memory_tokens),
             speed: self.speed.clone(),
-            overdue_s: self.overdue(wanted.requirements.class, now),
+            overdue_s: self.overdue_s(query.requirements.class, now),
             long_rank,
         }
     }
@@ -398,7 +405,7 @@
     /// All VMs' work: what the home knows of the others, and the own as it is now.
     fn fleet(&self, now: Instant) -> Load {
         match &self.home {
-            Some((state, at)) if now < *at + HOME_FRESH => {
+            Some((state, at)) if now < *at + HOME_STATE_TTL => {
                 state.load.minus(state.yours).plus(self.own)
             }
             _ => self.own,
@@ -406,14 +413,14 @@
     }
 
     /// Seconds by which the first token of a request that goes before this class is late.
-    fn overdue(&self, class: Class, now: Instant) -> f64 {
+    fn overdue_s(&self, class: Class, now: Instant) -> f64 {
         let late = |p: &Pending| (now - p.sent).as_secs_f64() - p.predicted;
         let before = self.flights.values().filter(|p| p.class <= class);
         before.map(late).fold(0.0, f64::max)
     }
 
     fn is_leaving(&self, now: Instant) -> bool {
-        let told = self.home.as_ref().filter(|(state, _)| state.leaving).map(|(_, at)| *at);
-        self.leaving_at.max(told).is_some_and(|at| now < at + LEAVING_KEPT)
+        let home_sign = self.home.as_ref().filter(|(state, _)| state.leaving).map(|(_, at)| *at);
+        self.leaving_at.max(home_sign).is_some_and(|at| now < at + LEAVING_TTL)
     }
 }
--- a/daemon/src/engines/flight.rs
+++ b/daemon/src/engines/flight.rs
@@ -22,7 +22,7 @@
     /// The predicted seconds to the first token.
     pub predicted: f64,
     /// What was compared.
-    pub seen: Vec<Seen>,
+    pub compared: Vec<Seen>,
     /// When the engine was chosen.
     pub sent: Instant,
     pub(super) engines: Arc<Engines<C>>,
@@ -35,19 +35,19 @@
 
 impl<C: Clock> Flight<C> {
     /// The first token came: the prompt is no longer queued, and the model learns.
-    pub fn first_token(&mut self, cached: Tokens) {
+    pub fn on_first_token(&mut self, cached: Tokens) {
         let now = self.engines.clock.now();
         let seconds = (now - self.sent).as_secs_f64();
         let (slot, work, blocks) = (self.slot, self.work, std::mem::take(&mut self.blocks));
         let hits = (cached.0 * u64::from(self.bytes_per_token)) as usize / prefix::BLOCK;
         let prefill = self.load.prefill_only();
         self.load = self.load.minus(prefill);
-        self.engines.with(&self.engine, |local| {
+        self.engines.update(&self.engine, |local| {
             local.own = local.own.minus(prefill);
             local.health.succeeded();
             if local.flights.remove(&slot).is_some() {
                 local.speed.learn(work, seconds);
-                local.learnt_at = now;
+                local.speed_updated_at = now;
             }
             local.affinity.remove_misses(&blocks, hits);
             local.affinity.insert(&blocks, now);
@@ -55,11 +55,11 @@
     }
 
     /// The prompt is computed, without a token that would tell how fast.
-    pub fn computed(&mut self) {
+    pub fn on_prefill_done(&mut self) {
         let prefill = self.load.prefill_only();
         self.load = self.load.minus(prefill);
         let slot = self.slot;
-        self.engines.with(&self.engine, |local| {
+        self.engines.update(&self.engine, |local| {
             local.own = local.own.minus(prefill);
             local.health.succeeded();
             local.flights.remove(&slot);
@@ -67,24 +67,24 @@
     }
 
     /// The engine failed the request.
-    pub fn failed(&self) {
+    pub fn on_failure(&self) {
         let now = self.engines.clock.now();
-        self.engines.with(&self.engine, |local| {
+        self.engines.update(&self.engine, |local| {
             local.health.failed(now);
             local.affinity.clear();
         });
     }
 
     /// The engine refused the request, since it is leaving.
-    pub fn refused_leaving(&self) {
-        self.engines.leaving(&self.engine);
+    pub fn on_refused_leaving(&self) {
+        self.engines.mark_leaving(&self.engine);
     }
 }
 
 impl<C: Clock> Drop for Flight<C> {
     fn drop(&mut self) {
         let (slot, load) = (self.slot, self.load);
-        self.engines.with(&self.engine, |local| {
+        self.engines.update(&self.engine, |local| {
             local.own = local.own.minus(load);
             if local.flights.remove(&slot).is_some() {
                 local.health.undecided();
--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -13,7 +13,7 @@
 use foldlock_version::policy::{Class, Route};
 use tarpc::context::Context;
 
-use crate::engines::{Chosen, Flight, Wanted};
+use crate::engines::{Chosen, EngineQuery, Flight};
 use crate::group::{self, Group};
 use crate::home;
 use crate::serve::{Job, Progress};
@@ -58,7 +58,7 @@
     /// The first token came.
     pub fn first_token(&mut self, cached: Tokens) {
         match self {
-            Place::Engine(flight) => flight.first_token(cached),
+            Place::Engine(flight) => flight.on_first_token(cached),
             Place::Group(group) => group.first_token(),
         }
     }
@@ -141,7 +141,7 @@
         predicted_ms: flight.predicted * 1e3,
         engines: 1,
         part_ms: 0.0,
-        seen: flight.seen.clone(),
+        seen: flight.compared.clone(),
         by: None,
         limited: 0,
         asked_ms: 0.0,
@@ -150,8 +150,8 @@
 
 /// Refuses a request whose turn would come too late.
 fn admit_behind(job: &Job, queued: u64, progress: &Progress) -> Result<(), Refused> {
-    let wanted = wanted(job, progress);
-    let candidates = job.process.engines.candidates(&wanted);
+    let query = engine_query(job, progress);
+    let candidates = job.process.engines.candidates(&query);
     let Some(first) = candidates.first() else { return Ok(()) };
     let vms = job.process.members.live().len().max(1) as f64;
     let rate = first.speed.seconds_per_token() / candidates.len() as f64 * vms;
@@ -172,8 +172,8 @@
 }
 
 /// What is asked of the engines for a request.
-pub fn wanted<'a>(job: &'a Job, progress: &'a Progress) -> Wanted<'a> {
-    Wanted {
+pub fn engine_query<'a>(job: &'a Job, progress: &'a Progress) -> EngineQuery<'a> {
+    EngineQuery {
         model: &job.prompt.model,
         requirements: job.requirements(progress),
         blocks: &job.blocks,
@@ -194,7 +194,7 @@
             entry.wait_until_next().await;
             waited.get_or_insert(Cause::Queue);
         }
-        match engines.choose(&wanted(job, progress)) {
+        match engines.choose(&engine_query(job, progress)) {
             Chosen::Engine(flight) => {
                 in_time(job, flight.predicted)?;
                 if let Some(flight) = confirm(job, progress, flight).await {
@@ -234,7 +234,7 @@
     // The home may be this VM: it must not count the request that it is asked about.
     drop(flight);
     let engine = granted(job, progress, &chosen).await.unwrap_or(chosen);
-    job.process.engines.take(&wanted(job, progress), &engine).map(Box::new)
+    job.process.engines.assign(&engine_query(job, progress), &engine).map(Box::new)
 }
 
 async fn granted(job: &Job, progress: &Progress, chosen: &id::Upstream) -> Option<id::Upstream> {
--- a/daemon/src/group.rs
+++ b/daemon/src/group.rs
@@ -18,7 +18,7 @@
 use foldlock_request::route::{Candidate, Requirements, Routes};
 use foldlock_version::policy::{Policy, Route};
 
-use crate::engines::{Flight, Wanted};
+use crate::engines::{EngineQuery, Flight};
 use crate::gate::{Place, Refused, ask_home};
 use crate::home::Shard;
 use crate::process::Process;
@@ -55,7 +55,7 @@
     /// The first token came: no segment is queued any more.
     pub fn first_token(&mut self) {
         for flight in &mut self.flights {
-            flight.computed();
+            flight.on_prefill_done();
         }
     }
 }
@@ -132,14 +132,14 @@
 fn flight(job: &Job, segment: &Segment) -> Option<Flight<System>> {
     let class = job.policy.class(job.tokens);
     let requirements = Requirements { prompt: segment.tokens, memory: segment.tokens, class };
-    let wanted = Wanted {
+    let query = EngineQuery {
         model: &job.prompt.model,
         requirements,
         blocks: &[],
         policy: &job.policy,
         avoid: &[],
     };
-    job.process.engines.take(&wanted, &segment.engine)
+    job.process.engines.assign(&query, &segment.engine)
 }
 
 async fn renew(holds: Vec<(HttpEngine, id::Hold)>) {
@@ -177,7 +177,7 @@
             return client.generate(&Order { hold: Some(held), ..part }).await;
         }
         context = client.prefill(&part, &held).await?;
-        group.flights[i].computed();
+        group.flights[i].on_prefill_done();
         at = end;
     }
     Err(Failure::Gone)
@@ -212,10 +212,15 @@
     let policy = Policy { route: Route::LengthAware, ..Policy::default() };
     let requirements =
         Requirements { prompt: ask.prompt, memory: Tokens(0), class: policy.class(ask.prompt) };
-    let wanted =
-        Wanted { model: &ask.model, requirements, blocks: &[], policy: &policy, avoid: &ask.avoid };
-    process.engines.told(&process.home.states(&shard.engines, &process.config.vm));
-    let mut candidates = process.engines.candidates(&wanted);
+    let query = EngineQuery {
+        model: &ask.model,
+        requirements,
+        blocks: &[],
+        policy: &policy,
+        avoid: &ask.avoid,
+    };
+    process.engines.merge_states(&process.home.states(&shard.engines, &process.config.vm));
+    let mut candidates = process.engines.candidates(&query);
     candidates.retain(|c| shard.engines.contains(&c.engine));
     let largest = candidates.iter().map(|c| c.memory).max()?;
     if ask.memory > largest {
--- a/daemon/src/home.rs
+++ b/daemon/src/home.rs
@@ -15,7 +15,7 @@
 use foldlock_connection::wire::{Load, Member, Reported, State};
 use foldlock_version::schema::Fleet;
 
-use crate::engines::LEAVING_KEPT;
+use crate::engines::LEAVING_TTL;
 use crate::members::holder;
 
 /// Engines of a shard at most.
@@ -214,7 +214,7 @@
             }),
             load,
             yours,
-            leaving: self.leaving.get(engine).is_some_and(|at| now < *at + LEAVING_KEPT),
+            leaving: self.leaving.get(engine).is_some_and(|at| now < *at + LEAVING_TTL),
         }
     }
 }
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -218,7 +218,7 @@
             states: self.states_for(to, &homed_at(&self.members.own().vm)),
             demand: demand.collect(),
             quota: self.quotas.lock().unwrap().remove(to).unwrap_or_default(),
-            leaving: self.engines.signs_of_leaving(),
+            leaving: self.engines.announced_leaving(),
         }
     }
 
@@ -244,7 +244,7 @@
             }
         }
         self.home.announced(from, &beat.loads);
-        self.engines.told(&beat.states);
+        self.engines.merge_states(&beat.states);
         for engine in &beat.leaving {
             self.home.leaving(engine);
         }
@@ -274,7 +274,7 @@
     /// Takes a sign of this VM's own that an upstream is leaving.
     pub fn upstream_leaving(&self, engine: &id::Upstream) {
         self.home.leaving(engine);
-        if self.engines.leaving(engine) {
+        if self.engines.mark_leaving(engine) {
             log::event(&self.log, Event::UpstreamLeaving, engine);
             self.peers.kick();
         }
--- a/daemon/src/process.rs
+++ b/daemon/src/process.rs
@@ -303,13 +303,13 @@
         let mut loads = process.engines.loads();
         loads.retain(|engine, _| engines.contains(engine));
         process.home.announced(&own.vm, &loads);
-        process.engines.told(&process.home.states(&engines, &own.vm));
+        process.engines.merge_states(&process.home.states(&engines, &own.vm));
         let demand = process.limits.demand().into_iter();
         let demand = demand.filter(|(n, _)| process.limit_home(n).as_ref() == Some(&own.vm));
         let version = process.current.get();
         let quotas = process.limits.split(&version.tree, &own.vm, &demand.collect());
         process.limits.told(&quotas);
-        process.engines.fade();
+        process.engines.decay_speeds();
         tokio::time::sleep(peers::BEAT / 2).await;
     }
 }
