--- a/daemon/src/attempt.rs
+++ b/daemon/src/attempt.rs
@@ -11,7 +11,7 @@
 use foldlock_request::decision::Decision;
 
 use crate::engines::{EngineQuery, Flight};
-use crate::gate::{self, Place};
+use crate::gate::{self, Placement};
 use crate::group;
 use crate::serve::{Job, Progress, Sink};
 
@@ -48,58 +48,64 @@
 /// Sends a request once and reads the answer.
 pub async fn run<S: Sink>(
     job: &Job,
-    mut place: Place,
+    mut placement: Placement,
     sink: &mut S,
     progress: &mut Progress,
 ) -> End {
     if progress.tokens > 0 {
         job.process.metrics.resumed.inc();
-        let upstream = place.engine().clone();
+        let upstream = placement.engine().clone();
         job.record(Decision::Resumed { index: progress.tokens, upstream });
     }
     let begun = tokio::select! {
-        begun = begin(job, &mut place, progress) => begun,
+        begun = begin(job, &mut placement, progress) => begun,
         () = sink.gone() => return End::Gone,
         () = tokio::time::sleep_until(job.deadline.instant().into()) => Err(End::Deadline),
     };
     let mut stream = match begun {
         Ok(stream) => stream,
         Err(end) => {
-            judge(&place, &end);
+            judge(&placement, &end);
             return end;
         }
     };
-    sink.source(job, place.engine(), stream.id());
-    let end = read(job, &mut place, &mut stream, sink, progress).await;
-    judge(&place, &end);
+    sink.source(job, placement.engine(), stream.id());
+    let end = read(job, &mut placement, &mut stream, sink, progress).await;
+    judge(&placement, &end);
     let kept = matches!(end, End::Gone) && job.policy.resume_window_ms > 0;
     if !matches!(end, End::Finished) && !kept {
-        cancel(&place, stream.id());
+        cancel(&placement, stream.id());
     }
     end
 }
 
 /// What an attempt's end says of its engine.
-fn judge(place: &Place, end: &End) {
+fn judge(placement: &Placement, end: &End) {
     match end {
-        End::Broken(_) | End::Slow(_) => place.flight().on_failure(),
-        End::NotRun { why, .. } if why.starts_with("no connection") => place.flight().on_failure(),
+        End::Broken(_) | End::Slow(_) => placement.flight().on_failure(),
+        End::NotRun { why, .. } if why.starts_with("no connection") => {
+            placement.flight().on_failure()
+        }
         _ => {}
     }
 }
 
 /// Ends a stream at its engine, so that its memory is free at once.
-fn cancel(place: &Place, stream: &str) {
-    let client = place.flight().client.clone();
+fn cancel(placement: &Placement, stream: &str) {
+    let client = placement.flight().client.clone();
     let stream = stream.to_owned();
     tokio::spawn(async move {
         let _ = client.cancel(&stream).await;
     });
 }
 
-async fn begin(job: &Job, place: &mut Place, progress: &Progress) -> Result<HttpStream, End> {
-    let result = match place {
-        Place::Engine(flight) => {
+async fn begin(
+    job: &Job,
+    placement: &mut Placement,
+    progress: &Progress,
+) -> Result<HttpStream, End> {
+    let result = match placement {
+        Placement::Engine(flight) => {
             let order = job.order(progress);
             let answered = flight.client.generate(&order);
             tokio::pin!(answered);
@@ -114,12 +120,12 @@
                 }
             }
         }
-        Place::Group(group) => group::begin(job, group, progress).await,
+        Placement::Group(group) => group::begin(job, group, progress).await,
     };
     result.map_err(|failure| match failure {
         Failure::NotRun { proof, leaving, why } => {
             if leaving {
-                job.process.upstream_leaving(place.engine());
+                job.process.upstream_leaving(placement.engine());
             }
             End::NotRun { proof, why }
         }
@@ -147,7 +153,7 @@
 
 async fn read<S: Sink>(
     job: &Job,
-    place: &mut Place,
+    placement: &mut Placement,
     stream: &mut HttpStream,
     sink: &mut S,
     progress: &mut Progress,
@@ -156,16 +162,16 @@
     let mut parts = Vec::new();
     let mut began = false;
     loop {
-        let wait = match (began, &*place) {
+        let wait = match (began, &*placement) {
             (true, _) => STALL,
-            (false, Place::Engine(flight)) => patience(job, flight.predicted),
-            (false, Place::Group(_)) => job.left(),
+            (false, Placement::Engine(flight)) => patience(job, flight.predicted),
+            (false, Placement::Group(_)) => job.left(),
         };
         let until = (Instant::now() + wait).min(job.deadline.instant());
         let bytes = tokio::select! {
             bytes = stream.next() => bytes,
             () = sink.gone() => return End::Gone,
-            () = tokio::time::sleep_until(until.into()) => match late(job, place, began, progress) {
+            () = tokio::time::sleep_until(until.into()) => match late(job, placement, began, progress) {
                 Some(end) => return end,
                 None => continue,
             },
@@ -180,7 +186,7 @@
         }
         if !began && !parts.is_empty() {
             began = true;
-            first_token(job, place, stream.cached(), progress);
+            first_token(job, placement, stream.cached(), progress);
         }
         let ended = keep(&parts, job.policy.resume, progress);
         let sent = tokio::select! {
@@ -188,7 +194,7 @@
             () = tokio::time::sleep_until(job.deadline.instant().into()) => return End::Deadline,
         };
         if ended {
-            return finish(job, place, progress);
+            return finish(job, placement, progress);
         }
         if !sent {
             return End::Gone;
@@ -203,15 +209,15 @@
 }
 
 /// What follows when nothing came for a while; none where the request waits on.
-fn late(job: &Job, place: &Place, began: bool, progress: &Progress) -> Option<End> {
+fn late(job: &Job, placement: &Placement, began: bool, progress: &Progress) -> Option<End> {
     if job.left().is_zero() {
         return Some(End::Deadline);
     }
     if began {
         return Some(End::Broken(format!("nothing came for {} ms", STALL.as_millis())));
     }
-    match place {
-        Place::Engine(flight) if can_move(job, flight, progress) => {
+    match placement {
+        Placement::Engine(flight) if can_move(job, flight, progress) => {
             Some(End::Slow("the first token is late".to_owned()))
         }
         _ => None,
@@ -235,13 +241,13 @@
     ended
 }
 
-fn first_token(job: &Job, place: &mut Place, cached: Tokens, progress: &mut Progress) {
+fn first_token(job: &Job, placement: &mut Placement, cached: Tokens, progress: &mut Progress) {
     let now = job.process.clock.now();
-    if let Place::Engine(flight) = place {
+    if let Placement::Engine(flight) = placement {
         let real = (now - flight.sent).as_secs_f64();
         job.process.metrics.prediction.observe(flight.predicted / real.max(1e-6));
     }
-    place.first_token(cached);
+    placement.on_first_token(cached);
     if progress.first_token.is_none() {
         let since = now - job.arrived;
         progress.first_token = Some(since);
@@ -249,9 +255,9 @@
     }
 }
 
-fn finish(job: &Job, place: &Place, progress: &Progress) -> End {
+fn finish(job: &Job, placement: &Placement, progress: &Progress) -> End {
     let first = progress.first_token.unwrap_or_default();
-    let sent = place.flight().sent - job.arrived;
+    let sent = placement.flight().sent - job.arrived;
     job.record(Decision::Finished {
         first_token_ms: millis(first),
         engine_ms: millis(first.saturating_sub(sent)),
--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -19,34 +19,34 @@
 use crate::serve::{Job, Progress};
 
 /// The part of its time after which a long prompt has risen to the priority of short ones.
-const RISEN: f64 = 0.75;
+const AGING_SHARE: f64 = 0.75;
 
 /// The lowest engine priority.
-const LOWEST: u8 = 9;
+const LOWEST_PRIORITY: u8 = 9;
 
 /// How often a waiting request looks again, if nothing changes.
-const LOOK: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// How long a home has to answer who asks for a place.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// The least time after which a refused caller is told to come back.
-const LEAST_RETRY: Duration = Duration::from_millis(100);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// Where a request was placed.
-pub enum Place {
+pub enum Placement {
     /// At one engine.
     Engine(Box<Flight<System>>),
     /// At a group of engines that hold its memory.
     Group(Group),
 }
 
-impl Place {
+impl Placement {
     /// The load that it counts as at the engine that answers.
     pub fn flight(&self) -> &Flight<System> {
         match self {
-            Place::Engine(flight) => flight,
-            Place::Group(group) => group.last(),
+            Placement::Engine(flight) => flight,
+            Placement::Group(group) => group.last(),
         }
     }
 
@@ -56,16 +56,16 @@
     }
 
     /// The first token came.
-    pub fn first_token(&mut self, cached: Tokens) {
+    pub fn on_first_token(&mut self, cached: Tokens) {
         match self {
-            Place::Engine(flight) => flight.on_first_token(cached),
-            Place::Group(group) => group.first_token(),
+            Placement::Engine(flight) => flight.on_first_token(cached),
+            Placement::Group(group) => group.on_first_token(),
         }
     }
 }
 
 /// Why there is no place.
-pub struct Refused {
+pub struct Rejection {
     /// The answer's kind.
     pub kind: Kind,
     /// Why.
@@ -77,19 +77,19 @@
 /// The engine priority of a prompt of a class that has used this part of its time: the longer
 /// the class, the further below short prompts it begins; all have reached them when three quarters
 /// of their time are used, so that none starves.
-pub fn aged(base: u8, class: Class, used: f64) -> u8 {
+pub fn aged_priority(base: u8, class: Class, used: f64) -> u8 {
     let below = class.index() as u8;
-    let risen = (used.clamp(0.0, 1.0) / RISEN * f64::from(below)).floor() as u8;
+    let risen = (used.clamp(0.0, 1.0) / AGING_SHARE * f64::from(below)).floor() as u8;
     let below = below.saturating_sub(risen);
-    base.saturating_add(below).min(LOWEST.max(base))
+    base.saturating_add(below).min(LOWEST_PRIORITY.max(base))
 }
 
 /// Finds a place for a request.
-pub async fn place(job: &Job, progress: &Progress) -> Result<Place, Refused> {
-    let waiting = wait_for_place(job, progress);
+pub async fn place(job: &Job, progress: &Progress) -> Result<Placement, Rejection> {
+    let waiting = wait_for_placement(job, progress);
     match tokio::time::timeout_at(job.deadline.instant().into(), waiting).await {
-        Ok(place) => place,
-        Err(_) => Err(Refused {
+        Ok(placement) => placement,
+        Err(_) => Err(Rejection {
             kind: Kind::DeadlineExceeded,
             why: "the deadline passed while the request waited".to_owned(),
             retry_after: None,
@@ -97,7 +97,7 @@
     }
 }
 
-async fn wait_for_place(job: &Job, progress: &Progress) -> Result<Place, Refused> {
+async fn wait_for_placement(job: &Job, progress: &Progress) -> Result<Placement, Rejection> {
     let requirements = job.requirements(progress);
     let (largest, all) = job.process.engines.memory(&job.prompt.model);
     if requirements.memory > all {
@@ -106,35 +106,35 @@
     let started = job.process.clock.now();
     if requirements.memory > largest {
         // Groups wait at the home of a shard, in order, and hold up nothing here.
-        let place = group::place(job, &requirements).await?;
-        routed(job, &place);
-        return Ok(place);
+        let placement = group::place(job, &requirements).await?;
+        record_routed(job, &placement);
+        return Ok(placement);
     }
     let queue = job.process.queue(&job.prompt.model, requirements.class);
     let entry = queue.enqueue(&job.organisation, job.policy.weight, requirements.prompt.0);
     if !entry.is_next() {
-        admit_behind(job, queue.tokens(), progress)?;
+        check_queue_time(job, queue.tokens(), progress)?;
         entry.wait_until_next().await;
     }
-    let (place, cause) = engine(job, progress, &entry).await?;
+    let (placement, cause) = wait_for_engine(job, progress, &entry).await?;
     let waited_ms = millis(job.process.clock.now() - started);
     if let Some(cause) = cause {
         job.record(Decision::Waited { cause, waited_ms });
     }
-    routed(job, &place);
-    Ok(place)
+    record_routed(job, &placement);
+    Ok(placement)
 }
 
-fn too_long(memory: Tokens, all: Tokens) -> Refused {
-    Refused {
+fn too_long(memory: Tokens, all: Tokens) -> Rejection {
+    Rejection {
         kind: Kind::PromptTooLong,
         why: format!("{memory} tokens of prompt and answer; all engines together hold {all}"),
         retry_after: None,
     }
 }
 
-fn routed(job: &Job, place: &Place) {
-    let flight = place.flight();
+fn record_routed(job: &Job, placement: &Placement) {
+    let flight = placement.flight();
     job.record(Decision::Routed {
         upstream: flight.engine.clone(),
         route: Some(job.policy.route),
@@ -149,25 +149,25 @@
 }
 
 /// Refuses a request whose turn would come too late.
-fn admit_behind(job: &Job, queued: u64, progress: &Progress) -> Result<(), Refused> {
+fn check_queue_time(job: &Job, queued: u64, progress: &Progress) -> Result<(), Rejection> {
     let query = engine_query(job, progress);
     let candidates = job.process.engines.candidates(&query);
     let Some(first) = candidates.first() else { return Ok(()) };
     let vms = job.process.members.live().len().max(1) as f64;
     let rate = first.speed.seconds_per_token() / candidates.len() as f64 * vms;
-    in_time(job, queued as f64 * rate)
+    check_deadline(job, queued as f64 * rate)
 }
 
 /// Refuses a request that is predicted to end beyond its deadline.
-fn in_time(job: &Job, seconds: f64) -> Result<(), Refused> {
+fn check_deadline(job: &Job, seconds: f64) -> Result<(), Rejection> {
     let left = job.left().as_secs_f64();
     if seconds <= left {
         return Ok(());
     }
-    Err(Refused {
+    Err(Rejection {
         kind: Kind::Overloaded,
         why: format!("the first token is predicted in {seconds:.1} s, {left:.1} s are left"),
-        retry_after: Some(Duration::from_secs_f64(seconds - left).max(LEAST_RETRY)),
+        retry_after: Some(Duration::from_secs_f64(seconds - left).max(MIN_RETRY_AFTER)),
     })
 }
 
@@ -182,10 +182,14 @@
     }
 }
 
-type Placed = (Place, Option<Cause>);
+type Placed = (Placement, Option<Cause>);
 
 /// Waits for an engine. The request is the next one of its queue.
-async fn engine(job: &Job, progress: &Progress, entry: &Entry) -> Result<Placed, Refused> {
+async fn wait_for_engine(
+    job: &Job,
+    progress: &Progress,
+    entry: &Entry,
+) -> Result<Placed, Rejection> {
     let mut waited = None;
     let engines = &job.process.engines;
     loop {
@@ -196,23 +200,23 @@
         }
         match engines.choose(&engine_query(job, progress)) {
             Chosen::Engine(flight) => {
-                in_time(job, flight.predicted)?;
+                check_deadline(job, flight.predicted)?;
                 if let Some(flight) = confirm(job, progress, flight).await {
-                    return Ok((Place::Engine(flight), waited));
+                    return Ok((Placement::Engine(flight), waited));
                 }
             }
             Chosen::None => return Err(no_upstream(job)),
             Chosen::Wait { cause, predicted } => {
-                in_time(job, predicted)?;
+                check_deadline(job, predicted)?;
                 waited = Some(cause);
             }
         }
-        let _ = tokio::time::timeout(LOOK, changed).await;
+        let _ = tokio::time::timeout(POLL_INTERVAL, changed).await;
     }
 }
 
-fn no_upstream(job: &Job) -> Refused {
-    Refused {
+fn no_upstream(job: &Job) -> Rejection {
+    Rejection {
         kind: Kind::NoUpstream,
         why: format!("no engine can take a request for {} now", job.prompt.model),
         retry_after: Some(Duration::from_secs(1)),
@@ -233,11 +237,15 @@
     let chosen = flight.engine.clone();
     // The home may be this VM: it must not count the request that it is asked about.
     drop(flight);
-    let engine = granted(job, progress, &chosen).await.unwrap_or(chosen);
+    let engine = granted_engine(job, progress, &chosen).await.unwrap_or(chosen);
     job.process.engines.assign(&engine_query(job, progress), &engine).map(Box::new)
 }
 
-async fn granted(job: &Job, progress: &Progress, chosen: &id::Upstream) -> Option<id::Upstream> {
+async fn granted_engine(
+    job: &Job,
+    progress: &Progress,
+    chosen: &id::Upstream,
+) -> Option<id::Upstream> {
     let requirements = job.requirements(progress);
     let shards = job.process.shards();
     let shard = shards.iter().find(|s| s.engines.contains(chosen))?;
@@ -249,14 +257,14 @@
         memory: requirements.memory,
         avoid: progress.avoid.clone(),
     };
-    match ask_home(job, shard, ask, GRANT_TIMEOUT).await {
+    match request_grant(job, shard, ask, GRANT_TIMEOUT).await {
         Some(Grant::Given(segments)) => segments.first().map(|s| s.engine.clone()),
         _ => None,
     }
 }
 
 /// Asks the home of a shard, this VM itself perhaps.
-pub async fn ask_home(
+pub async fn request_grant(
     job: &Job,
     shard: &home::Shard,
     ask: wire::Ask,
--- a/daemon/src/group.rs
+++ b/daemon/src/group.rs
@@ -19,7 +19,7 @@
 use foldlock_version::policy::{Policy, Route};
 
 use crate::engines::{EngineQuery, Flight};
-use crate::gate::{Place, Refused, ask_home};
+use crate::gate::{Placement, Rejection, request_grant};
 use crate::home::Shard;
 use crate::process::Process;
 use crate::serve::{Job, Progress};
@@ -53,7 +53,7 @@
     }
 
     /// The first token came: no segment is queued any more.
-    pub fn first_token(&mut self) {
+    pub fn on_first_token(&mut self) {
         for flight in &mut self.flights {
             flight.on_prefill_done();
         }
@@ -78,7 +78,7 @@
 }
 
 /// Waits for a group.
-pub async fn place(job: &Job, requirements: &Requirements) -> Result<Place, Refused> {
+pub async fn place(job: &Job, requirements: &Requirements) -> Result<Placement, Rejection> {
     let started = job.process.clock.now();
     loop {
         let shards = job.process.shards();
@@ -87,7 +87,7 @@
             shards.iter().filter(|s| s.model == job.prompt.model).filter(fitting).collect();
         of.sort_by_key(|s| foldlock_base::hash::weight(job.request.as_str(), &s.name));
         if of.is_empty() {
-            return Err(Refused {
+            return Err(Rejection {
                 kind: Kind::PromptTooLong,
                 why: format!("no group of engines holds {} tokens", requirements.memory),
                 retry_after: None,
@@ -98,7 +98,7 @@
                 let waited_ms = millis(job.process.clock.now() - started);
                 let engines = group.segments.iter().map(|s| s.engine.clone()).collect();
                 job.record(Decision::Held { engines, waited_ms });
-                return Ok(Place::Group(group));
+                return Ok(Placement::Group(group));
             }
         }
         tokio::time::sleep(LOOK).await;
@@ -119,7 +119,7 @@
         memory: requirements.memory,
         avoid: Vec::new(),
     };
-    let grant = ask_home(job, shard, asked, SEARCH * 2).await?;
+    let grant = request_grant(job, shard, asked, SEARCH * 2).await?;
     let Grant::Given(segments) = grant else { return None };
     let flights: Vec<Flight<System>> = segments.iter().filter_map(|s| flight(job, s)).collect();
     if flights.len() != segments.len() || flights.is_empty() {
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -134,7 +134,7 @@
     fn priority(&self, class: Class) -> u8 {
         let used = (self.process.clock.now() - self.arrived).as_secs_f64();
         let whole = used + self.left().as_secs_f64();
-        gate::aged(self.policy.priority, class, used / whole.max(f64::MIN_POSITIVE))
+        gate::aged_priority(self.policy.priority, class, used / whole.max(f64::MIN_POSITIVE))
     }
 }
 
@@ -179,28 +179,28 @@
 ) -> Result<Finished, Error> {
     let mut proof = Proof::NotRun(foldlock_base::error::Unsent::arrived());
     loop {
-        let place = tokio::select! {
-            place = gate::place(job, progress) => place,
+        let placement = tokio::select! {
+            placement = gate::place(job, progress) => placement,
             () = sink.gone() => return Err(gone(proof, progress)),
         };
-        let place = match place {
-            Ok(place) => place,
-            Err(refused) => {
+        let placement = match placement {
+            Ok(placement) => placement,
+            Err(rejection) => {
                 let began = progress.tokens > 0;
-                let error = proof.error(refused.kind, refused.why, began);
-                return Err(match refused.retry_after {
+                let error = proof.error(rejection.kind, rejection.why, began);
+                return Err(match rejection.retry_after {
                     Some(after) => error.retry_after(after),
                     None => error,
                 });
             }
         };
-        let engine = place.engine().clone();
+        let engine = placement.engine().clone();
         let attempt = proof.send();
         if let Some(claim) = claim {
             claim.sent();
         }
         progress.attempts += 1;
-        let end = attempt::run(job, place, sink, progress).await;
+        let end = attempt::run(job, placement, sink, progress).await;
         proof = match end {
             End::Finished => return Ok(Finished { tokens: progress.tokens }),
             End::Deadline => {
--- a/daemon/tests/route.rs
+++ b/daemon/tests/route.rs
@@ -79,7 +79,7 @@
     #[test]
     fn priorities_follow_class_and_age(base in 0u8..9, used in 0.0..1.0f64) {
         let policy = Policy::default();
-        let aged = |tokens: u64, used| foldlockd::gate::aged(base, policy.class(Tokens(tokens)), used);
+        let aged = |tokens: u64, used| foldlockd::gate::aged_priority(base, policy.class(Tokens(tokens)), used);
         let lengths = [1_000, 20_000, 100_000, 500_000];
         for pair in lengths.windows(2) {
             prop_assert!(aged(pair[0], used) <= aged(pair[1], used));
