--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -46,7 +46,7 @@
     pub fn flight(&self) -> &Flight<System> {
         match self {
             Placement::Engine(flight) => flight,
-            Placement::Group(group) => group.last(),
+            Placement::Group(group) => group.last_flight(),
         }
     }
 
--- a/daemon/src/group.rs
+++ b/daemon/src/group.rs
@@ -25,19 +25,19 @@
 use crate::serve::{Job, Progress};
 
 /// How long an engine keeps a hold that is not renewed.
-const TTL: Duration = Duration::from_secs(3);
+const RESERVATION_TTL: Duration = Duration::from_secs(3);
 
 /// How often holds are renewed.
-const RENEW: Duration = Duration::from_secs(1);
+const RENEW_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How long a home looks for a group before the asker has to ask again.
-const SEARCH: Duration = Duration::from_secs(2);
+const SEARCH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long a home waits before it looks again.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A segment is at least this large, unless it is the last one.
-const LEAST_SEGMENT: Tokens = Tokens(1_024);
+const MIN_SEGMENT: Tokens = Tokens(1_024);
 
 /// Engines of a group, with the memory that each holds.
 pub struct Group {
@@ -48,7 +48,7 @@
 
 impl Group {
     /// The load at the engine that answers.
-    pub fn last(&self) -> &Flight<System> {
+    pub fn last_flight(&self) -> &Flight<System> {
         self.flights.last().expect("a group has engines")
     }
 
@@ -63,16 +63,16 @@
 impl Drop for Group {
     fn drop(&mut self) {
         self.renewal.abort();
-        let held = holds(&self.segments, &self.flights);
+        let reserved = reservations(&self.segments, &self.flights);
         tokio::spawn(async move {
-            for (engine, hold) in held {
+            for (engine, hold) in reserved {
                 let _ = engine.release(&hold).await;
             }
         });
     }
 }
 
-fn holds(segments: &[Segment], flights: &[Flight<System>]) -> Vec<(HttpEngine, id::Hold)> {
+fn reservations(segments: &[Segment], flights: &[Flight<System>]) -> Vec<(HttpEngine, id::Hold)> {
     let pair = |(s, f): (&Segment, &Flight<System>)| Some((f.client.clone(), s.hold.clone()?));
     segments.iter().zip(flights).filter_map(pair).collect()
 }
@@ -101,7 +101,7 @@
                 return Ok(Placement::Group(group));
             }
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -111,7 +111,7 @@
 }
 
 async fn try_shard(job: &Job, requirements: &Requirements, shard: &Shard) -> Option<Group> {
-    let asked = wire::Ask {
+    let ask = wire::Ask {
         vm: job.process.config.vm.clone(),
         request: job.request.clone(),
         model: job.prompt.model.clone(),
@@ -119,13 +119,13 @@
         memory: requirements.memory,
         avoid: Vec::new(),
     };
-    let grant = request_grant(job, shard, asked, SEARCH * 2).await?;
+    let grant = request_grant(job, shard, ask, SEARCH_TIMEOUT * 2).await?;
     let Grant::Given(segments) = grant else { return None };
     let flights: Vec<Flight<System>> = segments.iter().filter_map(|s| flight(job, s)).collect();
     if flights.len() != segments.len() || flights.is_empty() {
         return None;
     }
-    let renewal = tokio::spawn(renew(holds(&segments, &flights)));
+    let renewal = tokio::spawn(renew(reservations(&segments, &flights)));
     Some(Group { segments, flights, renewal })
 }
 
@@ -142,11 +142,11 @@
     job.process.engines.assign(&query, &segment.engine)
 }
 
-async fn renew(holds: Vec<(HttpEngine, id::Hold)>) {
+async fn renew(reservations: Vec<(HttpEngine, id::Hold)>) {
     loop {
-        tokio::time::sleep(RENEW).await;
-        for (engine, hold) in &holds {
-            let _ = engine.hold(hold, Tokens(0), TTL).await;
+        tokio::time::sleep(RENEW_INTERVAL).await;
+        for (engine, hold) in &reservations {
+            let _ = engine.hold(hold, Tokens(0), RESERVATION_TTL).await;
         }
     }
 }
@@ -194,17 +194,17 @@
     let Some(shard) = shards.iter().find(|s| s.name == shard) else { return Grant::Unknown };
     let lock = LOCKS.lock().unwrap().entry(shard.name.clone()).or_default().clone();
     let search = async {
-        let _turn = lock.lock().await;
+        let _guard = lock.lock().await;
         loop {
             if let Some(segments) = find(process, shard, ask).await {
                 return segments;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    match tokio::time::timeout(SEARCH, search).await {
+    match tokio::time::timeout(SEARCH_TIMEOUT, search).await {
         Ok(segments) => Grant::Given(segments),
-        Err(_) => Grant::Wait(LOOK.as_millis() as u64),
+        Err(_) => Grant::Wait(POLL_INTERVAL.as_millis() as u64),
     }
 }
 
@@ -224,7 +224,7 @@
     candidates.retain(|c| shard.engines.contains(&c.engine));
     let largest = candidates.iter().map(|c| c.memory).max()?;
     if ask.memory > largest {
-        return hold(process, ask, candidates).await;
+        return reserve_group(process, ask, candidates).await;
     }
     let requirements = Requirements { memory: ask.memory, ..requirements };
     let choice = Routes::default().choose(
@@ -240,7 +240,7 @@
 }
 
 /// Holds memory on as many engines as are needed, the emptiest first; all or nothing.
-async fn hold(
+async fn reserve_group(
     process: &Arc<Process>,
     ask: &wire::Ask,
     mut candidates: Vec<Candidate>,
@@ -251,18 +251,18 @@
     let mut left = ask.memory;
     for candidate in &candidates {
         let tokens = free(candidate).min(left);
-        if tokens < LEAST_SEGMENT.min(left) || left == Tokens(0) {
+        if tokens < MIN_SEGMENT.min(left) || left == Tokens(0) {
             break;
         }
         let hold = format!("{}.{}", ask.request, segments.len()).parse().ok()?;
         segments.push(Segment { engine: candidate.engine.clone(), tokens, hold: Some(hold) });
         left = left - tokens;
     }
-    let answer = ask.memory - ask.prompt + LEAST_SEGMENT;
+    let answer = ask.memory - ask.prompt + MIN_SEGMENT;
     if left > Tokens(0) || !room_for_answer(&mut segments, answer, &candidates, free) {
         return None;
     }
-    hold_all(process, &segments).await.then_some(segments)
+    reserve_all(process, &segments).await.then_some(segments)
 }
 
 /// The last segment holds the answer and some of the prompt: moves tokens to it if it is small.
@@ -274,9 +274,9 @@
 ) -> bool {
     let count = segments.len();
     let [.., before, last] = segments else { return false };
-    let lacks = answer - last.tokens;
-    before.tokens = before.tokens - lacks;
-    last.tokens = last.tokens + lacks;
+    let missing = answer - last.tokens;
+    before.tokens = before.tokens - missing;
+    last.tokens = last.tokens + missing;
     last.tokens <= free(&candidates[count - 1])
 }
 
@@ -286,22 +286,22 @@
     reported.max(candidate.fleet.memory)
 }
 
-async fn hold_all(process: &Process, segments: &[Segment]) -> bool {
-    let mut held = Vec::new();
+async fn reserve_all(process: &Process, segments: &[Segment]) -> bool {
+    let mut reserved = Vec::new();
     for segment in segments {
         let (Some(engine), Some(hold)) = (process.engines.client(&segment.engine), &segment.hold)
         else {
             break;
         };
-        if engine.hold(hold, segment.tokens, TTL).await.is_err() {
+        if engine.hold(hold, segment.tokens, RESERVATION_TTL).await.is_err() {
             break;
         }
-        held.push((engine, hold.clone()));
+        reserved.push((engine, hold.clone()));
     }
-    if held.len() == segments.len() {
+    if reserved.len() == segments.len() {
         return true;
     }
-    for (engine, hold) in held {
+    for (engine, hold) in reserved {
         let _ = engine.release(&hold).await;
     }
     false
