--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -272,7 +272,7 @@
 ) -> Option<Grant> {
     let process: &Arc<_> = &job.process;
     let live = process.members.live();
-    let home = home::home(shard, &live)?;
+    let home = home::home_of(shard, &live)?;
     if home.vm == process.config.vm {
         let granted = group::grant(process, &shard.name, &ask);
         return tokio::time::timeout(timeout, granted).await.ok();
--- a/daemon/src/group.rs
+++ b/daemon/src/group.rs
@@ -235,7 +235,7 @@
     )?;
     let chosen = &candidates[choice.index];
     let load = Load::of(requirements.class, ask.prompt, ask.memory);
-    process.home.granted(&chosen.engine, &ask.vm, load);
+    process.home.record_grant(&chosen.engine, &ask.vm, load);
     Some(vec![Segment { engine: chosen.engine.clone(), tokens: ask.prompt, hold: None }])
 }
 
--- a/daemon/src/home.rs
+++ b/daemon/src/home.rs
@@ -19,19 +19,19 @@
 use crate::members::holder;
 
 /// Engines of a shard at most.
-pub const SHARD: usize = 24;
+pub const MAX_SHARD_ENGINES: usize = 24;
 
 /// Shards of a model that a VM uses at most, its own hall's first.
-pub const USED: usize = 4;
+pub const MAX_USED_SHARDS: usize = 4;
 
 /// What a VM announced counts for this long.
-const ANNOUNCED: Duration = Duration::from_secs(3);
+const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(3);
 
 /// A grant counts until the VM announces the request itself, for this long at most.
-const GRANTED: Duration = Duration::from_millis(600);
+const GRANT_TTL: Duration = Duration::from_millis(600);
 
 /// A report counts for this long.
-const REPORTED: Duration = Duration::from_secs(5);
+const REPORT_TTL: Duration = Duration::from_secs(5);
 
 /// A shard of engines.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -54,11 +54,14 @@
             groups.entry((engine.hall.clone(), model.clone())).or_default().push(id.clone());
         }
     }
-    groups.into_iter().flat_map(|((hall, model), engines)| cut(&hall, &model, &engines)).collect()
+    groups
+        .into_iter()
+        .flat_map(|((hall, model), engines)| partition(&hall, &model, &engines))
+        .collect()
 }
 
-fn cut(hall: &id::Hall, model: &id::Model, engines: &[id::Upstream]) -> Vec<Shard> {
-    let count = engines.len().div_ceil(SHARD);
+fn partition(hall: &id::Hall, model: &id::Model, engines: &[id::Upstream]) -> Vec<Shard> {
+    let count = engines.len().div_ceil(MAX_SHARD_ENGINES);
     let size = engines.len().div_ceil(count.max(1));
     let shard = |(i, part): (usize, &[id::Upstream])| Shard {
         name: format!("{hall}/{model}/{i}"),
@@ -70,14 +73,14 @@
 }
 
 /// The home of a shard: a VM of its hall, or of any hall where it has none.
-pub fn home<'a>(shard: &Shard, live: &'a [Member]) -> Option<&'a Member> {
+pub fn home_of<'a>(shard: &Shard, live: &'a [Member]) -> Option<&'a Member> {
     let near = live.iter().filter(|m| m.hall == shard.hall);
     holder(&shard.name, near).or_else(|| holder(&shard.name, live))
 }
 
 /// The shards that a VM uses: for each model its own hall's first, each kind in the order of a
 /// rendezvous by the VM's name, so that VMs spread evenly over shards.
-pub fn used<'a>(own: &Member, shards: &'a [Shard]) -> Vec<&'a Shard> {
+pub fn used_shards<'a>(own: &Member, shards: &'a [Shard]) -> Vec<&'a Shard> {
     let mut models: Vec<&id::Model> = shards.iter().map(|s| &s.model).collect();
     models.sort();
     models.dedup();
@@ -88,10 +91,10 @@
         of.sort_by_key(|s| (s.hall != own.hall, std::cmp::Reverse(rank(s))));
         let near = of.iter().filter(|s| s.hall == own.hall).count();
         // One place at least is left for another hall, where work goes when the own one is full.
-        let keep_near = near.min(USED - 1);
+        let keep_near = near.min(MAX_USED_SHARDS - 1);
         let far = of.split_off(near);
         chosen.extend(of.into_iter().take(keep_near));
-        chosen.extend(far.into_iter().take(USED - keep_near));
+        chosen.extend(far.into_iter().take(MAX_USED_SHARDS - keep_near));
     }
     chosen
 }
@@ -130,7 +133,7 @@
 
     /// A VM announces all its work on the engines of this home. What it announced before and does
     /// not name now is over.
-    pub fn announced(&self, vm: &id::Vm, loads: &BTreeMap<id::Upstream, Load>) {
+    pub fn merge_loads(&self, vm: &id::Vm, loads: &BTreeMap<id::Upstream, Load>) {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
         for by_vm in inner.announced.values_mut() {
@@ -140,43 +143,43 @@
             let by_vm = inner.announced.entry(engine.clone()).or_default();
             by_vm.insert(vm.clone(), Announced { load: *load, at: now });
         }
-        inner.granted.retain(|g| g.vm != *vm || now < g.at + GRANTED / 2);
+        inner.granted.retain(|g| g.vm != *vm || now < g.at + GRANT_TTL / 2);
     }
 
     /// An engine answered its report. Gives whether it is news that it leaves. A report that does
     /// not say so takes back only what a report said: it may be older than other signs.
-    pub fn reported(&self, engine: &id::Upstream, report: Report) -> bool {
+    pub fn on_report(&self, engine: &id::Upstream, report: Report) -> bool {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
-        let said = inner.reports.get(engine).is_some_and(|(old, _)| old.leaving);
+        let was_leaving = inner.reports.get(engine).is_some_and(|(old, _)| old.leaving);
         let leaving = report.leaving;
         if leaving {
             inner.leaving.insert(engine.clone(), now);
-        } else if said {
+        } else if was_leaving {
             inner.leaving.remove(engine);
         }
         inner.reports.insert(engine.clone(), (report, now));
-        leaving && !said
+        leaving && !was_leaving
     }
 
     /// Someone says that an engine is leaving.
-    pub fn leaving(&self, engine: &id::Upstream) {
+    pub fn mark_leaving(&self, engine: &id::Upstream) {
         self.inner.lock().unwrap().leaving.insert(engine.clone(), self.clock.now());
     }
 
     /// A long prompt of a VM was given this place.
-    pub fn granted(&self, engine: &id::Upstream, vm: &id::Vm, load: Load) {
+    pub fn record_grant(&self, engine: &id::Upstream, vm: &id::Vm, load: Load) {
         let at = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
         inner.granted.push(Granted { engine: engine.clone(), vm: vm.clone(), load, at });
     }
 
     /// What is known of engines, as one VM is told.
-    pub fn states(&self, engines: &[id::Upstream], asker: &id::Vm) -> Vec<State> {
+    pub fn states(&self, engines: &[id::Upstream], receiver: &id::Vm) -> Vec<State> {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
-        inner.granted.retain(|g| now < g.at + GRANTED);
-        engines.iter().map(|e| inner.state(e, asker, now)).collect()
+        inner.granted.retain(|g| now < g.at + GRANT_TTL);
+        engines.iter().map(|e| inner.state(e, receiver, now)).collect()
     }
 
     /// The memory in use at an engine by its newest report.
@@ -184,27 +187,27 @@
         let now = self.clock.now();
         let inner = self.inner.lock().unwrap();
         let (report, at) = inner.reports.get(engine)?;
-        (now < *at + REPORTED).then(|| report.clone())
+        (now < *at + REPORT_TTL).then(|| report.clone())
     }
 }
 
 impl Inner {
-    fn state(&self, engine: &id::Upstream, asker: &id::Vm, now: Instant) -> State {
+    fn state(&self, engine: &id::Upstream, receiver: &id::Vm, now: Instant) -> State {
         let mut load = Load::default();
         let mut yours = Load::default();
         for (vm, announced) in self.announced.get(engine).into_iter().flatten() {
-            if now >= announced.at + ANNOUNCED {
+            if now >= announced.at + ANNOUNCEMENT_TTL {
                 continue;
             }
             load = load.plus(announced.load);
-            if vm == asker {
+            if vm == receiver {
                 yours = announced.load;
             }
         }
-        for granted in self.granted.iter().filter(|g| g.engine == *engine && g.vm != *asker) {
+        for granted in self.granted.iter().filter(|g| g.engine == *engine && g.vm != *receiver) {
             load = load.plus(granted.load);
         }
-        let fresh = self.reports.get(engine).filter(|(_, at)| now < *at + REPORTED);
+        let fresh = self.reports.get(engine).filter(|(_, at)| now < *at + REPORT_TTL);
         State {
             engine: engine.clone(),
             reported: fresh.map(|(r, _)| Reported {
--- a/daemon/src/operators.rs
+++ b/daemon/src/operators.rs
@@ -91,10 +91,10 @@
     let live = process.members.live();
     let own = process.members.own();
     let shards = process.shards();
-    let used = home::used(&own, &shards);
+    let used = home::used_shards(&own, &shards);
     let shard = |s: &home::Shard| ShardDump {
         name: s.name.clone(),
-        home: home::home(s, &live).map(|m| m.vm.clone()),
+        home: home::home_of(s, &live).map(|m| m.vm.clone()),
         used: used.contains(&s),
         engines: s.engines.clone(),
     };
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -91,9 +91,9 @@
     let live = process.members.live();
     let shards = process.shards();
     let own = process.members.own();
-    let mut needed: Vec<id::Vm> = home::used(&own, &shards)
+    let mut needed: Vec<id::Vm> = home::used_shards(&own, &shards)
         .into_iter()
-        .filter_map(|s| home::home(s, &live))
+        .filter_map(|s| home::home_of(s, &live))
         .map(|m| m.vm.clone())
         .collect();
     needed.extend(process.limits.demand().keys().filter_map(|n| process.limit_home(n)));
@@ -201,7 +201,7 @@
         let live = self.members.live();
         let shards = self.shards();
         let homed_at = |vm: &id::Vm| -> Vec<&Shard> {
-            let of = |s: &&Shard| home::home(s, &live).is_some_and(|m| m.vm == *vm);
+            let of = |s: &&Shard| home::home_of(s, &live).is_some_and(|m| m.vm == *vm);
             shards.iter().filter(of).collect()
         };
         let theirs: Vec<&id::Upstream> =
@@ -226,7 +226,7 @@
     fn states_for(&self, to: &id::Vm, own: &[&Shard]) -> Vec<foldlock_connection::wire::State> {
         let Some(peer) = self.members.get(to) else { return Vec::new() };
         let shards = self.shards();
-        let used = home::used(&peer, &shards);
+        let used = home::used_shards(&peer, &shards);
         let engines: Vec<id::Upstream> =
             own.iter().filter(|s| used.contains(s)).flat_map(|s| s.engines.clone()).collect();
         self.home.states(&engines, to)
@@ -243,10 +243,10 @@
                 self.tell(&news);
             }
         }
-        self.home.announced(from, &beat.loads);
+        self.home.merge_loads(from, &beat.loads);
         self.engines.merge_states(&beat.states);
         for engine in &beat.leaving {
-            self.home.leaving(engine);
+            self.home.mark_leaving(engine);
         }
         self.limits.told(&beat.quota);
         let quota: BTreeMap<_, _> = {
@@ -273,7 +273,7 @@
 
     /// Takes a sign of this VM's own that an upstream is leaving.
     pub fn upstream_leaving(&self, engine: &id::Upstream) {
-        self.home.leaving(engine);
+        self.home.mark_leaving(engine);
         if self.engines.mark_leaving(engine) {
             log::event(&self.log, Event::UpstreamLeaving, engine);
             self.peers.kick();
--- a/daemon/src/process.rs
+++ b/daemon/src/process.rs
@@ -245,7 +245,7 @@
         let own = process.members.own().vm;
         let live = process.members.live();
         let shards = process.shards();
-        let homed = shards.iter().filter(|s| home::home(s, &live).is_some_and(|m| m.vm == own));
+        let homed = shards.iter().filter(|s| home::home_of(s, &live).is_some_and(|m| m.vm == own));
         let engines: Vec<&id::Upstream> = homed.flat_map(|s| &s.engines).collect();
         tasks.retain(|engine, task| {
             let kept = engines.contains(&engine) && !task.is_finished();
@@ -274,7 +274,7 @@
                     log::event(&process.log, Event::UpstreamBack, &engine);
                 }
                 silent = 0;
-                if process.home.reported(&engine, report) {
+                if process.home.on_report(&engine, report) {
                     log::event(&process.log, Event::UpstreamLeaving, &engine);
                     process.peers.kick();
                 }
@@ -296,13 +296,13 @@
         let own = process.members.own();
         let live = process.members.live();
         let shards = process.shards();
-        let is_home = |s: &&&Shard| home::home(s, &live).is_some_and(|m| m.vm == own.vm);
-        let used = home::used(&own, &shards);
+        let is_home = |s: &&&Shard| home::home_of(s, &live).is_some_and(|m| m.vm == own.vm);
+        let used = home::used_shards(&own, &shards);
         let engines: Vec<id::Upstream> =
             used.iter().filter(is_home).flat_map(|s| s.engines.clone()).collect();
         let mut loads = process.engines.loads();
         loads.retain(|engine, _| engines.contains(engine));
-        process.home.announced(&own.vm, &loads);
+        process.home.merge_loads(&own.vm, &loads);
         process.engines.merge_states(&process.home.states(&engines, &own.vm));
         let demand = process.limits.demand().into_iter();
         let demand = demand.filter(|(n, _)| process.limit_home(n).as_ref() == Some(&own.vm));
--- a/daemon/tests/members.rs
+++ b/daemon/tests/members.rs
@@ -4,7 +4,7 @@
 
 use foldlock_base::clock::Manual;
 use foldlock_connection::wire::Member;
-use foldlockd::home::{SHARD, Shard, USED, home, used};
+use foldlockd::home::{MAX_SHARD_ENGINES, MAX_USED_SHARDS, Shard, home_of, used_shards};
 use foldlockd::members::{FANOUT, Members, News, SILENCE};
 use proptest::prelude::*;
 
@@ -89,13 +89,13 @@
             model: "base".parse().unwrap(),
             engines: Vec::new(),
         };
-        let first = home(&shard, &members).unwrap().clone();
+        let first = home_of(&shard, &members).unwrap().clone();
         prop_assert!(vms <= hall || first.hall == shard.hall);
         members.reverse();
-        prop_assert_eq!(&first, home(&shard, &members).unwrap());
+        prop_assert_eq!(&first, home_of(&shard, &members).unwrap());
         // Another VM's death does not move it.
         members.retain(|m| m.vm == first.vm || m.vm.as_str().len() % 2 == 0);
-        prop_assert_eq!(&first, home(&shard, &members).unwrap());
+        prop_assert_eq!(&first, home_of(&shard, &members).unwrap());
     }
 
     /// A VM uses a bounded number of shards, of other halls too where there are any; over many VMs
@@ -107,21 +107,21 @@
                 name: format!("hall-{}/base/{}", i % 3, i / 3),
                 hall: format!("hall-{}", i % 3).parse().unwrap(),
                 model: "base".parse().unwrap(),
-                engines: vec!["e".parse().unwrap(); SHARD],
+                engines: vec!["e".parse().unwrap(); MAX_SHARD_ENGINES],
             })
             .collect();
         let mut users = std::collections::BTreeMap::new();
         for i in 0..600 {
             let vm = member(i, 1);
-            let chosen = used(&vm, &shards);
-            prop_assert!(chosen.len() <= USED);
+            let chosen = used_shards(&vm, &shards);
+            prop_assert!(chosen.len() <= MAX_USED_SHARDS);
             prop_assert!(chosen.iter().any(|s| s.hall != vm.hall));
             for shard in chosen {
                 *users.entry(shard.name.clone()).or_insert(0u32) += 1;
             }
         }
         let most = users.values().max().unwrap();
-        let mean = 600.0 * USED.min(shards.len()) as f64 / shards.len() as f64;
+        let mean = 600.0 * MAX_USED_SHARDS.min(shards.len()) as f64 / shards.len() as f64;
         prop_assert!(f64::from(*most) < 2.2 * mean, "{most} {mean}");
     }
 }
