--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -23,24 +23,24 @@
 const SHARD: u32 = 0;
 
 /// The least time between two writes, in which claims gather.
-const GATHER: Duration = Duration::from_millis(25);
+const BATCH_INTERVAL: Duration = Duration::from_millis(25);
 
 /// The largest batch.
-const BATCH: usize = 2_000;
+const MAX_BATCH: usize = 2_000;
 
 /// How often a batch is tried again after a conflict or a lost answer.
-const ATTEMPTS: u32 = 6;
+const MAX_ATTEMPTS: u32 = 6;
 
 /// How long the VM that writes has to answer another one.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// How often settlements are sent, and tried again.
-const SETTLE: Duration = Duration::from_millis(100);
+const SETTLE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// How long a stopping process tries to write its settlements.
-const FLUSH: Duration = Duration::from_secs(5);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
 
-struct Item {
+struct QueuedClaim {
     claim: Claim,
     verdict: oneshot::Sender<Verdict>,
 }
@@ -48,21 +48,21 @@
 /// The claims.
 pub struct Claims {
     store: HttpStore,
-    inbox: mpsc::UnboundedSender<Item>,
-    outlet: Mutex<Option<mpsc::UnboundedReceiver<Item>>>,
+    inbox: mpsc::UnboundedSender<QueuedClaim>,
+    outlet: Mutex<Option<mpsc::UnboundedReceiver<QueuedClaim>>>,
     settlements: Mutex<Vec<Claim>>,
     settled: Notify,
 }
 
 /// A key that this VM holds for one attempt. Given back when dropped, unless it was sent.
-pub struct Held {
+pub struct KeyClaim {
     process: Arc<Process>,
     key: u128,
     nonce: u128,
     sent: bool,
 }
 
-impl Held {
+impl KeyClaim {
     /// The attempt is on its way: from here on the key stays taken.
     pub fn sent(&mut self) {
         self.sent = true;
@@ -85,7 +85,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for KeyClaim {
     fn drop(&mut self) {
         if !self.sent {
             self.settle(Word::Release);
@@ -107,15 +107,15 @@
     }
 
     /// Claims a key for one attempt.
-    pub async fn claim(process: &Arc<Process>, key: u128) -> Result<Held, Verdict> {
+    pub async fn claim(process: &Arc<Process>, key: u128) -> Result<KeyClaim, Verdict> {
         let nonce = rand::random();
-        let mut held = Held { process: process.clone(), key, nonce, sent: false };
+        let mut key_claim = KeyClaim { process: process.clone(), key, nonce, sent: false };
         let claim = Claim { key, nonce, word: Word::Claim };
         match send(process, vec![claim]).await.first() {
-            Some(Verdict::Won) => Ok(held),
+            Some(Verdict::Won) => Ok(key_claim),
             Some(Verdict::Unavailable) | None => Err(Verdict::Unavailable),
             Some(verdict) => {
-                held.sent();
+                key_claim.sent();
                 Err(*verdict)
             }
         }
@@ -129,7 +129,7 @@
         let mut waiting = Vec::with_capacity(claims.len());
         for claim in claims {
             let (verdict, answer) = oneshot::channel();
-            let _ = self.inbox.send(Item { claim, verdict });
+            let _ = self.inbox.send(QueuedClaim { claim, verdict });
             waiting.push(answer);
         }
         let mut verdicts = Vec::with_capacity(waiting.len());
@@ -150,7 +150,7 @@
                 settled.await;
             }
         };
-        let _ = tokio::time::timeout(FLUSH, flushed).await;
+        let _ = tokio::time::timeout(FLUSH_TIMEOUT, flushed).await;
     }
 }
 
@@ -178,8 +178,8 @@
     let writer = Writer {
         store: process.claims.store.clone(),
         log: Log::new(SHARD),
-        read: false,
-        fresh: false,
+        loaded: false,
+        up_to_date: false,
         clock: process.clock,
     };
     tokio::join!(writer.run(outlet), settle(process.clone()));
@@ -188,10 +188,10 @@
 /// Sends settlements until each is written.
 async fn settle(process: Arc<Process>) {
     loop {
-        tokio::time::sleep(SETTLE).await;
+        tokio::time::sleep(SETTLE_INTERVAL).await;
         let batch: Vec<Claim> = {
             let settlements = process.claims.settlements.lock().unwrap();
-            settlements.iter().take(BATCH).cloned().collect()
+            settlements.iter().take(MAX_BATCH).cloned().collect()
         };
         if batch.is_empty() {
             process.claims.settled.notify_waiters();
@@ -209,23 +209,23 @@
 struct Writer {
     store: HttpStore,
     log: Log,
-    read: bool,
-    fresh: bool,
+    loaded: bool,
+    up_to_date: bool,
     clock: System,
 }
 
 impl Writer {
-    async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<Item>) {
-        let mut wrote = Instant::now() - GATHER;
+    async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<QueuedClaim>) {
+        let mut last_write = Instant::now() - BATCH_INTERVAL;
         while let Some(first) = inbox.recv().await {
-            tokio::time::sleep_until((wrote + GATHER).into()).await;
+            tokio::time::sleep_until((last_write + BATCH_INTERVAL).into()).await;
             let mut items = vec![first];
-            while items.len() < BATCH
+            while items.len() < MAX_BATCH
                 && let Ok(item) = inbox.try_recv()
             {
                 items.push(item);
             }
-            wrote = Instant::now();
+            last_write = Instant::now();
             let claims: Vec<Claim> = items.iter().map(|i| i.claim.clone()).collect();
             let verdicts = self.decide(&claims).await;
             for (item, verdict) in items.into_iter().zip(verdicts) {
@@ -237,14 +237,14 @@
     /// Decides a batch and writes it. After a conflict or a lost answer the log is read on, in
     /// which the own entries are found if the write took effect.
     async fn decide(&mut self, claims: &[Claim]) -> Vec<Verdict> {
-        let nothing = vec![Verdict::Unavailable; claims.len()];
-        for attempt in 0..ATTEMPTS {
-            if !self.fresh && self.read_on().await.is_err() {
-                tokio::time::sleep(GATHER * attempt).await;
+        let unavailable = vec![Verdict::Unavailable; claims.len()];
+        for attempt in 0..MAX_ATTEMPTS {
+            if !self.up_to_date && self.read_new_entries().await.is_err() {
+                tokio::time::sleep(BATCH_INTERVAL * attempt).await;
                 continue;
             }
             let Ok(batch) = self.log.prepare(claims, self.clock.wall_millis()) else {
-                return nothing;
+                return unavailable;
             };
             let Some(text) = &batch.text else { return batch.verdicts };
             let key = claim::slot_key(self.log.shard(), batch.slot);
@@ -253,18 +253,18 @@
                     self.log.commit(&batch, revision);
                     return batch.verdicts;
                 }
-                Err(Failure::Limited) => tokio::time::sleep(GATHER).await,
-                Err(_) => self.fresh = false,
+                Err(Failure::Limited) => tokio::time::sleep(BATCH_INTERVAL).await,
+                Err(_) => self.up_to_date = false,
             }
         }
-        nothing
+        unavailable
     }
 
     /// Reads what others wrote since.
-    async fn read_on(&mut self) -> Result<(), Failure> {
-        if !self.read {
+    async fn read_new_entries(&mut self) -> Result<(), Failure> {
+        if !self.loaded {
             self.read_all().await?;
-            self.read = true;
+            self.loaded = true;
         } else {
             let mut slot = self.log.current();
             let mut first = true;
@@ -273,7 +273,7 @@
                 slot = (slot + 1) % claim::SLOTS;
             }
         }
-        self.fresh = true;
+        self.up_to_date = true;
         Ok(())
     }
 
--- a/daemon/src/complete.rs
+++ b/daemon/src/complete.rs
@@ -24,7 +24,7 @@
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 
 use crate::answer::{self, Body};
-use crate::claims::{Claims, Held};
+use crate::claims::{Claims, KeyClaim};
 use crate::current::Version;
 use crate::drain;
 use crate::limits;
@@ -230,7 +230,7 @@
     }
 
     /// Claims the idempotency key of a request that may not be repeated.
-    pub async fn claim(&self, entry: &Entry, repeatable: bool) -> Result<Option<Held>, Error> {
+    pub async fn claim(&self, entry: &Entry, repeatable: bool) -> Result<Option<KeyClaim>, Error> {
         let Some(key) = self.key.as_deref().filter(|_| !repeatable) else { return Ok(None) };
         let started = self.process.clock.now();
         let hash = claim::hash(&self.organisation, key);
@@ -238,9 +238,9 @@
         let claimed = tokio::time::timeout(left, Claims::claim(&self.process, hash)).await;
         let waited_ms = millis(self.process.clock.now() - started);
         let verdict = match claimed {
-            Ok(Ok(held)) => {
+            Ok(Ok(key_claim)) => {
                 self.step(entry, Decision::Claimed { won: true, waited_ms });
-                return Ok(Some(held));
+                return Ok(Some(key_claim));
             }
             Ok(Err(verdict)) => verdict,
             Err(_) => Verdict::Unavailable,
@@ -362,7 +362,7 @@
     if job.prompt.stream { stream(caller, job, claim, busy).await } else { whole(job, claim).await }
 }
 
-async fn whole(job: Job, mut claim: Option<Held>) -> Result<Response<Body>, Error> {
+async fn whole(job: Job, mut claim: Option<KeyClaim>) -> Result<Response<Body>, Error> {
     let mut sink = Whole::default();
     let finished = serve::run(&job, &mut sink, &mut claim).await?;
     Ok(answer::json(StatusCode::OK, &pump::completion(&job, &sink, finished.tokens)))
@@ -371,7 +371,7 @@
 async fn stream(
     caller: Caller,
     job: Job,
-    mut claim: Option<Held>,
+    mut claim: Option<KeyClaim>,
     busy: drain::Busy,
 ) -> Result<Response<Body>, Error> {
     let (mut sink, waiting) = Events::new(&job.request, &job.prompt.model, job.prompt.style);
--- a/daemon/src/plain.rs
+++ b/daemon/src/plain.rs
@@ -19,7 +19,7 @@
 use hyper::{HeaderMap, Method, Request, Response, Uri};
 
 use crate::answer::{self, Body};
-use crate::claims::Held;
+use crate::claims::KeyClaim;
 use crate::complete::{Caller, IDEMPOTENCY_KEY, refuse};
 
 /// Headers that are passed on.
@@ -94,7 +94,7 @@
     headers: HeaderMap,
     body: Bytes,
     repeatable: bool,
-    claim: Option<Held>,
+    claim: Option<KeyClaim>,
 }
 
 enum End {
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -16,7 +16,7 @@
 use foldlock_version::policy::{Class, Policy};
 
 use crate::attempt::{self, End};
-use crate::claims::Held;
+use crate::claims::KeyClaim;
 use crate::current::Version;
 use crate::gate;
 use crate::log;
@@ -142,7 +142,7 @@
 pub async fn run<S: Sink>(
     job: &Job,
     sink: &mut S,
-    claim: &mut Option<Held>,
+    claim: &mut Option<KeyClaim>,
 ) -> Result<Finished, Error> {
     let mut progress = Progress::default();
     let result = attempts(job, sink, claim, &mut progress).await;
@@ -174,7 +174,7 @@
 async fn attempts<S: Sink>(
     job: &Job,
     sink: &mut S,
-    claim: &mut Option<Held>,
+    claim: &mut Option<KeyClaim>,
     progress: &mut Progress,
 ) -> Result<Finished, Error> {
     let mut proof = Proof::NotRun(foldlock_base::error::Unsent::arrived());
@@ -225,7 +225,7 @@
     attempt: Attempt,
     engine: &id::Upstream,
     progress: &mut Progress,
-    claim: &mut Option<Held>,
+    claim: &mut Option<KeyClaim>,
 ) -> Result<Proof, Error> {
     let moved = matches!(end, End::Slow(_));
     let (proof, why) = match end {
