--- a/daemon/src/attempt.rs
+++ b/daemon/src/attempt.rs
@@ -16,13 +16,13 @@
 use crate::serve::{Job, Progress, Sink};
 
 /// An engine that sends nothing for this long, once an answer has begun, is taken for broken.
-const STALL: Duration = Duration::from_secs(2);
+const STALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The least time that the first token is waited for before a request is moved.
-const PATIENCE: Duration = Duration::from_millis(750);
+const MIN_FIRST_TOKEN_TIMEOUT: Duration = Duration::from_millis(750);
 
 /// How many times the predicted time the first token is waited for.
-const PATIENCE_FACTOR: f64 = 4.0;
+const FIRST_TOKEN_TIMEOUT_RATIO: f64 = 4.0;
 
 /// How an attempt ended.
 pub enum End {
@@ -57,30 +57,30 @@
         let upstream = placement.engine().clone();
         job.record(Decision::Resumed { index: progress.tokens, upstream });
     }
-    let begun = tokio::select! {
-        begun = begin(job, &mut placement, progress) => begun,
-        () = sink.gone() => return End::Gone,
+    let started = tokio::select! {
+        started = start(job, &mut placement, progress) => started,
+        () = sink.caller_gone() => return End::Gone,
         () = tokio::time::sleep_until(job.deadline.instant().into()) => Err(End::Deadline),
     };
-    let mut stream = match begun {
+    let mut stream = match started {
         Ok(stream) => stream,
         Err(end) => {
-            judge(&placement, &end);
+            record_health(&placement, &end);
             return end;
         }
     };
-    sink.source(job, placement.engine(), stream.id());
-    let end = read(job, &mut placement, &mut stream, sink, progress).await;
-    judge(&placement, &end);
-    let kept = matches!(end, End::Gone) && job.policy.resume_window_ms > 0;
-    if !matches!(end, End::Finished) && !kept {
+    sink.on_source(job, placement.engine(), stream.id());
+    let end = read_answer(job, &mut placement, &mut stream, sink, progress).await;
+    record_health(&placement, &end);
+    let resumable = matches!(end, End::Gone) && job.policy.resume_window_ms > 0;
+    if !matches!(end, End::Finished) && !resumable {
         cancel(&placement, stream.id());
     }
     end
 }
 
 /// What an attempt's end says of its engine.
-fn judge(placement: &Placement, end: &End) {
+fn record_health(placement: &Placement, end: &End) {
     match end {
         End::Broken(_) | End::Slow(_) => placement.flight().on_failure(),
         End::NotRun { why, .. } if why.starts_with("no connection") => {
@@ -99,7 +99,7 @@
     });
 }
 
-async fn begin(
+async fn start(
     job: &Job,
     placement: &mut Placement,
     progress: &Progress,
@@ -107,11 +107,11 @@
     let result = match placement {
         Placement::Engine(flight) => {
             let order = job.order(progress);
-            let answered = flight.client.generate(&order);
-            tokio::pin!(answered);
+            let response = flight.client.generate(&order);
+            tokio::pin!(response);
             loop {
-                let wait = patience(job, flight.predicted);
-                match tokio::time::timeout(wait, answered.as_mut()).await {
+                let wait = first_token_timeout(job, flight.predicted);
+                match tokio::time::timeout(wait, response.as_mut()).await {
                     Ok(result) => break result,
                     Err(_) if can_move(job, flight, progress) => {
                         return Err(End::Slow("it does not accept the request".to_owned()));
@@ -134,8 +134,10 @@
 }
 
 /// How long the first token is waited for until moving the request is considered.
-fn patience(job: &Job, predicted: f64) -> Duration {
-    Duration::from_secs_f64(predicted * PATIENCE_FACTOR).max(PATIENCE).min(job.left())
+fn first_token_timeout(job: &Job, predicted: f64) -> Duration {
+    Duration::from_secs_f64(predicted * FIRST_TOKEN_TIMEOUT_RATIO)
+        .max(MIN_FIRST_TOKEN_TIMEOUT)
+        .min(job.left())
 }
 
 /// Whether a request whose first token is late may be moved, and would do better elsewhere: in
@@ -151,7 +153,7 @@
     job.process.engines.has_faster(&query, &flight.engine, waited / 2.0)
 }
 
-async fn read<S: Sink>(
+async fn read_answer<S: Sink>(
     job: &Job,
     placement: &mut Placement,
     stream: &mut HttpStream,
@@ -160,37 +162,37 @@
 ) -> End {
     let mut checker = Checker::new(job.request.as_str(), progress.tokens);
     let mut parts = Vec::new();
-    let mut began = false;
+    let mut started = false;
     loop {
-        let wait = match (began, &*placement) {
-            (true, _) => STALL,
-            (false, Placement::Engine(flight)) => patience(job, flight.predicted),
+        let wait = match (started, &*placement) {
+            (true, _) => STALL_TIMEOUT,
+            (false, Placement::Engine(flight)) => first_token_timeout(job, flight.predicted),
             (false, Placement::Group(_)) => job.left(),
         };
         let until = (Instant::now() + wait).min(job.deadline.instant());
         let bytes = tokio::select! {
             bytes = stream.next() => bytes,
-            () = sink.gone() => return End::Gone,
-            () = tokio::time::sleep_until(until.into()) => match late(job, placement, began, progress) {
+            () = sink.caller_gone() => return End::Gone,
+            () = tokio::time::sleep_until(until.into()) => match on_timeout(job, placement, started, progress) {
                 Some(end) => return end,
                 None => continue,
             },
         };
-        let taken = match bytes {
-            Ok(Some(bytes)) => take(bytes, &mut checker, &mut parts),
+        let decoded = match bytes {
+            Ok(Some(bytes)) => decode(bytes, &mut checker, &mut parts),
             Ok(None) => Err("the answer ended early".to_owned()),
             Err(failure) => Err(failure.to_string()),
         };
-        if let Err(why) = taken {
+        if let Err(why) = decoded {
             return End::Broken(why);
         }
-        if !began && !parts.is_empty() {
-            began = true;
-            first_token(job, placement, stream.cached(), progress);
+        if !started && !parts.is_empty() {
+            started = true;
+            on_first_token(job, placement, stream.cached(), progress);
         }
-        let ended = keep(&parts, job.policy.resume, progress);
+        let ended = add_to_progress(&parts, job.policy.resume, progress);
         let sent = tokio::select! {
-            sent = sink.take(&parts) => sent,
+            sent = sink.send(&parts) => sent,
             () = tokio::time::sleep_until(job.deadline.instant().into()) => return End::Deadline,
         };
         if ended {
@@ -204,17 +206,17 @@
 }
 
 /// Adds the events that bytes complete.
-fn take(bytes: bytes::Bytes, checker: &mut Checker, parts: &mut Vec<Part>) -> Result<(), String> {
+fn decode(bytes: bytes::Bytes, checker: &mut Checker, parts: &mut Vec<Part>) -> Result<(), String> {
     checker.push(bytes, |part| parts.push(part)).map_err(|fault| fault.to_string())
 }
 
 /// What follows when nothing came for a while; none where the request waits on.
-fn late(job: &Job, placement: &Placement, began: bool, progress: &Progress) -> Option<End> {
+fn on_timeout(job: &Job, placement: &Placement, started: bool, progress: &Progress) -> Option<End> {
     if job.left().is_zero() {
         return Some(End::Deadline);
     }
-    if began {
-        return Some(End::Broken(format!("nothing came for {} ms", STALL.as_millis())));
+    if started {
+        return Some(End::Broken(format!("nothing came for {} ms", STALL_TIMEOUT.as_millis())));
     }
     match placement {
         Placement::Engine(flight) if can_move(job, flight, progress) => {
@@ -225,7 +227,7 @@
 }
 
 /// Adds parts to the progress. Gives whether the answer has ended.
-fn keep(parts: &[Part], keep_text: bool, progress: &mut Progress) -> bool {
+fn add_to_progress(parts: &[Part], keep_text: bool, progress: &mut Progress) -> bool {
     let mut ended = false;
     for part in parts {
         match part {
@@ -241,7 +243,7 @@
     ended
 }
 
-fn first_token(job: &Job, placement: &mut Placement, cached: Tokens, progress: &mut Progress) {
+fn on_first_token(job: &Job, placement: &mut Placement, cached: Tokens, progress: &mut Progress) {
     let now = job.process.clock.now();
     if let Placement::Engine(flight) = placement {
         let real = (now - flight.sent).as_secs_f64();
--- a/daemon/src/pump.rs
+++ b/daemon/src/pump.rs
@@ -30,9 +30,9 @@
 }
 
 impl Sink for Whole {
-    fn source(&mut self, _job: &Job, _engine: &id::Upstream, _stream: &str) {}
+    fn on_source(&mut self, _job: &Job, _engine: &id::Upstream, _stream: &str) {}
 
-    async fn take(&mut self, parts: &[Part]) -> bool {
+    async fn send(&mut self, parts: &[Part]) -> bool {
         for part in parts {
             match part {
                 Part::Token { text, .. } => self.text.push_str(text),
@@ -42,7 +42,7 @@
         true
     }
 
-    async fn gone(&self) {
+    async fn caller_gone(&self) {
         // A caller who leaves drops the whole request.
         std::future::pending().await
     }
@@ -173,7 +173,7 @@
 }
 
 impl Sink for Events {
-    fn source(&mut self, job: &Job, engine: &id::Upstream, stream: &str) {
+    fn on_source(&mut self, job: &Job, engine: &id::Upstream, stream: &str) {
         let at = Cursor {
             engine: engine.clone(),
             stream: stream.to_owned(),
@@ -184,7 +184,7 @@
         self.lines.cursor = Some(CursorWriter::new(&job.version.key, &at));
     }
 
-    async fn take(&mut self, parts: &[Part]) -> bool {
+    async fn send(&mut self, parts: &[Part]) -> bool {
         if let Some(started) = self.started.take() {
             let _ = started.send(Ok(()));
         }
@@ -192,7 +192,7 @@
         out.is_empty() || self.parts.send(out.into()).await.is_ok()
     }
 
-    async fn gone(&self) {
+    async fn caller_gone(&self) {
         self.parts.closed().await;
     }
 }
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -55,13 +55,13 @@
 /// Takes the parts of an answer.
 pub trait Sink: Send {
     /// The answer comes from this stream of this engine from now on.
-    fn source(&mut self, job: &Job, engine: &id::Upstream, stream: &str);
+    fn on_source(&mut self, job: &Job, engine: &id::Upstream, stream: &str);
 
     /// Takes parts; false once the caller is gone.
-    fn take(&mut self, parts: &[Part]) -> impl Future<Output = bool> + Send;
+    fn send(&mut self, parts: &[Part]) -> impl Future<Output = bool> + Send;
 
     /// Returns once the caller is gone.
-    fn gone(&self) -> impl Future<Output = ()> + Send;
+    fn caller_gone(&self) -> impl Future<Output = ()> + Send;
 }
 
 /// What an answer came to.
@@ -104,8 +104,8 @@
 
     /// What is asked of engines, with the answer so far as part of the prompt.
     pub fn requirements(&self, progress: &Progress) -> Requirements {
-        let done = Tokens(progress.tokens);
-        let prompt = self.tokens + done;
+        let generated = Tokens(progress.tokens);
+        let prompt = self.tokens + generated;
         let memory = self.tokens + Tokens(self.max_tokens);
         Requirements { prompt, memory, class: self.policy.class(prompt) }
     }
@@ -153,12 +153,12 @@
             }
             job.process.metrics.tokens.inc_by(finished.tokens);
         }
-        Err(e) => failed(job, e),
+        Err(e) => record_failure(job, e),
     }
     result
 }
 
-fn failed(job: &Job, e: &Error) {
+fn record_failure(job: &Job, e: &Error) {
     job.process.metrics.error(e.kind());
     let why = e.message().to_owned();
     job.record(match e.ran() {
@@ -181,7 +181,7 @@
     loop {
         let placement = tokio::select! {
             placement = gate::place(job, progress) => placement,
-            () = sink.gone() => return Err(gone(proof, progress)),
+            () = sink.caller_gone() => return Err(caller_gone_error(proof, progress)),
         };
         let placement = match placement {
             Ok(placement) => placement,
@@ -208,18 +208,18 @@
                 let why = "the deadline passed";
                 return Err(error.error(Kind::DeadlineExceeded, why, progress.tokens > 0));
             }
-            End::Gone => return Err(gone(attempt.unknown(), progress)),
-            end => after(job, end, attempt, &engine, progress, claim)?,
+            End::Gone => return Err(caller_gone_error(attempt.unknown(), progress)),
+            end => retry_or_fail(job, end, attempt, &engine, progress, claim)?,
         };
     }
 }
 
-fn gone(proof: Proof, progress: &Progress) -> Error {
+fn caller_gone_error(proof: Proof, progress: &Progress) -> Error {
     proof.error(Kind::UpstreamFailed, "the caller went away", progress.tokens > 0)
 }
 
 /// Decides whether a failed attempt is followed by another one.
-fn after(
+fn retry_or_fail(
     job: &Job,
     end: End,
     attempt: Attempt,
@@ -240,12 +240,12 @@
         claim.not_run();
     }
     let policy = &job.policy;
-    let may = (not_run || policy.repeatable)
+    let may_retry = (not_run || policy.repeatable)
         && (progress.tokens == 0 || policy.resume)
         && progress.attempts <= policy.retries
         && !job.left().is_zero()
         && job.process.budget.retry(policy.retry_budget_percent);
-    if !may {
+    if !may_retry {
         let kind = if not_run { Kind::NoUpstream } else { Kind::UpstreamFailed };
         return Err(proof.error(kind, format!("{engine}: {why}"), progress.tokens > 0));
     }
