--- a/daemon/src/answer.rs
+++ b/daemon/src/answer.rs
@@ -14,16 +14,16 @@
 use tokio::sync::mpsc;
 
 /// The header with the request's id in answers.
-pub const REQUEST: &str = "x-request-id";
+pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
 /// The header with the VM that answered.
-pub const VM: &str = "x-foldlock-vm";
+pub const VM_HEADER: &str = "x-foldlock-vm";
 
 /// The header with the time after which to come back, milliseconds.
-pub const RETRY_AFTER_MS: &str = "retry-after-ms";
+pub const RETRY_AFTER_MS_HEADER: &str = "retry-after-ms";
 
 /// The header that says whether the request ran.
-pub const RAN: &str = "x-ran";
+pub const RAN_HEADER: &str = "x-ran";
 
 /// The body of an answer.
 pub enum Body {
@@ -64,12 +64,12 @@
 
 /// The one JSON shape of errors.
 #[derive(Debug, Serialize)]
-pub struct Shape<'a> {
-    error: Inner<'a>,
+pub struct ErrorBody<'a> {
+    error: ErrorFields<'a>,
 }
 
 #[derive(Debug, Serialize)]
-struct Inner<'a> {
+struct ErrorFields<'a> {
     kind: &'a str,
     ran: String,
     message: &'a str,
@@ -79,9 +79,9 @@
 }
 
 /// An error as JSON.
-pub fn shape<'a>(error: &'a Error, request: &'a id::Request) -> Shape<'a> {
-    Shape {
-        error: Inner {
+pub fn error_body<'a>(error: &'a Error, request: &'a id::Request) -> ErrorBody<'a> {
+    ErrorBody {
+        error: ErrorFields {
             kind: error.kind().as_str(),
             ran: error.ran().to_string(),
             message: error.message(),
@@ -95,13 +95,13 @@
 pub fn error(error: &Error, request: &id::Request) -> Response<Body> {
     let status = StatusCode::from_u16(error.kind().status());
     let mut answer =
-        json(status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR), &shape(error, request));
+        json(status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR), &error_body(error, request));
     let headers = answer.headers_mut();
     let ran = HeaderValue::try_from(error.ran().to_string());
-    headers.insert(RAN, ran.expect("plain words"));
+    headers.insert(RAN_HEADER, ran.expect("plain words"));
     if let Some(after) = error.retry() {
         headers.insert(RETRY_AFTER, (after.as_millis().div_ceil(1000) as u64).into());
-        headers.insert(RETRY_AFTER_MS, (after.as_millis() as u64).into());
+        headers.insert(RETRY_AFTER_MS_HEADER, (after.as_millis() as u64).into());
     }
     answer
 }
--- a/daemon/src/complete.rs
+++ b/daemon/src/complete.rs
@@ -96,8 +96,8 @@
     });
     let headers = answer.headers_mut();
     let value = |text: &str| HeaderValue::try_from(text).expect("identifiers fit headers");
-    headers.insert(answer::REQUEST, value(id.as_str()));
-    headers.insert(answer::VM, value(process.config.vm.as_str()));
+    headers.insert(answer::REQUEST_ID_HEADER, value(id.as_str()));
+    headers.insert(answer::VM_HEADER, value(process.config.vm.as_str()));
     answer
 }
 
--- a/daemon/src/plain.rs
+++ b/daemon/src/plain.rs
@@ -263,7 +263,7 @@
         if let Some(key) = &self.caller.key {
             request = request.header(IDEMPOTENCY_KEY, key);
         }
-        request = request.header(answer::REQUEST, self.caller.request.as_str());
+        request = request.header(answer::REQUEST_ID_HEADER, self.caller.request.as_str());
         let request = match request.body(body(self.body.clone())) {
             Ok(request) => request,
             Err(e) => return End::Broken(e.to_string()),
--- a/daemon/src/pump.rs
+++ b/daemon/src/pump.rs
@@ -95,7 +95,7 @@
 
 /// An error in place of the rest of an answer.
 pub fn error_event(error: &Error, request: &id::Request) -> Bytes {
-    let shape = serde_json::to_string(&answer::shape(error, request)).expect("plain data");
+    let shape = serde_json::to_string(&answer::error_body(error, request)).expect("plain data");
     format!("event: error\ndata: {shape}\n\n").into()
 }
 
