--- a/daemon/src/complete.rs
+++ b/daemon/src/complete.rs
@@ -47,10 +47,10 @@
 pub const LAST_EVENT: &str = "last-event-id";
 
 /// The longest idempotency key.
-const MAX_KEY: usize = 256;
+const MAX_KEY_LEN: usize = 256;
 
 /// How long a body may take to arrive at most.
-const BODY: Duration = Duration::from_secs(30);
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A caller who may ask, with the settings that apply.
 pub struct Caller {
@@ -76,7 +76,7 @@
 }
 
 /// An error for a request that was not sent.
-pub fn refuse(kind: Kind, message: impl Into<String>) -> Error {
+pub fn reject(kind: Kind, message: impl Into<String>) -> Error {
     Error::unsent(kind, message, Unsent::arrived())
 }
 
@@ -85,7 +85,7 @@
     let id = process.request_id();
     let busy = drain::busy(&process);
     let result = if process.drain.closed() {
-        let error = refuse(Kind::Draining, "this VM is stopping");
+        let error = reject(Kind::Draining, "this VM is stopping");
         Err(error.retry_after(Duration::from_millis(50)))
     } else {
         route(&process, &id, request, busy).await
@@ -107,7 +107,7 @@
     request: Request<Incoming>,
     busy: drain::Busy,
 ) -> Result<Response<Body>, Error> {
-    let caller = Caller::read(process, id, request.headers())?;
+    let caller = Caller::from_headers(process, id, request.headers())?;
     let counted = ByOrganisation { organisation: caller.organisation.to_string() };
     process.metrics.requests.get_or_create(&counted).inc();
     let style = match request.uri().path() {
@@ -117,10 +117,10 @@
         path if caller.version.tree.service_of(path).is_some() => {
             return plain::answer(caller, request).await;
         }
-        path => return Err(refuse(Kind::NotFound, format!("there is no {path}"))),
+        path => return Err(reject(Kind::NotFound, format!("there is no {path}"))),
     };
     if request.method() != Method::POST {
-        return Err(refuse(Kind::MethodNotAllowed, "a completion is asked for by POST"));
+        return Err(reject(Kind::MethodNotAllowed, "a completion is asked for by POST"));
     }
     if request.headers().contains_key(LAST_EVENT) {
         return resume::answer(caller, &request, busy).await;
@@ -130,28 +130,28 @@
 }
 
 impl Caller {
-    fn read(
+    fn from_headers(
         process: &Arc<Process>,
         id: &id::Request,
         headers: &HeaderMap,
     ) -> Result<Caller, Error> {
         let version = process.current.get();
         if version.head.version == 0 {
-            return Err(refuse(Kind::StoreUnavailable, "there are no settings yet")
+            return Err(reject(Kind::StoreUnavailable, "there are no settings yet")
                 .retry_after(Duration::from_secs(1)));
         }
         let key = bearer(headers)
-            .ok_or_else(|| refuse(Kind::Unauthorized, "`Authorization: Bearer KEY` is needed"))?;
+            .ok_or_else(|| reject(Kind::Unauthorized, "`Authorization: Bearer KEY` is needed"))?;
         let organisation = version
             .tree
             .organisation_of(key)
             .cloned()
-            .ok_or_else(|| refuse(Kind::Unauthorized, "no organisation has this key"))?;
+            .ok_or_else(|| reject(Kind::Unauthorized, "no organisation has this key"))?;
         let kind = kind_of(&version, &organisation, headers)?;
         let effective = version.tree.effective(&organisation, kind.as_ref());
         let policy = effective
             .map(|e| e.policy.clone())
-            .ok_or_else(|| refuse(Kind::Internal, "the organisation has no settings"))?;
+            .ok_or_else(|| reject(Kind::Internal, "the organisation has no settings"))?;
         let timeout = policy.timeout(timeout_of(headers)?);
         Ok(Caller {
             process: process.clone(),
@@ -169,15 +169,15 @@
 
     /// Reads the body, as far as the settings allow.
     pub async fn body(&self, body: Incoming) -> Result<Bytes, Error> {
-        let most = self.policy.max_body_bytes;
-        let wait = self.deadline.left(&self.process.clock).min(BODY);
-        match tokio::time::timeout(wait, Limited::new(body, most).collect()).await {
+        let max_bytes = self.policy.max_body_bytes;
+        let wait = self.deadline.left(&self.process.clock).min(BODY_TIMEOUT);
+        match tokio::time::timeout(wait, Limited::new(body, max_bytes).collect()).await {
             Ok(Ok(collected)) => Ok(collected.to_bytes()),
             Ok(Err(e)) if e.is::<LengthLimitError>() => {
-                Err(refuse(Kind::TooLarge, format!("the body is larger than {most} bytes")))
+                Err(reject(Kind::TooLarge, format!("the body is larger than {max_bytes} bytes")))
             }
-            Ok(Err(e)) => Err(refuse(Kind::BadRequest, format!("the body broke off: {e}"))),
-            Err(_) => Err(refuse(Kind::RequestTimeout, "the body came too slowly")),
+            Ok(Err(e)) => Err(reject(Kind::BadRequest, format!("the body broke off: {e}"))),
+            Err(_) => Err(reject(Kind::RequestTimeout, "the body came too slowly")),
         }
     }
 
@@ -193,9 +193,9 @@
             let Some(effective) = tree.effective(&self.organisation, kind) else { continue };
             match self.process.limits.admit(&name, &effective.policy, vms, prompt) {
                 Ok(permit) => self.permits.extend(permit),
-                Err(over) => {
-                    let why = format!("`{}` of {name} is used up", over.limit);
-                    return Err(refuse(Kind::Limited, why).retry_after(over.retry_after));
+                Err(exceeded) => {
+                    let why = format!("`{}` of {name} is used up", exceeded.limit);
+                    return Err(reject(Kind::Limited, why).retry_after(exceeded.retry_after));
                 }
             }
         }
@@ -223,7 +223,7 @@
     }
 
     /// Records that the request is refused.
-    pub fn refused(&self, entry: &Entry, error: &Error) {
+    pub fn record_rejection(&self, entry: &Entry, error: &Error) {
         let retry_after_ms = error.retry().map(|d| d.as_millis() as u64);
         let why = error.message().to_owned();
         self.step(entry, Decision::Refused { kind: error.kind(), why, retry_after_ms });
@@ -254,7 +254,7 @@
             }
             Verdict::Unavailable => {
                 let why = "the key cannot be claimed: the key-value service does not answer";
-                refuse(Kind::StoreUnavailable, why).retry_after(Duration::from_secs(1))
+                reject(Kind::StoreUnavailable, why).retry_after(Duration::from_secs(1))
             }
         })
     }
@@ -283,7 +283,7 @@
     if let Some(near) = nearest(text, kinds.keys().map(id::Kind::as_str)) {
         why.push_str(&format!("; did you mean `{near}`?"));
     }
-    Err(refuse(Kind::BadRequest, why))
+    Err(reject(Kind::BadRequest, why))
 }
 
 fn timeout_of(headers: &HeaderMap) -> Result<Option<Duration>, Error> {
@@ -291,17 +291,17 @@
     let millis = value.to_str().ok().and_then(|v| v.parse::<u64>().ok()).filter(|ms| *ms > 0);
     match millis {
         Some(millis) => Ok(Some(Duration::from_millis(millis))),
-        None => Err(refuse(Kind::BadRequest, format!("`{TIMEOUT}` is milliseconds, at least 1"))),
+        None => Err(reject(Kind::BadRequest, format!("`{TIMEOUT}` is milliseconds, at least 1"))),
     }
 }
 
 fn idempotency_key(headers: &HeaderMap) -> Result<Option<String>, Error> {
     let Some(value) = headers.get(IDEMPOTENCY_KEY) else { return Ok(None) };
     match value.to_str() {
-        Ok(text) if !text.is_empty() && text.len() <= MAX_KEY => Ok(Some(text.to_owned())),
+        Ok(text) if !text.is_empty() && text.len() <= MAX_KEY_LEN => Ok(Some(text.to_owned())),
         _ => {
-            let why = format!("`{IDEMPOTENCY_KEY}` is 1 to {MAX_KEY} visible characters");
-            Err(refuse(Kind::BadRequest, why))
+            let why = format!("`{IDEMPOTENCY_KEY}` is 1 to {MAX_KEY_LEN} visible characters");
+            Err(reject(Kind::BadRequest, why))
         }
     }
 }
@@ -312,26 +312,26 @@
     body: &[u8],
     busy: drain::Busy,
 ) -> Result<Response<Body>, Error> {
-    let prompt = prompt::parse(style, body).map_err(|e| refuse(Kind::BadRequest, e.to_string()))?;
+    let prompt = prompt::parse(style, body).map_err(|e| reject(Kind::BadRequest, e.to_string()))?;
     let models = &caller.version.tree.fleet.models;
     let Some(model) = models.get(&prompt.model) else {
         let mut why = format!("there is no model `{}`", prompt.model);
         if let Some(near) = nearest(prompt.model.as_str(), models.keys().map(id::Model::as_str)) {
             why.push_str(&format!("; did you mean `{near}`?"));
         }
-        return Err(refuse(Kind::UnknownModel, why));
+        return Err(reject(Kind::UnknownModel, why));
     };
     let bytes_per_token = model.bytes_per_token;
     let tokens = prompt.tokens(bytes_per_token);
-    let most = caller.policy.max_answer_tokens;
-    let max_tokens = prompt.max_tokens.unwrap_or(most).min(most);
+    let max_answer_tokens = caller.policy.max_answer_tokens;
+    let max_tokens = prompt.max_tokens.unwrap_or(max_answer_tokens).min(max_answer_tokens);
     if tokens.0 + max_tokens > model.context_tokens {
         let why =
             format!("{tokens} + {max_tokens} tokens; the model takes {}", model.context_tokens);
-        return Err(refuse(Kind::PromptTooLong, why));
+        return Err(reject(Kind::PromptTooLong, why));
     }
     let entry = caller.record(prompt.model.as_str(), tokens);
-    caller.admit(tokens).inspect_err(|e| caller.refused(&entry, e))?;
+    caller.admit(tokens).inspect_err(|e| caller.record_rejection(&entry, e))?;
     caller.step(
         &entry,
         Decision::Admitted {
@@ -343,7 +343,7 @@
         },
     );
     let claim = caller.claim(&entry, caller.policy.repeatable).await;
-    let claim = claim.inspect_err(|e| caller.refused(&entry, e))?;
+    let claim = claim.inspect_err(|e| caller.record_rejection(&entry, e))?;
     let job = Job {
         blocks: prefix::blocks(&prompt.text, affinity::MAX_PROMPT_BLOCKS),
         process: caller.process.clone(),
--- a/daemon/src/plain.rs
+++ b/daemon/src/plain.rs
@@ -20,7 +20,7 @@
 
 use crate::answer::{self, Body};
 use crate::claims::KeyClaim;
-use crate::complete::{Caller, IDEMPOTENCY_KEY, refuse};
+use crate::complete::{Caller, IDEMPOTENCY_KEY, reject};
 
 /// Headers that are passed on.
 const PASSED: [hyper::header::HeaderName; 2] = [CONTENT_TYPE, ACCEPT];
@@ -115,13 +115,13 @@
         .tree
         .service_of(path)
         .map(|(name, service)| (name.clone(), service.clone()))
-        .ok_or_else(|| refuse(Kind::NotFound, format!("there is no {path}")))?;
+        .ok_or_else(|| reject(Kind::NotFound, format!("there is no {path}")))?;
     let repeatable = is_repeatable(&service, &head.method, path) && caller.policy.repeatable;
     let body = caller.body(incoming).await?;
     let entry = caller.record(&format!("{name} {path}"), Tokens(0));
-    caller.admit(Tokens(0)).inspect_err(|e| caller.refused(&entry, e))?;
+    caller.admit(Tokens(0)).inspect_err(|e| caller.record_rejection(&entry, e))?;
     let claim = caller.claim(&entry, repeatable).await;
-    let claim = claim.inspect_err(|e| caller.refused(&entry, e))?;
+    let claim = claim.inspect_err(|e| caller.record_rejection(&entry, e))?;
     let call = Call {
         service,
         method: head.method,
@@ -163,7 +163,7 @@
                 };
                 self.caller.step(&self.entry, done);
             }
-            Err(e) if e.ran() == Ran::No => self.caller.refused(&self.entry, e),
+            Err(e) if e.ran() == Ran::No => self.caller.record_rejection(&self.entry, e),
             Err(e) => {
                 let why = e.message().to_owned();
                 let failed = Decision::Failed { kind: e.kind(), ran: e.ran(), why };
--- a/daemon/src/resume.rs
+++ b/daemon/src/resume.rs
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc;
 
 use crate::answer::{self, Body};
-use crate::complete::{Caller, LAST_EVENT, refuse};
+use crate::complete::{Caller, LAST_EVENT, reject};
 use crate::drain;
 use crate::pump::{self, Lines};
 
@@ -32,9 +32,9 @@
 ) -> Result<Response<Body>, Error> {
     let text = request.headers().get(LAST_EVENT).and_then(|v| v.to_str().ok()).unwrap_or_default();
     let cursor = Cursor::verify(&caller.version.key, text)
-        .map_err(|e| refuse(Kind::BadRequest, format!("`{LAST_EVENT}`: {e}")))?;
+        .map_err(|e| reject(Kind::BadRequest, format!("`{LAST_EVENT}`: {e}")))?;
     if cursor.organisation != caller.organisation {
-        return Err(refuse(Kind::Unauthorized, "the stream is another organisation's"));
+        return Err(reject(Kind::Unauthorized, "the stream is another organisation's"));
     }
     let engine = caller.process.engines.client(&cursor.engine).ok_or_else(gone)?;
     let stream = open(&caller, &engine, &cursor).await?;
