--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -103,7 +103,7 @@
 
     /// The VM that writes.
     pub fn writer(&self, live: &[Member]) -> Option<id::Vm> {
-        members::holder(&format!("claims/{SHARD}"), live).map(|m| m.vm.clone())
+        members::owner_of(&format!("claims/{SHARD}"), live).map(|m| m.vm.clone())
     }
 
     /// Claims a key for one attempt.
--- a/daemon/src/home.rs
+++ b/daemon/src/home.rs
@@ -16,7 +16,7 @@
 use foldlock_version::schema::Fleet;
 
 use crate::engines::LEAVING_TTL;
-use crate::members::holder;
+use crate::members::owner_of;
 
 /// Engines of a shard at most.
 pub const MAX_SHARD_ENGINES: usize = 24;
@@ -75,7 +75,7 @@
 /// The home of a shard: a VM of its hall, or of any hall where it has none.
 pub fn home_of<'a>(shard: &Shard, live: &'a [Member]) -> Option<&'a Member> {
     let near = live.iter().filter(|m| m.hall == shard.hall);
-    holder(&shard.name, near).or_else(|| holder(&shard.name, live))
+    owner_of(&shard.name, near).or_else(|| owner_of(&shard.name, live))
 }
 
 /// The shards that a VM uses: for each model its own hall's first, each kind in the order of a
--- a/daemon/src/members.rs
+++ b/daemon/src/members.rs
@@ -17,36 +17,36 @@
 use tokio::sync::Notify;
 
 /// A peer that is not heard for this long is down.
-pub const SILENCE: Duration = Duration::from_millis(1500);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// A member that is down and no longer listed is forgotten after this long.
-const FORGOTTEN: Duration = Duration::from_secs(60);
+const FORGET_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Peers that a VM exchanges heartbeats with, beside the homes that it needs.
 pub const FANOUT: usize = 8;
 
 /// Members that a heartbeat names at most.
-const NEWS: usize = 16;
+const MAX_ANNOUNCED_MEMBERS: usize = 16;
 
 /// How many heartbeats carry a piece of news.
-const SPREAD: u32 = 8;
+const ANNOUNCE_COUNT: u32 = 8;
 
 #[derive(Debug, Clone)]
-struct Known {
+struct Tracked {
     member: Member,
-    heard: Instant,
-    spread: u32,
+    last_seen: Instant,
+    announcements_left: u32,
 }
 
 struct Inner {
     own: Member,
-    known: BTreeMap<id::Vm, Known>,
+    tracked: BTreeMap<id::Vm, Tracked>,
     listed: Vec<id::Vm>,
 }
 
 /// What changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum News {
+pub enum Transition {
     /// A VM joined or came back.
     Up(id::Vm),
     /// A VM is no longer heard.
@@ -75,7 +75,7 @@
     /// Only the VM itself.
     pub fn new(clock: C, own: Member) -> Members<C> {
         let live = Mutex::new(Arc::new(vec![own.clone()]));
-        let inner = Mutex::new(Inner { own, known: BTreeMap::new(), listed: Vec::new() });
+        let inner = Mutex::new(Inner { own, tracked: BTreeMap::new(), listed: Vec::new() });
         Members { clock, inner, changed: Notify::new(), live }
     }
 
@@ -102,7 +102,7 @@
 
     /// Takes the platform's list. A VM that is new in it is taken for alive until found silent; one
     /// that is heard is alive whatever the list says.
-    pub fn listed(&self, listing: &Listing) {
+    pub fn merge_listing(&self, listing: &Listing) {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
         let own = inner.own.vm.clone();
@@ -121,36 +121,40 @@
                 leaving: vm.leaving,
                 down: false,
             };
-            let known = inner.known.entry(id).or_insert(Known { member, heard: now, spread: 0 });
-            if known.member.incarnation == 0 {
-                known.member.address.clone_from(&vm.address);
+            let tracked = inner.tracked.entry(id).or_insert(Tracked {
+                member,
+                last_seen: now,
+                announcements_left: 0,
+            });
+            if tracked.member.incarnation == 0 {
+                tracked.member.address.clone_from(&vm.address);
             }
-            known.member.leaving |= vm.leaving && known.member.address == vm.address;
+            tracked.member.leaving |= vm.leaving && tracked.member.address == vm.address;
         }
-        let Inner { known, listed, .. } = &mut *inner;
-        known.retain(|id, k| listed.contains(id) || now < k.heard + FORGOTTEN);
+        let Inner { tracked, listed, .. } = &mut *inner;
+        tracked.retain(|id, k| listed.contains(id) || now < k.last_seen + FORGET_TIMEOUT);
         drop(inner);
         self.refresh();
     }
 
     /// A heartbeat came from a member itself.
-    pub fn heard(&self, member: &Member) -> Option<News> {
+    pub fn on_heartbeat(&self, member: &Member) -> Option<Transition> {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
         if member.vm == inner.own.vm {
             return None;
         }
-        let known = inner.known.get(&member.vm);
-        let news = match known {
-            Some(known) if known.member.incarnation > member.incarnation => None,
+        let tracked = inner.tracked.get(&member.vm);
+        let transition = match tracked {
+            Some(tracked) if tracked.member.incarnation > member.incarnation => None,
             _ => inner.adopt(member, now),
         };
         drop(inner);
-        self.told(news)
+        self.publish(transition)
     }
 
     /// Another member said this of a member.
-    pub fn rumour(&self, member: &Member) -> Option<News> {
+    pub fn merge(&self, member: &Member) -> Option<Transition> {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
         if member.vm == inner.own.vm {
@@ -159,39 +163,39 @@
             }
             return None;
         }
-        let known = inner.known.get(&member.vm);
-        let news = match known {
-            Some(known) if !goes_before(member, &known.member) => None,
+        let tracked = inner.tracked.get(&member.vm);
+        let transition = match tracked {
+            Some(tracked) if !supersedes(member, &tracked.member) => None,
             _ => inner.adopt(member, now),
         };
         drop(inner);
-        self.told(news)
+        self.publish(transition)
     }
 
     /// A peer that heartbeats are exchanged with has not been heard for too long.
-    pub fn silent(&self, vm: &id::Vm) -> Option<News> {
+    pub fn mark_down_if_silent(&self, vm: &id::Vm) -> Option<Transition> {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
-        let known = inner.known.get_mut(vm)?;
-        if known.member.down || now < known.heard + SILENCE {
+        let tracked = inner.tracked.get_mut(vm)?;
+        if tracked.member.down || now < tracked.last_seen + SILENCE_TIMEOUT {
             return None;
         }
-        known.member.down = true;
-        known.spread = SPREAD;
+        tracked.member.down = true;
+        tracked.announcements_left = ANNOUNCE_COUNT;
         drop(inner);
-        self.told(Some(News::Down(vm.clone())))
+        self.publish(Some(Transition::Down(vm.clone())))
     }
 
-    fn told(&self, news: Option<News>) -> Option<News> {
-        if news.is_some() {
+    fn publish(&self, transition: Option<Transition>) -> Option<Transition> {
+        if transition.is_some() {
             self.refresh();
         }
-        news
+        transition
     }
 
     fn refresh(&self) {
         let inner = self.inner.lock().unwrap();
-        let others = inner.known.values().map(|k| &k.member);
+        let others = inner.tracked.values().map(|k| &k.member);
         let mut live: Vec<Member> =
             others.chain([&inner.own]).filter(|m| !m.down && !m.leaving).cloned().collect();
         live.sort_by(|a, b| a.vm.cmp(&b.vm));
@@ -204,12 +208,16 @@
     }
 
     /// News for a heartbeat, the least spread first.
-    pub fn news(&self) -> Vec<Member> {
+    pub fn announcements(&self) -> Vec<Member> {
         let mut inner = self.inner.lock().unwrap();
-        let fresh = inner.known.values_mut().filter(|k| k.spread > 0).take(NEWS);
+        let fresh = inner
+            .tracked
+            .values_mut()
+            .filter(|k| k.announcements_left > 0)
+            .take(MAX_ANNOUNCED_MEMBERS);
         fresh
             .map(|k| {
-                k.spread -= 1;
+                k.announcements_left -= 1;
                 k.member.clone()
             })
             .collect()
@@ -220,23 +228,23 @@
     pub fn targets(&self, needed: &[id::Vm]) -> Vec<Member> {
         let inner = self.inner.lock().unwrap();
         let own = inner.own.vm.as_str();
-        let ranked = hash::ranked(own, inner.known.keys());
+        let ranked = hash::ranked(own, inner.tracked.keys());
         let mut chosen: Vec<&id::Vm> = ranked.into_iter().take(FANOUT).collect();
         for vm in needed {
-            if inner.known.contains_key(vm) && !chosen.contains(&vm) {
+            if inner.tracked.contains_key(vm) && !chosen.contains(&vm) {
                 chosen.push(vm);
             }
         }
-        chosen.iter().map(|vm| inner.known[*vm].member.clone()).collect()
+        chosen.iter().map(|vm| inner.tracked[*vm].member.clone()).collect()
     }
 
     /// A member by name.
     pub fn get(&self, vm: &id::Vm) -> Option<Member> {
-        self.inner.lock().unwrap().known.get(vm).map(|k| k.member.clone())
+        self.inner.lock().unwrap().tracked.get(vm).map(|k| k.member.clone())
     }
 
     /// Whether any other VM is known.
-    pub fn alone(&self) -> bool {
+    pub fn is_alone(&self) -> bool {
         self.live().iter().all(|m| m.vm == self.own().vm)
     }
 
@@ -244,46 +252,50 @@
     pub fn dump(&self) -> BTreeMap<id::Vm, Dump> {
         let now = self.clock.now();
         let inner = self.inner.lock().unwrap();
-        let dump = |k: &Known| Dump {
+        let dump = |k: &Tracked| Dump {
             member: k.member.clone(),
-            heard_ms: (now - k.heard).as_millis() as u64,
+            heard_ms: (now - k.last_seen).as_millis() as u64,
         };
-        inner.known.iter().map(|(vm, k)| (vm.clone(), dump(k))).collect()
+        inner.tracked.iter().map(|(vm, k)| (vm.clone(), dump(k))).collect()
     }
 }
 
 impl Inner {
     /// Takes what is said of a member for what is known; it spreads on if it is new.
-    fn adopt(&mut self, member: &Member, now: Instant) -> Option<News> {
-        let known = Known { member: member.clone(), heard: now, spread: SPREAD };
-        let before = self.known.insert(member.vm.clone(), known);
+    fn adopt(&mut self, member: &Member, now: Instant) -> Option<Transition> {
+        let tracked =
+            Tracked { member: member.clone(), last_seen: now, announcements_left: ANNOUNCE_COUNT };
+        let before = self.tracked.insert(member.vm.clone(), tracked);
         if let Some(before) = before.as_ref().filter(|b| b.member == *member) {
-            self.known.get_mut(&member.vm)?.spread = before.spread;
+            self.tracked.get_mut(&member.vm)?.announcements_left = before.announcements_left;
         }
-        change(before.as_ref().map(|b| &b.member), member)
+        transition(before.as_ref().map(|b| &b.member), member)
     }
 }
 
 /// Whether what is said of a member goes before what is known.
-fn goes_before(said: &Member, known: &Member) -> bool {
+fn supersedes(received: &Member, tracked: &Member) -> bool {
     let rank = |m: &Member| (m.incarnation, m.down, m.leaving);
-    rank(said) > rank(known)
+    rank(received) > rank(tracked)
 }
 
-fn change(before: Option<&Member>, after: &Member) -> Option<News> {
+fn transition(before: Option<&Member>, after: &Member) -> Option<Transition> {
     let state = |m: &Member| (m.down, m.leaving);
     if before.is_some_and(|b| state(b) == state(after) && b.incarnation == after.incarnation) {
         return None;
     }
     let vm = after.vm.clone();
     Some(match state(after) {
-        (true, _) => News::Down(vm),
-        (false, true) => News::Leaving(vm),
-        (false, false) => News::Up(vm),
+        (true, _) => Transition::Down(vm),
+        (false, true) => Transition::Leaving(vm),
+        (false, false) => Transition::Up(vm),
     })
 }
 
 /// The VM that takes a part, among these.
-pub fn holder<'a>(part: &str, members: impl IntoIterator<Item = &'a Member>) -> Option<&'a Member> {
-    members.into_iter().max_by_key(|m| (hash::weight(part, m.vm.as_str()), m.vm.clone()))
+pub fn owner_of<'a>(
+    key: &str,
+    members: impl IntoIterator<Item = &'a Member>,
+) -> Option<&'a Member> {
+    members.into_iter().max_by_key(|m| (hash::weight(key, m.vm.as_str()), m.vm.clone()))
 }
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -18,7 +18,7 @@
 
 use crate::home::{self, Shard};
 use crate::log;
-use crate::members::News;
+use crate::members::Transition;
 use crate::process::Process;
 
 /// How often heartbeats are exchanged with a peer.
@@ -129,8 +129,8 @@
             exchange_until_lost(&process, &peer.vm, connection).await;
             process.peers.set(&peer.vm, None);
         }
-        if let Some(news) = process.members.silent(&peer.vm) {
-            process.tell(&news);
+        if let Some(transition) = process.members.mark_down_if_silent(&peer.vm) {
+            process.tell(&transition);
         }
         tokio::time::sleep(RECONNECT).await;
     }
@@ -213,7 +213,7 @@
         Beat {
             from: self.members.own(),
             version: self.current.number(),
-            members: self.members.news(),
+            members: self.members.announcements(),
             loads,
             states: self.states_for(to, &homed_at(&self.members.own().vm)),
             demand: demand.collect(),
@@ -235,12 +235,12 @@
     /// Takes a peer's heartbeat.
     pub fn take(self: &Arc<Self>, beat: &Beat, connection: Option<&Connection>) {
         let from = &beat.from.vm;
-        if let Some(news) = self.members.heard(&beat.from) {
-            self.tell(&news);
+        if let Some(transition) = self.members.on_heartbeat(&beat.from) {
+            self.tell(&transition);
         }
         for member in &beat.members {
-            if let Some(news) = self.members.rumour(member) {
-                self.tell(&news);
+            if let Some(transition) = self.members.merge(member) {
+                self.tell(&transition);
             }
         }
         self.home.merge_loads(from, &beat.loads);
@@ -262,11 +262,11 @@
     }
 
     /// Logs news of a member.
-    pub fn tell(&self, news: &News) {
-        let (event, vm) = match news {
-            News::Up(vm) => (Event::MemberUp, vm),
-            News::Down(vm) => (Event::MemberDown, vm),
-            News::Leaving(vm) => (Event::MemberLeaving, vm),
+    pub fn tell(&self, transition: &Transition) {
+        let (event, vm) = match transition {
+            Transition::Up(vm) => (Event::MemberUp, vm),
+            Transition::Down(vm) => (Event::MemberDown, vm),
+            Transition::Leaving(vm) => (Event::MemberLeaving, vm),
         };
         log::event(&self.log, event, vm);
     }
@@ -283,6 +283,6 @@
     /// The home of a limit.
     pub fn limit_home(&self, name: &str) -> Option<id::Vm> {
         let live = self.members.live();
-        crate::members::holder(&format!("limit/{name}"), live.iter()).map(|m| m.vm.clone())
+        crate::members::owner_of(&format!("limit/{name}"), live.iter()).map(|m| m.vm.clone())
     }
 }
--- a/daemon/src/process.rs
+++ b/daemon/src/process.rs
@@ -221,7 +221,7 @@
     let list = HttpList::new(process.client.clone(), &process.config.vms.to_string());
     loop {
         if let Ok(listing) = list.read().await {
-            process.members.listed(&listing);
+            process.members.merge_listing(&listing);
             let leaving: Vec<id::Upstream> = listing
                 .upstreams
                 .iter()
@@ -233,7 +233,7 @@
             }
             *process.listed_leaving.lock().unwrap() = leaving;
         }
-        let alone = process.members.alone();
+        let alone = process.members.is_alone();
         tokio::time::sleep(if alone { LIST_INTERVAL / 8 } else { LIST_INTERVAL }).await;
     }
 }
--- a/daemon/tests/members.rs
+++ b/daemon/tests/members.rs
@@ -5,7 +5,7 @@
 use foldlock_base::clock::Manual;
 use foldlock_connection::wire::Member;
 use foldlockd::home::{MAX_SHARD_ENGINES, MAX_USED_SHARDS, Shard, home_of, used_shards};
-use foldlockd::members::{FANOUT, Members, News, SILENCE};
+use foldlockd::members::{FANOUT, Members, SILENCE_TIMEOUT, Transition};
 use proptest::prelude::*;
 
 fn member(i: usize, incarnation: u64) -> Member {
@@ -28,38 +28,38 @@
     let clock = Manual::default();
     let members = Members::new(clock.clone(), member(0, 1));
     let peer = member(1, 5);
-    assert_eq!(members.heard(&peer), Some(News::Up(peer.vm.clone())));
-    assert_eq!(members.silent(&peer.vm), None, "not silent for long enough");
-    clock.advance(SILENCE);
-    assert_eq!(members.silent(&peer.vm), Some(News::Down(peer.vm.clone())));
+    assert_eq!(members.on_heartbeat(&peer), Some(Transition::Up(peer.vm.clone())));
+    assert_eq!(members.mark_down_if_silent(&peer.vm), None, "not silent for long enough");
+    clock.advance(SILENCE_TIMEOUT);
+    assert_eq!(members.mark_down_if_silent(&peer.vm), Some(Transition::Down(peer.vm.clone())));
     assert_eq!(live(&members), ["vm-0"]);
-    assert_eq!(members.heard(&peer), Some(News::Up(peer.vm.clone())));
+    assert_eq!(members.on_heartbeat(&peer), Some(Transition::Up(peer.vm.clone())));
     assert_eq!(live(&members), ["vm-0", "vm-1"]);
 }
 
 #[test]
 fn hearsay_of_an_older_incarnation_does_not_count() {
     let members = Members::new(Manual::default(), member(0, 1));
-    members.heard(&member(1, 5));
-    assert_eq!(members.rumour(&Member { down: true, ..member(1, 4) }), None);
+    members.on_heartbeat(&member(1, 5));
+    assert_eq!(members.merge(&Member { down: true, ..member(1, 4) }), None);
     assert_eq!(live(&members), ["vm-0", "vm-1"]);
-    assert!(members.rumour(&Member { down: true, ..member(1, 5) }).is_some());
+    assert!(members.merge(&Member { down: true, ..member(1, 5) }).is_some());
     assert_eq!(live(&members), ["vm-0"]);
 }
 
 #[test]
 fn a_vm_that_hears_itself_called_down_answers_with_a_higher_incarnation() {
     let members = Members::new(Manual::default(), member(0, 7));
-    members.rumour(&Member { down: true, ..member(0, 7) });
+    members.merge(&Member { down: true, ..member(0, 7) });
     assert_eq!(members.own().incarnation, 8);
 }
 
 #[test]
 fn a_leaving_member_takes_no_part() {
     let members = Members::new(Manual::default(), member(0, 1));
-    members.heard(&member(1, 1));
+    members.on_heartbeat(&member(1, 1));
     let leaving = Member { leaving: true, ..member(1, 1) };
-    assert_eq!(members.heard(&leaving), Some(News::Leaving(leaving.vm.clone())));
+    assert_eq!(members.on_heartbeat(&leaving), Some(Transition::Leaving(leaving.vm.clone())));
     assert_eq!(live(&members), ["vm-0"]);
     members.leave();
     assert!(live(&members).is_empty());
@@ -72,11 +72,11 @@
         let clock = Manual::default();
         let members = Members::new(clock.clone(), member(0, 1));
         for i in 1..count {
-            members.heard(&member(i, 1));
+            members.on_heartbeat(&member(i, 1));
         }
         prop_assert!(members.targets(&[]).len() <= FANOUT);
         clock.advance(Duration::from_secs(1));
-        prop_assert!(members.news().len() <= 16);
+        prop_assert!(members.announcements().len() <= 16);
     }
 
     /// Each shard has one home, of its own hall where that has a VM; all VMs name the same one.
