--- a/daemon/src/drain.rs
+++ b/daemon/src/drain.rs
@@ -108,7 +108,7 @@
     log::event(&process.log, Event::Stopping, format!("{} requests", process.drain.requests()));
     process.drain.stopping.store(true, Ordering::Release);
     process.members.leave();
-    process.peers.kick();
+    process.peers.exchange_now();
     tokio::time::sleep(process.config.drain).await;
     process.drain.closed.store(true, Ordering::Release);
     process.drain.close.notify_waiters();
--- a/daemon/src/follow.rs
+++ b/daemon/src/follow.rs
@@ -114,7 +114,7 @@
             let what = format!("version {number} from {source}");
             log::event(&process.log, Event::VersionInForce, what);
             process.apply();
-            process.peers.kick();
+            process.peers.exchange_now();
         }
         Moved::Old => {}
         Moved::Refused(faults) => {
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -22,16 +22,16 @@
 use crate::process::Process;
 
 /// How often heartbeats are exchanged with a peer.
-pub const BEAT: Duration = Duration::from_millis(200);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// How long an exchange waits for its answer.
-const BEAT_TIMEOUT: Duration = Duration::from_millis(800);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// How long it takes until a lost peer is tried again.
-const RECONNECT: Duration = Duration::from_millis(300);
+const RECONNECT_DELAY: Duration = Duration::from_millis(300);
 
 /// How often the set of peers is looked over, if nothing changes.
-const LOOK: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Default)]
 struct Table {
@@ -43,7 +43,7 @@
 #[derive(Default)]
 pub struct Peers {
     table: Mutex<Table>,
-    kick: Notify,
+    exchange_now: Notify,
 }
 
 impl Peers {
@@ -63,8 +63,8 @@
     }
 
     /// Makes each peer's task exchange at once.
-    pub fn kick(&self) {
-        self.kick.notify_waiters();
+    pub fn exchange_now(&self) {
+        self.exchange_now.notify_waiters();
     }
 
     fn set(&self, vm: &id::Vm, connection: Option<Connection>) {
@@ -81,8 +81,8 @@
     loop {
         let changed = process.members.changed();
         let targets = process.members.targets(&needed(&process));
-        adjust(&process, &targets);
-        let _ = tokio::time::timeout(LOOK, changed).await;
+        update_tasks(&process, &targets);
+        let _ = tokio::time::timeout(POLL_INTERVAL, changed).await;
     }
 }
 
@@ -103,7 +103,7 @@
     needed
 }
 
-fn adjust(process: &Arc<Process>, targets: &[Member]) {
+fn update_tasks(process: &Arc<Process>, targets: &[Member]) {
     let mut table = process.peers.table.lock().unwrap();
     let Table { tasks, connections } = &mut *table;
     tasks.retain(|vm, (address, task)| {
@@ -116,39 +116,39 @@
     });
     for target in targets {
         if !tasks.contains_key(&target.vm) {
-            let task = tokio::spawn(keep(process.clone(), target.clone())).abort_handle();
+            let task = tokio::spawn(maintain(process.clone(), target.clone())).abort_handle();
             tasks.insert(target.vm.clone(), (target.address.clone(), task));
         }
     }
 }
 
 /// Keeps a connection to a peer for as long as it is needed.
-async fn keep(process: Arc<Process>, peer: Member) {
+async fn maintain(process: Arc<Process>, peer: Member) {
     loop {
         if let Ok(connection) = peer::connect(&peer.address).await {
             exchange_until_lost(&process, &peer.vm, connection).await;
             process.peers.set(&peer.vm, None);
         }
         if let Some(transition) = process.members.mark_down_if_silent(&peer.vm) {
-            process.tell(&transition);
+            process.log_transition(&transition);
         }
-        tokio::time::sleep(RECONNECT).await;
+        tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
 async fn exchange_until_lost(process: &Arc<Process>, vm: &id::Vm, connection: Connection) {
     loop {
-        let kicked = process.peers.kick.notified();
+        let requested = process.peers.exchange_now.notified();
         let mut context = Context::current();
-        context.deadline = std::time::Instant::now() + BEAT_TIMEOUT;
+        context.deadline = std::time::Instant::now() + HEARTBEAT_TIMEOUT;
         process.metrics.peer_calls.inc();
-        let Ok(answer) = connection.exchange(context, process.beat(vm)).await else { return };
+        let Ok(answer) = connection.exchange(context, process.heartbeat(vm)).await else { return };
         if answer.from.vm != *vm {
             return;
         }
         process.peers.set(vm, Some(connection.clone()));
-        process.take(&answer, Some(&connection));
-        let _ = tokio::time::timeout(BEAT, kicked).await;
+        process.on_heartbeat(&answer, Some(&connection));
+        let _ = tokio::time::timeout(HEARTBEAT_INTERVAL, requested).await;
     }
 }
 
@@ -170,10 +170,10 @@
 }
 
 impl Peer for Server {
-    async fn exchange(self, _: Context, beat: Beat) -> Beat {
-        let connection = self.process.peers.get(&beat.from.vm);
-        self.process.take(&beat, connection.as_ref());
-        self.process.beat(&beat.from.vm)
+    async fn exchange(self, _: Context, heartbeat: Beat) -> Beat {
+        let connection = self.process.peers.get(&heartbeat.from.vm);
+        self.process.on_heartbeat(&heartbeat, connection.as_ref());
+        self.process.heartbeat(&heartbeat.from.vm)
     }
 
     async fn grant(self, _: Context, shard: String, ask: Ask) -> Grant {
@@ -187,17 +187,17 @@
     async fn settings(self, _: Context, known: Vec<String>) -> Settings {
         let version = self.process.current.get();
         let known: Vec<Hash> = known.into_iter().map(Hash).collect();
-        let lacks = |(hash, text): (Hash, Arc<str>)| {
+        let is_missing = |(hash, text): (Hash, Arc<str>)| {
             (!known.contains(&hash)).then(|| (hash.0, text.to_string()))
         };
-        let texts = version.by_hash().into_iter().filter_map(lacks).collect();
+        let texts = version.by_hash().into_iter().filter_map(is_missing).collect();
         Settings { head: version.head.clone(), texts }
     }
 }
 
 impl Process {
     /// The heartbeat for a peer.
-    pub fn beat(&self, to: &id::Vm) -> Beat {
+    pub fn heartbeat(&self, to: &id::Vm) -> Beat {
         let live = self.members.live();
         let shards = self.shards();
         let homed_at = |vm: &id::Vm| -> Vec<&Shard> {
@@ -233,28 +233,28 @@
     }
 
     /// Takes a peer's heartbeat.
-    pub fn take(self: &Arc<Self>, beat: &Beat, connection: Option<&Connection>) {
-        let from = &beat.from.vm;
-        if let Some(transition) = self.members.on_heartbeat(&beat.from) {
-            self.tell(&transition);
+    pub fn on_heartbeat(self: &Arc<Self>, heartbeat: &Beat, connection: Option<&Connection>) {
+        let from = &heartbeat.from.vm;
+        if let Some(transition) = self.members.on_heartbeat(&heartbeat.from) {
+            self.log_transition(&transition);
         }
-        for member in &beat.members {
+        for member in &heartbeat.members {
             if let Some(transition) = self.members.merge(member) {
-                self.tell(&transition);
+                self.log_transition(&transition);
             }
         }
-        self.home.merge_loads(from, &beat.loads);
-        self.engines.merge_states(&beat.states);
-        for engine in &beat.leaving {
+        self.home.merge_loads(from, &heartbeat.loads);
+        self.engines.merge_states(&heartbeat.states);
+        for engine in &heartbeat.leaving {
             self.home.mark_leaving(engine);
         }
-        self.limits.told(&beat.quota);
+        self.limits.told(&heartbeat.quota);
         let quota: BTreeMap<_, _> = {
             let version = self.current.get();
-            self.limits.split(&version.tree, from, &beat.demand)
+            self.limits.split(&version.tree, from, &heartbeat.demand)
         };
         self.quotas.lock().unwrap().insert(from.clone(), quota);
-        if self.current.wants(beat.version)
+        if self.current.wants(heartbeat.version)
             && let Some(connection) = connection
         {
             self.follow.fetch(self, connection.clone());
@@ -262,7 +262,7 @@
     }
 
     /// Logs news of a member.
-    pub fn tell(&self, transition: &Transition) {
+    pub fn log_transition(&self, transition: &Transition) {
         let (event, vm) = match transition {
             Transition::Up(vm) => (Event::MemberUp, vm),
             Transition::Down(vm) => (Event::MemberDown, vm),
@@ -276,7 +276,7 @@
         self.home.mark_leaving(engine);
         if self.engines.mark_leaving(engine) {
             log::event(&self.log, Event::UpstreamLeaving, engine);
-            self.peers.kick();
+            self.peers.exchange_now();
         }
     }
 
--- a/daemon/src/process.rs
+++ b/daemon/src/process.rs
@@ -276,7 +276,7 @@
                 silent = 0;
                 if process.home.on_report(&engine, report) {
                     log::event(&process.log, Event::UpstreamLeaving, &engine);
-                    process.peers.kick();
+                    process.peers.exchange_now();
                 }
             }
             Err(e) => {
@@ -310,6 +310,6 @@
         let quotas = process.limits.split(&version.tree, &own.vm, &demand.collect());
         process.limits.told(&quotas);
         process.engines.decay_speeds();
-        tokio::time::sleep(peers::BEAT / 2).await;
+        tokio::time::sleep(peers::HEARTBEAT_INTERVAL / 2).await;
     }
 }
