--- a/daemon/src/engines.rs
+++ b/daemon/src/engines.rs
@@ -1,5 +1,5 @@
-//! The engines as this VM knows them: its own work on each, what it learnt of their speed and
-//! caches, and what their homes say.
+//! This VM's state of the engines: its own load on each, models of their speed and caches, and the
+//! states announced by their homes.
 
 mod flight;
 
@@ -26,48 +26,49 @@
 
 pub use flight::Flight;
 
-/// What a home says counts for this long.
+/// How long a state announced by a home is valid.
 const HOME_STATE_TTL: Duration = Duration::from_secs(2);
 
-/// A sign that an engine is leaving counts for this long, unless it is renewed.
+/// How long an engine counts as leaving after a sign of it, unless the sign is repeated.
 pub const LEAVING_TTL: Duration = Duration::from_secs(10);
 
-/// What was learnt of an engine's speed counts half after so long without use.
+/// After this time without a new sample, the weight of an engine's speed samples is halved.
 const DECAY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A sign of its own is passed on by a VM for this long. Signs that were passed on are not passed
-/// on again, so that they end when their cause does.
+/// How long a VM announces a sign of its own that an engine is leaving. Signs received from peers
+/// are not announced again, so that they expire once their cause is gone.
 const LEAVING_ANNOUNCE_WINDOW: Duration = Duration::from_secs(2);
 
-/// What is asked for, with what helps to choose.
+/// Parameters of the choice of an engine for a request.
 pub struct EngineQuery<'a> {
-    /// The model.
+    /// The requested model.
     pub model: &'a id::Model,
-    /// The sizes.
+    /// Prompt, memory and length class.
     pub requirements: Requirements,
-    /// The hashes of the prompt's leading blocks.
+    /// Hashes of the prompt's leading blocks.
     pub blocks: &'a [u64],
-    /// The settings.
+    /// The settings that apply to the request.
     pub policy: &'a Policy,
-    /// Engines that failed it before.
+    /// Engines on which earlier attempts failed.
     pub avoid: &'a [id::Upstream],
 }
 
-/// What came of choosing an engine.
+/// Result of choosing an engine.
 pub enum Chosen<C: Clock> {
-    /// This one; the request counts as its load from now on.
+    /// The chosen engine; the request counts as its load from now on.
     Engine(Box<Flight<C>>),
-    /// None now.
+    /// No engine may take the request now.
     Wait {
-        /// Why.
+        /// Why the best engine may not take it.
         cause: Cause,
-        /// The predicted seconds to the first token at the best of them.
+        /// Predicted time to the first token on the best engine, in seconds.
         predicted: f64,
     },
     /// No engine serves the model.
     None,
 }
 
+/// An engine, with this VM's state of it.
 struct Local {
     entry: schema::Engine,
     client: HttpEngine,
@@ -78,11 +79,11 @@
     health: Health,
     affinity: Table,
     home: Option<(State, Instant)>,
-    /// When this VM itself last had a sign that it is leaving.
+    /// When this VM itself last had a sign that the engine is leaving.
     leaving_at: Option<Instant>,
 }
 
-/// A request whose first token has not come.
+/// A request on an engine that has not produced its first token yet.
 struct Pending {
     sent: Instant,
     predicted: f64,
@@ -97,7 +98,7 @@
     next_slot: u64,
 }
 
-/// The engines.
+/// The engines that this VM can use.
 pub struct Engines<C> {
     clock: C,
     client: Client,
@@ -105,7 +106,7 @@
     changed: Notify,
 }
 
-/// An engine in a dump.
+/// An engine's state in a dump.
 #[derive(Debug, Serialize)]
 pub struct Dump {
     own: Load,
@@ -117,12 +118,13 @@
 }
 
 impl<C: Clock> Engines<C> {
-    /// No engines yet.
+    /// Creates an empty set of engines.
     pub fn new(clock: C, client: Client) -> Engines<C> {
         Engines { clock, client, inner: Mutex::default(), changed: Notify::new() }
     }
 
-    /// Takes the engines of a settings version. What was learnt of those that stay is kept.
+    /// Applies the engines of a settings version. Engines that stay at the same address keep their
+    /// state.
     pub fn apply(&self, tree: &Tree) {
         let mut inner = self.inner.lock().unwrap();
         let fleet = &tree.fleet;
@@ -159,17 +161,18 @@
         }
     }
 
-    /// Tells when a choice may come out differently. Take the waiter before choosing.
+    /// Notifies when a choice may have a different result. Call it before choosing, so that no
+    /// change is missed.
     pub fn changed(&self) -> tokio::sync::futures::Notified<'_> {
         self.changed.notified()
     }
 
-    /// The adapter to an engine.
+    /// The client of an engine.
     pub fn client(&self, engine: &id::Upstream) -> Option<HttpEngine> {
         self.inner.lock().unwrap().engines.get(engine).map(|l| l.client.clone())
     }
 
-    /// The largest memory among the engines of a model, and that of all of them together.
+    /// The largest memory of an engine of the model, and the total memory of its engines.
     pub fn memory(&self, model: &id::Model) -> (Tokens, Tokens) {
         let inner = self.inner.lock().unwrap();
         let serving = inner.engines.values().filter(|l| l.entry.models.contains(model));
@@ -177,14 +180,14 @@
         (sizes.iter().copied().max().unwrap_or_default(), sizes.into_iter().sum())
     }
 
-    /// This VM's own work on each engine that has any.
+    /// This VM's own load on each engine that has any.
     pub fn loads(&self) -> BTreeMap<id::Upstream, Load> {
         let inner = self.inner.lock().unwrap();
         let busy = inner.engines.iter().filter(|(_, l)| l.own != Load::default());
         busy.map(|(id, l)| (id.clone(), l.own)).collect()
     }
 
-    /// Takes what a home says of its engines.
+    /// Merges the states of engines announced by their home.
     pub fn merge_states(&self, states: &[State]) {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
@@ -196,7 +199,8 @@
         self.changed.notify_waiters();
     }
 
-    /// Notes a sign that an engine is leaving. Gives whether it is news.
+    /// Records a sign that an engine is leaving. Returns whether it did not count as leaving
+    /// before.
     pub fn mark_leaving(&self, engine: &id::Upstream) -> bool {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
@@ -206,7 +210,7 @@
         is_new
     }
 
-    /// The engines of which this VM itself had a sign of late that they are leaving.
+    /// The engines that this VM announces as leaving, from recent signs of its own.
     pub fn announced_leaving(&self) -> Vec<id::Upstream> {
         let now = self.clock.now();
         let inner = self.inner.lock().unwrap();
@@ -216,7 +220,7 @@
         leaving.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Chooses an engine and counts the request as its load.
+    /// Chooses an engine and counts the request as load on it.
     pub fn choose(self: &Arc<Self>, query: &EngineQuery<'_>) -> Chosen<C> {
         let now = self.clock.now();
         let mut guard = self.inner.lock().unwrap();
@@ -236,7 +240,7 @@
         Chosen::Engine(Box::new(flight))
     }
 
-    /// Lets what was learnt of engines fade that have not been used for a while.
+    /// Decays the speed samples of engines that were not used for a while.
     pub fn decay_speeds(&self) {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
@@ -248,7 +252,8 @@
         }
     }
 
-    /// Whether another engine is open and would give a first token within `seconds`.
+    /// Whether another engine may take the request and is predicted to produce its first token
+    /// within `seconds`.
     pub fn has_faster(&self, query: &EngineQuery<'_>, than: &id::Upstream, seconds: f64) -> bool {
         let candidates = self.candidates(query);
         let others = candidates.iter().filter(|c| c.engine != *than);
@@ -257,7 +262,7 @@
             .any(|c| c.predict(&query.requirements) < seconds)
     }
 
-    /// Takes an engine that another VM chose.
+    /// Assigns the request to an engine that another VM chose. `None` if it cannot be used here.
     pub fn assign(
         self: &Arc<Self>,
         query: &EngineQuery<'_>,
@@ -272,7 +277,7 @@
         Some(self.start_flight(inner, query, candidate, compared, now))
     }
 
-    /// The candidates for a request, for a home that decides on grants.
+    /// The candidates for a request, for a home that decides on a grant.
     pub fn candidates(&self, query: &EngineQuery<'_>) -> Vec<Candidate> {
         self.inner.lock().unwrap().candidates(query, self.clock.now())
     }
@@ -316,7 +321,7 @@
         result
     }
 
-    /// The engines, for a dump.
+    /// State of the engines for a dump.
     pub fn dump(&self) -> BTreeMap<id::Upstream, Dump> {
         let now = self.clock.now();
         let inner = self.inner.lock().unwrap();
@@ -332,7 +337,7 @@
     }
 }
 
-/// Why the best of the candidates, none of which is open, is closed.
+/// The result if no candidate may take the request: the reason at the best of them.
 fn no_eligible<C: Clock>(candidates: &[Candidate], requirements: &Requirements) -> Chosen<C> {
     let predicted = |c: &&Candidate| c.predict(requirements);
     let best = candidates.iter().min_by(|a, b| predicted(a).total_cmp(&predicted(b)));
@@ -355,8 +360,8 @@
         found
     }
 
-    /// The engines that can serve. Those that failed of late, or failed this request, are left out
-    /// as long as there are others.
+    /// The engines that can serve the request. Engines that failed recently, or failed this
+    /// request, are excluded as long as there are others.
     fn usable(&self, query: &EngineQuery<'_>, now: Instant) -> Vec<&id::Upstream> {
         let serving: Vec<(&id::Upstream, &Local)> = self
             .engines
@@ -372,7 +377,7 @@
     }
 }
 
-/// Brings candidates into random order, so that equal scores do not all go to the same one.
+/// Shuffles the candidates, so that ties in score are broken at random.
 fn shuffle(candidates: &mut [Candidate]) {
     use rand::seq::SliceRandom;
     candidates.shuffle(&mut rand::rng());
@@ -402,7 +407,8 @@
         }
     }
 
-    /// All VMs' work: what the home knows of the others, and the own as it is now.
+    /// Load from all VMs: from the others as announced by the home, and the current load of this
+    /// VM.
     fn fleet(&self, now: Instant) -> Load {
         match &self.home {
             Some((state, at)) if now < *at + HOME_STATE_TTL => {
@@ -412,7 +418,8 @@
         }
     }
 
-    /// Seconds by which the first token of a request that goes before this class is late.
+    /// Longest time in seconds by which the first token of a request of this or a shorter class is
+    /// overdue.
     fn overdue_s(&self, class: Class, now: Instant) -> f64 {
         let late = |p: &Pending| (now - p.sent).as_secs_f64() - p.predicted;
         let before = self.flights.values().filter(|p| p.class <= class);
--- a/daemon/src/engines/flight.rs
+++ b/daemon/src/engines/flight.rs
@@ -1,4 +1,4 @@
-//! A request on its way at an engine.
+//! An in-flight attempt on an engine.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -13,15 +13,15 @@
 
 use super::Engines;
 
-/// A request that counts as load of an engine until this is dropped.
+/// An in-flight attempt, which counts as load on its engine until dropped.
 pub struct Flight<C: Clock> {
-    /// The engine's adapter.
+    /// The engine's client.
     pub client: HttpEngine,
-    /// The engine.
+    /// The engine's id.
     pub engine: id::Upstream,
-    /// The predicted seconds to the first token.
+    /// Predicted time to the first token, in seconds.
     pub predicted: f64,
-    /// What was compared.
+    /// The candidates that were compared.
     pub compared: Vec<Seen>,
     /// When the engine was chosen.
     pub sent: Instant,
@@ -34,7 +34,7 @@
 }
 
 impl<C: Clock> Flight<C> {
-    /// The first token came: the prompt is no longer queued, and the model learns.
+    /// Handles the first token: the prompt is no longer queued, and the speed model is updated.
     pub fn on_first_token(&mut self, cached: Tokens) {
         let now = self.engines.clock.now();
         let seconds = (now - self.sent).as_secs_f64();
@@ -54,7 +54,7 @@
         });
     }
 
-    /// The prompt is computed, without a token that would tell how fast.
+    /// Handles the end of a prefill that produces no token, and so no sample of the engine's speed.
     pub fn on_prefill_done(&mut self) {
         let prefill = self.load.prefill_only();
         self.load = self.load.minus(prefill);
@@ -66,7 +66,8 @@
         });
     }
 
-    /// The engine failed the request.
+    /// Handles a failure of the engine: records it in the engine's health, and clears its prefix
+    /// table.
     pub fn on_failure(&self) {
         let now = self.engines.clock.now();
         self.engines.update(&self.engine, |local| {
@@ -75,7 +76,7 @@
         });
     }
 
-    /// The engine refused the request, since it is leaving.
+    /// Handles the engine's refusal of the request because it is leaving.
     pub fn on_refused_leaving(&self) {
         self.engines.mark_leaving(&self.engine);
     }
