--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -1,5 +1,4 @@
-//! Where a request waits until there is a place for it, and where it is refused if there will be
-//! none in time.
+//! Queues requests until they can be placed, and rejects those that cannot be placed in time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,31 +17,31 @@
 use crate::home;
 use crate::serve::{Job, Progress};
 
-/// The part of its time after which a long prompt has risen to the priority of short ones.
+/// Share of its time after which a long prompt has the priority of short ones.
 const AGING_SHARE: f64 = 0.75;
 
-/// The lowest engine priority.
+/// The lowest engine priority. Lower numbers go first.
 const LOWEST_PRIORITY: u8 = 9;
 
-/// How often a waiting request looks again, if nothing changes.
+/// How often a queued request checks for an engine if no change is notified.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// How long a home has to answer who asks for a place.
+/// Timeout of a grant request to a home.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The least time after which a refused caller is told to come back.
+/// Minimum retry-after time of a rejection.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// Where a request was placed.
+/// Where a request runs.
 pub enum Placement {
-    /// At one engine.
+    /// On one engine.
     Engine(Box<Flight<System>>),
-    /// At a group of engines that hold its memory.
+    /// On a group of engines with memory reserved for it.
     Group(Group),
 }
 
 impl Placement {
-    /// The load that it counts as at the engine that answers.
+    /// The in-flight attempt on the engine that generates the answer.
     pub fn flight(&self) -> &Flight<System> {
         match self {
             Placement::Engine(flight) => flight,
@@ -50,12 +49,12 @@
         }
     }
 
-    /// The engine that answers.
+    /// The engine that generates the answer.
     pub fn engine(&self) -> &id::Upstream {
         &self.flight().engine
     }
 
-    /// The first token came.
+    /// Handles the first token.
     pub fn on_first_token(&mut self, cached: Tokens) {
         match self {
             Placement::Engine(flight) => flight.on_first_token(cached),
@@ -64,19 +63,19 @@
     }
 }
 
-/// Why there is no place.
+/// Why a request is rejected.
 pub struct Rejection {
-    /// The answer's kind.
+    /// The kind of the error.
     pub kind: Kind,
-    /// Why.
+    /// The error message.
     pub why: String,
-    /// When to come back.
+    /// When the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
-/// The engine priority of a prompt of a class that has used this part of its time: the longer
-/// the class, the further below short prompts it begins; all have reached them when three quarters
-/// of their time are used, so that none starves.
+/// The engine priority of a prompt of this length class that has used this share of its time.
+/// Longer classes start with lower priority; all reach that of short prompts once three quarters of
+/// their time are used, so that none starves.
 pub fn aged_priority(base: u8, class: Class, used: f64) -> u8 {
     let below = class.index() as u8;
     let risen = (used.clamp(0.0, 1.0) / AGING_SHARE * f64::from(below)).floor() as u8;
@@ -84,7 +83,7 @@
     base.saturating_add(below).min(LOWEST_PRIORITY.max(base))
 }
 
-/// Finds a place for a request.
+/// Places a request, waiting until its deadline at most.
 pub async fn place(job: &Job, progress: &Progress) -> Result<Placement, Rejection> {
     let waiting = wait_for_placement(job, progress);
     match tokio::time::timeout_at(job.deadline.instant().into(), waiting).await {
@@ -105,7 +104,7 @@
     }
     let started = job.process.clock.now();
     if requirements.memory > largest {
-        // Groups wait at the home of a shard, in order, and hold up nothing here.
+        // Requests for groups wait at the home of a shard, in order, and do not block this queue.
         let placement = group::place(job, &requirements).await?;
         record_routed(job, &placement);
         return Ok(placement);
@@ -148,7 +147,7 @@
     });
 }
 
-/// Refuses a request whose turn would come too late.
+/// Rejects a request that would have to wait in the queue beyond its deadline.
 fn check_queue_time(job: &Job, queued: u64, progress: &Progress) -> Result<(), Rejection> {
     let query = engine_query(job, progress);
     let candidates = job.process.engines.candidates(&query);
@@ -158,7 +157,7 @@
     check_deadline(job, queued as f64 * rate)
 }
 
-/// Refuses a request that is predicted to end beyond its deadline.
+/// Rejects a request whose first token is predicted after its deadline.
 fn check_deadline(job: &Job, seconds: f64) -> Result<(), Rejection> {
     let left = job.left().as_secs_f64();
     if seconds <= left {
@@ -171,7 +170,7 @@
     })
 }
 
-/// What is asked of the engines for a request.
+/// The parameters of the choice of an engine for a request.
 pub fn engine_query<'a>(job: &'a Job, progress: &'a Progress) -> EngineQuery<'a> {
     EngineQuery {
         model: &job.prompt.model,
@@ -184,7 +183,7 @@
 
 type Placed = (Placement, Option<Cause>);
 
-/// Waits for an engine. The request is the next one of its queue.
+/// Waits for an engine for the request that is next in its queue.
 async fn wait_for_engine(
     job: &Job,
     progress: &Progress,
@@ -223,8 +222,8 @@
     }
 }
 
-/// For a long prompt, asks the home of the chosen engine's shard, which may know better. None
-/// where the engine that it names cannot be used here.
+/// For a long prompt, requests a grant from the home of the chosen engine's shard, which has more
+/// recent data and may choose another engine. `None` if that engine cannot be used here.
 async fn confirm(
     job: &Job,
     progress: &Progress,
@@ -235,7 +234,7 @@
         return Some(flight);
     }
     let chosen = flight.engine.clone();
-    // The home may be this VM: it must not count the request that it is asked about.
+    // The home may be this VM. It must not count this flight as load when it decides on the grant.
     drop(flight);
     let engine = granted_engine(job, progress, &chosen).await.unwrap_or(chosen);
     job.process.engines.assign(&engine_query(job, progress), &engine).map(Box::new)
@@ -263,7 +262,7 @@
     }
 }
 
-/// Asks the home of a shard, this VM itself perhaps.
+/// Requests a grant from the home of a shard, which may be this VM.
 pub async fn request_grant(
     job: &Job,
     shard: &home::Shard,
