--- a/daemon/src/group.rs
+++ b/daemon/src/group.rs
@@ -1,7 +1,7 @@
-//! Prompts longer than one engine's memory: a group of engines of one shard, held all or nothing
-//! through the shard's home, which serves who asks in order, so that two groups never wait for
-//! each other. Each hold has a time limit at the engine and is renewed by the request; what a dead
-//! VM held is free once the limit passes.
+//! Prompts larger than one engine's memory run on a group of engines of one shard. The shard's home
+//! reserves their memory all or nothing and serves grant requests in order, so that two groups
+//! cannot deadlock. Each reservation expires at the engine unless the request renews it, so the
+//! memory reserved by a crashed VM is released.
 
 use std::collections::HashMap;
 use std::sync::{Arc, LazyLock, Mutex};
@@ -24,22 +24,23 @@
 use crate::process::Process;
 use crate::serve::{Job, Progress};
 
-/// How long an engine keeps a hold that is not renewed.
+/// How long an engine keeps a reservation that is not renewed.
 const RESERVATION_TTL: Duration = Duration::from_secs(3);
 
-/// How often holds are renewed.
+/// How often reservations are renewed.
 const RENEW_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a home looks for a group before the asker has to ask again.
+/// How long a home searches for a placement before the requesting VM has to send another grant
+/// request.
 const SEARCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a home waits before it looks again.
+/// Pause between two searches for a placement.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A segment is at least this large, unless it is the last one.
+/// Minimum size of a segment, except the last one.
 const MIN_SEGMENT: Tokens = Tokens(1_024);
 
-/// Engines of a group, with the memory that each holds.
+/// A group of engines, with the memory reserved on each.
 pub struct Group {
     segments: Vec<Segment>,
     flights: Vec<Flight<System>>,
@@ -47,12 +48,12 @@
 }
 
 impl Group {
-    /// The load at the engine that answers.
+    /// The in-flight attempt on the engine that generates the answer.
     pub fn last_flight(&self) -> &Flight<System> {
         self.flights.last().expect("a group has engines")
     }
 
-    /// The first token came: no segment is queued any more.
+    /// Handles the first token: no segment is queued any more.
     pub fn on_first_token(&mut self) {
         for flight in &mut self.flights {
             flight.on_prefill_done();
@@ -77,7 +78,7 @@
     segments.iter().zip(flights).filter_map(pair).collect()
 }
 
-/// Waits for a group.
+/// Waits until a group of engines is reserved for the request.
 pub async fn place(job: &Job, requirements: &Requirements) -> Result<Placement, Rejection> {
     let started = job.process.clock.now();
     loop {
@@ -89,7 +90,7 @@
         if of.is_empty() {
             return Err(Rejection {
                 kind: Kind::PromptTooLong,
-                why: format!("no group of engines holds {} tokens", requirements.memory),
+                why: format!("no group of engines has memory for {} tokens", requirements.memory),
                 retry_after: None,
             });
         }
@@ -151,8 +152,8 @@
     }
 }
 
-/// Computes all segments but the last in turn, each on the exported state of those before it, and
-/// begins the answer on the last.
+/// Runs the prefill of all segments but the last in turn, each with the context exported by the
+/// previous ones, and starts the generation on the last.
 pub async fn begin(
     job: &Job,
     group: &mut Group,
@@ -183,12 +184,13 @@
     Err(Failure::Gone)
 }
 
-/// One lock for each shard that this VM is the home of; who asks is served in order.
+/// One lock per shard whose home is this VM. Grant requests are served in order.
 type Locks = Mutex<HashMap<String, Arc<tokio::sync::Mutex<()>>>>;
 
 static LOCKS: LazyLock<Locks> = LazyLock::new(Locks::default);
 
-/// As the home of a shard, finds a place for a long prompt: one engine, or a group that is held.
+/// Handles a grant request as the home of a shard: finds one engine for a long prompt, or reserves
+/// a group.
 pub async fn grant(process: &Arc<Process>, shard: &str, ask: &wire::Ask) -> Grant {
     let shards = process.shards();
     let Some(shard) = shards.iter().find(|s| s.name == shard) else { return Grant::Unknown };
@@ -239,7 +241,7 @@
     Some(vec![Segment { engine: chosen.engine.clone(), tokens: ask.prompt, hold: None }])
 }
 
-/// Holds memory on as many engines as are needed, the emptiest first; all or nothing.
+/// Reserves memory on as many engines as needed, those with most free memory first; all or nothing.
 async fn reserve_group(
     process: &Arc<Process>,
     ask: &wire::Ask,
@@ -265,7 +267,8 @@
     reserve_all(process, &segments).await.then_some(segments)
 }
 
-/// The last segment holds the answer and some of the prompt: moves tokens to it if it is small.
+/// Makes the last segment large enough for the answer and some of the prompt, by moving tokens from
+/// the one before. Returns whether it fits.
 fn room_for_answer(
     segments: &mut [Segment],
     answer: Tokens,
@@ -280,7 +283,7 @@
     last.tokens <= free(&candidates[count - 1])
 }
 
-/// The memory in use at an engine: by what is announced or by its report, whichever is more.
+/// The memory in use on an engine: as announced or as reported, whichever is more.
 fn used(process: &Process, candidate: &Candidate) -> Tokens {
     let reported = process.home.report(&candidate.engine).map_or(Tokens(0), |r| r.used);
     reported.max(candidate.fleet.memory)
