--- a/daemon/src/home.rs
+++ b/daemon/src/home.rs
@@ -1,9 +1,10 @@
 //! Shards of engines and their homes.
 //!
-//! The engines of a model in a data hall are cut into shards. One VM, named by rendezvous among
-//! the live VMs of the hall, is a shard's home: it alone reads the engines' reports, sums up the
-//! work that all VMs announce, and answers who asks for a place for a long prompt. All of it is
-//! soft state: two homes at once, or none, cost quality, since an engine itself says no.
+//! The engines of a model in a data hall are divided into shards. One VM, chosen by rendezvous
+//! hashing among the live VMs of the hall, is a shard's home: it alone polls the engines' reports,
+//! sums the load that all VMs announce, and handles grant requests for long prompts. All of this is
+//! soft state: with two homes or none, placement is worse but still safe, since an engine refuses
+//! what it cannot take.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Mutex;
@@ -18,19 +19,19 @@
 use crate::engines::LEAVING_TTL;
 use crate::members::owner_of;
 
-/// Engines of a shard at most.
+/// Maximum number of engines in a shard.
 pub const MAX_SHARD_ENGINES: usize = 24;
 
-/// Shards of a model that a VM uses at most, its own hall's first.
+/// Maximum number of shards of a model that a VM uses, those of its own hall first.
 pub const MAX_USED_SHARDS: usize = 4;
 
-/// What a VM announced counts for this long.
+/// How long an announced load is valid.
 const ANNOUNCEMENT_TTL: Duration = Duration::from_secs(3);
 
-/// A grant counts until the VM announces the request itself, for this long at most.
+/// Maximum time for which a grant counts as load; it ends when the VM announces the request itself.
 const GRANT_TTL: Duration = Duration::from_millis(600);
 
-/// A report counts for this long.
+/// How long a report is valid.
 const REPORT_TTL: Duration = Duration::from_secs(5);
 
 /// A shard of engines.
@@ -38,15 +39,15 @@
 pub struct Shard {
     /// `HALL/MODEL/NUMBER`.
     pub name: String,
-    /// The hall.
+    /// The data hall of its engines.
     pub hall: id::Hall,
-    /// The model: the first that its engines name.
+    /// The model: the first in the list of each of its engines.
     pub model: id::Model,
-    /// The engines.
+    /// Ids of its engines.
     pub engines: Vec<id::Upstream>,
 }
 
-/// Cuts the engines of a fleet into shards.
+/// Divides the engines of a fleet into shards.
 pub fn shards(fleet: &Fleet) -> Vec<Shard> {
     let mut groups: BTreeMap<(id::Hall, id::Model), Vec<id::Upstream>> = BTreeMap::new();
     for (id, engine) in &fleet.engines {
@@ -72,14 +73,14 @@
     engines.chunks(size.max(1)).enumerate().map(shard).collect()
 }
 
-/// The home of a shard: a VM of its hall, or of any hall where it has none.
+/// The home of a shard: a VM of its hall, or of any hall if its own has none.
 pub fn home_of<'a>(shard: &Shard, live: &'a [Member]) -> Option<&'a Member> {
     let near = live.iter().filter(|m| m.hall == shard.hall);
     owner_of(&shard.name, near).or_else(|| owner_of(&shard.name, live))
 }
 
-/// The shards that a VM uses: for each model its own hall's first, each kind in the order of a
-/// rendezvous by the VM's name, so that VMs spread evenly over shards.
+/// The shards that a VM uses: for each model those of its own hall first, then others, both in the
+/// order of a rendezvous hash of the VM's name, so that VMs are distributed evenly over shards.
 pub fn used_shards<'a>(own: &Member, shards: &'a [Shard]) -> Vec<&'a Shard> {
     let mut models: Vec<&id::Model> = shards.iter().map(|s| &s.model).collect();
     models.sort();
@@ -90,7 +91,7 @@
         let rank = |s: &&Shard| hash::weight(own.vm.as_str(), &s.name);
         of.sort_by_key(|s| (s.hall != own.hall, std::cmp::Reverse(rank(s))));
         let near = of.iter().filter(|s| s.hall == own.hall).count();
-        // One place at least is left for another hall, where work goes when the own one is full.
+        // At least one shard is of another hall, for requests when the own hall is full.
         let keep_near = near.min(MAX_USED_SHARDS - 1);
         let far = of.split_off(near);
         chosen.extend(of.into_iter().take(keep_near));
@@ -119,20 +120,20 @@
     leaving: HashMap<id::Upstream, Instant>,
 }
 
-/// What this VM knows as the home of shards.
+/// This VM's state as the home of shards.
 pub struct Home<C> {
     clock: C,
     inner: Mutex<Inner>,
 }
 
 impl<C: Clock> Home<C> {
-    /// Knows nothing yet.
+    /// Creates an empty state.
     pub fn new(clock: C) -> Home<C> {
         Home { clock, inner: Mutex::default() }
     }
 
-    /// A VM announces all its work on the engines of this home. What it announced before and does
-    /// not name now is over.
+    /// Merges a VM's announcement of its load on the engines of this home. It replaces the VM's
+    /// previous announcement.
     pub fn merge_loads(&self, vm: &id::Vm, loads: &BTreeMap<id::Upstream, Load>) {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
@@ -146,8 +147,9 @@
         inner.granted.retain(|g| g.vm != *vm || now < g.at + GRANT_TTL / 2);
     }
 
-    /// An engine answered its report. Gives whether it is news that it leaves. A report that does
-    /// not say so takes back only what a report said: it may be older than other signs.
+    /// Handles an engine's report. Returns whether the engine newly reports that it is leaving. A
+    /// report without this clears only the mark of an earlier report, since it may be older than
+    /// other signs.
     pub fn on_report(&self, engine: &id::Upstream, report: Report) -> bool {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
@@ -162,19 +164,19 @@
         leaving && !was_leaving
     }
 
-    /// Someone says that an engine is leaving.
+    /// Marks an engine as leaving after a sign of it, from this VM or a peer.
     pub fn mark_leaving(&self, engine: &id::Upstream) {
         self.inner.lock().unwrap().leaving.insert(engine.clone(), self.clock.now());
     }
 
-    /// A long prompt of a VM was given this place.
+    /// Records a grant of an engine for a long prompt of a VM.
     pub fn record_grant(&self, engine: &id::Upstream, vm: &id::Vm, load: Load) {
         let at = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
         inner.granted.push(Granted { engine: engine.clone(), vm: vm.clone(), load, at });
     }
 
-    /// What is known of engines, as one VM is told.
+    /// The states of engines, as announced to one VM.
     pub fn states(&self, engines: &[id::Upstream], receiver: &id::Vm) -> Vec<State> {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
@@ -182,7 +184,7 @@
         engines.iter().map(|e| inner.state(e, receiver, now)).collect()
     }
 
-    /// The memory in use at an engine by its newest report.
+    /// The newest report of an engine, if it is still valid.
     pub fn report(&self, engine: &id::Upstream) -> Option<Report> {
         let now = self.clock.now();
         let inner = self.inner.lock().unwrap();
