--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -1,5 +1,5 @@
-//! One request from admission to its end: placed, sent, read, and sent again elsewhere where that
-//! is allowed.
+//! Serves one admitted request to its end: places it, sends it, reads the answer, and retries on
+//! another engine where allowed.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -22,72 +22,72 @@
 use crate::log;
 use crate::process::Process;
 
-/// What all steps of a request share.
+/// A request, with the data that all steps of serving it share.
 pub struct Job {
-    /// The process.
+    /// The process that serves it.
     pub process: Arc<Process>,
-    /// The record.
+    /// Its decision record.
     pub entry: Entry,
     /// When it arrived.
     pub arrived: Instant,
-    /// When it has to have its answer.
+    /// When its answer must be complete.
     pub deadline: Deadline,
-    /// The organisation.
+    /// The organisation of the caller.
     pub organisation: id::Organisation,
-    /// The settings.
+    /// The settings that apply to it.
     pub policy: Arc<Policy>,
     /// The settings version that applies to it until its end.
     pub version: Arc<Version>,
     /// Its id.
     pub request: id::Request,
-    /// What is asked.
+    /// The parsed prompt.
     pub prompt: Prompt,
-    /// The prompt's tokens.
+    /// Number of prompt tokens.
     pub tokens: Tokens,
-    /// The hashes of the prompt's leading blocks.
+    /// Hashes of the prompt's leading blocks.
     pub blocks: Vec<u64>,
-    /// The most tokens of the answer.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u64,
-    /// Bytes of text a token.
+    /// Average bytes of text per token.
     pub bytes_per_token: u32,
 }
 
-/// Takes the parts of an answer.
+/// Receives the parts of an answer and passes them to the caller.
 pub trait Sink: Send {
-    /// The answer comes from this stream of this engine from now on.
+    /// Sets the engine and stream from which the following parts come.
     fn on_source(&mut self, job: &Job, engine: &id::Upstream, stream: &str);
 
-    /// Takes parts; false once the caller is gone.
+    /// Sends parts. Returns false once the caller has disconnected.
     fn send(&mut self, parts: &[Part]) -> impl Future<Output = bool> + Send;
 
-    /// Returns once the caller is gone.
+    /// Returns once the caller has disconnected.
     fn caller_gone(&self) -> impl Future<Output = ()> + Send;
 }
 
-/// What an answer came to.
+/// Totals of a complete answer.
 #[derive(Debug, Clone, Copy)]
 pub struct Finished {
-    /// The tokens of the answer.
+    /// Number of tokens generated.
     pub tokens: u64,
 }
 
-/// How far the answer is, over all attempts.
+/// Progress of the answer over all attempts.
 #[derive(Default)]
 pub struct Progress {
-    /// The answer so far.
+    /// Text generated so far, kept if the answer may be resumed.
     pub text: String,
-    /// The tokens so far.
+    /// Number of tokens generated so far.
     pub tokens: u64,
-    /// Upstreams that failed the request.
+    /// Upstreams on which an attempt failed.
     pub avoid: Vec<id::Upstream>,
-    /// When the first token came, from arrival.
+    /// Time from arrival to the first token.
     pub first_token: Option<Duration>,
-    /// How often it was sent.
+    /// Number of attempts so far.
     pub attempts: u32,
 }
 
 impl Job {
-    /// Records a decision.
+    /// Adds a decision to the record and logs it at its event's level.
     pub fn record(&self, decision: Decision) {
         let at_ms = millis(self.process.clock.now() - self.arrived);
         let event = decision.event();
@@ -97,12 +97,12 @@
         self.entry.add(Step { at_ms, decision });
     }
 
-    /// The time left.
+    /// Time left until the deadline.
     pub fn left(&self) -> Duration {
         self.deadline.left(&self.process.clock)
     }
 
-    /// What is asked of engines, with the answer so far as part of the prompt.
+    /// What the request needs of an engine. The answer so far is part of the prompt.
     pub fn requirements(&self, progress: &Progress) -> Requirements {
         let generated = Tokens(progress.tokens);
         let prompt = self.tokens + generated;
@@ -110,7 +110,7 @@
         Requirements { prompt, memory, class: self.policy.class(prompt) }
     }
 
-    /// The order to an engine.
+    /// The request to an engine.
     pub fn order(&self, progress: &Progress) -> Order {
         let prompt = if progress.text.is_empty() {
             self.prompt.text.clone()
@@ -130,7 +130,7 @@
         }
     }
 
-    /// The engine priority: the longer the class, the lower, rising with the time used.
+    /// The engine priority: lower for longer classes, rising with the time used.
     fn priority(&self, class: Class) -> u8 {
         let used = (self.process.clock.now() - self.arrived).as_secs_f64();
         let whole = used + self.left().as_secs_f64();
@@ -138,7 +138,7 @@
     }
 }
 
-/// Serves a request to its end, and records the end.
+/// Serves a request to its end and records the result.
 pub async fn run<S: Sink>(
     job: &Job,
     sink: &mut S,
@@ -215,10 +215,10 @@
 }
 
 fn caller_gone_error(proof: Proof, progress: &Progress) -> Error {
-    proof.error(Kind::UpstreamFailed, "the caller went away", progress.tokens > 0)
+    proof.error(Kind::UpstreamFailed, "the caller disconnected", progress.tokens > 0)
 }
 
-/// Decides whether a failed attempt is followed by another one.
+/// Decides whether a failed attempt is retried. Returns the error for the caller if not.
 fn retry_or_fail(
     job: &Job,
     end: End,
