--- a/daemon/src/attempt.rs
+++ b/daemon/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a request: sent to a place, and its answer read to the end.
+//! One attempt: sends a request to its placement and reads the answer to the end.
 
 use std::time::{Duration, Instant};
 
@@ -15,37 +15,37 @@
 use crate::group;
 use crate::serve::{Job, Progress, Sink};
 
-/// An engine that sends nothing for this long, once an answer has begun, is taken for broken.
+/// Time without data after the start of an answer after which the engine is considered broken.
 const STALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The least time that the first token is waited for before a request is moved.
+/// Minimum time to wait for the first token before moving the request is considered.
 const MIN_FIRST_TOKEN_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// How many times the predicted time the first token is waited for.
+/// The time to wait for the first token, as a ratio of the predicted time.
 const FIRST_TOKEN_TIMEOUT_RATIO: f64 = 4.0;
 
 /// How an attempt ended.
 pub enum End {
-    /// The whole answer was given.
+    /// The whole answer was sent to the caller.
     Finished,
-    /// It did not run.
+    /// The request did not run.
     NotRun {
-        /// The proof.
+        /// Proof that it did not run.
         proof: Refusal,
-        /// Why.
+        /// Why it did not run.
         why: String,
     },
-    /// It broke off.
+    /// The answer broke off; the reason.
     Broken(String),
-    /// Its first token is late, and another engine would do better.
+    /// The first token is overdue and another engine is predicted to be faster; the reason.
     Slow(String),
     /// The deadline passed.
     Deadline,
-    /// The caller went away.
+    /// The caller disconnected.
     Gone,
 }
 
-/// Sends a request once and reads the answer.
+/// Runs one attempt of a request.
 pub async fn run<S: Sink>(
     job: &Job,
     mut placement: Placement,
@@ -79,7 +79,7 @@
     end
 }
 
-/// What an attempt's end says of its engine.
+/// Records a failed attempt in the engine's health.
 fn record_health(placement: &Placement, end: &End) {
     match end {
         End::Broken(_) | End::Slow(_) => placement.flight().on_failure(),
@@ -90,7 +90,7 @@
     }
 }
 
-/// Ends a stream at its engine, so that its memory is free at once.
+/// Cancels a stream on its engine, which releases its memory at once.
 fn cancel(placement: &Placement, stream: &str) {
     let client = placement.flight().client.clone();
     let stream = stream.to_owned();
@@ -114,7 +114,9 @@
                 match tokio::time::timeout(wait, response.as_mut()).await {
                     Ok(result) => break result,
                     Err(_) if can_move(job, flight, progress) => {
-                        return Err(End::Slow("it does not accept the request".to_owned()));
+                        return Err(End::Slow(
+                            "the engine did not accept the request in time".to_owned(),
+                        ));
                     }
                     Err(_) => {}
                 }
@@ -133,22 +135,22 @@
     })
 }
 
-/// How long the first token is waited for until moving the request is considered.
+/// Time to wait for the first token before moving the request is considered.
 fn first_token_timeout(job: &Job, predicted: f64) -> Duration {
     Duration::from_secs_f64(predicted * FIRST_TOKEN_TIMEOUT_RATIO)
         .max(MIN_FIRST_TOKEN_TIMEOUT)
         .min(job.left())
 }
 
-/// Whether a request whose first token is late may be moved, and would do better elsewhere: in
-/// less than half of the time that it has waited.
+/// Whether a request whose first token is overdue may be moved, and another engine is predicted to
+/// need less than half of the time waited so far.
 fn can_move(job: &Job, flight: &Flight<System>, progress: &Progress) -> bool {
     let policy = &job.policy;
     if !policy.repeatable || progress.attempts > policy.retries {
         return false;
     }
     let waited = (job.process.clock.now() - flight.sent).as_secs_f64();
-    // An engine that failed the request before may do by now what this one does not.
+    // Engines that failed earlier attempts count too: they may be faster now than this one.
     let query = EngineQuery { avoid: &[], ..gate::engine_query(job, progress) };
     job.process.engines.has_faster(&query, &flight.engine, waited / 2.0)
 }
@@ -180,7 +182,7 @@
         };
         let decoded = match bytes {
             Ok(Some(bytes)) => decode(bytes, &mut checker, &mut parts),
-            Ok(None) => Err("the answer ended early".to_owned()),
+            Ok(None) => Err("the response ended early".to_owned()),
             Err(failure) => Err(failure.to_string()),
         };
         if let Err(why) = decoded {
@@ -205,28 +207,28 @@
     }
 }
 
-/// Adds the events that bytes complete.
+/// Decodes bytes and adds the events that they complete.
 fn decode(bytes: bytes::Bytes, checker: &mut Checker, parts: &mut Vec<Part>) -> Result<(), String> {
     checker.push(bytes, |part| parts.push(part)).map_err(|fault| fault.to_string())
 }
 
-/// What follows when nothing came for a while; none where the request waits on.
+/// How the attempt ends if no data came in time; `None` to wait on.
 fn on_timeout(job: &Job, placement: &Placement, started: bool, progress: &Progress) -> Option<End> {
     if job.left().is_zero() {
         return Some(End::Deadline);
     }
     if started {
-        return Some(End::Broken(format!("nothing came for {} ms", STALL_TIMEOUT.as_millis())));
+        return Some(End::Broken(format!("no data for {} ms", STALL_TIMEOUT.as_millis())));
     }
     match placement {
         Placement::Engine(flight) if can_move(job, flight, progress) => {
-            Some(End::Slow("the first token is late".to_owned()))
+            Some(End::Slow("the first token is overdue".to_owned()))
         }
         _ => None,
     }
 }
 
-/// Adds parts to the progress. Gives whether the answer has ended.
+/// Adds parts to the progress. Returns whether the answer has ended.
 fn add_to_progress(parts: &[Part], keep_text: bool, progress: &mut Progress) -> bool {
     let mut ended = false;
     for part in parts {
