--- a/daemon/src/answer.rs
+++ b/daemon/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers and operators.
+//! HTTP responses to callers and operators.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -13,23 +13,23 @@
 use serde::Serialize;
 use tokio::sync::mpsc;
 
-/// The header with the request's id in answers.
+/// Response header with the request id.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
-/// The header with the VM that answered.
+/// Response header with the VM that handled the request.
 pub const VM_HEADER: &str = "x-foldlock-vm";
 
-/// The header with the time after which to come back, milliseconds.
+/// Response header with the time after which to retry, in milliseconds.
 pub const RETRY_AFTER_MS_HEADER: &str = "retry-after-ms";
 
-/// The header that says whether the request ran.
+/// Response header that states whether the request ran.
 pub const RAN_HEADER: &str = "x-ran";
 
-/// The body of an answer.
+/// The body of a response.
 pub enum Body {
-    /// All of it.
+    /// A complete body.
     Whole(Option<Bytes>),
-    /// Parts as they come.
+    /// Parts, sent as they arrive.
     Stream(mpsc::Receiver<Bytes>),
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// The one JSON shape of errors.
+/// The JSON body of all error responses.
 #[derive(Debug, Serialize)]
 pub struct ErrorBody<'a> {
     error: ErrorFields<'a>,
@@ -78,7 +78,7 @@
     request: &'a str,
 }
 
-/// An error as JSON.
+/// The JSON body for an error.
 pub fn error_body<'a>(error: &'a Error, request: &'a id::Request) -> ErrorBody<'a> {
     ErrorBody {
         error: ErrorFields {
@@ -91,7 +91,7 @@
     }
 }
 
-/// The answer for an error.
+/// The response for an error.
 pub fn error(error: &Error, request: &id::Request) -> Response<Body> {
     let status = StatusCode::from_u16(error.kind().status());
     let mut answer =
@@ -106,18 +106,18 @@
     answer
 }
 
-/// An answer with JSON.
+/// A response with a JSON body.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     let bytes = serde_json::to_vec(value).expect("plain data");
     whole(status, "application/json", bytes)
 }
 
-/// An answer with text.
+/// A response with a plain text body.
 pub fn text(status: StatusCode, text: impl Into<Bytes>) -> Response<Body> {
     whole(status, "text/plain; charset=utf-8", text)
 }
 
-/// An answer with a body that is there.
+/// A response with a complete body.
 pub fn whole(
     status: StatusCode,
     content_type: &'static str,
@@ -129,7 +129,7 @@
     answer
 }
 
-/// An answer whose parts come one by one.
+/// A response with a streamed body.
 pub fn stream(content_type: &'static str, parts: mpsc::Receiver<Bytes>) -> Response<Body> {
     let mut answer = Response::new(Body::Stream(parts));
     answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
