--- a/daemon/src/complete.rs
+++ b/daemon/src/complete.rs
@@ -1,4 +1,4 @@
-//! A caller's request: who asks, what is asked, under which settings and limits.
+//! Handles callers' requests: authentication, parsing, settings, limits and idempotency keys.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,53 +34,53 @@
 use crate::serve::{self, Job};
 use crate::{plain, resume};
 
-/// The header that names the kind of request.
+/// Request header with the kind of request.
 pub const KIND: &str = "x-request-kind";
 
-/// The header with the time that the caller gives, milliseconds.
+/// Request header with the caller's timeout, in milliseconds.
 pub const TIMEOUT: &str = "x-request-timeout-ms";
 
-/// The header with the key of a request that is not to be repeated.
+/// Request header with the idempotency key.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// The header with the cursor of the last event that a caller has.
+/// Request header with the cursor of the last event received, to resume a stream.
 pub const LAST_EVENT: &str = "last-event-id";
 
-/// The longest idempotency key.
+/// Maximum length of an idempotency key.
 const MAX_KEY_LEN: usize = 256;
 
-/// How long a body may take to arrive at most.
+/// Maximum time to receive a body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A caller who may ask, with the settings that apply.
+/// An authenticated caller, with the settings that apply to the request.
 pub struct Caller {
-    /// The process.
+    /// The process that handles the request.
     pub process: Arc<Process>,
-    /// The request's id.
+    /// Id of the request.
     pub request: id::Request,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: std::time::Instant,
-    /// The settings version.
+    /// The settings version that applies.
     pub version: Arc<Version>,
-    /// The organisation.
+    /// The organisation of the caller.
     pub organisation: id::Organisation,
-    /// The kind of request.
+    /// The kind of request, if the caller named one.
     pub kind: Option<id::Kind>,
-    /// The settings.
+    /// The effective settings for the organisation and kind.
     pub policy: Arc<Policy>,
-    /// The deadline.
+    /// Deadline of the request.
     pub deadline: Deadline,
-    /// The idempotency key.
+    /// Idempotency key, if the caller sent one.
     pub key: Option<String>,
     permits: Vec<Permit<System>>,
 }
 
-/// An error for a request that was not sent.
+/// An error for a request that was not sent to an upstream.
 pub fn reject(kind: Kind, message: impl Into<String>) -> Error {
     Error::unsent(kind, message, Unsent::arrived())
 }
 
-/// Answers a caller.
+/// Handles a request and returns the response.
 pub async fn answer(process: Arc<Process>, request: Request<Incoming>) -> Response<Body> {
     let id = process.request_id();
     let busy = drain::busy(&process);
@@ -167,7 +167,7 @@
         })
     }
 
-    /// Reads the body, as far as the settings allow.
+    /// Reads the body, up to the size allowed by the settings.
     pub async fn body(&self, body: Incoming) -> Result<Bytes, Error> {
         let max_bytes = self.policy.max_body_bytes;
         let wait = self.deadline.left(&self.process.clock).min(BODY_TIMEOUT);
@@ -176,12 +176,12 @@
             Ok(Err(e)) if e.is::<LengthLimitError>() => {
                 Err(reject(Kind::TooLarge, format!("the body is larger than {max_bytes} bytes")))
             }
-            Ok(Err(e)) => Err(reject(Kind::BadRequest, format!("the body broke off: {e}"))),
-            Err(_) => Err(reject(Kind::RequestTimeout, "the body came too slowly")),
+            Ok(Err(e)) => Err(reject(Kind::BadRequest, format!("the body was cut off: {e}"))),
+            Err(_) => Err(reject(Kind::RequestTimeout, "timed out while receiving the body")),
         }
     }
 
-    /// Lets the request in under the limits of its organisation and kind.
+    /// Admits the request under the limits of its organisation and kind.
     pub fn admit(&mut self, prompt: Tokens) -> Result<(), Error> {
         let vms = self.process.members.live().len();
         let tree = &self.version.tree;
@@ -194,7 +194,7 @@
             match self.process.limits.admit(&name, &effective.policy, vms, prompt) {
                 Ok(permit) => self.permits.extend(permit),
                 Err(exceeded) => {
-                    let why = format!("`{}` of {name} is used up", exceeded.limit);
+                    let why = format!("limit `{}` of {name} exceeded", exceeded.limit);
                     return Err(reject(Kind::Limited, why).retry_after(exceeded.retry_after));
                 }
             }
@@ -203,7 +203,7 @@
         Ok(())
     }
 
-    /// Begins the record.
+    /// Starts the decision record.
     pub fn record(&self, target: &str, prompt: Tokens) -> Entry {
         self.process.ring.begin(Subject {
             request: self.request.clone(),
@@ -216,20 +216,20 @@
         })
     }
 
-    /// Adds a decision to a record.
+    /// Adds a decision to the record.
     pub fn step(&self, entry: &Entry, decision: Decision) {
         let at_ms = millis(self.process.clock.now() - self.arrived);
         entry.add(Step { at_ms, decision });
     }
 
-    /// Records that the request is refused.
+    /// Records that the request is rejected.
     pub fn record_rejection(&self, entry: &Entry, error: &Error) {
         let retry_after_ms = error.retry().map(|d| d.as_millis() as u64);
         let why = error.message().to_owned();
         self.step(entry, Decision::Refused { kind: error.kind(), why, retry_after_ms });
     }
 
-    /// Claims the idempotency key of a request that may not be repeated.
+    /// Claims the idempotency key, if there is one and the request must not be repeated.
     pub async fn claim(&self, entry: &Entry, repeatable: bool) -> Result<Option<KeyClaim>, Error> {
         let Some(key) = self.key.as_deref().filter(|_| !repeatable) else { return Ok(None) };
         let started = self.process.clock.now();
@@ -249,11 +249,11 @@
         Err(match verdict {
             Verdict::Ran => Error::claimed("a request with this key has run", Ran::Yes),
             Verdict::Taken | Verdict::Won => {
-                let why = "a request with this key was sent; what became of it is not known";
+                let why = "a request with this key was sent; its outcome is not known";
                 Error::claimed(why, Ran::Unknown)
             }
             Verdict::Unavailable => {
-                let why = "the key cannot be claimed: the key-value service does not answer";
+                let why = "the key cannot be claimed: the key-value service does not respond";
                 reject(Kind::StoreUnavailable, why).retry_after(Duration::from_secs(1))
             }
         })
@@ -376,7 +376,8 @@
 ) -> Result<Response<Body>, Error> {
     let (mut sink, waiting) = Events::new(&job.request, &job.prompt.model, job.prompt.style);
     tokio::spawn(async move {
-        // The limits count the request, and a stop waits for it, until its end.
+        // Until the stream ends, the request counts against the limits, and a stopping VM waits for
+        // it.
         let _caller = caller;
         let _busy = busy;
         job.process.metrics.streams.inc();
