--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -1,5 +1,5 @@
-//! One task for each peer: opens a connection, exchanges heartbeats and keeps the connection for
-//! calls. And the calls that peers make here.
+//! Connections to peers: one task per peer opens a connection, exchanges heartbeats on it and keeps
+//! it for calls. Also serves the calls that peers make to this VM.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
@@ -21,16 +21,16 @@
 use crate::members::Transition;
 use crate::process::Process;
 
-/// How often heartbeats are exchanged with a peer.
+/// Interval of heartbeats with a peer.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long an exchange waits for its answer.
+/// Timeout of a heartbeat exchange.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How long it takes until a lost peer is tried again.
+/// Delay before reconnecting to a peer.
 const RECONNECT_DELAY: Duration = Duration::from_millis(300);
 
-/// How often the set of peers is looked over, if nothing changes.
+/// How often the set of peers is updated if no change is notified.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Default)]
@@ -39,7 +39,7 @@
     tasks: HashMap<id::Vm, (String, AbortHandle)>,
 }
 
-/// The connections to peers.
+/// The connections to peers, and the tasks that keep them.
 #[derive(Default)]
 pub struct Peers {
     table: Mutex<Table>,
@@ -47,22 +47,22 @@
 }
 
 impl Peers {
-    /// The connection to a peer, while there is one.
+    /// The connection to a peer, if it is connected.
     pub fn get(&self, vm: &id::Vm) -> Option<Connection> {
         self.table.lock().unwrap().connections.get(vm).cloned()
     }
 
-    /// All connections.
+    /// The connections to all connected peers.
     pub fn all(&self) -> Vec<Connection> {
         self.table.lock().unwrap().connections.values().cloned().collect()
     }
 
-    /// Peers that heartbeats are exchanged with.
+    /// Number of peers with which heartbeats are exchanged.
     pub fn count(&self) -> usize {
         self.table.lock().unwrap().tasks.len()
     }
 
-    /// Makes each peer's task exchange at once.
+    /// Makes the task of each peer exchange a heartbeat at once.
     pub fn exchange_now(&self) {
         self.exchange_now.notify_waiters();
     }
@@ -76,7 +76,7 @@
     }
 }
 
-/// Keeps one task for each peer that is needed.
+/// Runs one task per peer that this VM needs.
 pub async fn run(process: Arc<Process>) {
     loop {
         let changed = process.members.changed();
@@ -86,7 +86,7 @@
     }
 }
 
-/// The VMs that this one has to reach: homes of shards and limits, and the writer of claims.
+/// The VMs that this VM has to reach: the homes of its shards and limits, and the writer of claims.
 fn needed(process: &Process) -> Vec<id::Vm> {
     let live = process.members.live();
     let shards = process.shards();
@@ -122,7 +122,7 @@
     }
 }
 
-/// Keeps a connection to a peer for as long as it is needed.
+/// Keeps a connection to a peer until the task is aborted.
 async fn maintain(process: Arc<Process>, peer: Member) {
     loop {
         if let Ok(connection) = peer::connect(&peer.address).await {
@@ -152,13 +152,13 @@
     }
 }
 
-/// Serves the calls of one peer.
+/// Handler of the calls of one peer.
 #[derive(Clone)]
 pub struct Server {
     process: Arc<Process>,
 }
 
-/// Serves a connection that a peer opened, until it ends.
+/// Serves a connection that a peer opened, until it is closed.
 pub async fn serve(process: Arc<Process>, channel: peer::Served) {
     let server = Server { process };
     channel
@@ -222,7 +222,7 @@
         }
     }
 
-    /// The states of the engines whose home this VM is and that a peer uses.
+    /// The states of the engines that a peer uses and whose home is this VM.
     fn states_for(&self, to: &id::Vm, own: &[&Shard]) -> Vec<foldlock_connection::wire::State> {
         let Some(peer) = self.members.get(to) else { return Vec::new() };
         let shards = self.shards();
@@ -232,7 +232,7 @@
         self.home.states(&engines, to)
     }
 
-    /// Takes a peer's heartbeat.
+    /// Handles a peer's heartbeat.
     pub fn on_heartbeat(self: &Arc<Self>, heartbeat: &Beat, connection: Option<&Connection>) {
         let from = &heartbeat.from.vm;
         if let Some(transition) = self.members.on_heartbeat(&heartbeat.from) {
@@ -261,7 +261,7 @@
         }
     }
 
-    /// Logs news of a member.
+    /// Logs a change of a member's state.
     pub fn log_transition(&self, transition: &Transition) {
         let (event, vm) = match transition {
             Transition::Up(vm) => (Event::MemberUp, vm),
@@ -271,7 +271,7 @@
         log::event(&self.log, event, vm);
     }
 
-    /// Takes a sign of this VM's own that an upstream is leaving.
+    /// Handles a sign, seen by this VM itself, that an upstream is leaving.
     pub fn upstream_leaving(&self, engine: &id::Upstream) {
         self.home.mark_leaving(engine);
         if self.engines.mark_leaving(engine) {
@@ -280,7 +280,7 @@
         }
     }
 
-    /// The home of a limit.
+    /// The home of a limit: the VM that allocates it.
     pub fn limit_home(&self, name: &str) -> Option<id::Vm> {
         let live = self.members.live();
         crate::members::owner_of(&format!("limit/{name}"), live.iter()).map(|m| m.vm.clone())
