--- a/daemon/src/members.rs
+++ b/daemon/src/members.rs
@@ -1,9 +1,10 @@
-//! The VMs as this one knows them, from the platform's lagging list and from heartbeats.
+//! Membership: the VMs as recorded by this VM, from the platform's list, which lags behind, and
+//! from heartbeats.
 //!
-//! A VM is alive while it is heard, directly or through others; silence of a peer that this VM
-//! exchanges heartbeats with makes it down. News of a member spreads with heartbeats: a higher
-//! incarnation goes first, and within one incarnation `down` and `leaving` go before alive. A VM
-//! that hears itself called down answers with a higher incarnation.
+//! A peer with which this VM exchanges heartbeats is marked down if it is silent for too long;
+//! other VMs are up until announced otherwise. State changes are announced with heartbeats: a
+//! higher incarnation supersedes a lower one, and within one incarnation `down` and `leaving`
+//! supersede up. A VM that receives an announcement that it is down raises its own incarnation.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -16,19 +17,19 @@
 use serde::Serialize;
 use tokio::sync::Notify;
 
-/// A peer that is not heard for this long is down.
+/// Time without a heartbeat after which a peer is down.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// A member that is down and no longer listed is forgotten after this long.
+/// Time since a member was last seen after which it is removed, if it is no longer listed.
 const FORGET_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Peers that a VM exchanges heartbeats with, beside the homes that it needs.
+/// Number of peers with which a VM exchanges heartbeats, besides those that it needs.
 pub const FANOUT: usize = 8;
 
-/// Members that a heartbeat names at most.
+/// Maximum number of members in a heartbeat.
 const MAX_ANNOUNCED_MEMBERS: usize = 16;
 
-/// How many heartbeats carry a piece of news.
+/// Number of heartbeats with which a change is announced.
 const ANNOUNCE_COUNT: u32 = 8;
 
 #[derive(Debug, Clone)]
@@ -44,18 +45,18 @@
     listed: Vec<id::Vm>,
 }
 
-/// What changed.
+/// A change of a member's state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Transition {
     /// A VM joined or came back.
     Up(id::Vm),
-    /// A VM is no longer heard.
+    /// A VM is down.
     Down(id::Vm),
     /// A VM is stopping.
     Leaving(id::Vm),
 }
 
-/// The members.
+/// The VMs of the fleet.
 pub struct Members<C> {
     clock: C,
     inner: Mutex<Inner>,
@@ -63,7 +64,7 @@
     live: Mutex<Arc<Vec<Member>>>,
 }
 
-/// A member in a dump.
+/// A member's state in a dump.
 #[derive(Debug, Serialize)]
 pub struct Dump {
     #[serde(flatten)]
@@ -72,36 +73,36 @@
 }
 
 impl<C: Clock> Members<C> {
-    /// Only the VM itself.
+    /// Creates a list with only the VM itself.
     pub fn new(clock: C, own: Member) -> Members<C> {
         let live = Mutex::new(Arc::new(vec![own.clone()]));
         let inner = Mutex::new(Inner { own, tracked: BTreeMap::new(), listed: Vec::new() });
         Members { clock, inner, changed: Notify::new(), live }
     }
 
-    /// The VM itself.
+    /// This VM.
     pub fn own(&self) -> Member {
         self.inner.lock().unwrap().own.clone()
     }
 
-    /// The VM is stopping.
+    /// Marks this VM as leaving.
     pub fn leave(&self) {
         self.inner.lock().unwrap().own.leaving = true;
         self.refresh();
     }
 
-    /// The members that can take a part: alive and not leaving, the VM itself among them.
+    /// The members that are up and not leaving, including this VM.
     pub fn live(&self) -> Arc<Vec<Member>> {
         self.live.lock().unwrap().clone()
     }
 
-    /// Tells when the members change.
+    /// Notifies when the live members change.
     pub fn changed(&self) -> tokio::sync::futures::Notified<'_> {
         self.changed.notified()
     }
 
-    /// Takes the platform's list. A VM that is new in it is taken for alive until found silent; one
-    /// that is heard is alive whatever the list says.
+    /// Merges the platform's list. A newly listed VM counts as up until it is found silent; a VM
+    /// that was seen recently stays even if it is not listed.
     pub fn merge_listing(&self, listing: &Listing) {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
@@ -137,7 +138,7 @@
         self.refresh();
     }
 
-    /// A heartbeat came from a member itself.
+    /// Handles a member's own state in its heartbeat.
     pub fn on_heartbeat(&self, member: &Member) -> Option<Transition> {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
@@ -153,7 +154,7 @@
         self.publish(transition)
     }
 
-    /// Another member said this of a member.
+    /// Merges a member's state as announced by another member.
     pub fn merge(&self, member: &Member) -> Option<Transition> {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
@@ -172,7 +173,7 @@
         self.publish(transition)
     }
 
-    /// A peer that heartbeats are exchanged with has not been heard for too long.
+    /// Marks a peer down if it was last seen too long ago.
     pub fn mark_down_if_silent(&self, vm: &id::Vm) -> Option<Transition> {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
@@ -207,7 +208,7 @@
         }
     }
 
-    /// News for a heartbeat, the least spread first.
+    /// Changed members to announce with a heartbeat.
     pub fn announcements(&self) -> Vec<Member> {
         let mut inner = self.inner.lock().unwrap();
         let fresh = inner
@@ -223,8 +224,8 @@
             .collect()
     }
 
-    /// The peers to exchange heartbeats with: a bounded number by rendezvous, and each VM in
-    /// `needed`. Those that are down are among them, so that they are noticed when they return.
+    /// The peers to exchange heartbeats with: a bounded number by rendezvous hashing, and each VM
+    /// in `needed`. Peers that are down are included, so that their return is noticed.
     pub fn targets(&self, needed: &[id::Vm]) -> Vec<Member> {
         let inner = self.inner.lock().unwrap();
         let own = inner.own.vm.as_str();
@@ -238,17 +239,17 @@
         chosen.iter().map(|vm| inner.tracked[*vm].member.clone()).collect()
     }
 
-    /// A member by name.
+    /// The recorded state of a member.
     pub fn get(&self, vm: &id::Vm) -> Option<Member> {
         self.inner.lock().unwrap().tracked.get(vm).map(|k| k.member.clone())
     }
 
-    /// Whether any other VM is known.
+    /// Whether no other VM is live.
     pub fn is_alone(&self) -> bool {
         self.live().iter().all(|m| m.vm == self.own().vm)
     }
 
-    /// The members, for a dump.
+    /// State of the members for a dump.
     pub fn dump(&self) -> BTreeMap<id::Vm, Dump> {
         let now = self.clock.now();
         let inner = self.inner.lock().unwrap();
@@ -261,7 +262,7 @@
 }
 
 impl Inner {
-    /// Takes what is said of a member for what is known; it spreads on if it is new.
+    /// Replaces the recorded state of a member, and announces it if it changed.
     fn adopt(&mut self, member: &Member, now: Instant) -> Option<Transition> {
         let tracked =
             Tracked { member: member.clone(), last_seen: now, announcements_left: ANNOUNCE_COUNT };
@@ -273,7 +274,7 @@
     }
 }
 
-/// Whether what is said of a member goes before what is known.
+/// Whether a received state supersedes the recorded one.
 fn supersedes(received: &Member, tracked: &Member) -> bool {
     let rank = |m: &Member| (m.incarnation, m.down, m.leaving);
     rank(received) > rank(tracked)
@@ -292,7 +293,7 @@
     })
 }
 
-/// The VM that takes a part, among these.
+/// The member responsible for a key, by rendezvous hashing.
 pub fn owner_of<'a>(
     key: &str,
     members: impl IntoIterator<Item = &'a Member>,
