--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -1,8 +1,9 @@
-//! Claims of idempotency keys: written to the key-value service before a request that may not be
-//! repeated is sent.
+//! Claims of idempotency keys, written to the key-value service before sending a request that must
+//! not be repeated.
 //!
-//! One VM, named by rendezvous, writes for all, in batches. Any other VM that cannot reach it
-//! writes by itself: the compare-and-swap decides. See `foldlock_request::claim` for the log.
+//! One VM, chosen by rendezvous hashing, writes the claims of all VMs in batches. A VM that cannot
+//! reach it writes its own claims; the compare-and-swap resolves conflicts. See
+//! `foldlock_request::claim` for the log.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -19,25 +20,25 @@
 use crate::members;
 use crate::process::Process;
 
-/// The one shard of today. Its number is in keys and messages, so that there can be more.
+/// The only shard at present. Its number is part of keys and messages, so that more can be added.
 const SHARD: u32 = 0;
 
-/// The least time between two writes, in which claims gather.
+/// Minimum time between two writes, during which claims are collected into a batch.
 const BATCH_INTERVAL: Duration = Duration::from_millis(25);
 
-/// The largest batch.
+/// Maximum number of claims in a batch.
 const MAX_BATCH: usize = 2_000;
 
-/// How often a batch is tried again after a conflict or a lost answer.
+/// Maximum attempts to write a batch, after conflicts or lost responses.
 const MAX_ATTEMPTS: u32 = 6;
 
-/// How long the VM that writes has to answer another one.
+/// Timeout of claims forwarded to the writing VM.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How often settlements are sent, and tried again.
+/// Interval at which settlements are sent and retried.
 const SETTLE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a stopping process tries to write its settlements.
+/// Maximum time for which a stopping process waits until its settlements are written.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
 
 struct QueuedClaim {
@@ -45,7 +46,7 @@
     verdict: oneshot::Sender<Verdict>,
 }
 
-/// The claims.
+/// This VM's claims and settlements, and the queue of claims to be written here.
 pub struct Claims {
     store: HttpStore,
     inbox: mpsc::UnboundedSender<QueuedClaim>,
@@ -54,7 +55,7 @@
     settled: Notify,
 }
 
-/// A key that this VM holds for one attempt. Given back when dropped, unless it was sent.
+/// A key claimed by this VM for one attempt. Released when dropped, unless the attempt was sent.
 pub struct KeyClaim {
     process: Arc<Process>,
     key: u128,
@@ -63,17 +64,17 @@
 }
 
 impl KeyClaim {
-    /// The attempt is on its way: from here on the key stays taken.
+    /// Marks the attempt as sent: from now on the key is not released.
     pub fn sent(&mut self) {
         self.sent = true;
     }
 
-    /// The attempt was proved not to have run.
+    /// Marks the attempt as proven not to have run.
     pub fn not_run(&mut self) {
         self.sent = false;
     }
 
-    /// The attempt ran to its end.
+    /// Records that the attempt ran to its end.
     pub fn done(&mut self) {
         self.sent = true;
         self.settle(Word::Done);
@@ -94,19 +95,19 @@
 }
 
 impl Claims {
-    /// Claims that lie in this store.
+    /// Creates the claims that are stored in `store`.
     pub fn new(store: HttpStore) -> Claims {
         let (inbox, outlet) = mpsc::unbounded_channel();
         let outlet = Mutex::new(Some(outlet));
         Claims { store, inbox, outlet, settlements: Mutex::default(), settled: Notify::new() }
     }
 
-    /// The VM that writes.
+    /// The VM that writes claims.
     pub fn writer(&self, live: &[Member]) -> Option<id::Vm> {
         members::owner_of(&format!("claims/{SHARD}"), live).map(|m| m.vm.clone())
     }
 
-    /// Claims a key for one attempt.
+    /// Claims a key for one attempt. Returns the verdict as an error if the key is not won.
     pub async fn claim(process: &Arc<Process>, key: u128) -> Result<KeyClaim, Verdict> {
         let nonce = rand::random();
         let mut key_claim = KeyClaim { process: process.clone(), key, nonce, sent: false };
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Writes claims at this VM.
+    /// Writes claims from this VM.
     pub async fn write_here(&self, shard: u32, claims: Vec<Claim>) -> Vec<Verdict> {
         if shard != SHARD {
             return vec![Verdict::Unavailable; claims.len()];
@@ -139,7 +140,7 @@
         verdicts
     }
 
-    /// Waits until what became of each attempt is written, for a while.
+    /// Waits until all settlements are written, with a timeout.
     pub async fn flush(&self) {
         let flushed = async {
             loop {
@@ -154,7 +155,7 @@
     }
 }
 
-/// Sends claims to the VM that writes, or writes them here.
+/// Sends claims to the writing VM, or writes them from this VM if that fails.
 async fn send(process: &Arc<Process>, claims: Vec<Claim>) -> Vec<Verdict> {
     let live = process.members.live();
     let writer = process.claims.writer(&live);
@@ -171,7 +172,7 @@
     process.claims.write_here(SHARD, claims).await
 }
 
-/// Writes what comes to this VM, and sends settlements.
+/// Runs the writer of this VM and sends its settlements.
 pub async fn run(process: Arc<Process>) {
     let outlet = process.claims.outlet.lock().unwrap().take();
     let Some(outlet) = outlet else { return };
@@ -205,7 +206,7 @@
     }
 }
 
-/// The one task of a VM that writes the log.
+/// The task that writes the log, one per VM.
 struct Writer {
     store: HttpStore,
     log: Log,
@@ -234,8 +235,8 @@
         }
     }
 
-    /// Decides a batch and writes it. After a conflict or a lost answer the log is read on, in
-    /// which the own entries are found if the write took effect.
+    /// Decides a batch and writes it. After a conflict or a lost response it reads the new entries
+    /// of the log, which include the batch if the write took effect.
     async fn decide(&mut self, claims: &[Claim]) -> Vec<Verdict> {
         let unavailable = vec![Verdict::Unavailable; claims.len()];
         for attempt in 0..MAX_ATTEMPTS {
@@ -260,7 +261,7 @@
         unavailable
     }
 
-    /// Reads what others wrote since.
+    /// Reads the entries written by others since the last read; all slots the first time.
     async fn read_new_entries(&mut self) -> Result<(), Failure> {
         if !self.loaded {
             self.read_all().await?;
@@ -302,9 +303,9 @@
 
 fn text_of(entry: &Entry) -> Result<String, Failure> {
     String::from_utf8(entry.value.clone())
-        .map_err(|_| Failure::Unavailable("a slot of claims is not text".to_owned()))
+        .map_err(|_| Failure::Unavailable("a slot of claims is not valid UTF-8".to_owned()))
 }
 
 fn unreadable(e: claim::Unreadable) -> Failure {
-    Failure::Unavailable(format!("a slot of claims cannot be read: {}", e.0))
+    Failure::Unavailable(format!("a slot of claims cannot be parsed: {}", e.0))
 }
