--- a/daemon/src/complete.rs
+++ b/daemon/src/complete.rs
@@ -1,4 +1,4 @@
-//! A caller's request: who asks, what is asked, under which settings and limits.
+//! Handles callers' requests: authentication, parsing, settings, limits and idempotency keys.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use foldlock_connection::wire::Verdict;
 use foldlock_request::affinity;
 use foldlock_request::claim;
-use foldlock_request::decision::{Decision, Subject, TimedDecision};
+use foldlock_request::decision::{self, Decision, Subject};
 use foldlock_request::limit::Permit;
 use foldlock_request::prompt::{self, Style};
 use foldlock_request::ring::Entry;
@@ -24,7 +24,7 @@
 use hyper::{HeaderMap, Method, Request, Response, StatusCode};
 
 use crate::answer::{self, Body};
-use crate::claims::{Claims, Held};
+use crate::claims::{Claims, KeyClaim};
 use crate::current::Version;
 use crate::drain;
 use crate::limits;
@@ -34,58 +34,58 @@
 use crate::serve::{self, Job};
 use crate::{plain, resume};
 
-/// The header that names the kind of request.
+/// Request header with the kind of request.
 pub const KIND: &str = "x-request-kind";
 
-/// The header with the time that the caller gives, milliseconds.
+/// Request header with the caller's timeout, in milliseconds.
 pub const TIMEOUT: &str = "x-request-timeout-ms";
 
-/// The header with the key of a request that is not to be repeated.
+/// Request header with the idempotency key.
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// The header with the cursor of the last event that a caller has.
+/// Request header with the cursor of the last event received, to resume a stream.
 pub const LAST_EVENT: &str = "last-event-id";
 
-/// The longest idempotency key.
-const MAX_KEY: usize = 256;
+/// Maximum length of an idempotency key.
+const MAX_KEY_LEN: usize = 256;
 
-/// How long a body may take to arrive at most.
-const BODY: Duration = Duration::from_secs(30);
+/// Maximum time to receive a body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A caller who may ask, with the settings that apply.
+/// An authenticated caller, with the settings that apply to the request.
 pub struct Caller {
-    /// The process.
+    /// The process that handles the request.
     pub process: Arc<Process>,
-    /// The request's id.
+    /// Id of the request.
     pub request: id::Request,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: std::time::Instant,
-    /// The settings version.
+    /// The settings version that applies.
     pub version: Arc<Version>,
-    /// The organisation.
+    /// The organisation of the caller.
     pub organisation: id::Organisation,
-    /// The kind of request.
+    /// The kind of request, if the caller named one.
     pub kind: Option<id::Kind>,
-    /// The settings.
+    /// The effective settings for the organisation and kind.
     pub policy: Arc<Policy>,
-    /// The deadline.
+    /// Deadline of the request.
     pub deadline: Deadline,
-    /// The idempotency key.
+    /// Idempotency key, if the caller sent one.
     pub key: Option<String>,
     permits: Vec<Permit<System>>,
 }
 
-/// An error for a request that was not sent.
-pub fn refuse(kind: Kind, message: impl Into<String>) -> Error {
+/// An error for a request that was not sent to an upstream.
+pub fn reject(kind: Kind, message: impl Into<String>) -> Error {
     Error::unsent(kind, message, Unsent::arrived())
 }
 
-/// Answers a caller.
+/// Handles a request and returns the response.
 pub async fn answer(process: Arc<Process>, request: Request<Incoming>) -> Response<Body> {
     let id = process.request_id();
     let busy = drain::busy(&process);
     let result = if process.drain.closed() {
-        let error = refuse(Kind::Draining, "this VM is stopping");
+        let error = reject(Kind::Draining, "this VM is stopping");
         Err(error.retry_after(Duration::from_millis(50)))
     } else {
         route(&process, &id, request, busy).await
@@ -96,8 +96,8 @@
     });
     let headers = answer.headers_mut();
     let value = |text: &str| HeaderValue::try_from(text).expect("identifiers fit headers");
-    headers.insert(answer::REQUEST, value(id.as_str()));
-    headers.insert(answer::VM, value(process.config.vm.as_str()));
+    headers.insert(answer::REQUEST_ID_HEADER, value(id.as_str()));
+    headers.insert(answer::VM_HEADER, value(process.config.vm.as_str()));
     answer
 }
 
@@ -107,7 +107,7 @@
     request: Request<Incoming>,
     busy: drain::Busy,
 ) -> Result<Response<Body>, Error> {
-    let caller = Caller::read(process, id, request.headers())?;
+    let caller = Caller::from_headers(process, id, request.headers())?;
     let counted = ByOrganisation { organisation: caller.organisation.to_string() };
     process.metrics.requests.get_or_create(&counted).inc();
     let style = match request.uri().path() {
@@ -117,10 +117,10 @@
         path if caller.version.tree.service_of(path).is_some() => {
             return plain::answer(caller, request).await;
         }
-        path => return Err(refuse(Kind::NotFound, format!("there is no {path}"))),
+        path => return Err(reject(Kind::NotFound, format!("there is no {path}"))),
     };
     if request.method() != Method::POST {
-        return Err(refuse(Kind::MethodNotAllowed, "a completion is asked for by POST"));
+        return Err(reject(Kind::MethodNotAllowed, "a completion is asked for by POST"));
     }
     if request.headers().contains_key(LAST_EVENT) {
         return resume::answer(caller, &request, busy).await;
@@ -130,28 +130,28 @@
 }
 
 impl Caller {
-    fn read(
+    fn from_headers(
         process: &Arc<Process>,
         id: &id::Request,
         headers: &HeaderMap,
     ) -> Result<Caller, Error> {
         let version = process.current.get();
         if version.head.version == 0 {
-            return Err(refuse(Kind::StoreUnavailable, "there are no settings yet")
+            return Err(reject(Kind::StoreUnavailable, "there are no settings yet")
                 .retry_after(Duration::from_secs(1)));
         }
         let key = bearer(headers)
-            .ok_or_else(|| refuse(Kind::Unauthorized, "`Authorization: Bearer KEY` is needed"))?;
+            .ok_or_else(|| reject(Kind::Unauthorized, "`Authorization: Bearer KEY` is needed"))?;
         let organisation = version
             .tree
             .organisation_of(key)
             .cloned()
-            .ok_or_else(|| refuse(Kind::Unauthorized, "no organisation has this key"))?;
+            .ok_or_else(|| reject(Kind::Unauthorized, "no organisation has this key"))?;
         let kind = kind_of(&version, &organisation, headers)?;
         let effective = version.tree.effective(&organisation, kind.as_ref());
         let policy = effective
             .map(|e| e.policy.clone())
-            .ok_or_else(|| refuse(Kind::Internal, "the organisation has no settings"))?;
+            .ok_or_else(|| reject(Kind::Internal, "the organisation has no settings"))?;
         let timeout = policy.timeout(timeout_of(headers)?);
         Ok(Caller {
             process: process.clone(),
@@ -167,21 +167,21 @@
         })
     }
 
-    /// Reads the body, as far as the settings allow.
+    /// Reads the body, up to the size allowed by the settings.
     pub async fn body(&self, body: Incoming) -> Result<Bytes, Error> {
-        let most = self.policy.max_body_bytes;
-        let wait = self.deadline.left(&self.process.clock).min(BODY);
-        match tokio::time::timeout(wait, Limited::new(body, most).collect()).await {
+        let max_bytes = self.policy.max_body_bytes;
+        let wait = self.deadline.left(&self.process.clock).min(BODY_TIMEOUT);
+        match tokio::time::timeout(wait, Limited::new(body, max_bytes).collect()).await {
             Ok(Ok(collected)) => Ok(collected.to_bytes()),
             Ok(Err(e)) if e.is::<LengthLimitError>() => {
-                Err(refuse(Kind::TooLarge, format!("the body is larger than {most} bytes")))
+                Err(reject(Kind::TooLarge, format!("the body is larger than {max_bytes} bytes")))
             }
-            Ok(Err(e)) => Err(refuse(Kind::BadRequest, format!("the body broke off: {e}"))),
-            Err(_) => Err(refuse(Kind::RequestTimeout, "the body came too slowly")),
+            Ok(Err(e)) => Err(reject(Kind::BadRequest, format!("the body was cut off: {e}"))),
+            Err(_) => Err(reject(Kind::RequestTimeout, "timed out while receiving the body")),
         }
     }
 
-    /// Lets the request in under the limits of its organisation and kind.
+    /// Admits the request under the limits of its organisation and kind.
     pub fn admit(&mut self, prompt: Tokens) -> Result<(), Error> {
         let vms = self.process.members.live().len();
         let tree = &self.version.tree;
@@ -193,9 +193,9 @@
             let Some(effective) = tree.effective(&self.organisation, kind) else { continue };
             match self.process.limits.admit(&name, &effective.policy, vms, prompt) {
                 Ok(permit) => self.permits.extend(permit),
-                Err(over) => {
-                    let why = format!("`{}` of {name} is used up", over.limit);
-                    return Err(refuse(Kind::Limited, why).retry_after(over.retry_after));
+                Err(exceeded) => {
+                    let why = format!("limit `{}` of {name} exceeded", exceeded.limit);
+                    return Err(reject(Kind::Limited, why).retry_after(exceeded.retry_after));
                 }
             }
         }
@@ -203,7 +203,7 @@
         Ok(())
     }
 
-    /// Begins the record.
+    /// Starts the decision record.
     pub fn record(&self, target: &str, prompt: Tokens) -> Entry {
         self.process.ring.begin(Subject {
             request: self.request.clone(),
@@ -216,21 +216,21 @@
         })
     }
 
-    /// Adds a decision to a record.
+    /// Adds a decision to the record.
     pub fn step(&self, entry: &Entry, decision: Decision) {
         let at_ms = millis(self.process.clock.now() - self.arrived);
-        entry.add(TimedDecision { at_ms, decision });
+        entry.add(decision::Entry { at_ms, decision });
     }
 
-    /// Records that the request is refused.
-    pub fn refused(&self, entry: &Entry, error: &Error) {
+    /// Records that the request is rejected.
+    pub fn record_rejection(&self, entry: &Entry, error: &Error) {
         let retry_after_ms = error.retry().map(|d| d.as_millis() as u64);
         let why = error.message().to_owned();
         self.step(entry, Decision::Rejected { kind: error.kind(), why, retry_after_ms });
     }
 
-    /// Claims the idempotency key of a request that may not be repeated.
-    pub async fn claim(&self, entry: &Entry, repeatable: bool) -> Result<Option<Held>, Error> {
+    /// Claims the idempotency key, if there is one and the request must not be repeated.
+    pub async fn claim(&self, entry: &Entry, repeatable: bool) -> Result<Option<KeyClaim>, Error> {
         let Some(key) = self.key.as_deref().filter(|_| !repeatable) else { return Ok(None) };
         let started = self.process.clock.now();
         let hash = claim::hash(&self.organisation, key);
@@ -238,9 +238,9 @@
         let claimed = tokio::time::timeout(left, Claims::claim(&self.process, hash)).await;
         let waited_ms = millis(self.process.clock.now() - started);
         let verdict = match claimed {
-            Ok(Ok(held)) => {
+            Ok(Ok(key_claim)) => {
                 self.step(entry, Decision::Claimed { won: true, waited_ms });
-                return Ok(Some(held));
+                return Ok(Some(key_claim));
             }
             Ok(Err(verdict)) => verdict,
             Err(_) => Verdict::Unavailable,
@@ -249,12 +249,12 @@
         Err(match verdict {
             Verdict::Ran => Error::claimed("a request with this key has run", Ran::Yes),
             Verdict::Taken | Verdict::Won => {
-                let why = "a request with this key was sent; what became of it is not known";
+                let why = "a request with this key was sent; its outcome is not known";
                 Error::claimed(why, Ran::Unknown)
             }
             Verdict::Unavailable => {
-                let why = "the key cannot be claimed: the key-value service does not answer";
-                refuse(Kind::StoreUnavailable, why).retry_after(Duration::from_secs(1))
+                let why = "the key cannot be claimed: the key-value service does not respond";
+                reject(Kind::StoreUnavailable, why).retry_after(Duration::from_secs(1))
             }
         })
     }
@@ -283,7 +283,7 @@
     if let Some(near) = nearest(text, kinds.keys().map(id::Kind::as_str)) {
         why.push_str(&format!("; did you mean `{near}`?"));
     }
-    Err(refuse(Kind::BadRequest, why))
+    Err(reject(Kind::BadRequest, why))
 }
 
 fn timeout_of(headers: &HeaderMap) -> Result<Option<Duration>, Error> {
@@ -291,17 +291,17 @@
     let millis = value.to_str().ok().and_then(|v| v.parse::<u64>().ok()).filter(|ms| *ms > 0);
     match millis {
         Some(millis) => Ok(Some(Duration::from_millis(millis))),
-        None => Err(refuse(Kind::BadRequest, format!("`{TIMEOUT}` is milliseconds, at least 1"))),
+        None => Err(reject(Kind::BadRequest, format!("`{TIMEOUT}` is milliseconds, at least 1"))),
     }
 }
 
 fn idempotency_key(headers: &HeaderMap) -> Result<Option<String>, Error> {
     let Some(value) = headers.get(IDEMPOTENCY_KEY) else { return Ok(None) };
     match value.to_str() {
-        Ok(text) if !text.is_empty() && text.len() <= MAX_KEY => Ok(Some(text.to_owned())),
+        Ok(text) if !text.is_empty() && text.len() <= MAX_KEY_LEN => Ok(Some(text.to_owned())),
         _ => {
-            let why = format!("`{IDEMPOTENCY_KEY}` is 1 to {MAX_KEY} visible characters");
-            Err(refuse(Kind::BadRequest, why))
+            let why = format!("`{IDEMPOTENCY_KEY}` is 1 to {MAX_KEY_LEN} visible characters");
+            Err(reject(Kind::BadRequest, why))
         }
     }
 }
@@ -312,26 +312,26 @@
     body: &[u8],
     busy: drain::Busy,
 ) -> Result<Response<Body>, Error> {
-    let prompt = prompt::read(style, body).map_err(|e| refuse(Kind::BadRequest, e.to_string()))?;
+    let prompt = prompt::parse(style, body).map_err(|e| reject(Kind::BadRequest, e.to_string()))?;
     let models = &caller.version.tree.fleet.models;
     let Some(model) = models.get(&prompt.model) else {
         let mut why = format!("there is no model `{}`", prompt.model);
         if let Some(near) = nearest(prompt.model.as_str(), models.keys().map(id::Model::as_str)) {
             why.push_str(&format!("; did you mean `{near}`?"));
         }
-        return Err(refuse(Kind::UnknownModel, why));
+        return Err(reject(Kind::UnknownModel, why));
     };
     let bytes_per_token = model.bytes_per_token;
     let tokens = prompt.tokens(bytes_per_token);
-    let most = caller.policy.max_answer_tokens;
-    let max_tokens = prompt.max_tokens.unwrap_or(most).min(most);
+    let max_answer_tokens = caller.policy.max_answer_tokens;
+    let max_tokens = prompt.max_tokens.unwrap_or(max_answer_tokens).min(max_answer_tokens);
     if tokens.0 + max_tokens > model.context_tokens {
         let why =
             format!("{tokens} + {max_tokens} tokens; the model takes {}", model.context_tokens);
-        return Err(refuse(Kind::PromptTooLong, why));
+        return Err(reject(Kind::PromptTooLong, why));
     }
     let entry = caller.record(prompt.model.as_str(), tokens);
-    caller.admit(tokens).inspect_err(|e| caller.refused(&entry, e))?;
+    caller.admit(tokens).inspect_err(|e| caller.record_rejection(&entry, e))?;
     caller.step(
         &entry,
         Decision::Admitted {
@@ -343,9 +343,9 @@
         },
     );
     let claim = caller.claim(&entry, caller.policy.repeatable).await;
-    let claim = claim.inspect_err(|e| caller.refused(&entry, e))?;
+    let claim = claim.inspect_err(|e| caller.record_rejection(&entry, e))?;
     let job = Job {
-        blocks: prefix::blocks(&prompt.text, affinity::BLOCKS),
+        blocks: prefix::blocks(&prompt.text, affinity::MAX_PROMPT_BLOCKS),
         process: caller.process.clone(),
         entry,
         arrived: caller.arrived,
@@ -362,7 +362,7 @@
     if job.prompt.stream { stream(caller, job, claim, busy).await } else { whole(job, claim).await }
 }
 
-async fn whole(job: Job, mut claim: Option<Held>) -> Result<Response<Body>, Error> {
+async fn whole(job: Job, mut claim: Option<KeyClaim>) -> Result<Response<Body>, Error> {
     let mut sink = Whole::default();
     let finished = serve::run(&job, &mut sink, &mut claim).await?;
     Ok(answer::json(StatusCode::OK, &pump::completion(&job, &sink, finished.tokens)))
@@ -371,12 +371,13 @@
 async fn stream(
     caller: Caller,
     job: Job,
-    mut claim: Option<Held>,
+    mut claim: Option<KeyClaim>,
     busy: drain::Busy,
 ) -> Result<Response<Body>, Error> {
     let (mut sink, waiting) = Events::new(&job.request, &job.prompt.model, job.prompt.style);
     tokio::spawn(async move {
-        // The limits count the request, and a stop waits for it, until its end.
+        // Until the stream ends, the request counts against the limits, and a stopping VM waits for
+        // it.
         let _caller = caller;
         let _busy = busy;
         job.process.metrics.streams.inc();
--- a/daemon/src/engines.rs
+++ b/daemon/src/engines.rs
@@ -1,5 +1,5 @@
-//! The engines as this VM knows them: its own work on each, what it learnt of their speed and
-//! caches, and what their homes say.
+//! This VM's state of the engines: its own load on each, models of their speed and caches, and the
+//! states announced by their homes.
 
 mod flight;
 
@@ -14,7 +14,7 @@
 use foldlock_connection::http::Client;
 use foldlock_connection::wire::{Load, State};
 use foldlock_request::affinity::Table;
-use foldlock_request::decision::{CandidateSnapshot, WaitCause};
+use foldlock_request::decision::{Cause, Snapshot};
 use foldlock_request::health::Health;
 use foldlock_request::route::{Candidate, Requirements, Routes};
 use foldlock_request::speed::Model;
@@ -26,63 +26,64 @@
 
 pub use flight::Flight;
 
-/// What a home says counts for this long.
-const HOME_FRESH: Duration = Duration::from_secs(2);
+/// How long a state announced by a home is valid.
+const HOME_STATE_TTL: Duration = Duration::from_secs(2);
 
-/// A sign that an engine is leaving counts for this long, unless it is renewed.
-pub const LEAVING_KEPT: Duration = Duration::from_secs(10);
+/// How long an engine counts as leaving after a sign of it, unless the sign is repeated.
+pub const LEAVING_TTL: Duration = Duration::from_secs(10);
 
-/// What was learnt of an engine's speed counts half after so long without use.
-const FADE: Duration = Duration::from_secs(5);
+/// After this time without a new sample, the weight of an engine's speed samples is halved.
+const DECAY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A sign of its own is passed on by a VM for this long. Signs that were passed on are not passed
-/// on again, so that they end when their cause does.
-const LEAVING_TOLD: Duration = Duration::from_secs(2);
+/// How long a VM announces a sign of its own that an engine is leaving. Signs received from peers
+/// are not announced again, so that they expire once their cause is gone.
+const LEAVING_ANNOUNCE_WINDOW: Duration = Duration::from_secs(2);
 
-/// What is asked for, with what helps to choose.
-pub struct Wanted<'a> {
-    /// The model.
+/// Parameters of the choice of an engine for a request.
+pub struct EngineQuery<'a> {
+    /// The requested model.
     pub model: &'a id::Model,
-    /// The sizes.
+    /// Prompt, memory and length class.
     pub requirements: Requirements,
-    /// The hashes of the prompt's leading blocks.
+    /// Hashes of the prompt's leading blocks.
     pub blocks: &'a [u64],
-    /// The settings.
+    /// The settings that apply to the request.
     pub policy: &'a Policy,
-    /// Engines that failed it before.
+    /// Engines on which earlier attempts failed.
     pub avoid: &'a [id::Upstream],
 }
 
-/// What came of choosing an engine.
+/// Result of choosing an engine.
 pub enum Chosen<C: Clock> {
-    /// This one; the request counts as its load from now on.
+    /// The chosen engine; the request counts as its load from now on.
     Engine(Box<Flight<C>>),
-    /// None now.
+    /// No engine may take the request now.
     Wait {
-        /// Why.
-        cause: WaitCause,
-        /// The predicted seconds to the first token at the best of them.
+        /// Why the best engine may not take it.
+        cause: Cause,
+        /// Predicted time to the first token on the best engine, in seconds.
         predicted: f64,
     },
     /// No engine serves the model.
     None,
 }
 
+/// An engine, with this VM's state of it.
 struct Local {
     entry: schema::Engine,
     client: HttpEngine,
     own: Load,
     flights: HashMap<u64, Pending>,
     speed: Model,
-    learnt_at: Instant,
+    speed_updated_at: Instant,
     health: Health,
     affinity: Table,
     home: Option<(State, Instant)>,
-    /// When this VM itself last had a sign that it is leaving.
+    /// When this VM itself last had a sign that the engine is leaving.
     leaving_at: Option<Instant>,
 }
 
-/// A request whose first token has not come.
+/// A request on an engine that has not produced its first token yet.
 struct Pending {
     sent: Instant,
     predicted: f64,
@@ -94,10 +95,10 @@
     engines: BTreeMap<id::Upstream, Local>,
     bytes_per_token: HashMap<id::Model, u32>,
     routes: Routes,
-    next: u64,
+    next_slot: u64,
 }
 
-/// The engines.
+/// The engines that this VM can use.
 pub struct Engines<C> {
     clock: C,
     client: Client,
@@ -105,7 +106,7 @@
     changed: Notify,
 }
 
-/// An engine in a dump.
+/// An engine's state in a dump.
 #[derive(Debug, Serialize)]
 pub struct Dump {
     own: Load,
@@ -117,12 +118,13 @@
 }
 
 impl<C: Clock> Engines<C> {
-    /// No engines yet.
+    /// Creates an empty set of engines.
     pub fn new(clock: C, client: Client) -> Engines<C> {
         Engines { clock, client, inner: Mutex::default(), changed: Notify::new() }
     }
 
-    /// Takes the engines of a settings version. What was learnt of those that stay is kept.
+    /// Applies the engines of a settings version. Engines that stay at the same address keep their
+    /// state.
     pub fn apply(&self, tree: &Tree) {
         let mut inner = self.inner.lock().unwrap();
         let fleet = &tree.fleet;
@@ -151,7 +153,7 @@
             own: Load::default(),
             flights: HashMap::new(),
             speed: Model::default(),
-            learnt_at: self.clock.now(),
+            speed_updated_at: self.clock.now(),
             health: Health::default(),
             affinity: Table::default(),
             home: None,
@@ -159,17 +161,18 @@
         }
     }
 
-    /// Tells when a choice may come out differently. Take the waiter before choosing.
+    /// Notifies when a choice may have a different result. Call it before choosing, so that no
+    /// change is missed.
     pub fn changed(&self) -> tokio::sync::futures::Notified<'_> {
         self.changed.notified()
     }
 
-    /// The adapter to an engine.
+    /// The client of an engine.
     pub fn client(&self, engine: &id::Upstream) -> Option<HttpEngine> {
         self.inner.lock().unwrap().engines.get(engine).map(|l| l.client.clone())
     }
 
-    /// The largest memory among the engines of a model, and that of all of them together.
+    /// The largest memory of an engine of the model, and the total memory of its engines.
     pub fn memory(&self, model: &id::Model) -> (Tokens, Tokens) {
         let inner = self.inner.lock().unwrap();
         let serving = inner.engines.values().filter(|l| l.entry.models.contains(model));
@@ -177,15 +180,15 @@
         (sizes.iter().copied().max().unwrap_or_default(), sizes.into_iter().sum())
     }
 
-    /// This VM's own work on each engine that has any.
+    /// This VM's own load on each engine that has any.
     pub fn loads(&self) -> BTreeMap<id::Upstream, Load> {
         let inner = self.inner.lock().unwrap();
         let busy = inner.engines.iter().filter(|(_, l)| l.own != Load::default());
         busy.map(|(id, l)| (id.clone(), l.own)).collect()
     }
 
-    /// Takes what a home says of its engines.
-    pub fn told(&self, states: &[State]) {
+    /// Merges the states of engines announced by their home.
+    pub fn merge_states(&self, states: &[State]) {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
         for state in states {
@@ -196,94 +199,103 @@
         self.changed.notify_waiters();
     }
 
-    /// Notes a sign that an engine is leaving. Gives whether it is news.
-    pub fn leaving(&self, engine: &id::Upstream) -> bool {
+    /// Records a sign that an engine is leaving. Returns whether it did not count as leaving
+    /// before.
+    pub fn mark_leaving(&self, engine: &id::Upstream) -> bool {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
         let Some(local) = inner.engines.get_mut(engine) else { return false };
-        let news = !local.is_leaving(now);
+        let is_new = !local.is_leaving(now);
         local.leaving_at = Some(now);
-        news
+        is_new
     }
 
-    /// The engines of which this VM itself had a sign of late that they are leaving.
-    pub fn signs_of_leaving(&self) -> Vec<id::Upstream> {
+    /// The engines that this VM announces as leaving, from recent signs of its own.
+    pub fn announced_leaving(&self) -> Vec<id::Upstream> {
         let now = self.clock.now();
         let inner = self.inner.lock().unwrap();
-        let told = |l: &Local| l.leaving_at.is_some_and(|at| now < at + LEAVING_TOLD);
-        let leaving = inner.engines.iter().filter(|(_, l)| told(l));
+        let is_recent =
+            |l: &Local| l.leaving_at.is_some_and(|at| now < at + LEAVING_ANNOUNCE_WINDOW);
+        let leaving = inner.engines.iter().filter(|(_, l)| is_recent(l));
         leaving.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Chooses an engine and counts the request as its load.
-    pub fn choose(self: &Arc<Self>, wanted: &Wanted<'_>) -> Chosen<C> {
+    /// Chooses an engine and counts the request as load on it.
+    pub fn choose(self: &Arc<Self>, query: &EngineQuery<'_>) -> Chosen<C> {
         let now = self.clock.now();
         let mut guard = self.inner.lock().unwrap();
         let inner = &mut *guard;
-        let candidates = inner.candidates(wanted, now);
+        let candidates = inner.candidates(query, now);
         if candidates.is_empty() {
             return Chosen::None;
         }
-        let route = wanted.policy.route;
-        let requirements = &wanted.requirements;
+        let route = query.policy.route;
+        let requirements = &query.requirements;
         let Some(choice) = inner.routes.choose(route, requirements, &candidates, &mut rand::rng())
         else {
-            return wait(&candidates, requirements);
+            return no_eligible(&candidates, requirements);
         };
         let candidate = &candidates[choice.index];
-        let flight = self.begin(inner, wanted, candidate, choice.seen, now);
+        let flight = self.start_flight(inner, query, candidate, choice.compared, now);
         Chosen::Engine(Box::new(flight))
     }
 
-    /// Lets what was learnt of engines fade that have not been used for a while.
-    pub fn fade(&self) {
+    /// Decays the speed samples of engines that were not used for a while.
+    pub fn decay_speeds(&self) {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
-        for local in inner.engines.values_mut().filter(|l| now >= l.learnt_at + FADE) {
+        for local in
+            inner.engines.values_mut().filter(|l| now >= l.speed_updated_at + DECAY_INTERVAL)
+        {
             local.speed.decay();
-            local.learnt_at = now;
+            local.speed_updated_at = now;
         }
     }
 
-    /// Whether another engine is open and would give a first token within `seconds`.
-    pub fn better(&self, wanted: &Wanted<'_>, than: &id::Upstream, seconds: f64) -> bool {
-        let candidates = self.candidates(wanted);
+    /// Whether another engine may take the request and is predicted to produce its first token
+    /// within `seconds`.
+    pub fn has_faster(&self, query: &EngineQuery<'_>, than: &id::Upstream, seconds: f64) -> bool {
+        let candidates = self.candidates(query);
         let others = candidates.iter().filter(|c| c.engine != *than);
         others
-            .filter(|c| c.closed(&wanted.requirements).is_none())
-            .any(|c| c.predict(&wanted.requirements) < seconds)
+            .filter(|c| c.blocked_by(&query.requirements).is_none())
+            .any(|c| c.predict(&query.requirements) < seconds)
     }
 
-    /// Takes an engine that another VM chose.
-    pub fn take(self: &Arc<Self>, wanted: &Wanted<'_>, engine: &id::Upstream) -> Option<Flight<C>> {
+    /// Assigns the request to an engine that another VM chose. `None` if it cannot be used here.
+    pub fn assign(
+        self: &Arc<Self>,
+        query: &EngineQuery<'_>,
+        engine: &id::Upstream,
+    ) -> Option<Flight<C>> {
         let now = self.clock.now();
         let mut guard = self.inner.lock().unwrap();
         let inner = &mut *guard;
-        let candidates = inner.candidates(wanted, now);
+        let candidates = inner.candidates(query, now);
         let candidate = candidates.iter().find(|c| c.engine == *engine)?;
-        let seen = vec![candidate.seen(&wanted.requirements, 0.0)];
-        Some(self.begin(inner, wanted, candidate, seen, now))
+        let compared = vec![candidate.snapshot(&query.requirements, 0.0)];
+        Some(self.start_flight(inner, query, candidate, compared, now))
     }
 
-    /// The candidates for a request, for a home that decides on grants.
-    pub fn candidates(&self, wanted: &Wanted<'_>) -> Vec<Candidate> {
-        self.inner.lock().unwrap().candidates(wanted, self.clock.now())
+    /// The candidates for a request, for a home that decides on a grant.
+    pub fn candidates(&self, query: &EngineQuery<'_>) -> Vec<Candidate> {
+        self.inner.lock().unwrap().candidates(query, self.clock.now())
     }
 
-    fn begin(
+    fn start_flight(
         self: &Arc<Self>,
         inner: &mut Inner,
-        wanted: &Wanted<'_>,
+        query: &EngineQuery<'_>,
         candidate: &Candidate,
-        seen: Vec<CandidateSnapshot>,
+        compared: Vec<Snapshot>,
         now: Instant,
     ) -> Flight<C> {
-        let requirements = &wanted.requirements;
+        let requirements = &query.requirements;
         let uncached = requirements.prompt - candidate.cached;
         let load = Load::of(requirements.class, uncached, requirements.memory);
         let predicted = candidate.predict(requirements);
-        inner.next += 1;
-        let slot = inner.next;
+        inner.next_slot += 1;
+        let slot = inner.next_slot;
         let local = inner.engines.get_mut(&candidate.engine).expect("candidates are engines");
         local.own = local.own.plus(load);
         local.flights.insert(slot, Pending { sent: now, predicted, class: requirements.class });
@@ -295,21 +307,21 @@
             slot,
             load,
             work: candidate.work(requirements),
-            blocks: wanted.blocks.to_vec(),
+            blocks: query.blocks.to_vec(),
             predicted,
-            seen,
+            compared,
             sent: now,
-            bytes_per_token: inner.bytes_per_token.get(wanted.model).copied().unwrap_or(4),
+            bytes_per_token: inner.bytes_per_token.get(query.model).copied().unwrap_or(4),
         }
     }
 
-    fn with<R>(&self, engine: &id::Upstream, f: impl FnOnce(&mut Local) -> R) -> Option<R> {
+    fn update<R>(&self, engine: &id::Upstream, f: impl FnOnce(&mut Local) -> R) -> Option<R> {
         let result = self.inner.lock().unwrap().engines.get_mut(engine).map(f);
         self.changed.notify_waiters();
         result
     }
 
-    /// The engines, for a dump.
+    /// State of the engines for a dump.
     pub fn dump(&self) -> BTreeMap<id::Upstream, Dump> {
         let now = self.clock.now();
         let inner = self.inner.lock().unwrap();
@@ -325,48 +337,48 @@
     }
 }
 
-/// Why the best of the candidates, none of which is open, is closed.
-fn wait<C: Clock>(candidates: &[Candidate], requirements: &Requirements) -> Chosen<C> {
+/// The result if no candidate may take the request: the reason at the best of them.
+fn no_eligible<C: Clock>(candidates: &[Candidate], requirements: &Requirements) -> Chosen<C> {
     let predicted = |c: &&Candidate| c.predict(requirements);
     let best = candidates.iter().min_by(|a, b| predicted(a).total_cmp(&predicted(b)));
     Chosen::Wait {
-        cause: best.and_then(|c| c.closed(requirements)).unwrap_or(WaitCause::Engines),
+        cause: best.and_then(|c| c.blocked_by(requirements)).unwrap_or(Cause::Engines),
         predicted: best.map_or(0.0, |c| c.predict(requirements)),
     }
 }
 
 impl Inner {
-    fn candidates(&self, wanted: &Wanted<'_>, now: Instant) -> Vec<Candidate> {
-        let bytes = self.bytes_per_token.get(wanted.model).copied().unwrap_or(4);
-        let ids = self.usable(wanted, now);
-        let mut found: Vec<Candidate> = hash::ranked(wanted.model.as_str(), ids.iter().copied())
+    fn candidates(&self, query: &EngineQuery<'_>, now: Instant) -> Vec<Candidate> {
+        let bytes = self.bytes_per_token.get(query.model).copied().unwrap_or(4);
+        let ids = self.usable(query, now);
+        let mut found: Vec<Candidate> = hash::ranked(query.model.as_str(), ids.iter().copied())
             .into_iter()
             .enumerate()
-            .map(|(rank, id)| self.engines[id].candidate(id, wanted, rank as u32, bytes, now))
+            .map(|(rank, id)| self.engines[id].candidate(id, query, rank as u32, bytes, now))
             .collect();
         shuffle(&mut found);
         found
     }
 
-    /// The engines that can serve. Those that failed of late, or failed this request, are left out
-    /// as long as there are others.
-    fn usable(&self, wanted: &Wanted<'_>, now: Instant) -> Vec<&id::Upstream> {
+    /// The engines that can serve the request. Engines that failed recently, or failed this
+    /// request, are excluded as long as there are others.
+    fn usable(&self, query: &EngineQuery<'_>, now: Instant) -> Vec<&id::Upstream> {
         let serving: Vec<(&id::Upstream, &Local)> = self
             .engines
             .iter()
-            .filter(|(_, l)| l.entry.models.contains(wanted.model))
-            .filter(|(_, l)| wanted.requirements.memory.0 <= l.entry.memory_tokens)
+            .filter(|(_, l)| l.entry.models.contains(query.model))
+            .filter(|(_, l)| query.requirements.memory.0 <= l.entry.memory_tokens)
             .filter(|(_, l)| !l.is_leaving(now))
             .collect();
         let rank = |(id, l): &(&id::Upstream, &Local)| {
-            (wanted.avoid.contains(id), !l.health.is_usable(now))
+            (query.avoid.contains(id), !l.health.is_usable(now))
         };
         let Some(best) = serving.iter().map(rank).min() else { return Vec::new() };
         serving.iter().filter(|s| rank(s) == best).map(|(id, _)| *id).collect()
     }
 }
 
-/// Brings candidates into random order, so that equal scores do not all go to the same one.
+/// Shuffles the candidates, so that ties in score are broken at random.
 fn shuffle(candidates: &mut [Candidate]) {
     use rand::seq::SliceRandom;
     candidates.shuffle(&mut rand::rng());
@@ -376,45 +388,47 @@
     fn candidate(
         &self,
         id: &id::Upstream,
-        wanted: &Wanted<'_>,
+        query: &EngineQuery<'_>,
         long_rank: u32,
         bytes_per_token: u32,
         now: Instant,
     ) -> Candidate {
-        let cached = self.affinity.cached(wanted.blocks, now, bytes_per_token);
-        let most = wanted.requirements.prompt.saturating_sub(Tokens(1));
+        let cached = self.affinity.cached(query.blocks, now, bytes_per_token);
+        let max_cached = query.requirements.prompt.saturating_sub(Tokens(1));
         Candidate {
             engine: id.clone(),
             own: self.own,
             fleet: self.fleet(now),
             report: self.home.as_ref().and_then(|(state, _)| state.reported),
-            cached: cached.min(most),
+            cached: cached.min(max_cached),
             memory: Tokens(self.entry.memory_tokens),
             speed: self.speed.clone(),
-            overdue: self.overdue(wanted.requirements.class, now),
+            overdue_s: self.overdue_s(query.requirements.class, now),
             long_rank,
         }
     }
 
-    /// All VMs' work: what the home knows of the others, and the own as it is now.
+    /// Load from all VMs: from the others as announced by the home, and the current load of this
+    /// VM.
     fn fleet(&self, now: Instant) -> Load {
         match &self.home {
-            Some((state, at)) if now < *at + HOME_FRESH => {
+            Some((state, at)) if now < *at + HOME_STATE_TTL => {
                 state.load.minus(state.yours).plus(self.own)
             }
             _ => self.own,
         }
     }
 
-    /// Seconds by which the first token of a request that goes before this class is late.
-    fn overdue(&self, class: Class, now: Instant) -> f64 {
+    /// Longest time in seconds by which the first token of a request of this or a shorter class is
+    /// overdue.
+    fn overdue_s(&self, class: Class, now: Instant) -> f64 {
         let late = |p: &Pending| (now - p.sent).as_secs_f64() - p.predicted;
         let before = self.flights.values().filter(|p| p.class <= class);
         before.map(late).fold(0.0, f64::max)
     }
 
     fn is_leaving(&self, now: Instant) -> bool {
-        let told = self.home.as_ref().filter(|(state, _)| state.leaving).map(|(_, at)| *at);
-        self.leaving_at.max(told).is_some_and(|at| now < at + LEAVING_KEPT)
+        let home_sign = self.home.as_ref().filter(|(state, _)| state.leaving).map(|(_, at)| *at);
+        self.leaving_at.max(home_sign).is_some_and(|at| now < at + LEAVING_TTL)
     }
 }
--- a/daemon/src/fleet/notices.rs
+++ b/daemon/src/fleet/notices.rs
@@ -40,7 +40,7 @@
     }
     match notice.rate_limit {
         RateLimit::Limited(rate) => rate_limits::observe(process, start, Some(rate), sent),
-        RateLimit::Malformed if process.trouble_lines.admit(process.now()).is_some() => {
+        RateLimit::Unreadable if process.trouble_lines.admit(process.now()).is_some() => {
             log::event(&process.log, Event::UpstreamLimited, format!("{upstream} {notice}"));
         }
         _ => {}
--- a/daemon/src/operators.rs
+++ b/daemon/src/operators.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use foldlock_base::id;
-use foldlock_request::ring::FeedEvent;
+use foldlock_request::ring::Item;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use serde::Serialize;
@@ -91,10 +91,10 @@
     let live = process.members.live();
     let own = process.members.own();
     let shards = process.shards();
-    let used = home::used(&own, &shards);
+    let used = home::used_shards(&own, &shards);
     let shard = |s: &home::Shard| ShardDump {
         name: s.name.clone(),
-        home: home::home(s, &live).map(|m| m.vm.clone()),
+        home: home::home_of(s, &live).map(|m| m.vm.clone()),
         used: used.contains(&s),
         engines: s.engines.clone(),
     };
@@ -131,7 +131,7 @@
     answer::stream("application/x-ndjson", receiver)
 }
 
-async fn feed(mut decisions: broadcast::Receiver<FeedEvent>, lines: mpsc::Sender<Bytes>) {
+async fn feed(mut decisions: broadcast::Receiver<Item>, lines: mpsc::Sender<Bytes>) {
     loop {
         let line = tokio::select! {
             line = decisions.recv() => line,
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -1,5 +1,5 @@
-//! One task for each peer: opens a connection, exchanges heartbeats and keeps the connection for
-//! calls. And the calls that peers make here.
+//! Connections to peers: one task per peer opens a connection, exchanges heartbeats on it and keeps
+//! it for calls. Also serves the calls that peers make to this VM.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
@@ -18,20 +18,20 @@
 
 use crate::home::{self, Shard};
 use crate::log;
-use crate::members::News;
+use crate::members::Transition;
 use crate::process::Process;
 
-/// How often heartbeats are exchanged with a peer.
-pub const BEAT: Duration = Duration::from_millis(200);
+/// Interval of heartbeats with a peer.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long an exchange waits for its answer.
-const BEAT_TIMEOUT: Duration = Duration::from_millis(800);
+/// Timeout of a heartbeat exchange.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// How long it takes until a lost peer is tried again.
-const RECONNECT: Duration = Duration::from_millis(300);
+/// Delay before reconnecting to a peer.
+const RECONNECT_DELAY: Duration = Duration::from_millis(300);
 
-/// How often the set of peers is looked over, if nothing changes.
-const LOOK: Duration = Duration::from_millis(500);
+/// How often the set of peers is updated if no change is notified.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Default)]
 struct Table {
@@ -39,32 +39,32 @@
     tasks: HashMap<id::Vm, (String, AbortHandle)>,
 }
 
-/// The connections to peers.
+/// The connections to peers, and the tasks that keep them.
 #[derive(Default)]
 pub struct Peers {
     table: Mutex<Table>,
-    kick: Notify,
+    exchange_now: Notify,
 }
 
 impl Peers {
-    /// The connection to a peer, while there is one.
+    /// The connection to a peer, if it is connected.
     pub fn get(&self, vm: &id::Vm) -> Option<Connection> {
         self.table.lock().unwrap().connections.get(vm).cloned()
     }
 
-    /// All connections.
+    /// The connections to all connected peers.
     pub fn all(&self) -> Vec<Connection> {
         self.table.lock().unwrap().connections.values().cloned().collect()
     }
 
-    /// Peers that heartbeats are exchanged with.
+    /// Number of peers with which heartbeats are exchanged.
     pub fn count(&self) -> usize {
         self.table.lock().unwrap().tasks.len()
     }
 
-    /// Makes each peer's task exchange at once.
-    pub fn kick(&self) {
-        self.kick.notify_waiters();
+    /// Makes the task of each peer exchange a heartbeat at once.
+    pub fn exchange_now(&self) {
+        self.exchange_now.notify_waiters();
     }
 
     fn set(&self, vm: &id::Vm, connection: Option<Connection>) {
@@ -76,24 +76,24 @@
     }
 }
 
-/// Keeps one task for each peer that is needed.
+/// Runs one task per peer that this VM needs.
 pub async fn run(process: Arc<Process>) {
     loop {
         let changed = process.members.changed();
         let targets = process.members.targets(&needed(&process));
-        adjust(&process, &targets);
-        let _ = tokio::time::timeout(LOOK, changed).await;
+        update_tasks(&process, &targets);
+        let _ = tokio::time::timeout(POLL_INTERVAL, changed).await;
     }
 }
 
-/// The VMs that this one has to reach: homes of shards and limits, and the writer of claims.
+/// The VMs that this VM has to reach: the homes of its shards and limits, and the writer of claims.
 fn needed(process: &Process) -> Vec<id::Vm> {
     let live = process.members.live();
     let shards = process.shards();
     let own = process.members.own();
-    let mut needed: Vec<id::Vm> = home::used(&own, &shards)
+    let mut needed: Vec<id::Vm> = home::used_shards(&own, &shards)
         .into_iter()
-        .filter_map(|s| home::home(s, &live))
+        .filter_map(|s| home::home_of(s, &live))
         .map(|m| m.vm.clone())
         .collect();
     needed.extend(process.limits.demand().keys().filter_map(|n| process.limit_home(n)));
@@ -103,7 +103,7 @@
     needed
 }
 
-fn adjust(process: &Arc<Process>, targets: &[Member]) {
+fn update_tasks(process: &Arc<Process>, targets: &[Member]) {
     let mut table = process.peers.table.lock().unwrap();
     let Table { tasks, connections } = &mut *table;
     tasks.retain(|vm, (address, task)| {
@@ -116,49 +116,49 @@
     });
     for target in targets {
         if !tasks.contains_key(&target.vm) {
-            let task = tokio::spawn(keep(process.clone(), target.clone())).abort_handle();
+            let task = tokio::spawn(maintain(process.clone(), target.clone())).abort_handle();
             tasks.insert(target.vm.clone(), (target.address.clone(), task));
         }
     }
 }
 
-/// Keeps a connection to a peer for as long as it is needed.
-async fn keep(process: Arc<Process>, peer: Member) {
+/// Keeps a connection to a peer until the task is aborted.
+async fn maintain(process: Arc<Process>, peer: Member) {
     loop {
         if let Ok(connection) = peer::connect(&peer.address).await {
             exchange_until_lost(&process, &peer.vm, connection).await;
             process.peers.set(&peer.vm, None);
         }
-        if let Some(news) = process.members.silent(&peer.vm) {
-            process.tell(&news);
+        if let Some(transition) = process.members.mark_down_if_silent(&peer.vm) {
+            process.log_transition(&transition);
         }
-        tokio::time::sleep(RECONNECT).await;
+        tokio::time::sleep(RECONNECT_DELAY).await;
     }
 }
 
 async fn exchange_until_lost(process: &Arc<Process>, vm: &id::Vm, connection: Connection) {
     loop {
-        let kicked = process.peers.kick.notified();
+        let requested = process.peers.exchange_now.notified();
         let mut context = Context::current();
-        context.deadline = std::time::Instant::now() + BEAT_TIMEOUT;
+        context.deadline = std::time::Instant::now() + HEARTBEAT_TIMEOUT;
         process.metrics.peer_calls.inc();
-        let Ok(answer) = connection.exchange(context, process.beat(vm)).await else { return };
+        let Ok(answer) = connection.exchange(context, process.heartbeat(vm)).await else { return };
         if answer.from.vm != *vm {
             return;
         }
         process.peers.set(vm, Some(connection.clone()));
-        process.take(&answer, Some(&connection));
-        let _ = tokio::time::timeout(BEAT, kicked).await;
+        process.on_heartbeat(&answer, Some(&connection));
+        let _ = tokio::time::timeout(HEARTBEAT_INTERVAL, requested).await;
     }
 }
 
-/// Serves the calls of one peer.
+/// Handler of the calls of one peer.
 #[derive(Clone)]
 pub struct Server {
     process: Arc<Process>,
 }
 
-/// Serves a connection that a peer opened, until it ends.
+/// Serves a connection that a peer opened, until it is closed.
 pub async fn serve(process: Arc<Process>, channel: peer::Served) {
     let server = Server { process };
     channel
@@ -170,10 +170,10 @@
 }
 
 impl Peer for Server {
-    async fn exchange(self, _: Context, beat: Beat) -> Beat {
-        let connection = self.process.peers.get(&beat.from.vm);
-        self.process.take(&beat, connection.as_ref());
-        self.process.beat(&beat.from.vm)
+    async fn exchange(self, _: Context, heartbeat: Beat) -> Beat {
+        let connection = self.process.peers.get(&heartbeat.from.vm);
+        self.process.on_heartbeat(&heartbeat, connection.as_ref());
+        self.process.heartbeat(&heartbeat.from.vm)
     }
 
     async fn grant(self, _: Context, shard: String, ask: Ask) -> Grant {
@@ -187,21 +187,21 @@
     async fn settings(self, _: Context, known: Vec<String>) -> Settings {
         let version = self.process.current.get();
         let known: Vec<Hash> = known.into_iter().map(Hash).collect();
-        let lacks = |(hash, text): (Hash, Arc<str>)| {
+        let is_missing = |(hash, text): (Hash, Arc<str>)| {
             (!known.contains(&hash)).then(|| (hash.0, text.to_string()))
         };
-        let texts = version.by_hash().into_iter().filter_map(lacks).collect();
+        let texts = version.by_hash().into_iter().filter_map(is_missing).collect();
         Settings { head: version.head.clone(), texts }
     }
 }
 
 impl Process {
     /// The heartbeat for a peer.
-    pub fn beat(&self, to: &id::Vm) -> Beat {
+    pub fn heartbeat(&self, to: &id::Vm) -> Beat {
         let live = self.members.live();
         let shards = self.shards();
         let homed_at = |vm: &id::Vm| -> Vec<&Shard> {
-            let of = |s: &&Shard| home::home(s, &live).is_some_and(|m| m.vm == *vm);
+            let of = |s: &&Shard| home::home_of(s, &live).is_some_and(|m| m.vm == *vm);
             shards.iter().filter(of).collect()
         };
         let theirs: Vec<&id::Upstream> =
@@ -213,76 +213,76 @@
         Beat {
             from: self.members.own(),
             version: self.current.number(),
-            members: self.members.news(),
+            members: self.members.announcements(),
             loads,
             states: self.states_for(to, &homed_at(&self.members.own().vm)),
             demand: demand.collect(),
             quota: self.quotas.lock().unwrap().remove(to).unwrap_or_default(),
-            leaving: self.engines.signs_of_leaving(),
+            leaving: self.engines.announced_leaving(),
         }
     }
 
-    /// The states of the engines whose home this VM is and that a peer uses.
+    /// The states of the engines that a peer uses and whose home is this VM.
     fn states_for(&self, to: &id::Vm, own: &[&Shard]) -> Vec<foldlock_connection::wire::State> {
         let Some(peer) = self.members.get(to) else { return Vec::new() };
         let shards = self.shards();
-        let used = home::used(&peer, &shards);
+        let used = home::used_shards(&peer, &shards);
         let engines: Vec<id::Upstream> =
             own.iter().filter(|s| used.contains(s)).flat_map(|s| s.engines.clone()).collect();
         self.home.states(&engines, to)
     }
 
-    /// Takes a peer's heartbeat.
-    pub fn take(self: &Arc<Self>, beat: &Beat, connection: Option<&Connection>) {
-        let from = &beat.from.vm;
-        if let Some(news) = self.members.heard(&beat.from) {
-            self.tell(&news);
+    /// Handles a peer's heartbeat.
+    pub fn on_heartbeat(self: &Arc<Self>, heartbeat: &Beat, connection: Option<&Connection>) {
+        let from = &heartbeat.from.vm;
+        if let Some(transition) = self.members.on_heartbeat(&heartbeat.from) {
+            self.log_transition(&transition);
         }
-        for member in &beat.members {
-            if let Some(news) = self.members.rumour(member) {
-                self.tell(&news);
+        for member in &heartbeat.members {
+            if let Some(transition) = self.members.merge(member) {
+                self.log_transition(&transition);
             }
         }
-        self.home.announced(from, &beat.loads);
-        self.engines.told(&beat.states);
-        for engine in &beat.leaving {
-            self.home.leaving(engine);
+        self.home.merge_loads(from, &heartbeat.loads);
+        self.engines.merge_states(&heartbeat.states);
+        for engine in &heartbeat.leaving {
+            self.home.mark_leaving(engine);
         }
-        self.limits.told(&beat.quota);
+        self.limits.told(&heartbeat.quota);
         let quota: BTreeMap<_, _> = {
             let version = self.current.get();
-            self.limits.split(&version.tree, from, &beat.demand)
+            self.limits.split(&version.tree, from, &heartbeat.demand)
         };
         self.quotas.lock().unwrap().insert(from.clone(), quota);
-        if self.current.wants(beat.version)
+        if self.current.wants(heartbeat.version)
             && let Some(connection) = connection
         {
             self.follow.fetch(self, connection.clone());
         }
     }
 
-    /// Logs news of a member.
-    pub fn tell(&self, news: &News) {
-        let (event, vm) = match news {
-            News::Up(vm) => (Event::MemberUp, vm),
-            News::Down(vm) => (Event::MemberDown, vm),
-            News::Leaving(vm) => (Event::MemberLeaving, vm),
+    /// Logs a change of a member's state.
+    pub fn log_transition(&self, transition: &Transition) {
+        let (event, vm) = match transition {
+            Transition::Up(vm) => (Event::MemberUp, vm),
+            Transition::Down(vm) => (Event::MemberDown, vm),
+            Transition::Leaving(vm) => (Event::MemberLeaving, vm),
         };
         log::event(&self.log, event, vm);
     }
 
-    /// Takes a sign of this VM's own that an upstream is leaving.
+    /// Handles a sign, seen by this VM itself, that an upstream is leaving.
     pub fn upstream_leaving(&self, engine: &id::Upstream) {
-        self.home.leaving(engine);
-        if self.engines.leaving(engine) {
+        self.home.mark_leaving(engine);
+        if self.engines.mark_leaving(engine) {
             log::event(&self.log, Event::UpstreamLeaving, engine);
-            self.peers.kick();
+            self.peers.exchange_now();
         }
     }
 
-    /// The home of a limit.
+    /// The home of a limit: the VM that allocates it.
     pub fn limit_home(&self, name: &str) -> Option<id::Vm> {
         let live = self.members.live();
-        crate::members::holder(&format!("limit/{name}"), live.iter()).map(|m| m.vm.clone())
+        crate::members::owner_of(&format!("limit/{name}"), live.iter()).map(|m| m.vm.clone())
     }
 }
--- a/daemon/src/process.rs
+++ b/daemon/src/process.rs
@@ -221,7 +221,7 @@
     let list = HttpList::new(process.client.clone(), &process.config.vms.to_string());
     loop {
         if let Ok(listing) = list.read().await {
-            process.members.listed(&listing);
+            process.members.merge_listing(&listing);
             let leaving: Vec<id::Upstream> = listing
                 .upstreams
                 .iter()
@@ -233,7 +233,7 @@
             }
             *process.listed_leaving.lock().unwrap() = leaving;
         }
-        let alone = process.members.alone();
+        let alone = process.members.is_alone();
         tokio::time::sleep(if alone { LIST_INTERVAL / 8 } else { LIST_INTERVAL }).await;
     }
 }
@@ -245,7 +245,7 @@
         let own = process.members.own().vm;
         let live = process.members.live();
         let shards = process.shards();
-        let homed = shards.iter().filter(|s| home::home(s, &live).is_some_and(|m| m.vm == own));
+        let homed = shards.iter().filter(|s| home::home_of(s, &live).is_some_and(|m| m.vm == own));
         let engines: Vec<&id::Upstream> = homed.flat_map(|s| &s.engines).collect();
         tasks.retain(|engine, task| {
             let kept = engines.contains(&engine) && !task.is_finished();
@@ -274,9 +274,9 @@
                     log::event(&process.log, Event::UpstreamBack, &engine);
                 }
                 silent = 0;
-                if process.home.reported(&engine, report) {
+                if process.home.on_report(&engine, report) {
                     log::event(&process.log, Event::UpstreamLeaving, &engine);
-                    process.peers.kick();
+                    process.peers.exchange_now();
                 }
             }
             Err(e) => {
@@ -296,20 +296,20 @@
         let own = process.members.own();
         let live = process.members.live();
         let shards = process.shards();
-        let is_home = |s: &&&Shard| home::home(s, &live).is_some_and(|m| m.vm == own.vm);
-        let used = home::used(&own, &shards);
+        let is_home = |s: &&&Shard| home::home_of(s, &live).is_some_and(|m| m.vm == own.vm);
+        let used = home::used_shards(&own, &shards);
         let engines: Vec<id::Upstream> =
             used.iter().filter(is_home).flat_map(|s| s.engines.clone()).collect();
         let mut loads = process.engines.loads();
         loads.retain(|engine, _| engines.contains(engine));
-        process.home.announced(&own.vm, &loads);
-        process.engines.told(&process.home.states(&engines, &own.vm));
+        process.home.merge_loads(&own.vm, &loads);
+        process.engines.merge_states(&process.home.states(&engines, &own.vm));
         let demand = process.limits.demand().into_iter();
         let demand = demand.filter(|(n, _)| process.limit_home(n).as_ref() == Some(&own.vm));
         let version = process.current.get();
         let quotas = process.limits.split(&version.tree, &own.vm, &demand.collect());
         process.limits.told(&quotas);
-        process.engines.fade();
-        tokio::time::sleep(peers::BEAT / 2).await;
+        process.engines.decay_speeds();
+        tokio::time::sleep(peers::HEARTBEAT_INTERVAL / 2).await;
     }
 }
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -1,5 +1,5 @@
-//! One request from admission to its end: placed, sent, read, and sent again elsewhere where that
-//! is allowed.
+//! Serves one admitted request to its end: places it, sends it, reads the answer, and retries on
+//! another engine where allowed.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,108 +9,108 @@
 use foldlock_base::prelude::*;
 use foldlock_connection::engine::Job as Order;
 use foldlock_connection::events::Event as Part;
-use foldlock_request::decision::{Decision, TimedDecision};
+use foldlock_request::decision::{self, Decision};
 use foldlock_request::prompt::Prompt;
 use foldlock_request::ring::Entry;
 use foldlock_request::route::Requirements;
 use foldlock_version::policy::{Class, Policy};
 
 use crate::attempt::{self, End};
-use crate::claims::Held;
+use crate::claims::KeyClaim;
 use crate::current::Version;
 use crate::gate;
 use crate::log;
 use crate::process::Process;
 
-/// What all steps of a request share.
+/// A request, with the data that all steps of serving it share.
 pub struct Job {
-    /// The process.
+    /// The process that serves it.
     pub process: Arc<Process>,
-    /// The record.
+    /// Its decision record.
     pub entry: Entry,
     /// When it arrived.
     pub arrived: Instant,
-    /// When it has to have its answer.
+    /// When its answer must be complete.
     pub deadline: Deadline,
-    /// The organisation.
+    /// The organisation of the caller.
     pub organisation: id::Organisation,
-    /// The settings.
+    /// The settings that apply to it.
     pub policy: Arc<Policy>,
     /// The settings version that applies to it until its end.
     pub version: Arc<Version>,
     /// Its id.
     pub request: id::Request,
-    /// What is asked.
+    /// The parsed prompt.
     pub prompt: Prompt,
-    /// The prompt's tokens.
+    /// Number of prompt tokens.
     pub tokens: Tokens,
-    /// The hashes of the prompt's leading blocks.
+    /// Hashes of the prompt's leading blocks.
     pub blocks: Vec<u64>,
-    /// The most tokens of the answer.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u64,
-    /// Bytes of text a token.
+    /// Average bytes of text per token.
     pub bytes_per_token: u32,
 }
 
-/// Takes the parts of an answer.
+/// Receives the parts of an answer and passes them to the caller.
 pub trait Sink: Send {
-    /// The answer comes from this stream of this engine from now on.
-    fn source(&mut self, job: &Job, engine: &id::Upstream, stream: &str);
+    /// Sets the engine and stream from which the following parts come.
+    fn on_source(&mut self, job: &Job, engine: &id::Upstream, stream: &str);
 
-    /// Takes parts; false once the caller is gone.
-    fn take(&mut self, parts: &[Part]) -> impl Future<Output = bool> + Send;
+    /// Sends parts. Returns false once the caller has disconnected.
+    fn send(&mut self, parts: &[Part]) -> impl Future<Output = bool> + Send;
 
-    /// Returns once the caller is gone.
-    fn gone(&self) -> impl Future<Output = ()> + Send;
+    /// Returns once the caller has disconnected.
+    fn caller_gone(&self) -> impl Future<Output = ()> + Send;
 }
 
-/// What an answer came to.
+/// Totals of a complete answer.
 #[derive(Debug, Clone, Copy)]
 pub struct Finished {
-    /// The tokens of the answer.
+    /// Number of tokens generated.
     pub tokens: u64,
 }
 
-/// How far the answer is, over all attempts.
+/// Progress of the answer over all attempts.
 #[derive(Default)]
 pub struct Progress {
-    /// The answer so far.
+    /// Text generated so far, kept if the answer may be resumed.
     pub text: String,
-    /// The tokens so far.
+    /// Number of tokens generated so far.
     pub tokens: u64,
-    /// Upstreams that failed the request.
+    /// Upstreams on which an attempt failed.
     pub avoid: Vec<id::Upstream>,
-    /// When the first token came, from arrival.
+    /// Time from arrival to the first token.
     pub first_token: Option<Duration>,
-    /// How often it was sent.
+    /// Number of attempts so far.
     pub attempts: u32,
 }
 
 impl Job {
-    /// Records a decision.
+    /// Adds a decision to the record and logs it at its event's level.
     pub fn record(&self, decision: Decision) {
         let at_ms = millis(self.process.clock.now() - self.arrived);
         let event = decision.event();
         if event.level().is_at_least(slog::Level::Info) {
             log::event(&self.process.log, event, format_args!("{}: {decision}", self.request));
         }
-        self.entry.add(TimedDecision { at_ms, decision });
+        self.entry.add(decision::Entry { at_ms, decision });
     }
 
-    /// The time left.
+    /// Time left until the deadline.
     pub fn left(&self) -> Duration {
         self.deadline.left(&self.process.clock)
     }
 
-    /// What is asked of engines, with the answer so far as part of the prompt.
+    /// What the request needs of an engine. The answer so far is part of the prompt.
     pub fn requirements(&self, progress: &Progress) -> Requirements {
-        let done = Tokens(progress.tokens);
-        let prompt = self.tokens + done;
+        let generated = Tokens(progress.tokens);
+        let prompt = self.tokens + generated;
         let memory = self.tokens + Tokens(self.max_tokens);
         Requirements { prompt, memory, class: self.policy.class(prompt) }
     }
 
-    /// The order to an engine.
+    /// The request to an engine.
     pub fn order(&self, progress: &Progress) -> Order {
         let prompt = if progress.text.is_empty() {
             self.prompt.text.clone()
@@ -130,19 +130,19 @@
         }
     }
 
-    /// The engine priority: the longer the class, the lower, rising with the time used.
+    /// The engine priority: lower for longer classes, rising with the time used.
     fn priority(&self, class: Class) -> u8 {
         let used = (self.process.clock.now() - self.arrived).as_secs_f64();
         let whole = used + self.left().as_secs_f64();
-        gate::aged(self.policy.priority, class, used / whole.max(f64::MIN_POSITIVE))
+        gate::aged_priority(self.policy.priority, class, used / whole.max(f64::MIN_POSITIVE))
     }
 }
 
-/// Serves a request to its end, and records the end.
+/// Serves a request to its end and records the result.
 pub async fn run<S: Sink>(
     job: &Job,
     sink: &mut S,
-    claim: &mut Option<Held>,
+    claim: &mut Option<KeyClaim>,
 ) -> Result<Finished, Error> {
     let mut progress = Progress::default();
     let result = attempts(job, sink, claim, &mut progress).await;
@@ -153,12 +153,12 @@
             }
             job.process.metrics.tokens.inc_by(finished.tokens);
         }
-        Err(e) => failed(job, e),
+        Err(e) => record_failure(job, e),
     }
     result
 }
 
-fn failed(job: &Job, e: &Error) {
+fn record_failure(job: &Job, e: &Error) {
     job.process.metrics.error(e.kind());
     let why = e.message().to_owned();
     job.record(match e.ran() {
@@ -174,33 +174,33 @@
 async fn attempts<S: Sink>(
     job: &Job,
     sink: &mut S,
-    claim: &mut Option<Held>,
+    claim: &mut Option<KeyClaim>,
     progress: &mut Progress,
 ) -> Result<Finished, Error> {
     let mut proof = Proof::NotRun(foldlock_base::error::Unsent::arrived());
     loop {
-        let place = tokio::select! {
-            place = gate::place(job, progress) => place,
-            () = sink.gone() => return Err(gone(proof, progress)),
+        let placement = tokio::select! {
+            placement = gate::place(job, progress) => placement,
+            () = sink.caller_gone() => return Err(caller_gone_error(proof, progress)),
         };
-        let place = match place {
-            Ok(place) => place,
-            Err(refused) => {
+        let placement = match placement {
+            Ok(placement) => placement,
+            Err(rejection) => {
                 let began = progress.tokens > 0;
-                let error = proof.error(refused.kind, refused.why, began);
-                return Err(match refused.retry_after {
+                let error = proof.error(rejection.kind, rejection.why, began);
+                return Err(match rejection.retry_after {
                     Some(after) => error.retry_after(after),
                     None => error,
                 });
             }
         };
-        let engine = place.engine().clone();
+        let engine = placement.engine().clone();
         let attempt = proof.send();
         if let Some(claim) = claim {
             claim.sent();
         }
         progress.attempts += 1;
-        let end = attempt::run(job, place, sink, progress).await;
+        let end = attempt::run(job, placement, sink, progress).await;
         proof = match end {
             End::Finished => return Ok(Finished { tokens: progress.tokens }),
             End::Deadline => {
@@ -208,24 +208,24 @@
                 let why = "the deadline passed";
                 return Err(error.error(Kind::DeadlineExceeded, why, progress.tokens > 0));
             }
-            End::Gone => return Err(gone(attempt.unknown(), progress)),
-            end => after(job, end, attempt, &engine, progress, claim)?,
+            End::Gone => return Err(caller_gone_error(attempt.unknown(), progress)),
+            end => retry_or_fail(job, end, attempt, &engine, progress, claim)?,
         };
     }
 }
 
-fn gone(proof: Proof, progress: &Progress) -> Error {
-    proof.error(Kind::UpstreamFailed, "the caller went away", progress.tokens > 0)
+fn caller_gone_error(proof: Proof, progress: &Progress) -> Error {
+    proof.error(Kind::UpstreamFailed, "the caller disconnected", progress.tokens > 0)
 }
 
-/// Decides whether a failed attempt is followed by another one.
-fn after(
+/// Decides whether a failed attempt is retried. Returns the error for the caller if not.
+fn retry_or_fail(
     job: &Job,
     end: End,
     attempt: Attempt,
     engine: &id::Upstream,
     progress: &mut Progress,
-    claim: &mut Option<Held>,
+    claim: &mut Option<KeyClaim>,
 ) -> Result<Proof, Error> {
     let moved = matches!(end, End::Slow(_));
     let (proof, why) = match end {
@@ -240,12 +240,12 @@
         claim.not_run();
     }
     let policy = &job.policy;
-    let may = (not_run || policy.repeatable)
+    let may_retry = (not_run || policy.repeatable)
         && (progress.tokens == 0 || policy.resume)
         && progress.attempts <= policy.retries
         && !job.left().is_zero()
         && job.process.budget.retry(policy.retry_budget_percent);
-    if !may {
+    if !may_retry {
         let kind = if not_run { Kind::NoUpstream } else { Kind::UpstreamFailed };
         return Err(proof.error(kind, format!("{engine}: {why}"), progress.tokens > 0));
     }
--- a/daemon/tests/route.rs
+++ b/daemon/tests/route.rs
@@ -26,7 +26,7 @@
                 cached: Tokens(cached),
                 memory: Tokens(400_000),
                 speed: Model::default(),
-                overdue: 0.0,
+                overdue_s: 0.0,
                 long_rank,
             }
         },
@@ -51,9 +51,9 @@
         let choice = Routes::default().choose(Route::LengthAware, &requirements, &candidates, &mut rng);
         if let Some(choice) = choice {
             prop_assert!(candidates[choice.index].fits(&requirements));
-            prop_assert!(candidates[choice.index].closed(&requirements).is_none());
+            prop_assert!(candidates[choice.index].blocked_by(&requirements).is_none());
         } else {
-            prop_assert!(candidates.iter().all(|c| c.closed(&requirements).is_some()));
+            prop_assert!(candidates.iter().all(|c| c.blocked_by(&requirements).is_some()));
         }
     }
 
@@ -79,7 +79,7 @@
     #[test]
     fn priorities_follow_class_and_age(base in 0u8..9, used in 0.0..1.0f64) {
         let policy = Policy::default();
-        let aged = |tokens: u64, used| foldlockd::gate::aged(base, policy.class(Tokens(tokens)), used);
+        let aged = |tokens: u64, used| foldlockd::gate::aged_priority(base, policy.class(Tokens(tokens)), used);
         let lengths = [1_000, 20_000, 100_000, 500_000];
         for pair in lengths.windows(2) {
             prop_assert!(aged(pair[0], used) <= aged(pair[1], used));
@@ -97,9 +97,9 @@
         let mut table = Table::default();
         for first in prompts {
             let blocks: Vec<u64> = (0..64).map(|i| first.wrapping_add(i)).collect();
-            table.stored(&blocks, now);
+            table.insert(&blocks, now);
             prop_assert_eq!(table.cached(&blocks, now, 4), Tokens(64 * 256));
-            table.correct(&blocks, 10);
+            table.remove_misses(&blocks, 10);
             prop_assert_eq!(table.cached(&blocks, now, 4), Tokens(10 * 256));
         }
     }
--- a/request/src/cluster/limits.rs
+++ b/request/src/cluster/limits.rs
@@ -199,7 +199,7 @@
 fn named_bounds(upstream: &Upstream, now: Instant) -> impl Iterator<Item = Bound> {
     let state = upstream.rate_limit.as_ref();
     let named =
-        state.and_then(|state| Some((state.limited_since, Bound::named(state.limit.rate?))));
+        state.and_then(|state| Some((state.limited_since, Bound::rate_limit(state.limit.rate?))));
     let bounds = named.map(|(since, [burst, sustained])| {
         let is_new = now.saturating_duration_since(since) < burst.window;
         let count = if is_new { 0 } else { burst.count };
--- a/request/src/limit.rs
+++ b/request/src/limit.rs
@@ -1,5 +1,5 @@
-//! One VM's part of a limit, by organisation or kind: requests at a time, requests a second and
-//! prompt tokens a second.
+//! Enforces this VM's share of the limits of an organisation or a kind of request: concurrent
+//! requests, requests per second and prompt tokens per second.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -11,28 +11,29 @@
 
 use crate::quota;
 
-/// A second's worth may be used at once.
-const BURST: f64 = 1.0;
+/// Burst size of the rate limits, in seconds of the rate.
+const BURST_S: f64 = 1.0;
 
-/// Over how long demand is averaged.
+/// Time constant over which demand is averaged.
 const DEMAND_WINDOW: Duration = Duration::from_secs(2);
 
-/// Fewer requests a second than this are no demand.
-const QUIET: f32 = 0.01;
+/// Below this rate of requests per second, a limit has no demand.
+const MIN_DEMAND_PER_S: f32 = 0.01;
 
-/// When to come back after a refusal for concurrency: there is no way to know when one ends.
-const CONCURRENCY_RETRY: Duration = Duration::from_millis(500);
+/// Retry-after time of a rejection for concurrency. It is fixed, since it is not possible to
+/// predict when a running request ends.
+const CONCURRENCY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Why a request is over a limit.
+/// The limit that rejects a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Over {
+pub struct Exceeded {
     /// The limit's name, as in the settings.
     pub limit: &'static str,
-    /// When there is room again.
+    /// Time after which a retry may succeed.
     pub retry_after: Duration,
 }
 
-/// The state of a limit at one VM.
+/// The state of an organisation's or kind's limits at this VM.
 pub struct Limit<C> {
     clock: C,
     state: Mutex<State>,
@@ -42,15 +43,16 @@
     running: u32,
     requests: Bucket,
     tokens: Bucket,
-    /// Requests at a time, at the highest of late; falls with time.
-    peak: f32,
+    /// Recent maximum of concurrent requests, which decays over time.
+    peak_concurrency: f32,
     requests_per_s: f32,
     tokens_per_s: f32,
     demand_at: Instant,
     quota: Option<(Quota, Instant)>,
 }
 
-/// A token bucket. It may go below zero once, so that one large prompt fits any limit.
+/// A token bucket. Its balance may go negative, so that a prompt larger than the burst is still
+/// admitted; nothing more is admitted until the balance is positive again.
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
     left: f64,
@@ -64,12 +66,12 @@
 
     fn refill(&mut self, rate: f64, now: Instant) {
         let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.left = (self.left + rate * passed).min((rate * BURST).max(1.0));
+        self.left = (self.left + rate * passed).min((rate * BURST_S).max(1.0));
         self.at = now;
     }
 
-    /// How long until it is above zero; zero where it is.
-    fn wait(&self, rate: f64, need: f64) -> Duration {
+    /// Time until the balance reaches `need`, at most an hour; zero if it does already.
+    fn time_until(&self, rate: f64, need: f64) -> Duration {
         if self.left >= need {
             return Duration::ZERO;
         }
@@ -77,7 +79,7 @@
     }
 }
 
-/// A request that counts against a limit until this is dropped.
+/// Counts a request against the concurrency limit until dropped.
 pub struct Permit<C: Clock> {
     limit: Arc<Limit<C>>,
 }
@@ -89,14 +91,14 @@
 }
 
 impl<C: Clock> Limit<C> {
-    /// An unused limit.
+    /// Creates a limit without requests or quota.
     pub fn new(clock: C) -> Limit<C> {
         let now = clock.now();
         let state = State {
             running: 0,
             requests: Bucket::full(now),
             tokens: Bucket::full(now),
-            peak: 0.0,
+            peak_concurrency: 0.0,
             requests_per_s: 0.0,
             tokens_per_s: 0.0,
             demand_at: now,
@@ -105,35 +107,35 @@
         Limit { clock, state: Mutex::new(state) }
     }
 
-    /// Takes a new quota from the limit's home.
-    pub fn told(&self, quota: Quota) {
+    /// Sets the quota granted by the limit's home.
+    pub fn set_quota(&self, quota: Quota) {
         let now = self.clock.now();
         self.state.lock().unwrap().quota = Some((quota, now));
     }
 
-    /// The demand, for the limit's home. None once there was none for a while.
+    /// The current demand, to be sent to the limit's home; `None` if there was none recently.
     pub fn demand(&self) -> Option<Demand> {
         let mut state = self.state.lock().unwrap();
         state.decay(self.clock.now());
         let demand = Demand {
-            concurrency: state.running.max(state.peak.round() as u32),
+            concurrency: state.running.max(state.peak_concurrency.round() as u32),
             requests_per_s: state.requests_per_s,
             prompt_tokens_per_s: state.tokens_per_s,
         };
-        (demand.concurrency > 0 || demand.requests_per_s > QUIET).then_some(demand)
+        (demand.concurrency > 0 || demand.requests_per_s > MIN_DEMAND_PER_S).then_some(demand)
     }
 
-    /// Lets a request in, or says which limit it is over.
+    /// Admits a request, or returns the limit that it exceeds.
     pub fn admit(
         self: &Arc<Self>,
         policy: &Policy,
         vms: usize,
         prompt: Tokens,
-    ) -> Result<Permit<C>, Over> {
+    ) -> Result<Permit<C>, Exceeded> {
         let now = self.clock.now();
         let mut state = self.state.lock().unwrap();
         state.decay(now);
-        state.want(prompt);
+        state.record_demand(prompt);
         let quota = state.quota(policy, vms, now);
         state.check(policy, quota, prompt, now)?;
         state.running += 1;
@@ -147,21 +149,21 @@
         let factor = (-passed / DEMAND_WINDOW.as_secs_f32()).exp();
         self.requests_per_s *= factor;
         self.tokens_per_s *= factor;
-        self.peak *= factor;
+        self.peak_concurrency *= factor;
         self.demand_at = now;
     }
 
-    fn want(&mut self, prompt: Tokens) {
+    fn record_demand(&mut self, prompt: Tokens) {
         let window = DEMAND_WINDOW.as_secs_f32();
         self.requests_per_s += 1.0 / window;
         self.tokens_per_s += prompt.0 as f32 / window;
-        self.peak = self.peak.max((self.running + 1) as f32);
+        self.peak_concurrency = self.peak_concurrency.max((self.running + 1) as f32);
     }
 
     fn quota(&self, policy: &Policy, vms: usize, now: Instant) -> Quota {
         match self.quota {
             Some((quota, at)) if now < at + quota::LEASE => quota,
-            _ => quota::equal(quota::Limits { concurrency: policy.concurrency }, vms),
+            _ => quota::equal_share(quota::Limits { concurrency: policy.concurrency }, vms),
         }
     }
 
@@ -171,23 +173,23 @@
         quota: Quota,
         prompt: Tokens,
         now: Instant,
-    ) -> Result<(), Over> {
+    ) -> Result<(), Exceeded> {
         if policy.concurrency > 0 && self.running >= quota.concurrency {
-            return Err(Over { limit: "concurrency", retry_after: CONCURRENCY_RETRY });
+            return Err(Exceeded { limit: "concurrency", retry_after: CONCURRENCY_RETRY_AFTER });
         }
         let requests = f64::from(policy.requests_per_s) * f64::from(quota.requests);
         let tokens = policy.prompt_tokens_per_s as f64 * f64::from(quota.prompt_tokens);
         self.requests.refill(requests, now);
         self.tokens.refill(tokens, now);
         let limited = policy.requests_per_s > 0;
-        let wait = self.requests.wait(requests, 1.0);
+        let wait = self.requests.time_until(requests, 1.0);
         if limited && !wait.is_zero() {
-            return Err(Over { limit: "requests_per_s", retry_after: wait });
+            return Err(Exceeded { limit: "requests_per_s", retry_after: wait });
         }
         let limited_tokens = policy.prompt_tokens_per_s > 0;
-        let wait = self.tokens.wait(tokens, f64::MIN_POSITIVE);
+        let wait = self.tokens.time_until(tokens, f64::MIN_POSITIVE);
         if limited_tokens && !wait.is_zero() {
-            return Err(Over { limit: "prompt_tokens_per_s", retry_after: wait });
+            return Err(Exceeded { limit: "prompt_tokens_per_s", retry_after: wait });
         }
         if limited {
             self.requests.left -= 1.0;
--- a/request/src/notice.rs
+++ b/request/src/notice.rs
@@ -29,13 +29,13 @@
     /// A rate limit.
     Limited(Rate),
     /// A malformed rate limit.
-    Malformed,
+    Unreadable,
 }
 
 impl Notice {
     /// Whether it requires no action of the VMs.
     pub fn is_empty(self) -> bool {
-        let is_limited = matches!(self.rate_limit, RateLimit::Limited(_) | RateLimit::Malformed);
+        let is_limited = matches!(self.rate_limit, RateLimit::Limited(_) | RateLimit::Unreadable);
         !self.leaving && self.backoff.is_none() && !is_limited
     }
 }
@@ -48,7 +48,7 @@
         let limit = match self.rate_limit {
             RateLimit::Unknown | RateLimit::Unlimited => None,
             RateLimit::Limited(rate) => Some(format!("limits requests from all VMs to {rate}")),
-            RateLimit::Malformed => Some("states a malformed rate limit".to_owned()),
+            RateLimit::Unreadable => Some("states a malformed rate limit".to_owned()),
         };
         let parts: Vec<String> = [leaves, backoff, limit].into_iter().flatten().collect();
         if parts.is_empty() {
@@ -60,16 +60,16 @@
 
 /// A response with its upstream's notice. The notice is empty if there was no response.
 #[derive(Debug, Clone, PartialEq)]
-pub struct WithNotice<T> {
+pub struct Annotated<T> {
     /// The notice.
     pub notice: Notice,
     /// The decoded response.
     pub value: T,
 }
 
-impl<T> WithNotice<T> {
+impl<T> Annotated<T> {
     /// A response without a notice, or a failure without a response.
-    pub fn without_notice(value: T) -> WithNotice<T> {
-        WithNotice { notice: Notice::default(), value }
+    pub fn without_notice(value: T) -> Annotated<T> {
+        Annotated { notice: Notice::default(), value }
     }
 }
--- a/request/src/prompt.rs
+++ b/request/src/prompt.rs
@@ -1,4 +1,4 @@
-//! Reading a caller's completion or chat request.
+//! Parsing of callers' completion and chat requests.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 use foldlock_base::size::Tokens;
 use serde::Deserialize;
 
-/// Which of the two styles of answer a caller expects.
+/// The API style of a request and of its response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Style {
     /// `/v1/completions`.
@@ -16,38 +16,38 @@
     Chat,
 }
 
-/// A request as foldlock routes it.
+/// A parsed request.
 #[derive(Debug, Clone)]
 pub struct Prompt {
-    /// The style of the answer.
+    /// The API style of the response.
     pub style: Style,
-    /// The model.
+    /// The requested model.
     pub model: id::Model,
-    /// The text that the engine reads.
+    /// The prompt text that is sent to the engine.
     pub text: Bytes,
-    /// The most tokens of the answer, if the caller said so.
+    /// Maximum number of tokens to generate, if the caller set one.
     pub max_tokens: Option<u64>,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
 }
 
 impl Prompt {
-    /// The tokens of the text.
+    /// Estimated number of tokens of the text.
     pub fn tokens(&self, bytes_per_token: u32) -> Tokens {
         Tokens::of_bytes(self.text.len(), bytes_per_token)
     }
 }
 
-/// A body that is not a request.
+/// Why a request body is invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Malformed {
-    /// Not JSON of the shape that is expected.
+    /// It is not JSON, or does not have the expected fields.
     Json(String),
-    /// There is no text.
-    Empty,
-    /// An answer of no tokens is asked for.
-    NoTokens,
-    /// The model's name is not a name.
+    /// The prompt is empty.
+    EmptyPrompt,
+    /// `max_tokens` is 0.
+    ZeroMaxTokens,
+    /// The model name is invalid.
     Model(id::Invalid),
 }
 
@@ -55,8 +55,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Malformed::Json(why) => write!(f, "the body cannot be read: {why}"),
-            Malformed::Empty => write!(f, "the prompt is empty"),
-            Malformed::NoTokens => write!(f, "`max_tokens` must be at least 1"),
+            Malformed::EmptyPrompt => write!(f, "the prompt is empty"),
+            Malformed::ZeroMaxTokens => write!(f, "`max_tokens` must be at least 1"),
             Malformed::Model(why) => write!(f, "`model`: {why}"),
         }
     }
@@ -94,24 +94,24 @@
     content: String,
 }
 
-/// Reads a body.
-pub fn read(style: Style, body: &[u8]) -> Result<Prompt, Malformed> {
+/// Parses a request body.
+pub fn parse(style: Style, body: &[u8]) -> Result<Prompt, Malformed> {
     let json = |e: serde_json::Error| Malformed::Json(e.to_string());
     let (model, text, common) = match style {
         Style::Completion => {
-            let read: Completion = serde_json::from_slice(body).map_err(json)?;
-            (read.model, read.prompt, read.common)
+            let body: Completion = serde_json::from_slice(body).map_err(json)?;
+            (body.model, body.prompt, body.common)
         }
         Style::Chat => {
-            let read: Chat = serde_json::from_slice(body).map_err(json)?;
-            (read.model, transcript(&read.messages), read.common)
+            let body: Chat = serde_json::from_slice(body).map_err(json)?;
+            (body.model, transcript(&body.messages), body.common)
         }
     };
     if text.is_empty() {
-        return Err(Malformed::Empty);
+        return Err(Malformed::EmptyPrompt);
     }
     if common.max_tokens == Some(0) {
-        return Err(Malformed::NoTokens);
+        return Err(Malformed::ZeroMaxTokens);
     }
     Ok(Prompt {
         style,
@@ -122,7 +122,7 @@
     })
 }
 
-/// The messages as one text, each behind its role.
+/// Joins the messages into one text, each prefixed with its role.
 fn transcript(messages: &[Message]) -> String {
     let mut text = String::new();
     for message in messages {
--- a/request/src/report.rs
+++ b/request/src/report.rs
@@ -6,7 +6,7 @@
 use foldlock_base::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use crate::notice::WithNotice;
+use crate::notice::Annotated;
 use crate::tag::Tag;
 
 /// The report of one engine.
@@ -41,7 +41,7 @@
         &self,
         upstream: &id::Upstream,
         address: &str,
-    ) -> impl Future<Output = WithNotice<Result<Report, ReportError>>> + Send;
+    ) -> impl Future<Output = Annotated<Result<Report, ReportError>>> + Send;
 }
 
 /// The result of fetching a report, with its time.
