--- a/daemon/src/attempt.rs
+++ b/daemon/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a request: sent to a place, and its answer read to the end.
+//! One attempt: sends a request to its placement and reads the answer to the end.
 
 use std::time::{Duration, Instant};
 
@@ -10,116 +10,124 @@
 use foldlock_connection::events::{Checker, Event as Part};
 use foldlock_request::decision::Decision;
 
-use crate::engines::{Flight, Wanted};
-use crate::gate::{self, Place};
+use crate::engines::{EngineQuery, Flight};
+use crate::gate::{self, Placement};
 use crate::group;
 use crate::serve::{Job, Progress, Sink};
 
-/// An engine that sends nothing for this long, once an answer has begun, is taken for broken.
-const STALL: Duration = Duration::from_secs(2);
+/// Time without data after the start of an answer after which the engine is considered broken.
+const STALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The least time that the first token is waited for before a request is moved.
-const PATIENCE: Duration = Duration::from_millis(750);
+/// Minimum time to wait for the first token before moving the request is considered.
+const MIN_FIRST_TOKEN_TIMEOUT: Duration = Duration::from_millis(750);
 
-/// How many times the predicted time the first token is waited for.
-const PATIENCE_FACTOR: f64 = 4.0;
+/// The time to wait for the first token, as a ratio of the predicted time.
+const FIRST_TOKEN_TIMEOUT_RATIO: f64 = 4.0;
 
 /// How an attempt ended.
 pub enum End {
-    /// The whole answer was given.
+    /// The whole answer was sent to the caller.
     Finished,
-    /// It did not run.
+    /// The request did not run.
     NotRun {
-        /// The proof.
+        /// Proof that it did not run.
         proof: Refusal,
-        /// Why.
+        /// Why it did not run.
         why: String,
     },
-    /// It broke off.
+    /// The answer broke off; the reason.
     Broken(String),
-    /// Its first token is late, and another engine would do better.
+    /// The first token is overdue and another engine is predicted to be faster; the reason.
     Slow(String),
     /// The deadline passed.
     Deadline,
-    /// The caller went away.
+    /// The caller disconnected.
     Gone,
 }
 
-/// Sends a request once and reads the answer.
+/// Runs one attempt of a request.
 pub async fn run<S: Sink>(
     job: &Job,
-    mut place: Place,
+    mut placement: Placement,
     sink: &mut S,
     progress: &mut Progress,
 ) -> End {
     if progress.tokens > 0 {
         job.process.metrics.resumed.inc();
-        let upstream = place.engine().clone();
+        let upstream = placement.engine().clone();
         job.record(Decision::Resumed { index: progress.tokens, upstream });
     }
-    let begun = tokio::select! {
-        begun = begin(job, &mut place, progress) => begun,
-        () = sink.gone() => return End::Gone,
+    let started = tokio::select! {
+        started = start(job, &mut placement, progress) => started,
+        () = sink.caller_gone() => return End::Gone,
         () = tokio::time::sleep_until(job.deadline.instant().into()) => Err(End::Deadline),
     };
-    let mut stream = match begun {
+    let mut stream = match started {
         Ok(stream) => stream,
         Err(end) => {
-            judge(&place, &end);
+            record_health(&placement, &end);
             return end;
         }
     };
-    sink.source(job, place.engine(), stream.id());
-    let end = read(job, &mut place, &mut stream, sink, progress).await;
-    judge(&place, &end);
-    let kept = matches!(end, End::Gone) && job.policy.resume_window_ms > 0;
-    if !matches!(end, End::Finished) && !kept {
-        cancel(&place, stream.id());
+    sink.on_source(job, placement.engine(), stream.id());
+    let end = read_answer(job, &mut placement, &mut stream, sink, progress).await;
+    record_health(&placement, &end);
+    let resumable = matches!(end, End::Gone) && job.policy.resume_window_ms > 0;
+    if !matches!(end, End::Finished) && !resumable {
+        cancel(&placement, stream.id());
     }
     end
 }
 
-/// What an attempt's end says of its engine.
-fn judge(place: &Place, end: &End) {
+/// Records a failed attempt in the engine's health.
+fn record_health(placement: &Placement, end: &End) {
     match end {
-        End::Broken(_) | End::Slow(_) => place.flight().failed(),
-        End::NotRun { why, .. } if why.starts_with("no connection") => place.flight().failed(),
+        End::Broken(_) | End::Slow(_) => placement.flight().on_failure(),
+        End::NotRun { why, .. } if why.starts_with("no connection") => {
+            placement.flight().on_failure()
+        }
         _ => {}
     }
 }
 
-/// Ends a stream at its engine, so that its memory is free at once.
-fn cancel(place: &Place, stream: &str) {
-    let client = place.flight().client.clone();
+/// Cancels a stream on its engine, which releases its memory at once.
+fn cancel(placement: &Placement, stream: &str) {
+    let client = placement.flight().client.clone();
     let stream = stream.to_owned();
     tokio::spawn(async move {
         let _ = client.cancel(&stream).await;
     });
 }
 
-async fn begin(job: &Job, place: &mut Place, progress: &Progress) -> Result<HttpStream, End> {
-    let result = match place {
-        Place::Engine(flight) => {
+async fn start(
+    job: &Job,
+    placement: &mut Placement,
+    progress: &Progress,
+) -> Result<HttpStream, End> {
+    let result = match placement {
+        Placement::Engine(flight) => {
             let order = job.order(progress);
-            let answered = flight.client.generate(&order);
-            tokio::pin!(answered);
+            let response = flight.client.generate(&order);
+            tokio::pin!(response);
             loop {
-                let wait = patience(job, flight.predicted);
-                match tokio::time::timeout(wait, answered.as_mut()).await {
+                let wait = first_token_timeout(job, flight.predicted);
+                match tokio::time::timeout(wait, response.as_mut()).await {
                     Ok(result) => break result,
                     Err(_) if can_move(job, flight, progress) => {
-                        return Err(End::Slow("it does not accept the request".to_owned()));
+                        return Err(End::Slow(
+                            "the engine did not accept the request in time".to_owned(),
+                        ));
                     }
                     Err(_) => {}
                 }
             }
         }
-        Place::Group(group) => group::begin(job, group, progress).await,
+        Placement::Group(group) => group::begin(job, group, progress).await,
     };
     result.map_err(|failure| match failure {
         Failure::NotRun { proof, leaving, why } => {
             if leaving {
-                job.process.upstream_leaving(place.engine());
+                job.process.upstream_leaving(placement.engine());
             }
             End::NotRun { proof, why }
         }
@@ -127,68 +135,70 @@
     })
 }
 
-/// How long the first token is waited for until moving the request is considered.
-fn patience(job: &Job, predicted: f64) -> Duration {
-    Duration::from_secs_f64(predicted * PATIENCE_FACTOR).max(PATIENCE).min(job.left())
+/// Time to wait for the first token before moving the request is considered.
+fn first_token_timeout(job: &Job, predicted: f64) -> Duration {
+    Duration::from_secs_f64(predicted * FIRST_TOKEN_TIMEOUT_RATIO)
+        .max(MIN_FIRST_TOKEN_TIMEOUT)
+        .min(job.left())
 }
 
-/// Whether a request whose first token is late may be moved, and would do better elsewhere: in
-/// less than half of the time that it has waited.
+/// Whether a request whose first token is overdue may be moved, and another engine is predicted to
+/// need less than half of the time waited so far.
 fn can_move(job: &Job, flight: &Flight<System>, progress: &Progress) -> bool {
     let policy = &job.policy;
     if !policy.repeatable || progress.attempts > policy.retries {
         return false;
     }
     let waited = (job.process.clock.now() - flight.sent).as_secs_f64();
-    // An engine that failed the request before may do by now what this one does not.
-    let wanted = Wanted { avoid: &[], ..gate::wanted(job, progress) };
-    job.process.engines.better(&wanted, &flight.engine, waited / 2.0)
+    // Engines that failed earlier attempts count too: they may be faster now than this one.
+    let query = EngineQuery { avoid: &[], ..gate::engine_query(job, progress) };
+    job.process.engines.has_faster(&query, &flight.engine, waited / 2.0)
 }
 
-async fn read<S: Sink>(
+async fn read_answer<S: Sink>(
     job: &Job,
-    place: &mut Place,
+    placement: &mut Placement,
     stream: &mut HttpStream,
     sink: &mut S,
     progress: &mut Progress,
 ) -> End {
     let mut checker = Checker::new(job.request.as_str(), progress.tokens);
     let mut parts = Vec::new();
-    let mut began = false;
+    let mut started = false;
     loop {
-        let wait = match (began, &*place) {
-            (true, _) => STALL,
-            (false, Place::Engine(flight)) => patience(job, flight.predicted),
-            (false, Place::Group(_)) => job.left(),
+        let wait = match (started, &*placement) {
+            (true, _) => STALL_TIMEOUT,
+            (false, Placement::Engine(flight)) => first_token_timeout(job, flight.predicted),
+            (false, Placement::Group(_)) => job.left(),
         };
         let until = (Instant::now() + wait).min(job.deadline.instant());
         let bytes = tokio::select! {
             bytes = stream.next() => bytes,
-            () = sink.gone() => return End::Gone,
-            () = tokio::time::sleep_until(until.into()) => match late(job, place, began, progress) {
+            () = sink.caller_gone() => return End::Gone,
+            () = tokio::time::sleep_until(until.into()) => match on_timeout(job, placement, started, progress) {
                 Some(end) => return end,
                 None => continue,
             },
         };
-        let taken = match bytes {
-            Ok(Some(bytes)) => take(bytes, &mut checker, &mut parts),
-            Ok(None) => Err("the answer ended early".to_owned()),
+        let decoded = match bytes {
+            Ok(Some(bytes)) => decode(bytes, &mut checker, &mut parts),
+            Ok(None) => Err("the response ended early".to_owned()),
             Err(failure) => Err(failure.to_string()),
         };
-        if let Err(why) = taken {
+        if let Err(why) = decoded {
             return End::Broken(why);
         }
-        if !began && !parts.is_empty() {
-            began = true;
-            first_token(job, place, stream.cached(), progress);
+        if !started && !parts.is_empty() {
+            started = true;
+            on_first_token(job, placement, stream.cached(), progress);
         }
-        let ended = keep(&parts, job.policy.resume, progress);
+        let ended = add_to_progress(&parts, job.policy.resume, progress);
         let sent = tokio::select! {
-            sent = sink.take(&parts) => sent,
+            sent = sink.send(&parts) => sent,
             () = tokio::time::sleep_until(job.deadline.instant().into()) => return End::Deadline,
         };
         if ended {
-            return finish(job, place, progress);
+            return finish(job, placement, progress);
         }
         if !sent {
             return End::Gone;
@@ -197,29 +207,29 @@
     }
 }
 
-/// Adds the events that bytes complete.
-fn take(bytes: bytes::Bytes, checker: &mut Checker, parts: &mut Vec<Part>) -> Result<(), String> {
+/// Decodes bytes and adds the events that they complete.
+fn decode(bytes: bytes::Bytes, checker: &mut Checker, parts: &mut Vec<Part>) -> Result<(), String> {
     checker.push(bytes, |part| parts.push(part)).map_err(|fault| fault.to_string())
 }
 
-/// What follows when nothing came for a while; none where the request waits on.
-fn late(job: &Job, place: &Place, began: bool, progress: &Progress) -> Option<End> {
+/// How the attempt ends if no data came in time; `None` to wait on.
+fn on_timeout(job: &Job, placement: &Placement, started: bool, progress: &Progress) -> Option<End> {
     if job.left().is_zero() {
         return Some(End::Deadline);
     }
-    if began {
-        return Some(End::Broken(format!("nothing came for {} ms", STALL.as_millis())));
+    if started {
+        return Some(End::Broken(format!("no data for {} ms", STALL_TIMEOUT.as_millis())));
     }
-    match place {
-        Place::Engine(flight) if can_move(job, flight, progress) => {
-            Some(End::Slow("the first token is late".to_owned()))
+    match placement {
+        Placement::Engine(flight) if can_move(job, flight, progress) => {
+            Some(End::Slow("the first token is overdue".to_owned()))
         }
         _ => None,
     }
 }
 
-/// Adds parts to the progress. Gives whether the answer has ended.
-fn keep(parts: &[Part], keep_text: bool, progress: &mut Progress) -> bool {
+/// Adds parts to the progress. Returns whether the answer has ended.
+fn add_to_progress(parts: &[Part], keep_text: bool, progress: &mut Progress) -> bool {
     let mut ended = false;
     for part in parts {
         match part {
@@ -235,13 +245,13 @@
     ended
 }
 
-fn first_token(job: &Job, place: &mut Place, cached: Tokens, progress: &mut Progress) {
+fn on_first_token(job: &Job, placement: &mut Placement, cached: Tokens, progress: &mut Progress) {
     let now = job.process.clock.now();
-    if let Place::Engine(flight) = place {
+    if let Placement::Engine(flight) = placement {
         let real = (now - flight.sent).as_secs_f64();
         job.process.metrics.prediction.observe(flight.predicted / real.max(1e-6));
     }
-    place.first_token(cached);
+    placement.on_first_token(cached);
     if progress.first_token.is_none() {
         let since = now - job.arrived;
         progress.first_token = Some(since);
@@ -249,9 +259,9 @@
     }
 }
 
-fn finish(job: &Job, place: &Place, progress: &Progress) -> End {
+fn finish(job: &Job, placement: &Placement, progress: &Progress) -> End {
     let first = progress.first_token.unwrap_or_default();
-    let sent = place.flight().sent - job.arrived;
+    let sent = placement.flight().sent - job.arrived;
     job.record(Decision::Finished {
         first_token_ms: millis(first),
         engine_ms: millis(first.saturating_sub(sent)),
--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -1,8 +1,9 @@
-//! Claims of idempotency keys: written to the key-value service before a request that may not be
-//! repeated is sent.
+//! Claims of idempotency keys, written to the key-value service before sending a request that must
+//! not be repeated.
 //!
-//! One VM, named by rendezvous, writes for all, in batches. Any other VM that cannot reach it
-//! writes by itself: the compare-and-swap decides. See `foldlock_request::claim` for the log.
+//! One VM, chosen by rendezvous hashing, writes the claims of all VMs in batches. A VM that cannot
+//! reach it writes its own claims; the compare-and-swap resolves conflicts. See
+//! `foldlock_request::claim` for the log.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -19,61 +20,61 @@
 use crate::members;
 use crate::process::Process;
 
-/// The one shard of today. Its number is in keys and messages, so that there can be more.
+/// The only shard at present. Its number is part of keys and messages, so that more can be added.
 const SHARD: u32 = 0;
 
-/// The least time between two writes, in which claims gather.
-const GATHER: Duration = Duration::from_millis(25);
+/// Minimum time between two writes, during which claims are collected into a batch.
+const BATCH_INTERVAL: Duration = Duration::from_millis(25);
 
-/// The largest batch.
-const BATCH: usize = 2_000;
+/// Maximum number of claims in a batch.
+const MAX_BATCH: usize = 2_000;
 
-/// How often a batch is tried again after a conflict or a lost answer.
-const ATTEMPTS: u32 = 6;
+/// Maximum attempts to write a batch, after conflicts or lost responses.
+const MAX_ATTEMPTS: u32 = 6;
 
-/// How long the VM that writes has to answer another one.
+/// Timeout of claims forwarded to the writing VM.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How often settlements are sent, and tried again.
-const SETTLE: Duration = Duration::from_millis(100);
+/// Interval at which settlements are sent and retried.
+const SETTLE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a stopping process tries to write its settlements.
-const FLUSH: Duration = Duration::from_secs(5);
+/// Maximum time for which a stopping process waits until its settlements are written.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
 
-struct Item {
+struct QueuedClaim {
     claim: Claim,
     verdict: oneshot::Sender<Verdict>,
 }
 
-/// The claims.
+/// This VM's claims and settlements, and the queue of claims to be written here.
 pub struct Claims {
     store: HttpStore,
-    inbox: mpsc::UnboundedSender<Item>,
-    outlet: Mutex<Option<mpsc::UnboundedReceiver<Item>>>,
+    inbox: mpsc::UnboundedSender<QueuedClaim>,
+    outlet: Mutex<Option<mpsc::UnboundedReceiver<QueuedClaim>>>,
     settlements: Mutex<Vec<Claim>>,
     settled: Notify,
 }
 
-/// A key that this VM holds for one attempt. Given back when dropped, unless it was sent.
-pub struct Held {
+/// A key claimed by this VM for one attempt. Released when dropped, unless the attempt was sent.
+pub struct KeyClaim {
     process: Arc<Process>,
     key: u128,
     nonce: u128,
     sent: bool,
 }
 
-impl Held {
-    /// The attempt is on its way: from here on the key stays taken.
+impl KeyClaim {
+    /// Marks the attempt as sent: from now on the key is not released.
     pub fn sent(&mut self) {
         self.sent = true;
     }
 
-    /// The attempt was proved not to have run.
+    /// Marks the attempt as proven not to have run.
     pub fn not_run(&mut self) {
         self.sent = false;
     }
 
-    /// The attempt ran to its end.
+    /// Records that the attempt ran to its end.
     pub fn done(&mut self) {
         self.sent = true;
         self.settle(Word::Done);
@@ -85,7 +86,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for KeyClaim {
     fn drop(&mut self) {
         if !self.sent {
             self.settle(Word::Release);
@@ -94,34 +95,34 @@
 }
 
 impl Claims {
-    /// Claims that lie in this store.
+    /// Creates the claims that are stored in `store`.
     pub fn new(store: HttpStore) -> Claims {
         let (inbox, outlet) = mpsc::unbounded_channel();
         let outlet = Mutex::new(Some(outlet));
         Claims { store, inbox, outlet, settlements: Mutex::default(), settled: Notify::new() }
     }
 
-    /// The VM that writes.
+    /// The VM that writes claims.
     pub fn writer(&self, live: &[Member]) -> Option<id::Vm> {
-        members::holder(&format!("claims/{SHARD}"), live).map(|m| m.vm.clone())
+        members::owner_of(&format!("claims/{SHARD}"), live).map(|m| m.vm.clone())
     }
 
-    /// Claims a key for one attempt.
-    pub async fn claim(process: &Arc<Process>, key: u128) -> Result<Held, Verdict> {
+    /// Claims a key for one attempt. Returns the verdict as an error if the key is not won.
+    pub async fn claim(process: &Arc<Process>, key: u128) -> Result<KeyClaim, Verdict> {
         let nonce = rand::random();
-        let mut held = Held { process: process.clone(), key, nonce, sent: false };
+        let mut key_claim = KeyClaim { process: process.clone(), key, nonce, sent: false };
         let claim = Claim { key, nonce, word: Word::Claim };
         match send(process, vec![claim]).await.first() {
-            Some(Verdict::Won) => Ok(held),
+            Some(Verdict::Won) => Ok(key_claim),
             Some(Verdict::Unavailable) | None => Err(Verdict::Unavailable),
             Some(verdict) => {
-                held.sent();
+                key_claim.sent();
                 Err(*verdict)
             }
         }
     }
 
-    /// Writes claims at this VM.
+    /// Writes claims from this VM.
     pub async fn write_here(&self, shard: u32, claims: Vec<Claim>) -> Vec<Verdict> {
         if shard != SHARD {
             return vec![Verdict::Unavailable; claims.len()];
@@ -129,7 +130,7 @@
         let mut waiting = Vec::with_capacity(claims.len());
         for claim in claims {
             let (verdict, answer) = oneshot::channel();
-            let _ = self.inbox.send(Item { claim, verdict });
+            let _ = self.inbox.send(QueuedClaim { claim, verdict });
             waiting.push(answer);
         }
         let mut verdicts = Vec::with_capacity(waiting.len());
@@ -139,7 +140,7 @@
         verdicts
     }
 
-    /// Waits until what became of each attempt is written, for a while.
+    /// Waits until all settlements are written, with a timeout.
     pub async fn flush(&self) {
         let flushed = async {
             loop {
@@ -150,11 +151,11 @@
                 settled.await;
             }
         };
-        let _ = tokio::time::timeout(FLUSH, flushed).await;
+        let _ = tokio::time::timeout(FLUSH_TIMEOUT, flushed).await;
     }
 }
 
-/// Sends claims to the VM that writes, or writes them here.
+/// Sends claims to the writing VM, or writes them from this VM if that fails.
 async fn send(process: &Arc<Process>, claims: Vec<Claim>) -> Vec<Verdict> {
     let live = process.members.live();
     let writer = process.claims.writer(&live);
@@ -171,15 +172,15 @@
     process.claims.write_here(SHARD, claims).await
 }
 
-/// Writes what comes to this VM, and sends settlements.
+/// Runs the writer of this VM and sends its settlements.
 pub async fn run(process: Arc<Process>) {
     let outlet = process.claims.outlet.lock().unwrap().take();
     let Some(outlet) = outlet else { return };
     let writer = Writer {
         store: process.claims.store.clone(),
         log: Log::new(SHARD),
-        read: false,
-        fresh: false,
+        loaded: false,
+        up_to_date: false,
         clock: process.clock,
     };
     tokio::join!(writer.run(outlet), settle(process.clone()));
@@ -188,10 +189,10 @@
 /// Sends settlements until each is written.
 async fn settle(process: Arc<Process>) {
     loop {
-        tokio::time::sleep(SETTLE).await;
+        tokio::time::sleep(SETTLE_INTERVAL).await;
         let batch: Vec<Claim> = {
             let settlements = process.claims.settlements.lock().unwrap();
-            settlements.iter().take(BATCH).cloned().collect()
+            settlements.iter().take(MAX_BATCH).cloned().collect()
         };
         if batch.is_empty() {
             process.claims.settled.notify_waiters();
@@ -205,27 +206,27 @@
     }
 }
 
-/// The one task of a VM that writes the log.
+/// The task that writes the log, one per VM.
 struct Writer {
     store: HttpStore,
     log: Log,
-    read: bool,
-    fresh: bool,
+    loaded: bool,
+    up_to_date: bool,
     clock: System,
 }
 
 impl Writer {
-    async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<Item>) {
-        let mut wrote = Instant::now() - GATHER;
+    async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<QueuedClaim>) {
+        let mut last_write = Instant::now() - BATCH_INTERVAL;
         while let Some(first) = inbox.recv().await {
-            tokio::time::sleep_until((wrote + GATHER).into()).await;
+            tokio::time::sleep_until((last_write + BATCH_INTERVAL).into()).await;
             let mut items = vec![first];
-            while items.len() < BATCH
+            while items.len() < MAX_BATCH
                 && let Ok(item) = inbox.try_recv()
             {
                 items.push(item);
             }
-            wrote = Instant::now();
+            last_write = Instant::now();
             let claims: Vec<Claim> = items.iter().map(|i| i.claim.clone()).collect();
             let verdicts = self.decide(&claims).await;
             for (item, verdict) in items.into_iter().zip(verdicts) {
@@ -234,37 +235,37 @@
         }
     }
 
-    /// Decides a batch and writes it. After a conflict or a lost answer the log is read on, in
-    /// which the own entries are found if the write took effect.
+    /// Decides a batch and writes it. After a conflict or a lost response it reads the new entries
+    /// of the log, which include the batch if the write took effect.
     async fn decide(&mut self, claims: &[Claim]) -> Vec<Verdict> {
-        let nothing = vec![Verdict::Unavailable; claims.len()];
-        for attempt in 0..ATTEMPTS {
-            if !self.fresh && self.read_on().await.is_err() {
-                tokio::time::sleep(GATHER * attempt).await;
+        let unavailable = vec![Verdict::Unavailable; claims.len()];
+        for attempt in 0..MAX_ATTEMPTS {
+            if !self.up_to_date && self.read_new_entries().await.is_err() {
+                tokio::time::sleep(BATCH_INTERVAL * attempt).await;
                 continue;
             }
             let Ok(batch) = self.log.prepare(claims, self.clock.wall_millis()) else {
-                return nothing;
+                return unavailable;
             };
             let Some(text) = &batch.text else { return batch.verdicts };
-            let key = claim::key(self.log.shard(), batch.slot);
-            match self.store.swap(&key, batch.expected, text.clone().into_bytes()).await {
+            let key = claim::slot_key(self.log.shard(), batch.slot);
+            match self.store.swap(&key, batch.expected_revision, text.clone().into_bytes()).await {
                 Ok(revision) => {
                     self.log.commit(&batch, revision);
                     return batch.verdicts;
                 }
-                Err(Failure::Limited) => tokio::time::sleep(GATHER).await,
-                Err(_) => self.fresh = false,
+                Err(Failure::Limited) => tokio::time::sleep(BATCH_INTERVAL).await,
+                Err(_) => self.up_to_date = false,
             }
         }
-        nothing
+        unavailable
     }
 
-    /// Reads what others wrote since.
-    async fn read_on(&mut self) -> Result<(), Failure> {
-        if !self.read {
+    /// Reads the entries written by others since the last read; all slots the first time.
+    async fn read_new_entries(&mut self) -> Result<(), Failure> {
+        if !self.loaded {
             self.read_all().await?;
-            self.read = true;
+            self.loaded = true;
         } else {
             let mut slot = self.log.current();
             let mut first = true;
@@ -273,13 +274,13 @@
                 slot = (slot + 1) % claim::SLOTS;
             }
         }
-        self.fresh = true;
+        self.up_to_date = true;
         Ok(())
     }
 
     async fn load(&mut self, slot: usize) -> Result<bool, Failure> {
         let before = self.log.current();
-        let entry = self.store.get(&claim::key(self.log.shard(), slot)).await?;
+        let entry = self.store.get(&claim::slot_key(self.log.shard(), slot)).await?;
         let Some(entry) = entry else { return Ok(false) };
         let text = text_of(&entry)?;
         let more = self.log.load(slot, Some((&text, entry.revision))).map_err(unreadable)?;
@@ -289,7 +290,7 @@
     async fn read_all(&mut self) -> Result<(), Failure> {
         let mut entries = Vec::new();
         for slot in 0..claim::SLOTS {
-            let entry = self.store.get(&claim::key(self.log.shard(), slot)).await?;
+            let entry = self.store.get(&claim::slot_key(self.log.shard(), slot)).await?;
             let Some(entry) = entry else { break };
             entries.push((slot, text_of(&entry)?, entry.revision));
         }
@@ -302,9 +303,9 @@
 
 fn text_of(entry: &Entry) -> Result<String, Failure> {
     String::from_utf8(entry.value.clone())
-        .map_err(|_| Failure::Unavailable("a slot of claims is not text".to_owned()))
+        .map_err(|_| Failure::Unavailable("a slot of claims is not valid UTF-8".to_owned()))
 }
 
 fn unreadable(e: claim::Unreadable) -> Failure {
-    Failure::Unavailable(format!("a slot of claims cannot be read: {}", e.0))
+    Failure::Unavailable(format!("a slot of claims cannot be parsed: {}", e.0))
 }
--- a/daemon/src/engines/flight.rs
+++ b/daemon/src/engines/flight.rs
@@ -1,4 +1,4 @@
-//! A request on its way at an engine.
+//! An in-flight attempt on an engine.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -8,21 +8,21 @@
 use foldlock_base::prelude::*;
 use foldlock_connection::engine::HttpEngine;
 use foldlock_connection::wire::Load;
-use foldlock_request::decision::Seen;
+use foldlock_request::decision::Snapshot;
 use foldlock_request::speed::Work;
 
 use super::Engines;
 
-/// A request that counts as load of an engine until this is dropped.
+/// An in-flight attempt, which counts as load on its engine until dropped.
 pub struct Flight<C: Clock> {
-    /// The engine's adapter.
+    /// The engine's client.
     pub client: HttpEngine,
-    /// The engine.
+    /// The engine's id.
     pub engine: id::Upstream,
-    /// The predicted seconds to the first token.
+    /// Predicted time to the first token, in seconds.
     pub predicted: f64,
-    /// What was compared.
-    pub seen: Vec<Seen>,
+    /// The candidates that were compared.
+    pub compared: Vec<Snapshot>,
     /// When the engine was chosen.
     pub sent: Instant,
     pub(super) engines: Arc<Engines<C>>,
@@ -34,60 +34,61 @@
 }
 
 impl<C: Clock> Flight<C> {
-    /// The first token came: the prompt is no longer queued, and the model learns.
-    pub fn first_token(&mut self, cached: Tokens) {
+    /// Handles the first token: the prompt is no longer queued, and the speed model is updated.
+    pub fn on_first_token(&mut self, cached: Tokens) {
         let now = self.engines.clock.now();
         let seconds = (now - self.sent).as_secs_f64();
         let (slot, work, blocks) = (self.slot, self.work, std::mem::take(&mut self.blocks));
         let hits = (cached.0 * u64::from(self.bytes_per_token)) as usize / prefix::BLOCK;
         let prefill = self.load.prefill_only();
         self.load = self.load.minus(prefill);
-        self.engines.with(&self.engine, |local| {
+        self.engines.update(&self.engine, |local| {
             local.own = local.own.minus(prefill);
-            local.health.succeeded();
+            local.health.on_success();
             if local.flights.remove(&slot).is_some() {
                 local.speed.learn(work, seconds);
-                local.learnt_at = now;
+                local.speed_updated_at = now;
             }
-            local.affinity.correct(&blocks, hits);
-            local.affinity.stored(&blocks, now);
+            local.affinity.remove_misses(&blocks, hits);
+            local.affinity.insert(&blocks, now);
         });
     }
 
-    /// The prompt is computed, without a token that would tell how fast.
-    pub fn computed(&mut self) {
+    /// Handles the end of a prefill that produces no token, and so no sample of the engine's speed.
+    pub fn on_prefill_done(&mut self) {
         let prefill = self.load.prefill_only();
         self.load = self.load.minus(prefill);
         let slot = self.slot;
-        self.engines.with(&self.engine, |local| {
+        self.engines.update(&self.engine, |local| {
             local.own = local.own.minus(prefill);
-            local.health.succeeded();
+            local.health.on_success();
             local.flights.remove(&slot);
         });
     }
 
-    /// The engine failed the request.
-    pub fn failed(&self) {
+    /// Handles a failure of the engine: records it in the engine's health, and clears its prefix
+    /// table.
+    pub fn on_failure(&self) {
         let now = self.engines.clock.now();
-        self.engines.with(&self.engine, |local| {
-            local.health.failed(now);
+        self.engines.update(&self.engine, |local| {
+            local.health.on_failure(now);
             local.affinity.clear();
         });
     }
 
-    /// The engine refused the request, since it is leaving.
-    pub fn refused_leaving(&self) {
-        self.engines.leaving(&self.engine);
+    /// Handles the engine's refusal of the request because it is leaving.
+    pub fn on_refused_leaving(&self) {
+        self.engines.mark_leaving(&self.engine);
     }
 }
 
 impl<C: Clock> Drop for Flight<C> {
     fn drop(&mut self) {
         let (slot, load) = (self.slot, self.load);
-        self.engines.with(&self.engine, |local| {
+        self.engines.update(&self.engine, |local| {
             local.own = local.own.minus(load);
             if local.flights.remove(&slot).is_some() {
-                local.health.undecided();
+                local.health.on_inconclusive();
             }
         });
     }
--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -11,10 +11,10 @@
 use foldlock_request::dialect::Dialect;
 use foldlock_request::flight::Flight;
 use foldlock_request::notice::RateLimit;
-use foldlock_request::placement::Place;
+use foldlock_request::placement::Placement;
 use foldlock_request::suspicion::{Failure as Cause, Outcome};
 use foldlock_request::tag::Tag;
-use foldlock_request::terms::{Handover, Helper, Verdict};
+use foldlock_request::terms::{self, Helper, Verdict};
 use foldlock_version::routes::Shape;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header;
@@ -64,7 +64,7 @@
     Events(Box<Begun<D>>),
     /// No byte was sent.
     Unsent(String),
-    /// The memory that the place counted on was taken; nothing was sent.
+    /// The memory that the placement counted on was taken; nothing was sent.
     NoMemory(ReservationLost),
     /// The upstream said that it did not run the request.
     NotRun {
@@ -81,16 +81,16 @@
     Deadline,
 }
 
-/// Sends the request to a place.
+/// Sends the request to a placement.
 pub async fn run<D: Dialect>(
     job: &Arc<Job<D>>,
     grant: Grant,
     last_event: Option<u64>,
     tries: &Tries,
 ) -> End<D> {
-    let upstream = grant.place.flight.upstream.clone();
-    let entered = job.process.enter(grant.number, grant.place.flight.clone());
-    let limit = patience(job, &grant.place, tries);
+    let upstream = grant.placement.flight.upstream.clone();
+    let entered = job.process.enter(grant.number, grant.placement.flight.clone());
+    let limit = patience(job, &grant.placement, tries);
     let sent = sent(job, grant, last_event, entered);
     let until = job.deadline.min(job.process.now() + limit);
     let ended = tokio::select! {
@@ -102,29 +102,29 @@
     match ended {
         Ok(end) => end,
         Err(_) if job.left().is_zero() => {
-            note(job, &upstream, Cause::Own);
+            note(job, &upstream, Cause::ServerError);
             End::Deadline
         }
         Err(_) => {
-            note(job, &upstream, Cause::Silent);
+            note(job, &upstream, Cause::Unresponsive);
             End::Broken(format!("silent for {} ms", limit.as_millis()))
         }
     }
 }
 
 /// How long an attempt may go without its answer or first event before the request goes elsewhere.
-fn patience<D: Dialect>(job: &Job<D>, place: &Place, tries: &Tries) -> Duration {
-    if place.flight.holds_memory() {
+fn patience<D: Dialect>(job: &Job<D>, placement: &Placement, tries: &Tries) -> Duration {
+    if placement.flight.has_reservations() {
         return job.process.config.fleet.held_silence();
     }
-    let last = tries.ran + 1 >= job.route.attempts || place.open < 2;
+    let last = tries.ran + 1 >= job.route.attempts || placement.candidates < 2;
     if last || !job.repeatable() {
         return job.left();
     }
     match job.route.shape {
         Shape::Whole => job.route.objective.mul_f64(SLOW_WHOLE),
         Shape::Events { .. } => {
-            let ms = place.predicted_ms * SLOW_FIRST + SLOW_FIRST_MS;
+            let ms = placement.predicted_ms * SLOW_FIRST + SLOW_FIRST_MS;
             Duration::from_secs_f64(ms / 1e3).max(job.route.objective.mul_f64(SLOW_OBJECTIVES))
         }
     }
@@ -136,37 +136,37 @@
     last_event: Option<u64>,
     entered: Entered<D>,
 ) -> End<D> {
-    let place = &grant.place;
-    let upstream = place.flight.upstream.clone();
+    let placement = &grant.placement;
+    let upstream = placement.flight.upstream.clone();
     let start = notices::start(&job.process, &upstream);
     let hold = match Hold::take(job, &grant).await {
         Ok(hold) => hold,
         Err(taken) => {
-            note(job, &taken.upstream, Cause::Full);
+            note(job, &taken.upstream, Cause::Overloaded);
             return End::NoMemory(taken);
         }
     };
     let mut channel = match channel(job, &grant).await {
         Ok(channel) => channel,
         Err(why) => {
-            note(job, &upstream, Cause::Silent);
+            note(job, &upstream, Cause::Unresponsive);
             return End::Unsent(why);
         }
     };
-    if let Some((upstream, reason)) = excluded(job, place) {
+    if let Some((upstream, reason)) = excluded(job, placement) {
         // That came to be while memory was set aside for this request, or its connection opened.
         return End::Unsent(format!("upstream {upstream} is excluded: {reason}"));
     }
-    let request = request(job, place, &hold.helpers(&grant), last_event);
+    let request = request(job, placement, &hold.helpers(&grant), last_event);
     let sent = job.process.now();
     job.process.metrics.sent(Sent::Request, 1);
-    job.process.metrics.sent(Sent::Part, place.flight.helpers.len());
+    job.process.metrics.sent(Sent::Part, placement.flight.helpers.len());
     let answer = match channel.send(request).await {
         Ok(answer) => answer,
         Err(Failure::Refused(why) | Failure::Unsent(why)) => return End::Unsent(why),
         Err(Failure::Broken(why)) => {
-            note(job, &upstream, Cause::Broken);
-            ending::examine(job, &place.flight, start).await;
+            note(job, &upstream, Cause::Malformed);
+            ending::examine(job, &placement.flight, start).await;
             return End::Broken(why);
         }
     };
@@ -174,24 +174,24 @@
     let notice = D::notice(head.status, &head.headers);
     notices::heard(&job.process, &upstream, start, sent, notice);
     let rest = rest(&head.headers);
-    match D::verdict(&job.terms.request, head.status, &head.headers) {
+    match D::verdict(&job.terms.request_id, head.status, &head.headers) {
         Verdict::Ran if notice.rate_limit == RateLimit::Unlimited => {
             rate_limits::observe(&job.process, start, None, sent);
         }
         Verdict::Ran => {}
-        verdict => return refused(job, &place.flight, start, verdict, &head),
+        verdict => return refused(job, &placement.flight, start, verdict, &head),
     }
-    if head.status.is_success() && !D::genuine(&head.headers) {
-        note(job, &upstream, Cause::Broken);
+    if head.status.is_success() && !D::is_unaltered(&head.headers) {
+        note(job, &upstream, Cause::Malformed);
         return End::Broken(format!("response signature does not match upstream {upstream}"));
     }
     let promised = declared(&head.headers);
     strip(&mut head.headers);
     let source = Source {
-        flight: place.flight.clone(),
+        flight: placement.flight.clone(),
         start,
         sent,
-        predicted_ms: place.predicted_ms,
+        predicted_ms: placement.predicted_ms,
         entered,
         hold,
         channel,
@@ -206,13 +206,13 @@
     }
 }
 
-/// The first upstream of a place that must not be sent anything.
+/// The first upstream of a placement that must not be sent anything.
 fn excluded<'a, D: Dialect>(
     job: &Job<D>,
-    place: &'a Place,
+    placement: &'a Placement,
 ) -> Option<(&'a id::Upstream, Exclusion)> {
-    let flight = &place.flight;
-    if !rate_limits::unknown_to_scheduler(&job.process, place).is_empty() {
+    let flight = &placement.flight;
+    if !rate_limits::unknown_to_scheduler(&job.process, placement).is_empty() {
         return Some((&flight.upstream, Exclusion::RateLimited));
     }
     let helpers = flight.helpers.iter().map(|helping| &helping.upstream);
@@ -230,21 +230,21 @@
     let status = head.status;
     let upstream = &flight.upstream;
     match verdict {
-        Verdict::Elsewhere => {
+        Verdict::WrongInstance => {
             notices::leaves(&job.process, start, &job.process.member.vm);
             let why = "another instance has its address".to_owned();
             End::NotRun { why, at_fault: upstream.clone() }
         }
         Verdict::NotRun => {
-            let culprit = D::culprit(&head.headers)
-                .and_then(|name| job.process.board.lock().unwrap().find(name));
+            let culprit = D::faulty_upstream(&head.headers)
+                .and_then(|name| job.process.cluster.lock().unwrap().find(name));
             let suspect = culprit.as_ref().unwrap_or(upstream);
-            note(job, suspect, Cause::Full);
+            note(job, suspect, Cause::Overloaded);
             let why = format!("it refused with {status}; at fault is {suspect}");
-            End::NotRun { why, at_fault: flight.left_out(suspect).clone() }
+            End::NotRun { why, at_fault: flight.excluded_after(suspect).clone() }
         }
-        Verdict::Ran | Verdict::Foreign => {
-            note(job, upstream, Cause::Broken);
+        Verdict::Ran | Verdict::Mismatched => {
+            note(job, upstream, Cause::Malformed);
             End::Broken(format!("its answer ({status}) belongs to another request"))
         }
     }
@@ -252,7 +252,7 @@
 
 async fn channel<D: Dialect>(job: &Job<D>, grant: &Grant) -> Result<Channel, String> {
     let pool = &job.process.pool;
-    let upstream = &grant.place.flight.upstream;
+    let upstream = &grant.placement.flight.upstream;
     if let Some(channel) = pool.take(upstream, job.most_rest(), job.process.now()) {
         return Ok(channel);
     }
@@ -265,7 +265,7 @@
 
 fn request<D: Dialect>(
     job: &Job<D>,
-    place: &Place,
+    placement: &Placement,
     helpers: &[Helper],
     last_event: Option<u64>,
 ) -> Request<Full<Bytes>> {
@@ -273,11 +273,11 @@
     strip(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
-    D::hand_over(
+    D::rewrite_headers(
         &mut headers,
-        &Handover {
-            left: job.left(),
-            instance: place.flight.upstream.as_str(),
+        &terms::Headers {
+            remaining: job.left(),
+            instance: placement.flight.upstream.as_str(),
             organisation: job.organisation.as_ref().map(|o| o.name.as_str()),
             last_event,
             helpers,
@@ -302,7 +302,7 @@
     let collected = match Limited::new(body, MOST_ANSWER).collect().await {
         Ok(collected) => collected.to_bytes(),
         Err(e) => {
-            note(job, &upstream, Cause::Broken);
+            note(job, &upstream, Cause::Malformed);
             ending::examine(job, &flight, start).await;
             return End::Broken(format!("its answer broke off: {}", chain(&*e)));
         }
@@ -312,7 +312,7 @@
         job.process.pool.keep(&upstream, channel, rest, now);
     }
     if head.status.is_server_error() {
-        note(job, &upstream, Cause::Own);
+        note(job, &upstream, Cause::ServerError);
         if job.repeatable() && head.status != StatusCode::GATEWAY_TIMEOUT {
             return End::Own(Box::new(Response::from_parts(head, answer::whole(collected))));
         }
@@ -339,7 +339,7 @@
             End::Events(Box::new(Begun { head, first: Vec::new(), source }))
         }
         Next::Broken(why) => {
-            note(job, &source.flight.upstream, Cause::Broken);
+            note(job, &source.flight.upstream, Cause::Malformed);
             ending::examine(job, &source.flight, source.start).await;
             End::Broken(why)
         }
--- a/daemon/src/fleet/ending.rs
+++ b/daemon/src/fleet/ending.rs
@@ -8,9 +8,9 @@
 use foldlock_connection::channel::{Channel, Failure};
 use foldlock_request::decision::Decision;
 use foldlock_request::dialect::Dialect;
-use foldlock_request::directory::Quarantined;
+use foldlock_request::directory::QuarantineEntry;
 use foldlock_request::flight::Flight;
-use foldlock_request::quarantine::{Ending, Held};
+use foldlock_request::quarantine::{Crash, Status};
 use foldlock_request::suspicion::{Failure as Cause, Outcome};
 use foldlock_request::tag::Tag;
 
@@ -26,14 +26,14 @@
 const KEPT: Duration = Duration::from_secs(2);
 
 /// The connection to the upstream of an attempt broke: finds out whether the upstream has ended, and notes
-/// it against the request if so. The attempt has to be on the board still: so no second copy is placed
+/// it against the request if so. The attempt has to be in the cluster state still: so no second copy is placed
 /// before this one's end is known.
 pub async fn examine<D: Dialect>(job: &Job<D>, flight: &Flight, start: Tag) {
     let upstream = &flight.upstream;
     let known = {
-        let board = job.process.board.lock().unwrap();
+        let cluster = job.process.cluster.lock().unwrap();
         // One that leaves ends by itself.
-        let known = board.get(upstream).filter(|u| u.is_open() && u.unlisted.is_none());
+        let known = cluster.get(upstream).filter(|u| u.is_open() && u.unlisted.is_none());
         known.map(|known| (known.listed.address.clone(), known.tag))
     };
     let Some((address, tag)) = known else { return };
@@ -56,19 +56,19 @@
 fn ended<D: Dialect>(job: &Job<D>, flight: &Flight, start: Tag) {
     let now = job.process.now();
     let upstream = flight.upstream.clone();
-    let alone = flight.alone.is_some();
-    let ending = Ending { upstream: start, alone };
-    let mut board = job.process.board.lock().unwrap();
-    if board.tag_of(&upstream) == start {
-        board.note(&upstream, Outcome::Failed(Cause::Silent), now);
+    let alone = flight.isolated.is_some();
+    let ending = Crash { upstream: start, isolated: alone };
+    let mut cluster = job.process.cluster.lock().unwrap();
+    if cluster.tag_of(&upstream) == start {
+        cluster.record_outcome(&upstream, Outcome::Failed(Cause::Unresponsive), now);
     }
-    let held = board.quarantine.ended(job.fingerprint, ending, now);
-    let known = board.quarantine.ended_under(job.fingerprint) as u32;
-    drop(board);
-    tell::tell_placer(&job.process);
+    let held = cluster.quarantine.record_crash(job.fingerprint, ending, now);
+    let known = cluster.quarantine.crash_count(job.fingerprint) as u32;
+    drop(cluster);
+    tell::tell_scheduler(&job.process);
     job.process.pool.forget(&upstream);
     job.process.metrics.ended_under.inc();
-    job.record(Decision::Ended { upstream, known, alone });
+    job.record(Decision::Crashed { upstream, crashes: known, isolated: alone });
     if let Some(held) = held {
         hold(job, held);
     }
@@ -77,19 +77,19 @@
 }
 
 /// The request is held from now on: the directory is to tell all VMs, and those that start later.
-fn hold<D: Dialect>(job: &Job<D>, held: Held) {
-    let Held { proofs, time, ended } = held;
-    let held_ms = time.as_millis() as u64;
+fn hold<D: Dialect>(job: &Job<D>, status: Status) {
+    let Status { solo_crashes: proofs, remaining, crashes } = status;
+    let held_ms = remaining.as_millis() as u64;
     job.process.metrics.held.inc();
-    job.record(Decision::Quarantined { held_ms, proofs });
-    job.process.register.order(Order::Hold(Quarantined {
+    job.record(Decision::Quarantined { quarantine_ms: held_ms, solo_crashes: proofs });
+    job.process.register.order(Order::Hold(QuarantineEntry {
         fingerprint: job.fingerprint,
         organisation: job.organisation.as_ref().map_or_else(String::new, |o| o.name.clone()),
         path: job.head.uri.path().to_owned(),
         service: job.service.name.clone(),
         request: job.id.clone(),
         vm: job.process.member.vm.clone(),
-        ended: ended as u32,
+        ended: crashes as u32,
         proofs,
         until_ms: job.process.clock.wall_millis() + held_ms,
     }));
@@ -98,12 +98,12 @@
 /// The request was answered whole: it is not the cause of what ended under it.
 pub fn answered<D: Dialect>(job: &Arc<Job<D>>) {
     let fingerprint = job.fingerprint;
-    let mut board = job.process.board.lock().unwrap();
-    if !board.quarantine.answered(fingerprint, job.process.now()) {
+    let mut cluster = job.process.cluster.lock().unwrap();
+    if !cluster.quarantine.record_completion(fingerprint, job.process.now()) {
         return;
     }
-    let listed = board.held().any(|entry| entry.fingerprint == fingerprint);
-    drop(board);
+    let listed = cluster.quarantined().any(|entry| entry.fingerprint == fingerprint);
+    drop(cluster);
     job.record(Decision::Cleared);
     if listed {
         job.process.register.order(Order::Release(fingerprint));
--- a/daemon/src/fleet/gate.rs
+++ b/daemon/src/fleet/gate.rs
@@ -5,12 +5,12 @@
 use foldlock_base::clock::millis;
 use foldlock_base::error::Unsent;
 use foldlock_base::prelude::*;
-use foldlock_request::board::Load;
 use foldlock_request::budget::Charge;
-use foldlock_request::decision::{Cause, Decision, Seen};
+use foldlock_request::cluster::Load;
+use foldlock_request::decision::{Cause, Decision, Snapshot};
 use foldlock_request::dialect::Dialect;
 use foldlock_request::forecast;
-use foldlock_request::placement::{self, Ask, Rejection};
+use foldlock_request::placement::{self, Rejection, Requirements};
 use foldlock_request::retry_after;
 use foldlock_version::routes::Engine;
 
@@ -48,12 +48,12 @@
 /// Slowdown of decoding caused by prefill chunks in the same batch.
 const PREFILL_SLOWDOWN: f64 = 1.5;
 
-/// How long a request waits for a place at most.
+/// How long a request waits for a placement at most.
 pub fn patience<D: Dialect>(job: &Job<D>) -> Duration {
     (job.deadline - job.arrived).mul_f64(MAX_QUEUE_SHARE)
 }
 
-/// Finds a place, or says why there is none. The request has not been sent, or each attempt so far
+/// Finds a placement, or says why there is none. The request has not been sent, or each attempt so far
 /// is known not to have run, or it may be repeated; the caller of this function knows which.
 ///
 /// `begun` says that a part of its answer was delivered.
@@ -71,17 +71,24 @@
     begun: bool,
 ) -> Result<Grant, Rejection> {
     let started = job.process.now();
-    let known = placement::runs_alone(&job.process.board.lock().unwrap(), job.fingerprint, started);
+    let known = placement::requires_isolation(
+        &job.process.cluster.lock().unwrap(),
+        job.fingerprint,
+        started,
+    );
     if let Err(held @ Rejection::Quarantined { .. }) = known {
         return Err(held);
     }
     let closed = started + MAX_WAIT_CLOSED;
-    let mut ask = job.ask(&tries.avoid, tries.charge());
-    let limit = match read_ms(job, &ask) {
+    let mut requirements = job.requirements(&tries.avoid, tries.charge());
+    let limit = match read_ms(job, &requirements) {
         Some((engine, read_ms)) => {
             let held = (job.deadline - job.arrived).mul_f64(MAX_QUEUE_SHARE_LONG);
-            ask.limit = ask.limit.saturating_sub(last_start(job, engine, read_ms)).min(held);
-            job.arrived + ask.limit
+            requirements.queue_timeout = requirements
+                .queue_timeout
+                .saturating_sub(last_start(job, engine, read_ms))
+                .min(held);
+            job.arrived + requirements.queue_timeout
         }
         None => started + patience(job),
     };
@@ -89,15 +96,15 @@
     loop {
         if rested(job, begun).await? {
             // Those that refused it have had their rest.
-            ask.avoid.clear();
+            requirements.excluded.clear();
         }
-        match grant_requests::place(&job.process, &job.service, ask.clone(), until).await {
+        match grant_requests::place(&job.process, &job.service, requirements.clone(), until).await {
             Ok(grant) => {
                 tries.placed(job);
                 placed(job, &grant, started);
                 return Ok(grant);
             }
-            Err(Rejection::Closed) if job.process.now() < closed && !job.process.closing() => {
+            Err(Rejection::NoUpstream) if job.process.now() < closed && !job.process.closing() => {
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
             Err(rejection) => return Err(rejection),
@@ -114,23 +121,26 @@
     let in_time = job.held() + left < job.route.objective && !job.process.closing();
     let held = begun && left < MAX_BACKOFF_BEGUN;
     if !(in_time || held) {
-        return Err(Rejection::Resting { left_ms: left.as_millis() as u64 });
+        return Err(Rejection::Backoff { left_ms: left.as_millis() as u64 });
     }
     tokio::time::sleep(left).await;
-    job.record(Decision::Waited { cause: Cause::Resting, waited_ms: millis(left) });
+    job.record(Decision::Waited { cause: Cause::Backoff, waited_ms: millis(left) });
     Ok(true)
 }
 
 /// Milliseconds of reading on one engine, if this is a long prompt.
-fn read_ms<'a, D: Dialect>(job: &'a Job<D>, ask: &Ask) -> Option<(&'a Engine, f64)> {
+fn read_ms<'a, D: Dialect>(
+    job: &'a Job<D>,
+    requirements: &Requirements,
+) -> Option<(&'a Engine, f64)> {
     let engine = job.service.engine.as_ref()?;
-    Some((engine, ask.long_read_ms(engine)?))
+    Some((engine, requirements.long_prefill_ms(engine)?))
 }
 
-/// The time that a long prompt needs from its place to the end of its answer, if that is no longer than usual. A
+/// The time that a long prompt needs from its placement to the end of its answer, if that is no longer than usual. A
 /// caller's guess is often far too long, and a prompt that was refused for it finds engines free.
 fn last_start<D: Dialect>(job: &Job<D>, engine: &Engine, read_ms: f64) -> Duration {
-    let expected = job.terms.expected.unwrap_or(engine.usual_answer);
+    let expected = job.terms.expected_answer.unwrap_or(engine.usual_answer);
     let answer = expected.min(engine.usual_answer);
     let passes = answer.0 as f64 / f64::from(engine.stride.max(1));
     let pass_ms = forecast::pass_ms(engine, USUAL_WRITERS, engine.memory.0 / 2);
@@ -142,34 +152,34 @@
     if asked >= LEAST_QUEUED {
         job.record(Decision::Waited { cause: Cause::Engines, waited_ms: millis(asked) });
     }
-    let place = &grant.place;
-    if place.limited > 0 {
+    let placement = &grant.placement;
+    if placement.limited > 0 {
         let elsewhere = ByLimited { limited: Limited::Elsewhere };
         job.process.metrics.rate_limited.get_or_create(&elsewhere).inc();
     }
-    let named = std::iter::once((&place.flight.upstream, &place.load))
-        .chain(place.slowest.iter().map(|(id, load)| (id, load)));
-    let seen = named.map(|(id, load)| seen(id, load, place.predicted_ms)).collect();
+    let named = std::iter::once((&placement.flight.upstream, &placement.load))
+        .chain(placement.busiest_helpers.iter().map(|(id, load)| (id, load)));
+    let seen = named.map(|(id, load)| seen(id, load, placement.predicted_ms)).collect();
     job.record(Decision::Routed {
-        upstream: place.flight.upstream.clone(),
+        upstream: placement.flight.upstream.clone(),
         route: None,
-        predicted_ms: place.predicted_ms,
-        engines: place.flight.helpers.len() as u32 + 1,
-        part_ms: f64::from(place.flight.part_ms),
-        seen,
+        predicted_ms: placement.predicted_ms,
+        engines: placement.flight.helpers.len() as u32 + 1,
+        part_ms: f64::from(placement.flight.part_ms),
+        candidates: seen,
         by: grant.by.clone(),
-        limited: place.limited as u32,
-        asked_ms: millis(asked),
+        limited: placement.limited as u32,
+        placement_ms: millis(asked),
     });
 }
 
-fn seen(id: &id::Upstream, load: &Load, predicted_ms: f64) -> Seen {
-    Seen {
+fn seen(id: &id::Upstream, load: &Load, predicted_ms: f64) -> Snapshot {
+    Snapshot {
         upstream: id.clone(),
         predicted_ms,
         score: load.backlog_ms,
         requests: load.requests,
-        long: load.helping,
+        long: load.helper_parts,
         queued: Tokens(load.memory),
         cached: Tokens(0),
     }
@@ -184,13 +194,14 @@
     }
     let kind = match rejection {
         Rejection::Quarantined { left_ms } => return quarantined(left_ms, proof),
-        Rejection::Resting { left_ms } => return resting(job, left_ms, proof),
-        Rejection::Limited { after_ms } => return rate_limited(job, after_ms, proof),
-        Rejection::Closed | Rejection::Drained | Rejection::OverBudget(_) => Kind::NoUpstream,
+        Rejection::Backoff { left_ms } => return resting(job, left_ms, proof),
+        Rejection::RateLimited { after_ms } => return rate_limited(job, after_ms, proof),
+        Rejection::NoUpstream | Rejection::Drained | Rejection::OverBudget(_) => Kind::NoUpstream,
         Rejection::Full | Rejection::TooLarge => Kind::Overloaded,
     };
-    let long = read_ms(job, &job.ask(&[], Charge::Free)).is_some();
-    let cause = if long { retry_after::Cause::FullForLong } else { retry_after::Cause::Full };
+    let long = read_ms(job, &job.requirements(&[], Charge::Free)).is_some();
+    let cause =
+        if long { retry_after::Cause::FullForLongPrompts } else { retry_after::Cause::Full };
     let after = cause.retry_after(job.left());
     Error::unsent(kind, format!("{}: {rejection}", job.service.name), proof).retry_after(after)
 }
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that ask for a place: at the VM that places, at the next one where it does not answer,
+//! Requests that ask for a placement: at the scheduler, at the next one where it does not answer,
 //! and by what this VM knows itself where none does.
 
 use std::net::SocketAddr;
@@ -6,21 +6,21 @@
 use std::time::{Duration, Instant};
 
 use foldlock_base::prelude::*;
-use foldlock_request::board::Board;
 use foldlock_request::budget::Charge;
+use foldlock_request::cluster::Cluster;
 use foldlock_request::dialect::Dialect;
 use foldlock_request::fingerprint::Fingerprint;
-use foldlock_request::flight::{Flight, Helping};
-use foldlock_request::message::{self, Answered, Asked, Message, Number};
-use foldlock_request::placement::{Ask, Place, Rejection};
+use foldlock_request::flight::{Flight, Helper};
+use foldlock_request::message::{self, GrantReply, GrantRequest, Message, Number};
+use foldlock_request::placement::{Placement, Rejection, Requirements};
 use foldlock_request::rate_limit::Entry;
-use foldlock_request::scheduler::Answer;
+use foldlock_request::scheduler::Reply;
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::Service;
 use tokio::sync::mpsc;
 
 use crate::fleet::notices::{self, Exclusion};
-use crate::fleet::peers::Placer;
+use crate::fleet::peers::Scheduler;
 use crate::fleet::process::Process;
 use crate::fleet::{affiliation, rate_limits, scheduler, tell};
 use crate::log;
@@ -32,7 +32,7 @@
 /// Questions without an answer after which the next VM is asked.
 const MAX_UNANSWERED: u32 = 2;
 
-/// How often a request that waits asks again, so that it is seen when the VM that places is gone.
+/// How often a request that waits asks again, so that it is seen when the scheduler is gone.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(150);
 
 /// How often a VM that places its own requests looks again.
@@ -41,8 +41,8 @@
 /// An assignment of a request to upstreams, with their addresses.
 #[derive(Debug)]
 pub struct Grant {
-    /// The place.
-    pub place: Place,
+    /// The placement.
+    pub placement: Placement,
     /// Where the upstream listens.
     pub address: String,
     /// Where the helpers of the flight listen, in the same order.
@@ -54,63 +54,64 @@
 }
 
 /// A peer has answered.
-pub fn answered<D: Dialect>(process: &Process<D>, answered: Answered, from: SocketAddr) {
+pub fn answered<D: Dialect>(process: &Process<D>, answered: GrantReply, from: SocketAddr) {
     let Number { incarnation, number } = answered.request;
     if incarnation != process.member.incarnation {
         return;
     }
     let Some(peer) = process.peers.at(from) else { return };
     process.peers.answered(&peer.vm);
-    if let message::Answer::Placed(placed) = &answered.answer {
-        process.peers.granted(&peer.vm, placed.grant);
+    if let message::Reply::Granted(placed) = &answered.reply {
+        process.peers.granted(&peer.vm, placed.number);
     }
-    if let message::Answer::Placed(placed) = &answered.answer
+    if let message::Reply::Granted(placed) = &answered.reply
         && let Some(limit) = placed.limit
     {
         rate_limits::merge(process, Entry { upstream: placed.upstream, limit }, &peer.vm);
     }
-    let answer = decode(&process.board.lock().unwrap(), answered.answer);
-    // A place at an upstream that is not known here is of no use: another VM is asked.
+    let answer = decode(&process.cluster.lock().unwrap(), answered.reply);
+    // A placement at an upstream that is not known here is of no use: another VM is asked.
     if let Some(answer) = answer {
         process.questions.deliver(number, answer);
     }
 }
 
 /// Logs that another VM than before is asked.
-fn note<D: Dialect>(process: &Process<D>, placer: Option<&Placer>) {
-    if process.questions.asked(placer) {
-        let what = placer.map_or_else(|| "none is heard".to_owned(), Placer::to_string);
+fn note<D: Dialect>(process: &Process<D>, scheduler: Option<&Scheduler>) {
+    if process.questions.asked(scheduler) {
+        let what = scheduler.map_or_else(|| "none is heard".to_owned(), Scheduler::to_string);
         log::event(&process.log, Event::SchedulerChanged, what);
     }
 }
 
-fn decode(board: &Board, answer: message::Answer) -> Option<Answer> {
+fn decode(cluster: &Cluster, answer: message::Reply) -> Option<Reply> {
     let placed = match answer {
-        message::Answer::Placed(placed) => placed,
-        message::Answer::Waits => return Some(Answer::Waits),
-        message::Answer::Rejected(rejection) => return Some(Answer::Rejected(rejection)),
+        message::Reply::Granted(placed) => placed,
+        message::Reply::Queued => return Some(Reply::Queued),
+        message::Reply::Rejected(rejection) => return Some(Reply::Rejected(rejection)),
     };
-    let id = |tag: Tag| board.by_tag(tag).map(|upstream| upstream.listed.id.clone());
-    let helping = |(tag, held): &(Tag, u64)| Some(Helping { upstream: id(*tag)?, held: *held });
-    let slowest = placed.slowest.into_iter().filter_map(|(tag, load)| Some((id(tag)?, load)));
-    let place = Place {
+    let id = |tag: Tag| cluster.by_tag(tag).map(|upstream| upstream.listed.id.clone());
+    let helping = |(tag, held): &(Tag, u64)| Some(Helper { upstream: id(*tag)?, reserved: *held });
+    let slowest =
+        placed.busiest_helpers.into_iter().filter_map(|(tag, load)| Some((id(tag)?, load)));
+    let placement = Placement {
         flight: Flight {
             upstream: id(placed.upstream)?,
             helpers: placed.helpers.iter().map(helping).collect::<Option<_>>()?,
             part_ms: placed.part_ms,
             memory: placed.memory,
             pause_ms: placed.pause_ms,
-            writing: false,
-            alone: placed.alone,
+            decoding: false,
+            isolated: placed.isolated,
         },
         predicted_ms: placed.predicted_ms,
         load: placed.load,
-        slowest: slowest.collect(),
-        open: placed.open,
+        busiest_helpers: slowest.collect(),
+        candidates: placed.candidates,
         limited: placed.limited,
         limit: placed.limit,
     };
-    Some(Answer::Placed(Box::new(place), placed.grant))
+    Some(Reply::Granted(Box::new(placement), placed.number))
 }
 
 /// Where the upstream of a flight and its helpers listen, or the first of them that may be sent nothing.
@@ -125,16 +126,16 @@
         Some(Exclusion::Resting { .. }) => Err(Ended::Resting),
         Some(Exclusion::RateLimited) => Err(Ended::Superseded),
         None => {
-            let board = process.board.lock().unwrap();
-            let known = board.get(id).map(|upstream| upstream.listed.address.clone());
-            known.ok_or_else(|| Ended::Gone(board.tag_of(id)))
+            let cluster = process.cluster.lock().unwrap();
+            let known = cluster.get(id).map(|upstream| upstream.listed.address.clone());
+            known.ok_or_else(|| Ended::Gone(cluster.tag_of(id)))
         }
     };
     let helpers = flight.helpers.iter().map(|helping| address(&helping.upstream));
     Ok((address(&flight.upstream)?, helpers.collect::<Result<_, _>>()?))
 }
 
-/// How long a request asks for a place.
+/// How long a request asks for a placement.
 #[derive(Debug, Clone, Copy)]
 pub struct Until {
     /// At most until then.
@@ -150,26 +151,26 @@
     }
 }
 
-/// Asks for a place until then.
+/// Asks for a placement until then.
 pub async fn place<D: Dialect>(
     process: &Arc<Process<D>>,
     service: &Arc<Service>,
-    mut ask: Ask,
+    mut requirements: Requirements,
     until: Until,
 ) -> Result<Grant, Rejection> {
     loop {
-        let mut open = Open::new(process, service, &ask, until);
-        let placer = process.peers.placer(process.stopping.is_cancelled(), process.now());
-        note(process, placer.as_ref());
-        let ended = match placer {
-            Some(placer) => open.ask(placer).await,
+        let mut open = Open::new(process, service, &requirements, until);
+        let scheduler = process.peers.scheduler(process.stopping.is_cancelled(), process.now());
+        note(process, scheduler.as_ref());
+        let ended = match scheduler {
+            Some(scheduler) => open.ask(scheduler).await,
             None => open.alone().await,
         };
         drop(open);
         match ended {
             Ended::Placed(grant) => return Ok(*grant),
             Ended::Rejected(rejection) => {
-                note_held(process, ask.fingerprint, rejection);
+                note_held(process, requirements.fingerprint, rejection);
                 return Err(rejection);
             }
             Ended::Silent(vm) => {
@@ -177,16 +178,16 @@
                 process.peers.missed(&vm, process.now());
             }
             Ended::Gone(upstream) => {
-                ask.avoid.push(upstream);
-                ask.charge = Charge::Free;
+                requirements.excluded.push(upstream);
+                requirements.charge = Charge::Free;
             }
             // The next request names it, or the scheduler has received the limit by then.
-            Ended::Resting | Ended::Superseded => ask.charge = Charge::Free,
+            Ended::Resting | Ended::Superseded => requirements.charge = Charge::Free,
             Ended::Later => {}
         }
         // It may count already where it was asked for.
-        if ask.charge == Charge::Deposit {
-            ask.charge = Charge::Free;
+        if requirements.charge == Charge::Deposit {
+            requirements.charge = Charge::Free;
         }
         if until.is_over(process) {
             return Err(Rejection::Full);
@@ -198,7 +199,7 @@
 fn note_held<D: Dialect>(process: &Process<D>, fingerprint: Fingerprint, rejection: Rejection) {
     if let Rejection::Quarantined { left_ms } = rejection {
         let left = Duration::from_millis(left_ms);
-        process.board.lock().unwrap().quarantine.hold(fingerprint, 1, left, process.now());
+        process.cluster.lock().unwrap().quarantine.merge_entry(fingerprint, 1, left, process.now());
     }
 }
 
@@ -208,13 +209,13 @@
     Rejected(Rejection),
     /// The VM does not answer.
     Silent(id::Vm),
-    /// The place is at an upstream that takes no more work, which the VM does not know yet.
+    /// The placement is at an upstream that takes no more work, which the VM does not know yet.
     Gone(Tag),
-    /// The place is at an upstream that has asked this VM for a rest since the question was sent.
+    /// The placement is at an upstream that has asked this VM for a rest since the question was sent.
     Resting,
     /// The scheduler did not know the latest rate limit of the upstream.
     Superseded,
-    /// There is no place yet.
+    /// There is no placement yet.
     Later,
 }
 
@@ -222,34 +223,34 @@
 struct Open<'a, D: Dialect> {
     process: &'a Arc<Process<D>>,
     service: &'a Service,
-    ask: &'a Ask,
+    requirements: &'a Requirements,
     until: Until,
     number: u64,
-    answers: mpsc::UnboundedReceiver<Answer>,
-    asked: Option<Placer>,
+    answers: mpsc::UnboundedReceiver<Reply>,
+    asked: Option<Scheduler>,
 }
 
 impl<'a, D: Dialect> Open<'a, D> {
     fn new(
         process: &'a Arc<Process<D>>,
         service: &'a Service,
-        ask: &'a Ask,
+        requirements: &'a Requirements,
         until: Until,
     ) -> Open<'a, D> {
-        let number = process.board.lock().unwrap().number();
+        let number = process.cluster.lock().unwrap().next_number();
         let answers = process.questions.open(number);
-        Open { process, service, ask, until, number, answers, asked: None }
+        Open { process, service, requirements, until, number, answers, asked: None }
     }
 
     /// Asks a VM until it has placed the request, or does not answer.
-    async fn ask(&mut self, placer: Placer) -> Ended {
-        self.asked = Some(placer.clone());
+    async fn ask(&mut self, scheduler: Scheduler) -> Ended {
+        self.asked = Some(scheduler.clone());
         let mut unanswered = 0;
         loop {
-            self.send(&placer);
+            self.send(&scheduler);
             match self.answer(ANSWER_TIMEOUT).await {
                 None => unanswered += 1,
-                Some(Answer::Waits) => {
+                Some(Reply::Queued) => {
                     unanswered = 0;
                     if let Some(answer) = self.place_in(RENEWAL_INTERVAL).await {
                         return self.ended(answer);
@@ -257,8 +258,8 @@
                 }
                 Some(answer) => return self.ended(answer),
             }
-            match &placer {
-                Placer::Peer(vm, _) if unanswered == MAX_UNANSWERED => {
+            match &scheduler {
+                Scheduler::Peer(vm, _) if unanswered == MAX_UNANSWERED => {
                     return Ended::Silent(vm.clone());
                 }
                 _ if self.is_over() => return Ended::Later,
@@ -267,26 +268,29 @@
         }
     }
 
-    fn send(&self, placer: &Placer) {
-        let ask = self.without_resting();
-        match placer {
-            Placer::Own => scheduler::own(self.process, self.number, self.service, &ask),
-            Placer::Peer(vm, address) => {
+    fn send(&self, scheduler: &Scheduler) {
+        let requirements = self.without_resting();
+        match scheduler {
+            Scheduler::Own => {
+                scheduler::own(self.process, self.number, self.service, &requirements)
+            }
+            Scheduler::Peer(vm, address) => {
                 let service = Tag::of(&self.service.name);
                 let is_client = affiliation::contact_peer(self.process, vm);
                 let now = self.process.now();
-                let asked = Asked::new(self.request(), service, &ask, is_client, now);
-                tell::send(self.process, &Message::Asked(asked), *address);
+                let asked =
+                    GrantRequest::new(self.request(), service, &requirements, is_client, now);
+                tell::send(self.process, &Message::GrantRequest(asked), *address);
             }
         }
     }
 
     /// What is asked for, the upstreams left out that rest for this VM. They go with the question, so that
-    /// the VM that places need not know who was told to leave whom alone.
-    fn without_resting(&self) -> Ask {
-        let mut ask = self.ask.clone();
-        ask.avoid.extend(notices::resting(self.process));
-        ask
+    /// the scheduler need not know who was told to leave whom alone.
+    fn without_resting(&self) -> Requirements {
+        let mut requirements = self.requirements.clone();
+        requirements.excluded.extend(notices::resting(self.process));
+        requirements
     }
 
     fn request(&self) -> Number {
@@ -298,29 +302,29 @@
     }
 
     /// The next answer, if it comes within `time`.
-    async fn answer(&mut self, time: Duration) -> Option<Answer> {
+    async fn answer(&mut self, time: Duration) -> Option<Reply> {
         let until = (self.process.now() + time).min(self.until.limit);
         tokio::time::timeout_at(until.into(), self.answers.recv()).await.ok().flatten()
     }
 
-    /// The place, if there is one within `time`.
-    async fn place_in(&mut self, time: Duration) -> Option<Answer> {
+    /// The placement, if there is one within `time`.
+    async fn place_in(&mut self, time: Duration) -> Option<Reply> {
         let until = self.process.now() + time;
         loop {
             let left = until.saturating_duration_since(self.process.now());
             match self.answer(left).await {
-                Some(Answer::Waits) => {}
+                Some(Reply::Queued) => {}
                 answer => return answer,
             }
         }
     }
 
-    fn ended(&mut self, answer: Answer) -> Ended {
+    fn ended(&mut self, answer: Reply) -> Ended {
         match answer {
-            Answer::Placed(place, _) => {
+            Reply::Granted(placement, _) => {
                 let by = match self.asked.take() {
-                    Some(Placer::Peer(vm, address)) => {
-                        let limits = rate_limits::unknown_to_scheduler(self.process, &place);
+                    Some(Scheduler::Peer(vm, address)) => {
+                        let limits = rate_limits::unknown_to_scheduler(self.process, &placement);
                         if !limits.is_empty() {
                             rate_limits::send(self.process, limits, address);
                             return Ended::Superseded;
@@ -329,22 +333,22 @@
                     }
                     _ => self.process.member.vm.clone(),
                 };
-                self.grant(*place, Some(by))
+                self.grant(*placement, Some(by))
             }
-            Answer::Rejected(rejection) => Ended::Rejected(rejection),
-            Answer::Waits => Ended::Later,
+            Reply::Rejected(rejection) => Ended::Rejected(rejection),
+            Reply::Queued => Ended::Later,
         }
     }
 
     /// Places the request by what is known here.
     async fn alone(&self) -> Ended {
         let offset = rand::random_range(0..u16::MAX).into();
-        let placers = self.process.peers.running_count();
-        let ask = Ask { offset, placers, ..self.without_resting() };
+        let schedulers = self.process.peers.running_count();
+        let requirements = Requirements { offset, schedulers, ..self.without_resting() };
         let now = self.process.now();
-        let placed = scheduler::place_alone(self.process, self.service, &ask, now);
+        let placed = scheduler::place_alone(self.process, self.service, &requirements, now);
         match placed {
-            Ok(place) => self.grant(place, None),
+            Ok(placement) => self.grant(placement, None),
             Err(Rejection::Full) => {
                 tokio::time::sleep(POLL_INTERVAL).await;
                 Ended::Later
@@ -353,12 +357,12 @@
         }
     }
 
-    /// A place, unless one of its upstreams takes no more work by what is known here.
-    fn grant(&self, place: Place, by: Option<id::Vm>) -> Ended {
-        match addresses(self.process, &place.flight) {
+    /// A placement, unless one of its upstreams takes no more work by what is known here.
+    fn grant(&self, placement: Placement, by: Option<id::Vm>) -> Ended {
+        match addresses(self.process, &placement.flight) {
             Ok((address, helpers)) => {
                 let number = self.number;
-                Ended::Placed(Box::new(Grant { place, address, helpers, number, by }))
+                Ended::Placed(Box::new(Grant { placement, address, helpers, number, by }))
             }
             Err(ended) => ended,
         }
@@ -369,8 +373,8 @@
     fn drop(&mut self) {
         self.process.questions.close(self.number);
         match self.asked.take() {
-            Some(Placer::Own) => scheduler::cancel_own(self.process, self.number),
-            Some(Placer::Peer(_, address)) => {
+            Some(Scheduler::Own) => scheduler::cancel_own(self.process, self.number),
+            Some(Scheduler::Peer(_, address)) => {
                 let message = Message::Cancelled(self.request());
                 tell::send(self.process, &message, address);
             }
--- a/daemon/src/fleet/hold.rs
+++ b/daemon/src/fleet/hold.rs
@@ -8,8 +8,8 @@
 use foldlock_base::prelude::*;
 use foldlock_request::decision::Decision;
 use foldlock_request::dialect::Dialect;
-use foldlock_request::memory::{Fault, Memory, Reservation};
-use foldlock_request::notice::Noted;
+use foldlock_request::memory::{self, Memory, Reservation};
+use foldlock_request::notice::Annotated;
 use foldlock_request::tag::Tag;
 use foldlock_request::terms::Helper;
 use futures::future::join_all;
@@ -32,7 +32,7 @@
     /// The upstream.
     pub upstream: id::Upstream,
     /// Why.
-    pub fault: Fault,
+    pub fault: memory::Failure,
 }
 
 /// The memory of one attempt. It is given back when this is dropped.
@@ -43,7 +43,7 @@
 }
 
 impl<D: Dialect> Hold<D> {
-    /// Sets aside the memory that a place counts on at its helpers.
+    /// Sets aside the memory that a placement counts on at its helpers.
     pub async fn take(job: &Arc<Job<D>>, grant: &Grant) -> Result<Hold<D>, ReservationLost> {
         let reservations = Arc::new(reservations(job, grant));
         let mut hold = Hold {
@@ -62,7 +62,7 @@
         reservations.iter().for_each(|reservation| note_order(&job.process, reservation));
         let sent = job.process.now();
         let answers = join_all(reservations.iter().map(|r| memory.reserve(r, time))).await;
-        for ((reservation, start), Noted { notice, answer }) in
+        for ((reservation, start), Annotated { notice, value: answer }) in
             reservations.iter().zip(starts).zip(answers)
         {
             notices::heard(&job.process, &reservation.upstream, start, sent, notice);
@@ -72,7 +72,7 @@
         }
         let engines = reservations.iter().map(|r| r.upstream.clone()).collect();
         let waited_ms = millis(job.process.now().saturating_duration_since(started));
-        job.record(Decision::Held { engines, waited_ms });
+        job.record(Decision::Reserved { engines, waited_ms });
         hold.renewal = Some(tokio::spawn(renew(job.process.clone(), reservations)));
         Ok(hold)
     }
@@ -82,17 +82,17 @@
         self.reservations.is_empty()
     }
 
-    /// The helpers of a place with their tickets.
+    /// The helpers of a placement with their tickets.
     pub fn helpers(&self, grant: &Grant) -> Vec<Helper> {
         let ticket = |upstream: &id::Upstream| {
             let reservation = self.reservations.iter().find(|r| r.upstream == *upstream)?;
-            Some(reservation.ticket.clone())
+            Some(reservation.reservation_id.clone())
         };
-        let helpers = grant.place.flight.helpers.iter().zip(&grant.helpers);
+        let helpers = grant.placement.flight.helpers.iter().zip(&grant.helpers);
         helpers
             .map(|(helping, address)| Helper {
                 address: address.clone(),
-                ticket: ticket(&helping.upstream),
+                reservation_id: ticket(&helping.upstream),
             })
             .collect()
     }
@@ -111,13 +111,13 @@
 }
 
 fn reservations<D: Dialect>(job: &Job<D>, grant: &Grant) -> Vec<Reservation> {
-    let helpers = grant.place.flight.helpers.iter().zip(&grant.helpers);
-    let held = helpers.filter(|(helping, _)| helping.held > 0);
+    let helpers = grant.placement.flight.helpers.iter().zip(&grant.helpers);
+    let held = helpers.filter(|(helping, _)| helping.reserved > 0);
     held.map(|(helping, address)| Reservation {
         upstream: helping.upstream.clone(),
         address: address.clone(),
-        ticket: job.process.ticket(),
-        tokens: Tokens(helping.held),
+        reservation_id: job.process.ticket(),
+        tokens: Tokens(helping.reserved),
     })
     .collect()
 }
@@ -131,7 +131,7 @@
 
 async fn renew_one<D: Dialect>(process: &Process<D>, reservation: &Reservation) {
     if let Err(fault) = reserve(process, reservation).await {
-        let what = format!("{} at {}: {fault}", reservation.ticket, reservation.upstream);
+        let what = format!("{} at {}: {fault}", reservation.reservation_id, reservation.upstream);
         log::event(&process.log, Event::RenewalFailed, what);
         tokio::time::sleep(RETRY_INTERVAL).await;
         // The last try within the hold; without it the engine cuts the request, which is seen.
@@ -139,12 +139,15 @@
     }
 }
 
-async fn reserve<D: Dialect>(process: &Process<D>, reservation: &Reservation) -> Result<(), Fault> {
+async fn reserve<D: Dialect>(
+    process: &Process<D>,
+    reservation: &Reservation,
+) -> Result<(), memory::Failure> {
     let time = process.config.fleet.hold();
     let start = notices::start(process, &reservation.upstream);
     note_order(process, reservation);
     let sent = process.now();
-    let Noted { notice, answer } = process.memory.reserve(reservation, time).await;
+    let Annotated { notice, value: answer } = process.memory.reserve(reservation, time).await;
     notices::heard(process, &reservation.upstream, start, sent, notice);
     answer
 }
@@ -152,7 +155,7 @@
 /// Counts an order that is about to be sent.
 fn note_order<D: Dialect>(process: &Process<D>, reservation: &Reservation) {
     process.metrics.sent(Sent::Order, 1);
-    process.board.lock().unwrap().record_unscheduled(&reservation.upstream, process.now());
+    process.cluster.lock().unwrap().record_unscheduled(&reservation.upstream, process.now());
 }
 
 async fn release_all<D: Dialect>(process: Arc<Process<D>>, reservations: Arc<Vec<Reservation>>) {
@@ -165,7 +168,7 @@
         let start = notices::start(process, &reservation.upstream);
         note_order(process, reservation);
         let sent = process.now();
-        let Noted { notice, answer } = process.memory.release(reservation).await;
+        let Annotated { notice, value: answer } = process.memory.release(reservation).await;
         notices::heard(process, &reservation.upstream, start, sent, notice);
         match answer {
             Ok(()) => return,
@@ -174,6 +177,6 @@
         tokio::time::sleep(RETRY_INTERVAL).await;
     }
     let why = last.map_or_else(String::new, |fault| fault.to_string());
-    let what = format!("{} at {}: {why}", reservation.ticket, reservation.upstream);
+    let what = format!("{} at {}: {why}", reservation.reservation_id, reservation.upstream);
     log::event(&process.log, Event::ReleaseFailed, what);
 }
--- a/daemon/src/fleet/job.rs
+++ b/daemon/src/fleet/job.rs
@@ -9,7 +9,7 @@
 use foldlock_request::budget::Charge;
 use foldlock_request::dialect::Dialect;
 use foldlock_request::fingerprint::Fingerprint;
-use foldlock_request::placement::{self, Ask};
+use foldlock_request::placement::{self, Requirements};
 use foldlock_request::ring::Entry;
 use foldlock_request::tag::Tag;
 use foldlock_request::terms::Terms;
@@ -81,7 +81,7 @@
     /// Memory for prompt and answer. A caller who tells no limit gets what answers usually take.
     fn memory(&self) -> Tokens {
         let usual = self.service.engine.as_ref().map_or(Tokens(0), |engine| engine.usual_answer);
-        let most = if self.terms.most.0 > 0 { self.terms.most } else { usual };
+        let most = if self.terms.max_answer.0 > 0 { self.terms.max_answer } else { usual };
         self.terms.prompt + most
     }
 
@@ -99,33 +99,33 @@
             return Vec::new();
         }
         let kept = self.process.pool.kept(self.most_rest(), self.process.now());
-        let board = self.process.board.lock().unwrap();
+        let cluster = self.process.cluster.lock().unwrap();
         let of_service = |id: &id::Upstream| {
-            let known = board.get(id).filter(|u| u.listed.service == self.service.name)?;
+            let known = cluster.get(id).filter(|u| u.listed.service == self.service.name)?;
             Some(known.tag)
         };
         kept.iter().filter_map(of_service).take(MOST_CONNECTED).collect()
     }
 
     /// What is asked of the upstreams, those left out that failed it.
-    pub fn ask(&self, avoid: &[id::Upstream], charge: Charge) -> Ask {
-        let board = self.process.board.lock().unwrap();
-        let avoid = avoid.iter().map(|id| board.tag_of(id)).collect();
-        drop(board);
-        Ask {
+    pub fn requirements(&self, avoid: &[id::Upstream], charge: Charge) -> Requirements {
+        let cluster = self.process.cluster.lock().unwrap();
+        let excluded = avoid.iter().map(|id| cluster.tag_of(id)).collect();
+        drop(cluster);
+        Requirements {
             prompt: self.terms.prompt,
             memory: self.memory(),
             objective: self.route.objective,
             pause: self.pause(),
             arrived: self.arrived,
-            limit: self.deadline.saturating_duration_since(self.arrived),
-            avoid,
+            queue_timeout: self.deadline.saturating_duration_since(self.arrived),
+            excluded,
             connected: self.connected(),
             hall: self.process.member.hall.clone(),
-            hold_limit: self.process.config.fleet.held_silence(),
+            reservation_timeout: self.process.config.fleet.held_silence(),
             fingerprint: self.fingerprint,
             offset: 0,
-            placers: 1,
+            schedulers: 1,
             charge,
         }
     }
--- a/daemon/src/fleet/notices.rs
+++ b/daemon/src/fleet/notices.rs
@@ -17,7 +17,7 @@
 
 /// The start of an upstream that something is sent to now: what the answer says concerns this one alone.
 pub fn start<D: Dialect>(process: &Process<D>, upstream: &id::Upstream) -> Tag {
-    process.board.lock().unwrap().tag_of(upstream)
+    process.cluster.lock().unwrap().tag_of(upstream)
 }
 
 /// Applies what an upstream said of itself in an answer to a message sent at `sent`.
@@ -35,7 +35,7 @@
     if notice.leaving {
         leaves(process, start, &process.member.vm);
     }
-    if let Some(rest) = notice.rest {
+    if let Some(rest) = notice.backoff {
         rests(process, upstream, start, rest);
     }
     match notice.rate_limit {
@@ -54,7 +54,7 @@
 /// directory away for 12 s, six VMs sent it 36 requests after its first word, by the upstream's own count.
 pub fn leaves<D: Dialect>(process: &Process<D>, start: Tag, heard_by: &id::Vm) {
     // Unknown here, or known to leave.
-    let Some(upstream) = process.board.lock().unwrap().depart(start) else { return };
+    let Some(upstream) = process.cluster.lock().unwrap().mark_leaving(start) else { return };
     process.pool.forget(&upstream);
     let what = format!("{upstream}, by its answer to {heard_by}");
     log::event(&process.log, Event::UpstreamLeaving, what);
@@ -64,7 +64,7 @@
 
 /// An upstream asks this VM for a rest.
 fn rests<D: Dialect>(process: &Process<D>, upstream: &id::Upstream, start: Tag, rest: Duration) {
-    let news = process.rests.lock().unwrap().begin(start, rest, process.moment());
+    let news = process.backoffs.lock().unwrap().begin(start, rest, process.moment());
     if news && process.trouble_lines.admit(process.now()).is_some() {
         let what = format!("{upstream} for {} ms", rest.as_millis());
         log::event(&process.log, Event::UpstreamRests, what);
@@ -73,16 +73,16 @@
 
 /// Why this VM may send an upstream nothing new, by what that said itself.
 pub fn exclusion<D: Dialect>(process: &Process<D>, upstream: &id::Upstream) -> Option<Exclusion> {
-    let board = process.board.lock().unwrap();
-    match board.get(upstream) {
+    let cluster = process.cluster.lock().unwrap();
+    match cluster.get(upstream) {
         Some(known) if known.is_leaving() => return Some(Exclusion::Closed),
         Some(known) if known.drained => return Some(Exclusion::Drained),
         Some(_) => {}
         None => return Some(Exclusion::Closed),
     }
-    let start = board.tag_of(upstream);
-    drop(board);
-    let left = process.rests.lock().unwrap().left(start, process.moment());
+    let start = cluster.tag_of(upstream);
+    drop(cluster);
+    let left = process.backoffs.lock().unwrap().remaining(start, process.moment());
     left.map(|left| Exclusion::Resting { left })
 }
 
@@ -98,7 +98,7 @@
         /// What is left of it.
         left: Duration,
     },
-    /// Its rate limit has changed since the place was granted.
+    /// Its rate limit has changed since the placement was granted.
     RateLimited,
 }
 
@@ -117,13 +117,13 @@
 
 /// The upstreams that rest for this VM.
 pub fn resting<D: Dialect>(process: &Process<D>) -> Vec<Tag> {
-    process.rests.lock().unwrap().resting(process.moment())
+    process.backoffs.lock().unwrap().active(process.moment())
 }
 
 /// How long it is until the first of a service's upstreams may be sent work, where all of them rest.
 pub fn all_rest<D: Dialect>(process: &Process<D>, service: &str) -> Option<Duration> {
     let moment = process.moment();
-    let board = process.board.lock().unwrap();
-    let rests = process.rests.lock().unwrap();
-    rests.all_left(board.open(service).map(|upstream| upstream.tag), moment)
+    let cluster = process.cluster.lock().unwrap();
+    let backoffs = process.backoffs.lock().unwrap();
+    backoffs.shortest_remaining(cluster.open(service).map(|upstream| upstream.tag), moment)
 }
--- a/daemon/src/fleet/outcome.rs
+++ b/daemon/src/fleet/outcome.rs
@@ -18,14 +18,14 @@
 /// Notes that an attempt failed, for this VM and the one that places.
 pub fn note<D: Dialect>(job: &Job<D>, upstream: &id::Upstream, failure: Failure) {
     tell(job, upstream, Outcome::Failed(failure));
-    if failure == Failure::Silent {
+    if failure == Failure::Unresponsive {
         job.process.pool.forget(upstream);
     }
 }
 
 /// Notes how an attempt ended, for this VM and the one that places.
 pub fn tell<D: Dialect>(job: &Job<D>, upstream: &id::Upstream, outcome: Outcome) {
-    job.process.board.lock().unwrap().note(upstream, outcome, job.process.now());
+    job.process.cluster.lock().unwrap().record_outcome(upstream, outcome, job.process.now());
     job.process.tell.notify_one();
 }
 
@@ -34,7 +34,7 @@
     let why = error.message().to_owned();
     let retry_after_ms = error.retry().map(|d| d.as_millis() as u64);
     job.record(if error.ran() == Ran::No {
-        Decision::Refused { kind: error.kind(), why, retry_after_ms }
+        Decision::Rejected { kind: error.kind(), why, retry_after_ms }
     } else {
         Decision::Failed { kind: error.kind(), ran: error.ran(), why }
     });
--- a/daemon/src/fleet/peer_sync.rs
+++ b/daemon/src/fleet/peer_sync.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 
 use foldlock_base::prelude::*;
-use foldlock_request::board::Listed;
+use foldlock_request::cluster::Listed;
 use foldlock_request::dialect::Dialect;
 use foldlock_request::directory::{Change, Listing};
 use foldlock_request::step::{self, Step};
@@ -20,22 +20,22 @@
 /// stays so.
 pub fn listing<D: Dialect>(process: &Arc<Process<D>>, listing: Listing) {
     let at = process.at();
-    if process.watching.load(Ordering::Relaxed) || listing.at < at {
+    if process.watching.load(Ordering::Relaxed) || listing.revision < at {
         return;
     }
-    let newer = listing.at > at;
-    let revision = listing.at;
+    let newer = listing.revision > at;
+    let revision = listing.revision;
     // The peer may know the copy alone.
     let restored = follow::note_era(process, revision, "a peer");
     let provenance = if restored { Provenance::Lapsed } else { Provenance::Sound };
     process.known_to(revision);
     let upstreams: Vec<Listed> = {
-        let board = process.board.lock().unwrap();
-        listing.upstreams.into_iter().filter(|listed| board.accepts(listed)).collect()
+        let cluster = process.cluster.lock().unwrap();
+        listing.upstreams.into_iter().filter(|listed| cluster.accepts(listed)).collect()
     };
     let members = listing.members.into_iter().map(Change::Member);
     let upstreams = upstreams.into_iter().map(Change::Upstream);
-    let held = listing.held.into_iter().map(Change::Quarantined);
+    let held = listing.quarantined.into_iter().map(Change::Quarantined);
     let changes: Vec<Change> = upstreams.chain(members).chain(held).collect();
     let mut change_log = ChangeLog::default();
     changes::halls_told(process, &listing.halls, &mut change_log);
@@ -67,19 +67,19 @@
 
 /// A change that a peer told, unless something newer is known here.
 fn accepted<D: Dialect>(process: &Process<D>, change: step::Change) -> Option<Change> {
-    let board = process.board.lock().unwrap();
+    let cluster = process.cluster.lock().unwrap();
     Some(match change {
         step::Change::Upstream(listed) => {
-            board.accepts(&listed).then_some(Change::Upstream(listed))?
+            cluster.accepts(&listed).then_some(Change::Upstream(listed))?
         }
-        step::Change::UpstreamGone(id, revision) => {
-            let is_newer = board.get(&id).is_some_and(|known| known.listed.revision > revision);
-            (!is_newer).then_some(Change::UpstreamGone(id, revision))?
+        step::Change::UpstreamRemoved(id, revision) => {
+            let is_newer = cluster.get(&id).is_some_and(|known| known.listed.revision > revision);
+            (!is_newer).then_some(Change::UpstreamRemoved(id, revision))?
         }
         step::Change::Member(member) => Change::Member(member),
-        step::Change::MemberGone(vm) => Change::MemberGone(vm),
+        step::Change::MemberWithdrawn(vm) => Change::MemberWithdrawn(vm),
         step::Change::Hall(hall) => Change::Hall(hall),
-        step::Change::Held(entry) => Change::Quarantined(entry),
+        step::Change::Quarantined(entry) => Change::Quarantined(entry),
         step::Change::Released(fingerprint) => Change::Released(fingerprint),
     })
 }
--- a/daemon/src/fleet/peers.rs
+++ b/daemon/src/fleet/peers.rs
@@ -4,7 +4,7 @@
 mod cadence;
 mod known;
 mod peer;
-mod placer;
+mod scheduler;
 mod sources;
 
 use std::net::SocketAddr;
@@ -15,15 +15,15 @@
 use foldlock_base::clock::Moment;
 use foldlock_base::prelude::*;
 use foldlock_request::directory::Member;
-use foldlock_request::message::Beat;
-use foldlock_request::rank::Contact;
+use foldlock_request::message::Heartbeat;
+use foldlock_request::rank::Liveness;
 use serde_json::json;
 
 use crate::fleet::peers::known::Known;
 use crate::fleet::peers::peer::Peer;
 
 pub use cadence::Cadence;
-pub use placer::Placer;
+pub use scheduler::Scheduler;
 
 /// VMs that watch the directory in a large fleet; the others hear from them. Three, so that two
 /// may fail at once without a gap.
@@ -43,7 +43,7 @@
     pub echo: Option<u64>,
     /// The incarnation of the stamp.
     pub echo_of: u64,
-    /// The newest place that it gave.
+    /// The newest placement that it gave.
     pub granted: u64,
     /// Whether it places the requests of this VM, or might.
     pub scheduler: bool,
@@ -108,7 +108,7 @@
 
     /// Takes a peer's state from a beat, unless it is older than what is known. Answers whether the
     /// peer has started anew since.
-    pub fn heard_beat(&self, beat: &Beat, now: Instant) -> Option<News> {
+    pub fn heard_beat(&self, beat: &Heartbeat, now: Instant) -> Option<News> {
         let state = &beat.state;
         let mut known = self.known.lock().unwrap();
         let peer = known.peers.get_mut(&state.vm)?;
@@ -124,7 +124,7 @@
             return None;
         }
         peer.hear(state, now);
-        if beat.wants {
+        if beat.requests_heartbeats {
             peer.wants = Some(now);
         }
         if renewed {
@@ -204,26 +204,26 @@
         self.known.lock().unwrap().peers.get(vm).map(|peer| peer.target(false))
     }
 
-    /// The VM that places requests, the first in order that answers; none where none does.
-    pub fn placer(&self, stopping: bool, now: Instant) -> Option<Placer> {
+    /// The scheduler, the first in order that answers; none where none does.
+    pub fn scheduler(&self, stopping: bool, now: Instant) -> Option<Scheduler> {
         let known = self.known.lock().unwrap();
         let own_settled = self.age(now) >= known.cadence().settles();
-        let mut found: Option<(u8, Placer)> = None;
+        let mut found: Option<(u8, Scheduler)> = None;
         for member in known.schedulers(now) {
-            let (rank, placer) = match known.peers.get(&member.vm) {
+            let (rank, scheduler) = match known.peers.get(&member.vm) {
                 None if stopping => continue,
-                None => (if own_settled { 0 } else { 1 }, Placer::Own),
+                None => (if own_settled { 0 } else { 1 }, Scheduler::Own),
                 Some(peer) if peer.missed.is_some() => continue,
                 Some(peer) => {
-                    let placer = Placer::Peer(member.vm.clone(), member.address);
-                    (peer.placing_rank(known.cadence(), now), placer)
+                    let scheduler = Scheduler::Peer(member.vm.clone(), member.address);
+                    (peer.placing_rank(known.cadence(), now), scheduler)
                 }
             };
             if found.as_ref().is_none_or(|(best, _)| rank < *best) {
-                found = Some((rank, placer));
+                found = Some((rank, scheduler));
             }
         }
-        found.map(|(_, placer)| placer)
+        found.map(|(_, scheduler)| scheduler)
     }
 
     /// A VM left questions unanswered: the next one is asked until it is heard again.
@@ -240,7 +240,7 @@
         }
     }
 
-    /// A peer has granted a place.
+    /// A peer has granted a placement.
     pub fn granted(&self, vm: &id::Vm, grant: u64) {
         if let Some(peer) = self.known.lock().unwrap().peers.get_mut(vm) {
             peer.granted = peer.granted.max(grant);
@@ -256,7 +256,7 @@
     pub fn position(&self, now: Instant) -> usize {
         let known = self.known.lock().unwrap();
         let before = known.order.iter().take_while(|member| member.vm != self.own.vm);
-        before.filter(|member| known.contact(&member.vm, now) == Contact::Heard).count()
+        before.filter(|member| known.liveness(&member.vm, now) == Liveness::Up).count()
     }
 
     /// The place of this VM among all that are listed, in their order.
--- a/daemon/src/fleet/reports.rs
+++ b/daemon/src/fleet/reports.rs
@@ -1,21 +1,21 @@
-//! Reports of engines: the VM that places has each engine asked by one of those that it hears, so that
+//! Reports of engines: the scheduler has each engine asked by one of those that it hears, so that
 //! it knows of a slow or silent engine soon and no VM asks many.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use foldlock_base::prelude::*;
-use foldlock_request::board::Listed;
+use foldlock_request::cluster::Listed;
 use foldlock_request::dialect::Dialect;
 use foldlock_request::directory::Member;
 use foldlock_request::message::Message;
-use foldlock_request::notice::Noted;
-use foldlock_request::report::{Fault, Observed, Report, Reports};
+use foldlock_request::notice::Annotated;
+use foldlock_request::report::{Observed, Report, ReportError, Reports};
 use foldlock_request::tag::Tag;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::fleet::notices::{self, Exclusion};
-use crate::fleet::peers::Placer;
+use crate::fleet::peers::Scheduler;
 use crate::fleet::process::Process;
 use crate::fleet::{rate_limits, tell};
 use crate::log;
@@ -31,7 +31,7 @@
 pub async fn run<D: Dialect>(process: Arc<Process<D>>) {
     while !process.stopping.is_cancelled() {
         tokio::time::sleep(EVERY).await;
-        if process.peers.placer(false, process.now()) == Some(Placer::Own) {
+        if process.peers.scheduler(false, process.now()) == Some(Scheduler::Own) {
             poll(&process);
         }
     }
@@ -56,14 +56,14 @@
     }
 }
 
-/// The VM that places wants the report of an engine.
+/// The scheduler wants the report of an engine.
 pub fn polled<D: Dialect>(process: &Arc<Process<D>>, upstream: Tag) {
-    let board = process.board.lock().unwrap();
+    let cluster = process.cluster.lock().unwrap();
     // An upstream that is not known here is asked by another VM next time, or has ended.
-    let Some(listed) = board.by_tag(upstream).map(|upstream| upstream.listed.clone()) else {
+    let Some(listed) = cluster.by_tag(upstream).map(|upstream| upstream.listed.clone()) else {
         return;
     };
-    drop(board);
+    drop(cluster);
     tokio::spawn(ask(process.clone(), listed));
 }
 
@@ -71,10 +71,10 @@
     let Some(settings) = process.settings() else { return Vec::new() };
     let is_engine =
         |l: &&Listed| settings.table.service(&l.service).is_some_and(|s| s.engine.is_some());
-    let board = process.board.lock().unwrap();
+    let cluster = process.cluster.lock().unwrap();
     // Reports may count against the rate limit.
-    let is_limited = |l: &&Listed| board.get(&l.id).is_some_and(|engine| engine.is_limited());
-    board.listings().filter(is_engine).filter(|l| !is_limited(l)).cloned().collect()
+    let is_limited = |l: &&Listed| cluster.get(&l.id).is_some_and(|engine| engine.is_limited());
+    cluster.listings().filter(is_engine).filter(|l| !is_limited(l)).cloned().collect()
 }
 
 async fn ask<D: Dialect>(process: Arc<Process<D>>, listed: Listed) {
@@ -90,9 +90,10 @@
     let at = process.now();
     let start = notices::start(&process, &listed.id);
     process.metrics.reports.inc();
-    let Noted { notice, answer } = process.reports.report(&listed.id, &listed.address).await;
+    let Annotated { notice, value: answer } =
+        process.reports.report(&listed.id, &listed.address).await;
     notices::heard(&process, &listed.id, start, at, notice);
-    if let Err(Fault::Unreadable(why)) = &answer {
+    if let Err(ReportError::Unreadable(why)) = &answer {
         if process.trouble_lines.admit(process.now()).is_some() {
             log::event(&process.log, Event::ReportUnreadable, format!("{}: {why}", listed.id));
         }
@@ -101,14 +102,14 @@
     let born = answer.as_ref().ok().and_then(|report| report.born);
     if let Some(born) = born {
         renewed(&process, &listed.id, born, &process.member.vm);
-        let board = process.board.lock().unwrap();
-        if board.get(&listed.id).is_some_and(|known| known.listed.born > Some(born)) {
+        let cluster = process.cluster.lock().unwrap();
+        if cluster.get(&listed.id).is_some_and(|known| known.listed.born > Some(born)) {
             // An answer of the start before, which came late.
             return;
         }
     }
     let observed = Observed { report: answer.as_ref().ok().copied(), at };
-    let before = process.board.lock().unwrap().observe(&listed.id, observed);
+    let before = process.cluster.lock().unwrap().record_report(&listed.id, observed);
     log_change(&process, &listed.id, before, &answer);
     process.tell.notify_one();
 }
@@ -120,7 +121,7 @@
     born: u64,
     from: &id::Vm,
 ) {
-    if !process.board.lock().unwrap().renew(upstream, born, process.now()) {
+    if !process.cluster.lock().unwrap().observe_restart(upstream, born, process.now()) {
         return;
     }
     process.pool.forget(upstream);
@@ -135,11 +136,11 @@
     process: &Process<D>,
     id: &id::Upstream,
     before: Option<Observed>,
-    answer: &Result<Report, Fault>,
+    answer: &Result<Report, ReportError>,
 ) {
     let known = before.map(|observed| observed.report);
     match answer {
-        Err(Fault::Silent(why)) if known != Some(None) => {
+        Err(ReportError::Unresponsive(why)) if known != Some(None) => {
             log::event(&process.log, Event::UpstreamSilent, format!("{id}: {why}"));
         }
         Err(_) => {}
@@ -147,9 +148,10 @@
             if known == Some(None) {
                 log::event(&process.log, Event::UpstreamBack, id);
             }
-            let pace = known.flatten().map_or(1.0, |report| report.pace);
-            if (report.pace - pace).abs() > NEWS {
-                let what = format!("{id}: {:.2} times its figures, {pace:.2} before", report.pace);
+            let pace = known.flatten().map_or(1.0, |report| report.slowdown);
+            if (report.slowdown - pace).abs() > NEWS {
+                let what =
+                    format!("{id}: {:.2} times its figures, {pace:.2} before", report.slowdown);
                 log::event(&process.log, Event::UpstreamPace, what);
             }
         }
--- a/daemon/src/fleet/scheduler.rs
+++ b/daemon/src/fleet/scheduler.rs
@@ -5,11 +5,11 @@
 use std::time::{Duration, Instant};
 
 use foldlock_base::prelude::*;
-use foldlock_request::board::{Board, Holder};
+use foldlock_request::cluster::{Cluster, Holder};
 use foldlock_request::dialect::Dialect;
-use foldlock_request::message::{self, Answered, Asked, Message, Number};
-use foldlock_request::placement::{self, Ask, Place, Rejection};
-use foldlock_request::scheduler::{Answer, Key};
+use foldlock_request::message::{self, GrantReply, GrantRequest, Message, Number};
+use foldlock_request::placement::{self, Placement, Rejection, Requirements};
+use foldlock_request::scheduler::{Key, Reply};
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::Service;
 
@@ -25,21 +25,27 @@
 /// The same while nothing does: what was given and not used is taken back.
 const IDLE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A peer asks for a place.
-pub fn asked<D: Dialect>(process: &Process<D>, asked: &Asked, from: SocketAddr) {
+/// A peer asks for a placement.
+pub fn asked<D: Dialect>(process: &Process<D>, asked: &GrantRequest, from: SocketAddr) {
     let Some(peer) = process.peers.at(from) else { return };
     let now = process.now();
-    let ask = asked.ask(peer.hall, now);
+    let requirements = asked.requirements(peer.hall, now);
     let key = key(Holder::Peer(peer.vm), asked.request);
-    let answer = schedule(process, key, asked.service, ask, asked.is_client, now);
+    let answer = schedule(process, key, asked.service, requirements, asked.is_client, now);
     answered(process, asked.request, from, answer);
 }
 
-/// A request of this VM asks for a place.
-pub fn own<D: Dialect>(process: &Process<D>, number: u64, service: &Service, ask: &Ask) {
+/// A request of this VM asks for a placement.
+pub fn own<D: Dialect>(
+    process: &Process<D>,
+    number: u64,
+    service: &Service,
+    requirements: &Requirements,
+) {
     let key = key(Holder::Own, process.numbered(number));
     let (now, is_client) = (process.now(), affiliation::contact_own(process));
-    let answer = schedule(process, key, Tag::of(&service.name), ask.clone(), is_client, now);
+    let answer =
+        schedule(process, key, Tag::of(&service.name), requirements.clone(), is_client, now);
     process.questions.deliver(number, answer);
 }
 
@@ -47,17 +53,17 @@
     process: &Process<D>,
     key: Key,
     service: Tag,
-    ask: Ask,
+    requirements: Requirements,
     is_client: bool,
     now: Instant,
-) -> Answer {
-    let Some(settings) = process.settings() else { return Answer::Rejected(Rejection::Closed) };
+) -> Reply {
+    let Some(settings) = process.settings() else { return Reply::Rejected(Rejection::NoUpstream) };
     let vms = process.peers.running_count();
     let mut scheduler = process.scheduler.lock().unwrap();
-    let mut board = process.board.lock().unwrap();
+    let mut cluster = process.cluster.lock().unwrap();
     scheduler.budget.record_contact(&key.holder, is_client, vms, now);
-    let answer = scheduler.ask(&mut board, &settings.table, key, service, ask, now);
-    if matches!(answer, Answer::Waits) {
+    let answer = scheduler.request(&mut cluster, &settings.table, key, service, requirements, now);
+    if matches!(answer, Reply::Queued) {
         process.room.notify_one();
     }
     answer
@@ -68,18 +74,18 @@
 pub fn place_alone<D: Dialect>(
     process: &Process<D>,
     service: &Service,
-    ask: &Ask,
+    requirements: &Requirements,
     now: Instant,
-) -> Result<Place, Rejection> {
+) -> Result<Placement, Rejection> {
     let vms = process.peers.running_count();
     let tag = Tag::of(&service.name);
     let is_client = affiliation::contact_own(process);
     let mut scheduler = process.scheduler.lock().unwrap();
     scheduler.budget.record_contact(&Holder::Own, is_client, vms, now);
-    scheduler.budget.check(tag, ask.charge, now).map_err(Rejection::OverBudget)?;
-    let place = placement::place(&process.board.lock().unwrap(), service, ask, now)?;
-    scheduler.budget.charge(tag, ask.charge, now).map_err(Rejection::OverBudget)?;
-    Ok(place)
+    scheduler.budget.check(tag, requirements.charge, now).map_err(Rejection::OverBudget)?;
+    let placement = placement::place(&process.cluster.lock().unwrap(), service, requirements, now)?;
+    scheduler.budget.charge(tag, requirements.charge, now).map_err(Rejection::OverBudget)?;
+    Ok(placement)
 }
 
 /// A client has sent its heartbeat.
@@ -107,7 +113,7 @@
 
 fn cancel<D: Dialect>(process: &Process<D>, key: &Key) {
     let mut scheduler = process.scheduler.lock().unwrap();
-    scheduler.cancel(&mut process.board.lock().unwrap(), key, process.now());
+    scheduler.cancel(&mut process.cluster.lock().unwrap(), key, process.now());
     process.room.notify_one();
 }
 
@@ -126,9 +132,9 @@
     let Some(settings) = process.settings() else { return };
     let now = process.now();
     let mut scheduler = process.scheduler.lock().unwrap();
-    let mut board = process.board.lock().unwrap();
-    let answers = scheduler.look(&mut board, &settings.table, now);
-    drop((scheduler, board));
+    let mut cluster = process.cluster.lock().unwrap();
+    let answers = scheduler.place_queued(&mut cluster, &settings.table, now);
+    drop((scheduler, cluster));
     for (Key { holder, incarnation, number }, answer) in answers {
         match holder {
             Holder::Own => process.questions.deliver(number, answer),
@@ -137,40 +143,44 @@
     }
 }
 
-fn tell<D: Dialect>(process: &Process<D>, vm: &id::Vm, request: Number, answer: Answer) {
+fn tell<D: Dialect>(process: &Process<D>, vm: &id::Vm, request: Number, answer: Reply) {
     // A peer that is listed no more asks elsewhere.
     if let Some(member) = process.peers.member(vm) {
         answered(process, request, member.address, answer);
     }
 }
 
-fn answered<D: Dialect>(process: &Process<D>, request: Number, to: SocketAddr, answer: Answer) {
-    let answer = encode(&process.board.lock().unwrap(), answer);
-    let message = Message::Answered(Answered { request, answer });
+fn answered<D: Dialect>(process: &Process<D>, request: Number, to: SocketAddr, answer: Reply) {
+    let reply = encode(&process.cluster.lock().unwrap(), answer);
+    let message = Message::GrantReply(GrantReply { request, reply });
     tell::send(process, &message, to);
 }
 
-fn encode(board: &Board, answer: Answer) -> message::Answer {
-    let (place, grant) = match answer {
-        Answer::Placed(place, grant) => (place, grant),
-        Answer::Waits => return message::Answer::Waits,
-        Answer::Rejected(rejection) => return message::Answer::Rejected(rejection),
+fn encode(cluster: &Cluster, answer: Reply) -> message::Reply {
+    let (placement, grant) = match answer {
+        Reply::Granted(placement, grant) => (placement, grant),
+        Reply::Queued => return message::Reply::Queued,
+        Reply::Rejected(rejection) => return message::Reply::Rejected(rejection),
     };
-    let tag = |id: &id::Upstream| board.tag_of(id);
-    let flight = &place.flight;
-    message::Answer::Placed(message::Placed {
-        grant,
+    let tag = |id: &id::Upstream| cluster.tag_of(id);
+    let flight = &placement.flight;
+    message::Reply::Granted(message::Grant {
+        number: grant,
         upstream: tag(&flight.upstream),
-        helpers: flight.helpers.iter().map(|h| (tag(&h.upstream), h.held)).collect(),
+        helpers: flight.helpers.iter().map(|h| (tag(&h.upstream), h.reserved)).collect(),
         part_ms: flight.part_ms,
         memory: flight.memory,
         pause_ms: flight.pause_ms,
-        predicted_ms: place.predicted_ms,
-        load: place.load,
-        slowest: place.slowest.iter().map(|(id, load)| (tag(id), load.clone())).collect(),
-        open: place.open,
-        alone: flight.alone,
-        limited: place.limited,
-        limit: place.limit,
+        predicted_ms: placement.predicted_ms,
+        load: placement.load,
+        busiest_helpers: placement
+            .busiest_helpers
+            .iter()
+            .map(|(id, load)| (tag(id), load.clone()))
+            .collect(),
+        candidates: placement.candidates,
+        isolated: flight.isolated,
+        limited: placement.limited,
+        limit: placement.limit,
     })
 }
--- a/daemon/src/fleet/tell.rs
+++ b/daemon/src/fleet/tell.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use foldlock_base::prelude::*;
 use foldlock_request::dialect::Dialect;
-use foldlock_request::message::{self, Beat, Message, State, Work};
+use foldlock_request::message::{self, Activity, Heartbeat, Message, State};
 use foldlock_request::step;
 
 use crate::fleet::peers::Target;
@@ -19,7 +19,7 @@
 /// Who is told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Round {
-    /// The VM that places.
+    /// The scheduler.
     First,
     /// The VMs that would take over from it, too.
     Spare,
@@ -27,9 +27,9 @@
     All,
 }
 
-/// Tells the VM that places at once what it must not place without: a caller that sends a request again
+/// Tells the scheduler at once what it must not place without: a caller that sends a request again
 /// takes a few milliseconds, no more than a beat may wait for others.
-pub fn tell_placer<D: Dialect>(process: &Process<D>) {
+pub fn tell_scheduler<D: Dialect>(process: &Process<D>) {
     tell(process, Round::First, process.now());
 }
 
@@ -45,8 +45,8 @@
 pub fn tell<D: Dialect>(process: &Process<D>, round: Round, now: Instant) -> Option<Rest> {
     let mut told = process.peers.schedulers(now);
     if round == Round::First {
-        let scheduler = process.peers.placer(process.stopping.is_cancelled(), now);
-        let first = scheduler.and_then(|placer| placer.address());
+        let scheduler = process.peers.scheduler(process.stopping.is_cancelled(), now);
+        let first = scheduler.and_then(|scheduler| scheduler.address());
         told.retain(|target| Some(target.address) == first);
     }
     let listeners = if round == Round::All { process.peers.listeners(now) } else { Vec::new() };
@@ -78,24 +78,24 @@
 fn tell_targets<D: Dialect>(
     process: &Process<D>,
     state: &State,
-    work: Option<Work>,
+    work: Option<Activity>,
     targets: &[Target],
 ) {
-    let placer = process.peers.placer(process.stopping.is_cancelled(), process.now());
-    let placer = placer.and_then(|placer| placer.address());
+    let scheduler = process.peers.scheduler(process.stopping.is_cancelled(), process.now());
+    let scheduler = scheduler.and_then(|scheduler| scheduler.address());
     for target in targets {
         let is_client =
-            Some(target.address) == placer && affiliation::contact_peer(process, &target.vm);
+            Some(target.address) == scheduler && affiliation::contact_peer(process, &target.vm);
         let work = work.clone().filter(|_| target.scheduler);
-        let beat = Beat {
+        let beat = Heartbeat {
             echo: target.echo,
             echo_of: target.echo_of,
-            granted: target.granted,
-            wants: target.scheduler,
-            state: State { work, ..state.clone() },
+            last_grant: target.granted,
+            requests_heartbeats: target.scheduler,
+            state: State { activity: work, ..state.clone() },
             is_client,
         };
-        send(process, &Message::Beat(beat), target.address);
+        send(process, &Message::Heartbeat(beat), target.address);
     }
     process.metrics.beats.inc_by(targets.len() as u64);
 }
@@ -111,25 +111,25 @@
 fn state<D: Dialect>(process: &Process<D>, round: Round, now: Instant) -> State {
     let steps = if round == Round::All { steps(process, now) } else { Bytes::new() };
     let (digest, starts, departures, rate_limits) = {
-        let mut board = process.board.lock().unwrap();
+        let mut cluster = process.cluster.lock().unwrap();
         let (departures, rate_limits) = match round {
-            Round::All => (board.departures(), board.announced_limits(now)),
+            Round::All => (cluster.announced_leaving(), cluster.announced_limits(now)),
             _ => (Vec::new(), Vec::new()),
         };
-        (board.digest(), board.told_starts(now), departures, rate_limits)
+        (cluster.digest(), cluster.announced_restarts(now), departures, rate_limits)
     };
     State {
         stamp: process.peers.stamp(process.moment()),
         version: process.version(),
         age_ms: process.fresh.age(process.moment()).map(|age| age.as_millis() as u64 + 1),
-        at: process.at(),
+        revision: process.at(),
         digest,
         leaving: process.stopping.is_cancelled(),
         withdraw: process.withdrawals.asks(),
         watching: process.watching.load(Ordering::Relaxed),
-        settled: process.peers.settled(now),
-        starts,
-        departures,
+        synced: process.peers.settled(now),
+        restarts: starts,
+        leaving_upstreams: departures,
         rate_limits,
         steps,
         ..State::new(process.member.vm.clone(), process.member.incarnation)
@@ -139,17 +139,17 @@
 /// What changed of late, unless a VM before this one in the order tells it.
 fn steps<D: Dialect>(process: &Process<D>, now: Instant) -> Bytes {
     let known = process.peers.told_by_others(now);
-    let steps = process.steps.lock().unwrap().told(known);
+    let steps = process.steps.lock().unwrap().announced(known);
     if steps.is_empty() { Bytes::new() } else { packed::pack(&step::encode(&steps)) }
 }
 
-fn work<D: Dialect>(process: &Process<D>, round: Round, now: Instant) -> Work {
-    let mut board = process.board.lock().unwrap();
-    Work {
-        flights: board.told(now),
-        outcomes: board.told_outcomes(now),
-        reports: board.told_reports(now),
-        suspects: board.quarantine.told(round == Round::All, now),
-        dispatches: board.announced_dispatches(now),
+fn work<D: Dialect>(process: &Process<D>, round: Round, now: Instant) -> Activity {
+    let mut cluster = process.cluster.lock().unwrap();
+    Activity {
+        flights: cluster.announced_flights(now),
+        outcomes: cluster.announced_outcomes(now),
+        reports: cluster.announced_reports(now),
+        suspects: cluster.quarantine.announced(round == Round::All, now),
+        dispatches: cluster.announced_dispatches(now),
     }
 }
--- a/daemon/src/fleet/writer.rs
+++ b/daemon/src/fleet/writer.rs
@@ -8,10 +8,10 @@
 
 use foldlock_base::prelude::*;
 use foldlock_request::dialect::Dialect;
-use foldlock_request::directory::{Directory, Fault};
+use foldlock_request::directory::{self, Directory};
 
 use crate::fleet::metrics::Call;
-use crate::fleet::peers::Placer;
+use crate::fleet::peers::Scheduler;
 use crate::fleet::process::Process;
 use crate::fleet::register::Order;
 use crate::log;
@@ -66,39 +66,41 @@
     process: &Process<D>,
     directory: &R,
     order: &Order,
-) -> Result<(), Fault> {
+) -> Result<(), directory::Failure> {
     match order {
-        Order::Hold(entry) => directory.hold(entry).await,
+        Order::Hold(entry) => directory.quarantine(entry).await,
         Order::Release(fingerprint) | Order::Remove(fingerprint) => {
             directory.release(*fingerprint).await
         }
-        Order::Announce => directory.announce(&process.member).await,
+        Order::Announce => directory.register(&process.member).await,
     }
 }
 
 /// Whether an order needs no writing any more.
 fn is_moot<D: Dialect>(process: &Process<D>, order: &Order) -> bool {
-    let board = process.board.lock().unwrap();
+    let cluster = process.cluster.lock().unwrap();
     match order {
         Order::Hold(entry) => {
-            let listed = board.held().count();
-            let known = board.held().any(|held| held.fingerprint == entry.fingerprint);
+            let listed = cluster.quarantined().count();
+            let known = cluster.quarantined().any(|held| held.fingerprint == entry.fingerprint);
             entry.until_ms <= process.clock.wall_millis() || listed >= MOST_LISTED && !known
         }
-        Order::Release(fingerprint) => !board.held().any(|held| held.fingerprint == *fingerprint),
-        Order::Remove(fingerprint) => !board.is_released(*fingerprint),
+        Order::Release(fingerprint) => {
+            !cluster.quarantined().any(|held| held.fingerprint == *fingerprint)
+        }
+        Order::Remove(fingerprint) => !cluster.is_released(*fingerprint),
         Order::Announce => false,
     }
 }
 
 fn sweep<D: Dialect>(process: &Process<D>) {
-    let places = process.peers.placer(false, process.now()) == Some(Placer::Own);
+    let places = process.peers.scheduler(false, process.now()) == Some(Scheduler::Own);
     if !places || !process.watching.load(Ordering::Relaxed) {
         return;
     }
     let now_ms = process.clock.wall_millis();
     let kept_ms = KEPT.as_millis() as u64;
-    let board = process.board.lock().unwrap();
-    let over = board.held().filter(|entry| entry.until_ms + kept_ms <= now_ms);
+    let cluster = process.cluster.lock().unwrap();
+    let over = cluster.quarantined().filter(|entry| entry.until_ms + kept_ms <= now_ms);
     over.for_each(|entry| process.register.order(Order::Release(entry.fingerprint)));
 }
--- a/daemon/src/group.rs
+++ b/daemon/src/group.rs
@@ -1,7 +1,7 @@
-//! Prompts longer than one engine's memory: a group of engines of one shard, held all or nothing
-//! through the shard's home, which serves who asks in order, so that two groups never wait for
-//! each other. Each hold has a time limit at the engine and is renewed by the request; what a dead
-//! VM held is free once the limit passes.
+//! Prompts larger than one engine's memory run on a group of engines of one shard. The shard's home
+//! reserves their memory all or nothing and serves grant requests in order, so that two groups
+//! cannot deadlock. Each reservation expires at the engine unless the request renews it, so the
+//! memory reserved by a crashed VM is released.
 
 use std::collections::HashMap;
 use std::sync::{Arc, LazyLock, Mutex};
@@ -15,31 +15,32 @@
 };
 use foldlock_connection::wire::{self, Grant, Load, Segment};
 use foldlock_request::decision::Decision;
-use foldlock_request::route::{Ask, Candidate, Routes};
+use foldlock_request::route::{Candidate, Requirements, Routes};
 use foldlock_version::policy::{Policy, Route};
 
-use crate::engines::{Flight, Wanted};
-use crate::gate::{Place, Refused, ask_home};
+use crate::engines::{EngineQuery, Flight};
+use crate::gate::{Placement, Rejection, request_grant};
 use crate::home::Shard;
 use crate::process::Process;
 use crate::serve::{Job, Progress};
 
-/// How long an engine keeps a hold that is not renewed.
-const TTL: Duration = Duration::from_secs(3);
+/// How long an engine keeps a reservation that is not renewed.
+const RESERVATION_TTL: Duration = Duration::from_secs(3);
 
-/// How often holds are renewed.
-const RENEW: Duration = Duration::from_secs(1);
+/// How often reservations are renewed.
+const RENEW_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a home looks for a group before the asker has to ask again.
-const SEARCH: Duration = Duration::from_secs(2);
+/// How long a home searches for a placement before the requesting VM has to send another grant
+/// request.
+const SEARCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a home waits before it looks again.
-const LOOK: Duration = Duration::from_millis(50);
+/// Pause between two searches for a placement.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A segment is at least this large, unless it is the last one.
-const LEAST_SEGMENT: Tokens = Tokens(1_024);
+/// Minimum size of a segment, except the last one.
+const MIN_SEGMENT: Tokens = Tokens(1_024);
 
-/// Engines of a group, with the memory that each holds.
+/// A group of engines, with the memory reserved on each.
 pub struct Group {
     segments: Vec<Segment>,
     flights: Vec<Flight<System>>,
@@ -47,15 +48,15 @@
 }
 
 impl Group {
-    /// The load at the engine that answers.
-    pub fn last(&self) -> &Flight<System> {
+    /// The in-flight attempt on the engine that generates the answer.
+    pub fn last_flight(&self) -> &Flight<System> {
         self.flights.last().expect("a group has engines")
     }
 
-    /// The first token came: no segment is queued any more.
-    pub fn first_token(&mut self) {
+    /// Handles the first token: no segment is queued any more.
+    pub fn on_first_token(&mut self) {
         for flight in &mut self.flights {
-            flight.computed();
+            flight.on_prefill_done();
         }
     }
 }
@@ -63,45 +64,45 @@
 impl Drop for Group {
     fn drop(&mut self) {
         self.renewal.abort();
-        let held = holds(&self.segments, &self.flights);
+        let reserved = reservations(&self.segments, &self.flights);
         tokio::spawn(async move {
-            for (engine, hold) in held {
+            for (engine, hold) in reserved {
                 let _ = engine.release(&hold).await;
             }
         });
     }
 }
 
-fn holds(segments: &[Segment], flights: &[Flight<System>]) -> Vec<(HttpEngine, id::Hold)> {
+fn reservations(segments: &[Segment], flights: &[Flight<System>]) -> Vec<(HttpEngine, id::Hold)> {
     let pair = |(s, f): (&Segment, &Flight<System>)| Some((f.client.clone(), s.hold.clone()?));
     segments.iter().zip(flights).filter_map(pair).collect()
 }
 
-/// Waits for a group.
-pub async fn place(job: &Job, ask: &Ask) -> Result<Place, Refused> {
+/// Waits until a group of engines is reserved for the request.
+pub async fn place(job: &Job, requirements: &Requirements) -> Result<Placement, Rejection> {
     let started = job.process.clock.now();
     loop {
         let shards = job.process.shards();
-        let fitting = |s: &&Shard| shard_memory(job, s) >= ask.memory;
+        let fitting = |s: &&Shard| shard_memory(job, s) >= requirements.memory;
         let mut of: Vec<&Shard> =
             shards.iter().filter(|s| s.model == job.prompt.model).filter(fitting).collect();
         of.sort_by_key(|s| foldlock_base::hash::weight(job.request.as_str(), &s.name));
         if of.is_empty() {
-            return Err(Refused {
+            return Err(Rejection {
                 kind: Kind::PromptTooLong,
-                why: format!("no group of engines holds {} tokens", ask.memory),
+                why: format!("no group of engines has memory for {} tokens", requirements.memory),
                 retry_after: None,
             });
         }
         for shard in of {
-            if let Some(group) = try_shard(job, ask, shard).await {
+            if let Some(group) = try_shard(job, requirements, shard).await {
                 let waited_ms = millis(job.process.clock.now() - started);
                 let engines = group.segments.iter().map(|s| s.engine.clone()).collect();
-                job.record(Decision::Held { engines, waited_ms });
-                return Ok(Place::Group(group));
+                job.record(Decision::Reserved { engines, waited_ms });
+                return Ok(Placement::Group(group));
             }
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -110,44 +111,49 @@
     shard.engines.iter().filter_map(|e| fleet.engines.get(e)).map(|e| Tokens(e.memory_tokens)).sum()
 }
 
-async fn try_shard(job: &Job, ask: &Ask, shard: &Shard) -> Option<Group> {
-    let asked = wire::Ask {
+async fn try_shard(job: &Job, requirements: &Requirements, shard: &Shard) -> Option<Group> {
+    let ask = wire::Ask {
         vm: job.process.config.vm.clone(),
         request: job.request.clone(),
         model: job.prompt.model.clone(),
-        prompt: ask.prompt,
-        memory: ask.memory,
+        prompt: requirements.prompt,
+        memory: requirements.memory,
         avoid: Vec::new(),
     };
-    let grant = ask_home(job, shard, asked, SEARCH * 2).await?;
+    let grant = request_grant(job, shard, ask, SEARCH_TIMEOUT * 2).await?;
     let Grant::Given(segments) = grant else { return None };
     let flights: Vec<Flight<System>> = segments.iter().filter_map(|s| flight(job, s)).collect();
     if flights.len() != segments.len() || flights.is_empty() {
         return None;
     }
-    let renewal = tokio::spawn(renew(holds(&segments, &flights)));
+    let renewal = tokio::spawn(renew(reservations(&segments, &flights)));
     Some(Group { segments, flights, renewal })
 }
 
 fn flight(job: &Job, segment: &Segment) -> Option<Flight<System>> {
     let class = job.policy.class(job.tokens);
-    let ask = Ask { prompt: segment.tokens, memory: segment.tokens, class };
-    let wanted =
-        Wanted { model: &job.prompt.model, ask, blocks: &[], policy: &job.policy, avoid: &[] };
-    job.process.engines.take(&wanted, &segment.engine)
+    let requirements = Requirements { prompt: segment.tokens, memory: segment.tokens, class };
+    let query = EngineQuery {
+        model: &job.prompt.model,
+        requirements,
+        blocks: &[],
+        policy: &job.policy,
+        avoid: &[],
+    };
+    job.process.engines.assign(&query, &segment.engine)
 }
 
-async fn renew(holds: Vec<(HttpEngine, id::Hold)>) {
+async fn renew(reservations: Vec<(HttpEngine, id::Hold)>) {
     loop {
-        tokio::time::sleep(RENEW).await;
-        for (engine, hold) in &holds {
-            let _ = engine.hold(hold, Tokens(0), TTL).await;
+        tokio::time::sleep(RENEW_INTERVAL).await;
+        for (engine, hold) in &reservations {
+            let _ = engine.hold(hold, Tokens(0), RESERVATION_TTL).await;
         }
     }
 }
 
-/// Computes all segments but the last in turn, each on the exported state of those before it, and
-/// begins the answer on the last.
+/// Runs the prefill of all segments but the last in turn, each with the context exported by the
+/// previous ones, and starts the generation on the last.
 pub async fn begin(
     job: &Job,
     group: &mut Group,
@@ -172,60 +178,71 @@
             return client.generate(&Order { hold: Some(held), ..part }).await;
         }
         context = client.prefill(&part, &held).await?;
-        group.flights[i].computed();
+        group.flights[i].on_prefill_done();
         at = end;
     }
     Err(Failure::Gone)
 }
 
-/// One lock for each shard that this VM is the home of; who asks is served in order.
+/// One lock per shard whose home is this VM. Grant requests are served in order.
 type Locks = Mutex<HashMap<String, Arc<tokio::sync::Mutex<()>>>>;
 
 static LOCKS: LazyLock<Locks> = LazyLock::new(Locks::default);
 
-/// As the home of a shard, finds a place for a long prompt: one engine, or a group that is held.
+/// Handles a grant request as the home of a shard: finds one engine for a long prompt, or reserves
+/// a group.
 pub async fn grant(process: &Arc<Process>, shard: &str, ask: &wire::Ask) -> Grant {
     let shards = process.shards();
     let Some(shard) = shards.iter().find(|s| s.name == shard) else { return Grant::Unknown };
     let lock = LOCKS.lock().unwrap().entry(shard.name.clone()).or_default().clone();
     let search = async {
-        let _turn = lock.lock().await;
+        let _guard = lock.lock().await;
         loop {
             if let Some(segments) = find(process, shard, ask).await {
                 return segments;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    match tokio::time::timeout(SEARCH, search).await {
+    match tokio::time::timeout(SEARCH_TIMEOUT, search).await {
         Ok(segments) => Grant::Given(segments),
-        Err(_) => Grant::Wait(LOOK.as_millis() as u64),
+        Err(_) => Grant::Wait(POLL_INTERVAL.as_millis() as u64),
     }
 }
 
 async fn find(process: &Arc<Process>, shard: &Shard, ask: &wire::Ask) -> Option<Vec<Segment>> {
     let policy = Policy { route: Route::LengthAware, ..Policy::default() };
-    let want = Ask { prompt: ask.prompt, memory: Tokens(0), class: policy.class(ask.prompt) };
-    let wanted =
-        Wanted { model: &ask.model, ask: want, blocks: &[], policy: &policy, avoid: &ask.avoid };
-    process.engines.told(&process.home.states(&shard.engines, &process.config.vm));
-    let mut candidates = process.engines.candidates(&wanted);
+    let requirements =
+        Requirements { prompt: ask.prompt, memory: Tokens(0), class: policy.class(ask.prompt) };
+    let query = EngineQuery {
+        model: &ask.model,
+        requirements,
+        blocks: &[],
+        policy: &policy,
+        avoid: &ask.avoid,
+    };
+    process.engines.merge_states(&process.home.states(&shard.engines, &process.config.vm));
+    let mut candidates = process.engines.candidates(&query);
     candidates.retain(|c| shard.engines.contains(&c.engine));
     let largest = candidates.iter().map(|c| c.memory).max()?;
     if ask.memory > largest {
-        return hold(process, ask, candidates).await;
+        return reserve_group(process, ask, candidates).await;
     }
-    let want = Ask { memory: ask.memory, ..want };
-    let choice =
-        Routes::default().choose(Route::LengthAware, &want, &candidates, &mut rand::rng())?;
+    let requirements = Requirements { memory: ask.memory, ..requirements };
+    let choice = Routes::default().choose(
+        Route::LengthAware,
+        &requirements,
+        &candidates,
+        &mut rand::rng(),
+    )?;
     let chosen = &candidates[choice.index];
-    let load = Load::of(want.class, ask.prompt, ask.memory);
-    process.home.granted(&chosen.engine, &ask.vm, load);
+    let load = Load::of(requirements.class, ask.prompt, ask.memory);
+    process.home.record_grant(&chosen.engine, &ask.vm, load);
     Some(vec![Segment { engine: chosen.engine.clone(), tokens: ask.prompt, hold: None }])
 }
 
-/// Holds memory on as many engines as are needed, the emptiest first; all or nothing.
-async fn hold(
+/// Reserves memory on as many engines as needed, those with most free memory first; all or nothing.
+async fn reserve_group(
     process: &Arc<Process>,
     ask: &wire::Ask,
     mut candidates: Vec<Candidate>,
@@ -236,21 +253,22 @@
     let mut left = ask.memory;
     for candidate in &candidates {
         let tokens = free(candidate).min(left);
-        if tokens < LEAST_SEGMENT.min(left) || left == Tokens(0) {
+        if tokens < MIN_SEGMENT.min(left) || left == Tokens(0) {
             break;
         }
         let hold = format!("{}.{}", ask.request, segments.len()).parse().ok()?;
         segments.push(Segment { engine: candidate.engine.clone(), tokens, hold: Some(hold) });
         left = left - tokens;
     }
-    let answer = ask.memory - ask.prompt + LEAST_SEGMENT;
+    let answer = ask.memory - ask.prompt + MIN_SEGMENT;
     if left > Tokens(0) || !room_for_answer(&mut segments, answer, &candidates, free) {
         return None;
     }
-    hold_all(process, &segments).await.then_some(segments)
+    reserve_all(process, &segments).await.then_some(segments)
 }
 
-/// The last segment holds the answer and some of the prompt: moves tokens to it if it is small.
+/// Makes the last segment large enough for the answer and some of the prompt, by moving tokens from
+/// the one before. Returns whether it fits.
 fn room_for_answer(
     segments: &mut [Segment],
     answer: Tokens,
@@ -259,34 +277,34 @@
 ) -> bool {
     let count = segments.len();
     let [.., before, last] = segments else { return false };
-    let lacks = answer - last.tokens;
-    before.tokens = before.tokens - lacks;
-    last.tokens = last.tokens + lacks;
+    let missing = answer - last.tokens;
+    before.tokens = before.tokens - missing;
+    last.tokens = last.tokens + missing;
     last.tokens <= free(&candidates[count - 1])
 }
 
-/// The memory in use at an engine: by what is announced or by its report, whichever is more.
+/// The memory in use on an engine: as announced or as reported, whichever is more.
 fn used(process: &Process, candidate: &Candidate) -> Tokens {
     let reported = process.home.report(&candidate.engine).map_or(Tokens(0), |r| r.used);
     reported.max(candidate.fleet.memory)
 }
 
-async fn hold_all(process: &Process, segments: &[Segment]) -> bool {
-    let mut held = Vec::new();
+async fn reserve_all(process: &Process, segments: &[Segment]) -> bool {
+    let mut reserved = Vec::new();
     for segment in segments {
         let (Some(engine), Some(hold)) = (process.engines.client(&segment.engine), &segment.hold)
         else {
             break;
         };
-        if engine.hold(hold, segment.tokens, TTL).await.is_err() {
+        if engine.hold(hold, segment.tokens, RESERVATION_TTL).await.is_err() {
             break;
         }
-        held.push((engine, hold.clone()));
+        reserved.push((engine, hold.clone()));
     }
-    if held.len() == segments.len() {
+    if reserved.len() == segments.len() {
         return true;
     }
-    for (engine, hold) in held {
+    for (engine, hold) in reserved {
         let _ = engine.release(&hold).await;
     }
     false
--- a/daemon/src/pump.rs
+++ b/daemon/src/pump.rs
@@ -6,7 +6,7 @@
 use foldlock_base::error::Error;
 use foldlock_base::id;
 use foldlock_connection::events::Event as Part;
-use foldlock_request::cursor::{Cursor, Key, Writer};
+use foldlock_request::cursor::{Cursor, CursorWriter, Key};
 use foldlock_request::prompt::Style;
 use serde::Serialize;
 use tokio::sync::{mpsc, oneshot};
@@ -30,9 +30,9 @@
 }
 
 impl Sink for Whole {
-    fn source(&mut self, _job: &Job, _engine: &id::Upstream, _stream: &str) {}
+    fn on_source(&mut self, _job: &Job, _engine: &id::Upstream, _stream: &str) {}
 
-    async fn take(&mut self, parts: &[Part]) -> bool {
+    async fn send(&mut self, parts: &[Part]) -> bool {
         for part in parts {
             match part {
                 Part::Token { text, .. } => self.text.push_str(text),
@@ -42,7 +42,7 @@
         true
     }
 
-    async fn gone(&self) {
+    async fn caller_gone(&self) {
         // A caller who leaves drops the whole request.
         std::future::pending().await
     }
@@ -50,7 +50,7 @@
 
 /// Writes parts of an answer as server-sent events.
 pub struct Lines {
-    cursor: Option<Writer>,
+    cursor: Option<CursorWriter>,
     head: String,
     style: Style,
 }
@@ -95,7 +95,7 @@
 
 /// An error in place of the rest of an answer.
 pub fn error_event(error: &Error, request: &id::Request) -> Bytes {
-    let shape = serde_json::to_string(&answer::shape(error, request)).expect("plain data");
+    let shape = serde_json::to_string(&answer::error_body(error, request)).expect("plain data");
     format!("event: error\ndata: {shape}\n\n").into()
 }
 
@@ -114,7 +114,7 @@
 impl Lines {
     /// A writer for a stream that is gone on with.
     pub fn new(request: &id::Request, model: &str, style: Style, key: &Key, at: &Cursor) -> Lines {
-        Lines { cursor: Some(Writer::new(key, at)), head: head(request, model, style), style }
+        Lines { cursor: Some(CursorWriter::new(key, at)), head: head(request, model, style), style }
     }
 
     /// Writes parts.
@@ -173,7 +173,7 @@
 }
 
 impl Sink for Events {
-    fn source(&mut self, job: &Job, engine: &id::Upstream, stream: &str) {
+    fn on_source(&mut self, job: &Job, engine: &id::Upstream, stream: &str) {
         let at = Cursor {
             engine: engine.clone(),
             stream: stream.to_owned(),
@@ -181,10 +181,10 @@
             organisation: job.organisation.clone(),
             index: 0,
         };
-        self.lines.cursor = Some(Writer::new(&job.version.key, &at));
+        self.lines.cursor = Some(CursorWriter::new(&job.version.key, &at));
     }
 
-    async fn take(&mut self, parts: &[Part]) -> bool {
+    async fn send(&mut self, parts: &[Part]) -> bool {
         if let Some(started) = self.started.take() {
             let _ = started.send(Ok(()));
         }
@@ -192,7 +192,7 @@
         out.is_empty() || self.parts.send(out.into()).await.is_ok()
     }
 
-    async fn gone(&self) {
+    async fn caller_gone(&self) {
         self.parts.closed().await;
     }
 }
--- a/daemon/tests/members.rs
+++ b/daemon/tests/members.rs
@@ -4,8 +4,8 @@
 
 use foldlock_base::clock::Manual;
 use foldlock_connection::wire::Member;
-use foldlockd::home::{SHARD, Shard, USED, home, used};
-use foldlockd::members::{FANOUT, Members, News, SILENCE};
+use foldlockd::home::{MAX_SHARD_ENGINES, MAX_USED_SHARDS, Shard, home_of, used_shards};
+use foldlockd::members::{FANOUT, Members, SILENCE_TIMEOUT, Transition};
 use proptest::prelude::*;
 
 fn member(i: usize, incarnation: u64) -> Member {
@@ -28,38 +28,38 @@
     let clock = Manual::default();
     let members = Members::new(clock.clone(), member(0, 1));
     let peer = member(1, 5);
-    assert_eq!(members.heard(&peer), Some(News::Up(peer.vm.clone())));
-    assert_eq!(members.silent(&peer.vm), None, "not silent for long enough");
-    clock.advance(SILENCE);
-    assert_eq!(members.silent(&peer.vm), Some(News::Down(peer.vm.clone())));
+    assert_eq!(members.on_heartbeat(&peer), Some(Transition::Up(peer.vm.clone())));
+    assert_eq!(members.mark_down_if_silent(&peer.vm), None, "not silent for long enough");
+    clock.advance(SILENCE_TIMEOUT);
+    assert_eq!(members.mark_down_if_silent(&peer.vm), Some(Transition::Down(peer.vm.clone())));
     assert_eq!(live(&members), ["vm-0"]);
-    assert_eq!(members.heard(&peer), Some(News::Up(peer.vm.clone())));
+    assert_eq!(members.on_heartbeat(&peer), Some(Transition::Up(peer.vm.clone())));
     assert_eq!(live(&members), ["vm-0", "vm-1"]);
 }
 
 #[test]
 fn hearsay_of_an_older_incarnation_does_not_count() {
     let members = Members::new(Manual::default(), member(0, 1));
-    members.heard(&member(1, 5));
-    assert_eq!(members.rumour(&Member { down: true, ..member(1, 4) }), None);
+    members.on_heartbeat(&member(1, 5));
+    assert_eq!(members.merge(&Member { down: true, ..member(1, 4) }), None);
     assert_eq!(live(&members), ["vm-0", "vm-1"]);
-    assert!(members.rumour(&Member { down: true, ..member(1, 5) }).is_some());
+    assert!(members.merge(&Member { down: true, ..member(1, 5) }).is_some());
     assert_eq!(live(&members), ["vm-0"]);
 }
 
 #[test]
 fn a_vm_that_hears_itself_called_down_answers_with_a_higher_incarnation() {
     let members = Members::new(Manual::default(), member(0, 7));
-    members.rumour(&Member { down: true, ..member(0, 7) });
+    members.merge(&Member { down: true, ..member(0, 7) });
     assert_eq!(members.own().incarnation, 8);
 }
 
 #[test]
 fn a_leaving_member_takes_no_part() {
     let members = Members::new(Manual::default(), member(0, 1));
-    members.heard(&member(1, 1));
+    members.on_heartbeat(&member(1, 1));
     let leaving = Member { leaving: true, ..member(1, 1) };
-    assert_eq!(members.heard(&leaving), Some(News::Leaving(leaving.vm.clone())));
+    assert_eq!(members.on_heartbeat(&leaving), Some(Transition::Leaving(leaving.vm.clone())));
     assert_eq!(live(&members), ["vm-0"]);
     members.leave();
     assert!(live(&members).is_empty());
@@ -72,11 +72,11 @@
         let clock = Manual::default();
         let members = Members::new(clock.clone(), member(0, 1));
         for i in 1..count {
-            members.heard(&member(i, 1));
+            members.on_heartbeat(&member(i, 1));
         }
         prop_assert!(members.targets(&[]).len() <= FANOUT);
         clock.advance(Duration::from_secs(1));
-        prop_assert!(members.news().len() <= 16);
+        prop_assert!(members.announcements().len() <= 16);
     }
 
     /// Each shard has one home, of its own hall where that has a VM; all VMs name the same one.
@@ -89,13 +89,13 @@
             model: "base".parse().unwrap(),
             engines: Vec::new(),
         };
-        let first = home(&shard, &members).unwrap().clone();
+        let first = home_of(&shard, &members).unwrap().clone();
         prop_assert!(vms <= hall || first.hall == shard.hall);
         members.reverse();
-        prop_assert_eq!(&first, home(&shard, &members).unwrap());
+        prop_assert_eq!(&first, home_of(&shard, &members).unwrap());
         // Another VM's death does not move it.
         members.retain(|m| m.vm == first.vm || m.vm.as_str().len() % 2 == 0);
-        prop_assert_eq!(&first, home(&shard, &members).unwrap());
+        prop_assert_eq!(&first, home_of(&shard, &members).unwrap());
     }
 
     /// A VM uses a bounded number of shards, of other halls too where there are any; over many VMs
@@ -107,21 +107,21 @@
                 name: format!("hall-{}/base/{}", i % 3, i / 3),
                 hall: format!("hall-{}", i % 3).parse().unwrap(),
                 model: "base".parse().unwrap(),
-                engines: vec!["e".parse().unwrap(); SHARD],
+                engines: vec!["e".parse().unwrap(); MAX_SHARD_ENGINES],
             })
             .collect();
         let mut users = std::collections::BTreeMap::new();
         for i in 0..600 {
             let vm = member(i, 1);
-            let chosen = used(&vm, &shards);
-            prop_assert!(chosen.len() <= USED);
+            let chosen = used_shards(&vm, &shards);
+            prop_assert!(chosen.len() <= MAX_USED_SHARDS);
             prop_assert!(chosen.iter().any(|s| s.hall != vm.hall));
             for shard in chosen {
                 *users.entry(shard.name.clone()).or_insert(0u32) += 1;
             }
         }
         let most = users.values().max().unwrap();
-        let mean = 600.0 * USED.min(shards.len()) as f64 / shards.len() as f64;
+        let mean = 600.0 * MAX_USED_SHARDS.min(shards.len()) as f64 / shards.len() as f64;
         prop_assert!(f64::from(*most) < 2.2 * mean, "{most} {mean}");
     }
 }
--- a/daemon/tests/route.rs
+++ b/daemon/tests/route.rs
@@ -6,7 +6,7 @@
 use foldlock_connection::wire::Load;
 use foldlock_request::affinity::Table;
 use foldlock_request::cursor::{Cursor, Key};
-use foldlock_request::route::{Ask, Candidate, Routes};
+use foldlock_request::route::{Candidate, Requirements, Routes};
 use foldlock_request::speed::Model;
 use foldlock_version::policy::{Policy, Route};
 use proptest::prelude::*;
@@ -26,16 +26,16 @@
                 cached: Tokens(cached),
                 memory: Tokens(400_000),
                 speed: Model::default(),
-                overdue: 0.0,
+                overdue_s: 0.0,
                 long_rank,
             }
         },
     )
 }
 
-fn ask(tokens: u64) -> Ask {
+fn requirements(tokens: u64) -> Requirements {
     let class = Policy::default().class(Tokens(tokens));
-    Ask { prompt: Tokens(tokens), memory: Tokens(tokens + 100), class }
+    Requirements { prompt: Tokens(tokens), memory: Tokens(tokens + 100), class }
 }
 
 proptest! {
@@ -46,14 +46,14 @@
         tokens in 1u64..399_000,
         seed: u64,
     ) {
-        let ask = ask(tokens);
+        let requirements = requirements(tokens);
         let mut rng = StdRng::seed_from_u64(seed);
-        let choice = Routes::default().choose(Route::LengthAware, &ask, &candidates, &mut rng);
+        let choice = Routes::default().choose(Route::LengthAware, &requirements, &candidates, &mut rng);
         if let Some(choice) = choice {
-            prop_assert!(candidates[choice.index].fits(&ask));
-            prop_assert!(candidates[choice.index].closed(&ask).is_none());
+            prop_assert!(candidates[choice.index].fits(&requirements));
+            prop_assert!(candidates[choice.index].blocked_by(&requirements).is_none());
         } else {
-            prop_assert!(candidates.iter().all(|c| c.closed(&ask).is_some()));
+            prop_assert!(candidates.iter().all(|c| c.blocked_by(&requirements).is_some()));
         }
     }
 
@@ -67,7 +67,7 @@
         for route in Route::ALL {
             let choose = || {
                 let mut rng = StdRng::seed_from_u64(seed);
-                let choice = Routes::default().choose(*route, &ask(tokens), &candidates, &mut rng);
+                let choice = Routes::default().choose(*route, &requirements(tokens), &candidates, &mut rng);
                 choice.map(|c| c.index)
             };
             prop_assert_eq!(choose(), choose());
@@ -79,7 +79,7 @@
     #[test]
     fn priorities_follow_class_and_age(base in 0u8..9, used in 0.0..1.0f64) {
         let policy = Policy::default();
-        let aged = |tokens: u64, used| foldlockd::gate::aged(base, policy.class(Tokens(tokens)), used);
+        let aged = |tokens: u64, used| foldlockd::gate::aged_priority(base, policy.class(Tokens(tokens)), used);
         let lengths = [1_000, 20_000, 100_000, 500_000];
         for pair in lengths.windows(2) {
             prop_assert!(aged(pair[0], used) <= aged(pair[1], used));
@@ -97,9 +97,9 @@
         let mut table = Table::default();
         for first in prompts {
             let blocks: Vec<u64> = (0..64).map(|i| first.wrapping_add(i)).collect();
-            table.stored(&blocks, now);
+            table.insert(&blocks, now);
             prop_assert_eq!(table.cached(&blocks, now, 4), Tokens(64 * 256));
-            table.correct(&blocks, 10);
+            table.remove_misses(&blocks, 10);
             prop_assert_eq!(table.cached(&blocks, now, 4), Tokens(10 * 256));
         }
     }
--- a/request/src/board/limits.rs
+++ b/request/src/cluster/limits.rs
@@ -6,13 +6,13 @@
 use foldlock_base::prelude::*;
 use serde::{Deserialize, Serialize};
 
-use super::{Board, Holder, Upstream};
-use crate::pace::Bound;
+use super::{Cluster, Holder, Upstream};
 use crate::rate_limit::{self, Entry, Limit, Merge, State};
+use crate::sliding_window::Bound;
 use crate::tag::Tag;
 
 /// How long a dispatch is included in heartbeats: several of them, since some are lost.
-const ANNOUNCE_FOR: Duration = Duration::from_secs(1);
+const ANNOUNCE_WINDOW: Duration = Duration::from_secs(1);
 
 /// Most dispatches in a heartbeat.
 const MAX_DISPATCHES: usize = 64;
@@ -45,51 +45,51 @@
         self.sent.push_back((now, upstream, number));
     }
 
-    fn forget(&mut self, now: Instant) {
+    fn expire(&mut self, now: Instant) {
         let is_old =
-            |(at, ..): &(Instant, Tag, u64)| now.saturating_duration_since(*at) > ANNOUNCE_FOR;
+            |(at, ..): &(Instant, Tag, u64)| now.saturating_duration_since(*at) > ANNOUNCE_WINDOW;
         while self.sent.front().is_some_and(is_old) {
             self.sent.pop_front();
         }
     }
 }
 
-impl Board {
-    /// Applies the limit named in an answer to a request that this VM sent at `sent`. Returns the upstream if its limit
-    /// has changed.
+impl Cluster {
+    /// Applies the limit named in a response to a request that this VM sent at `sent`. Returns the upstream if its
+    /// limit has changed.
     pub fn observe_limit(
         &mut self,
-        instance: Tag,
+        incarnation: Tag,
         rate: Option<Rate>,
         sent: Instant,
         own: &id::Vm,
         now: Instant,
     ) -> Option<id::Upstream> {
-        let id = self.tags.get(&instance)?;
+        let id = self.tags.get(&incarnation)?;
         let upstream = self.upstreams.get_mut(id)?;
         let was_limited = upstream.is_limited();
-        let is_news = rate_limit::observe(&mut upstream.rate_limit, rate, sent, own, now);
+        let has_changed = rate_limit::observe(&mut upstream.rate_limit, rate, sent, own, now);
         let is_limited = upstream.is_limited();
         let id = id.clone();
         self.count_limited(&id, was_limited, is_limited);
-        is_news.then_some(id)
+        has_changed.then_some(id)
     }
 
     /// Merges a limit announced by a peer. Returns none for an unknown upstream.
     pub fn merge_limit(
         &mut self,
-        told: Entry,
+        announced: Entry,
         from: &id::Vm,
         now: Instant,
     ) -> Option<(Merge, id::Upstream)> {
-        let id = self.tags.get(&told.upstream)?;
+        let id = self.tags.get(&announced.upstream)?;
         let upstream = self.upstreams.get_mut(id)?;
         let was_limited = upstream.is_limited();
-        let heard = rate_limit::merge(&mut upstream.rate_limit, told.limit, from, now);
+        let merge = rate_limit::merge(&mut upstream.rate_limit, announced.limit, from, now);
         let is_limited = upstream.is_limited();
         let id = id.clone();
         self.count_limited(&id, was_limited, is_limited);
-        Some((heard, id))
+        Some((merge, id))
     }
 
     fn count_limited(&mut self, id: &id::Upstream, was_limited: bool, is_limited: bool) {
@@ -98,18 +98,18 @@
         }
         self.flights.set_limited(id, is_limited);
         match is_limited {
-            true => self.limited += 1,
-            false => self.limited -= 1,
+            true => self.limited_count += 1,
+            false => self.limited_count -= 1,
         }
     }
 
     /// Limits to include in heartbeats.
     pub fn announced_limits(&self, now: Instant) -> Vec<Entry> {
-        let told = |u: &Upstream| {
-            let known = u.rate_limit.as_ref().filter(|known| known.is_announced(now))?;
-            Some(Entry { upstream: u.tag, limit: known.limit })
+        let announced = |u: &Upstream| {
+            let state = u.rate_limit.as_ref().filter(|state| state.is_announced(now))?;
+            Some(Entry { upstream: u.tag, limit: state.limit })
         };
-        self.upstreams.values().filter_map(told).take(MAX_LIMITS).collect()
+        self.upstreams.values().filter_map(announced).take(MAX_LIMITS).collect()
     }
 
     /// The limit of an upstream, if it ever named one.
@@ -117,21 +117,21 @@
         self.upstreams.get(id)?.rate_limit.as_ref()
     }
 
-    /// Whether a grant may be used whose scheduler knew this limit. It must not if this VM knows a later one.
+    /// Whether a grant may be used that the scheduler made under this limit. It must not if this VM has a later one.
     pub fn may_send(&self, id: &id::Upstream, granted: Option<Limit>) -> bool {
-        let Some(known) = self.limit_of(id) else { return true };
+        let Some(state) = self.limit_of(id) else { return true };
         match granted {
-            Some(granted) => !known.limit.supersedes(granted),
-            None => known.limit.rate.is_none(),
+            Some(granted) => !state.limit.supersedes(granted),
+            None => state.limit.rate.is_none(),
         }
     }
 
-    /// Records a message to an upstream that was sent without a grant, such as an order.
+    /// Records a message that was sent to an upstream without a grant, such as a reservation order.
     pub fn record_unscheduled(&mut self, id: &id::Upstream, now: Instant) {
         if !self.upstreams.get(id).is_some_and(Upstream::is_limited) {
             return;
         }
-        let number = self.number();
+        let number = self.next_number();
         self.flights.record_dispatch(id, &Holder::Own, number, now);
         self.record_own_dispatch(id, number, now);
     }
@@ -145,19 +145,19 @@
 
     /// Dispatches to include in heartbeats.
     pub fn announced_dispatches(&mut self, now: Instant) -> Vec<Dispatch> {
-        self.own_dispatches.forget(now);
-        let told = |(at, upstream, number): &(Instant, Tag, u64)| Dispatch {
+        self.own_dispatches.expire(now);
+        let announcement = |(at, upstream, number): &(Instant, Tag, u64)| Dispatch {
             upstream: *upstream,
             number: *number,
             age_ms: now.saturating_duration_since(*at).as_millis() as u32,
         };
-        self.own_dispatches.sent.iter().map(told).collect()
+        self.own_dispatches.sent.iter().map(announcement).collect()
     }
 
     /// Counts the dispatches that a peer has announced.
-    pub fn merge_dispatches(&mut self, vm: &id::Vm, told: &[Dispatch], now: Instant) {
+    pub fn merge_dispatches(&mut self, vm: &id::Vm, announced: &[Dispatch], now: Instant) {
         let holder = Holder::Peer(vm.clone());
-        for sent in told {
+        for sent in announced {
             let Some(id) = self.tags.get(&sent.upstream) else { continue };
             let age = Duration::from_millis(u64::from(sent.age_ms));
             let at = now.checked_sub(age).unwrap_or(now);
@@ -166,16 +166,17 @@
     }
 
     /// Whether both the rate limit and the bound for cold upstreams allow one more request.
-    pub fn takes_more(&self, upstream: &Upstream, cold: Option<Bound>, now: Instant) -> bool {
-        let pace = self.flights.pace(&upstream.listed.id);
-        let allows = |bound: Bound| pace.is_none_or(|pace| pace.allows(bound, now));
+    pub fn allows_request(&self, upstream: &Upstream, cold: Option<Bound>, now: Instant) -> bool {
+        let dispatches = self.flights.dispatches(&upstream.listed.id);
+        let allows =
+            |bound: Bound| dispatches.is_none_or(|dispatches| dispatches.allows(bound, now));
         let cold = cold.filter(|_| upstream.is_cold(now));
         cold.is_none_or(allows) && named_bounds(upstream, now).all(allows)
     }
 
-    /// Requests sent to an upstream within a window, as far as this VM has learned.
+    /// Requests sent to an upstream within a window, as far as recorded here.
     pub fn sent_within(&self, id: &id::Upstream, window: Duration, now: Instant) -> usize {
-        self.flights.pace(id).map_or(0, |pace| pace.sent_within(window, now))
+        self.flights.dispatches(id).map_or(0, |dispatches| dispatches.count_within(window, now))
     }
 
     /// Sum of the rates of a service's open upstreams; none if one of them is unlimited.
@@ -190,15 +191,15 @@
 
     /// Number of upstreams with a rate limit.
     pub fn limited_count(&self) -> usize {
-        self.limited
+        self.limited_count
     }
 }
 
 /// Bounds of a named rate. The burst starts out spent, since earlier requests may not have been counted here.
 fn named_bounds(upstream: &Upstream, now: Instant) -> impl Iterator<Item = Bound> {
-    let known = upstream.rate_limit.as_ref();
+    let state = upstream.rate_limit.as_ref();
     let named =
-        known.and_then(|known| Some((known.limited_since, Bound::named(known.limit.rate?))));
+        state.and_then(|state| Some((state.limited_since, Bound::rate_limit(state.limit.rate?))));
     let bounds = named.map(|(since, [burst, sustained])| {
         let is_new = now.saturating_duration_since(since) < burst.window;
         let count = if is_new { 0 } else { burst.count };
--- a/request/src/fair.rs
+++ b/request/src/fair.rs
@@ -1,7 +1,8 @@
-//! Weighted fair queues: who is next where requests wait for engines.
+//! Weighted fair queues: the order in which queued requests get engines.
 //!
-//! Start-time fair queueing: each request gets the virtual time at which it would finish if each
-//! organisation had its weight's share of one server; the lowest goes first.
+//! Start-time fair queueing: each request is given the virtual time at which it would finish if
+//! each organisation had a share of one server by its weight. The request with the lowest finish
+//! time is next.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
@@ -9,104 +10,108 @@
 use foldlock_base::id;
 use tokio::sync::Notify;
 
-/// The place of a request: its virtual finish, then its arrival.
-type Place = (u64, u64);
+/// A request's position in the queue: its virtual finish time, then its arrival number.
+type Position = (u64, u64);
 
-/// Virtual units a token at weight 1.
-const UNIT: u64 = 1_000;
+/// Units of virtual time per token at weight 1.
+const UNITS_PER_TOKEN: u64 = 1_000;
 
 #[derive(Default)]
 struct State {
-    now: u64,
+    virtual_now: u64,
     arrivals: u64,
     finishes: HashMap<id::Organisation, u64>,
-    waiting: BTreeMap<Place, Waiting>,
-    /// Tokens of all who wait.
+    queued: BTreeMap<Position, Queued>,
+    /// Prompt tokens of all queued requests.
     tokens: u64,
 }
 
-struct Waiting {
-    turn: Arc<Notify>,
+struct Queued {
+    wake: Arc<Notify>,
     start: u64,
     tokens: u64,
 }
 
-/// A queue.
+/// A weighted fair queue.
 #[derive(Default)]
 pub struct Queue {
     state: Mutex<State>,
 }
 
-/// A place in a queue, left when dropped.
-pub struct Ticket {
+/// A queued request, removed from the queue when dropped.
+pub struct Entry {
     queue: Arc<Queue>,
-    place: Place,
-    turn: Arc<Notify>,
+    position: Position,
+    wake: Arc<Notify>,
 }
 
 impl Queue {
-    /// Takes a place for a request of so many tokens.
-    pub fn enter(
+    /// Adds a request with this many prompt tokens to the queue.
+    pub fn enqueue(
         self: &Arc<Queue>,
         organisation: &id::Organisation,
         weight: u32,
         tokens: u64,
-    ) -> Ticket {
+    ) -> Entry {
         let mut state = self.state.lock().unwrap();
-        let start = state.finishes.get(organisation).map_or(state.now, |f| (*f).max(state.now));
-        let finish = start + tokens.max(1) * UNIT / u64::from(weight.max(1));
+        let start = state
+            .finishes
+            .get(organisation)
+            .map_or(state.virtual_now, |f| (*f).max(state.virtual_now));
+        let finish = start + tokens.max(1) * UNITS_PER_TOKEN / u64::from(weight.max(1));
         state.finishes.insert(organisation.clone(), finish);
         state.arrivals += 1;
         state.tokens += tokens;
-        let place = (finish, state.arrivals);
-        let turn = Arc::new(Notify::new());
-        state.waiting.insert(place, Waiting { turn: turn.clone(), start, tokens });
-        Ticket { queue: self.clone(), place, turn }
+        let position = (finish, state.arrivals);
+        let wake = Arc::new(Notify::new());
+        state.queued.insert(position, Queued { wake: wake.clone(), start, tokens });
+        Entry { queue: self.clone(), position, wake }
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
-        self.state.lock().unwrap().waiting.len()
+        self.state.lock().unwrap().queued.len()
     }
 
-    /// Whether none waits.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Tokens of all who wait.
+    /// Prompt tokens of all queued requests.
     pub fn tokens(&self) -> u64 {
         self.state.lock().unwrap().tokens
     }
 }
 
-impl Ticket {
-    /// Whether this request is next.
+impl Entry {
+    /// Whether this request is the next one in the queue.
     pub fn is_next(&self) -> bool {
         let state = self.queue.state.lock().unwrap();
-        state.waiting.first_key_value().is_some_and(|(place, _)| *place == self.place)
+        state.queued.first_key_value().is_some_and(|(position, _)| *position == self.position)
     }
 
-    /// Waits until this request is next. Another one may still overtake it afterwards.
-    pub async fn next(&self) {
+    /// Waits until this request is the next one. A request that arrives afterwards may still be
+    /// placed before it.
+    pub async fn wait_until_next(&self) {
         while !self.is_next() {
-            self.turn.notified().await;
+            self.wake.notified().await;
         }
     }
 }
 
-impl Drop for Ticket {
+impl Drop for Entry {
     fn drop(&mut self) {
         let mut state = self.queue.state.lock().unwrap();
-        if let Some(left) = state.waiting.remove(&self.place) {
-            state.now = state.now.max(left.start);
+        if let Some(left) = state.queued.remove(&self.position) {
+            state.virtual_now = state.virtual_now.max(left.start);
             state.tokens -= left.tokens;
         }
-        if state.waiting.is_empty() {
+        if state.queued.is_empty() {
             state.finishes.clear();
         }
-        if let Some((_, next)) = state.waiting.first_key_value() {
-            next.turn.notify_one();
+        if let Some((_, next)) = state.queued.first_key_value() {
+            next.wake.notify_one();
         }
     }
 }
--- a/request/src/lib.rs
+++ b/request/src/lib.rs
@@ -1,10 +1,11 @@
-//! What lives for one request: how it is read, where it is routed, what is recorded of it, and the
-//! limits, claims and cursors that it meets.
+//! Request handling that is independent of connections: parsing, routing and scheduling, records,
+//! limits, idempotency claims and cursors.
 
 pub mod affinity;
-pub mod board;
+pub mod backoff;
 pub mod budget;
 pub mod claim;
+pub mod cluster;
 pub mod cursor;
 pub mod decision;
 pub mod dialect;
@@ -14,28 +15,27 @@
 pub mod flight;
 pub mod forecast;
 pub mod health;
-pub mod held;
 pub mod limit;
-pub mod line;
+pub mod long_queue;
 pub mod memory;
 pub mod message;
 pub mod notice;
-pub mod pace;
 pub mod placement;
 pub mod pressure;
 pub mod prompt;
 pub mod quarantine;
+pub mod quarantine_entry;
 pub mod quota;
 pub mod rank;
 pub mod rate_limit;
 pub mod report;
-pub mod rest;
 pub mod retry;
 pub mod retry_after;
 pub mod revision;
 pub mod ring;
 pub mod route;
 pub mod scheduler;
+pub mod sliding_window;
 pub mod speed;
 pub mod step;
 pub mod suspicion;
--- a/request/src/placement/candidate.rs
+++ b/request/src/placement/candidate.rs
@@ -1,88 +1,95 @@
-//! The upstreams that may take a request, and what would become of it there.
+//! The upstreams that may take a request, with predictions of its latency there.
 
 use std::time::{Duration, Instant};
 
 use foldlock_version::routes::{Engine, Service};
 
-use super::{Ask, Rejection};
-use crate::board::{BRISK_MS, Board, Load, Upstream};
+use super::{Rejection, Requirements};
+use crate::cluster::{Cluster, INTERACTIVE_PAUSE_MS, Load, Upstream};
 use crate::forecast;
-use crate::pace::Bound;
+use crate::sliding_window::Bound;
 
-/// Kept from a pause, milliseconds, for one more short prompt that comes in.
+/// Reserved from each pause, milliseconds, for one more short prompt that arrives.
 const PAUSE_MARGIN_MS: f64 = 30.0;
 
 /// Longest time without a request to a rate-limited upstream while there is traffic.
 const PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Answers with short pauses beside which parts of any length are read: a single one would keep its
-/// engine from long prompts for as long as it lasts.
-const LONE: u32 = 1;
+/// Maximum number of interactive responses on an engine that still reads parts of any length. With
+/// zero, a single such response would keep its engine from long prompts for as long as it lasts.
+const MAX_INTERACTIVE_BESIDE_PARTS: u32 = 1;
 
-/// An upstream, and what is under way there.
+/// An upstream with its current load.
 #[derive(Clone)]
 pub(super) struct Candidate<'a> {
     pub(super) upstream: &'a Upstream,
     pub(super) load: Load,
-    /// How many times longer its work takes than its figures say.
-    pub(super) pace: f64,
-    /// Whether it is rate-limited and due for a probe, since only an answer shows whether the limit has ended.
-    pub(super) is_due: bool,
+    /// Measured over expected time of its work.
+    pub(super) slowdown: f64,
+    /// Whether it is rate-limited and due for a probe, since only a response shows whether the
+    /// limit has ended.
+    pub(super) probe_due: bool,
 }
 
 impl<'a> Candidate<'a> {
     pub(super) fn new(
-        board: &Board,
+        cluster: &Cluster,
         upstream: &'a Upstream,
         engine: Option<&Engine>,
         now: Instant,
     ) -> Candidate<'a> {
-        let load = board.load(upstream, engine, now);
-        Candidate { upstream, load, pace: upstream.pace(now), is_due: is_due(board, upstream, now) }
+        let load = cluster.load(upstream, engine, now);
+        Candidate {
+            upstream,
+            load,
+            slowdown: upstream.slowdown(now),
+            probe_due: probe_due(cluster, upstream, now),
+        }
     }
 
-    /// When the first event of a prompt comes that is sent now: at the end of the pass that reads it,
-    /// which begins when the one that runs is over.
+    /// The predicted time to the first event of a prompt that is sent now. The event comes at the
+    /// end of the pass that reads the prompt, which begins when the running pass has ended.
     pub(super) fn predicted_ms(&self, engine: &Engine, part_ms: f64) -> f64 {
-        let writers = self.load.writers + 1;
-        let pass = forecast::pass_ms(engine, writers, self.load.memory);
-        self.load.pass_ms + (self.load.next_ms + part_ms + pass) * self.pace
+        let decoding = self.load.decoding + 1;
+        let pass = forecast::pass_ms(engine, decoding, self.load.memory);
+        self.load.pass_ms + (self.load.next_ms + part_ms + pass) * self.slowdown
     }
 
-    /// What a new read waits for: reads that came before it and, where some request writes, the
-    /// rest of the pass that runs.
-    pub(super) fn ahead_ms(&self, engine: &Engine) -> f64 {
+    /// The delay before a new prefill begins: earlier prefills and, if the engine is decoding, the
+    /// rest of the running pass.
+    pub(super) fn queueing_delay_ms(&self, engine: &Engine) -> f64 {
         let load = &self.load;
-        let pass = forecast::pass_ms(engine, load.writers, load.memory);
-        let running = if load.writers > 0 { pass / 2.0 } else { 0.0 };
-        running * self.pace + load.backlog_ms
+        let pass = forecast::pass_ms(engine, load.decoding, load.memory);
+        let running = if load.decoding > 0 { pass / 2.0 } else { 0.0 };
+        running * self.slowdown + load.backlog_ms
     }
 
-    /// The milliseconds of reading that one pass may hold so that no answer here pauses for too
-    /// long, with one more whose pause is `pause_ms`.
-    pub(super) fn allowance_ms(&self, engine: &Engine, pause_ms: u32) -> f64 {
-        self.allowed_ms(engine, self.load.pause_ms.map_or(pause_ms, |ms| ms.min(pause_ms)))
+    /// Prefill milliseconds that fit into one pass without too long a pause for any response on
+    /// this engine, including a new one with `pause_ms`.
+    pub(super) fn prefill_budget_ms(&self, engine: &Engine, pause_ms: u32) -> f64 {
+        self.pass_budget_ms(engine, self.load.pause_ms.map_or(pause_ms, |ms| ms.min(pause_ms)))
     }
 
-    /// The longest part of a long prompt that may be read here.
-    pub(super) fn part_allowance_ms(&self, engine: &Engine) -> f64 {
-        let pause_ms = if self.is_crowded() { self.load.pause_ms } else { self.load.calm_ms };
-        self.allowed_ms(engine, pause_ms.unwrap_or(u32::MAX))
+    /// The longest part of a long prompt that may be read on this engine.
+    pub(super) fn max_part_ms(&self, engine: &Engine) -> f64 {
+        let pause_ms =
+            if self.is_crowded() { self.load.pause_ms } else { self.load.noninteractive_pause_ms };
+        self.pass_budget_ms(engine, pause_ms.unwrap_or(u32::MAX))
     }
 
-    pub(super) fn allowed_ms(&self, engine: &Engine, pause_ms: u32) -> f64 {
-        let pass = forecast::pass_ms(engine, self.load.writers + 1, self.load.memory);
-        (f64::from(pause_ms) - PAUSE_MARGIN_MS) / self.pace - pass
+    pub(super) fn pass_budget_ms(&self, engine: &Engine, pause_ms: u32) -> f64 {
+        let pass = forecast::pass_ms(engine, self.load.decoding + 1, self.load.memory);
+        (f64::from(pause_ms) - PAUSE_MARGIN_MS) / self.slowdown - pass
     }
 
-    /// Whether too many answers with short pauses are under way here for parts of any length.
+    /// Whether the engine has too many interactive responses for parts of any length.
     pub(super) fn is_crowded(&self) -> bool {
-        self.load.brisk > LONE
+        self.load.interactive > MAX_INTERACTIVE_BESIDE_PARTS
     }
 
-    /// Whether an answer with short pauses is under way here.
-    pub(super) fn is_brisk(&self) -> bool {
-        self.load.pause_ms.is_some_and(|ms| ms <= BRISK_MS)
+    /// Whether the engine has an interactive response in flight.
+    pub(super) fn is_interactive(&self) -> bool {
+        self.load.pause_ms.is_some_and(|ms| ms <= INTERACTIVE_PAUSE_MS)
     }
 
     pub(super) fn has_room(&self, memory: u64, engine: &Engine) -> bool {
@@ -91,36 +98,41 @@
     }
 }
 
-/// Why no upstream is a candidate.
-pub(super) fn rejection(board: &Board, service: &Service, ask: &Ask, now: Instant) -> Rejection {
-    if board.is_drained(&service.name) {
+/// The reason why no upstream is a candidate.
+pub(super) fn rejection(
+    cluster: &Cluster,
+    service: &Service,
+    requirements: &Requirements,
+    now: Instant,
+) -> Rejection {
+    if cluster.is_drained(&service.name) {
         return Rejection::Drained;
     }
-    let is_paced = |u: &Upstream| u.is_cold(now) || u.is_limited();
-    let left = |u: &Upstream| is_paced(u) && !ask.avoid.contains(&u.tag);
-    if board.open(&service.name).any(left) { Rejection::Full } else { Rejection::Closed }
+    let takes_few = |u: &Upstream| u.is_cold(now) || u.is_limited();
+    let left = |u: &Upstream| takes_few(u) && !requirements.excluded.contains(&u.tag);
+    if cluster.open(&service.name).any(left) { Rejection::Full } else { Rejection::NoUpstream }
 }
 
-/// The upstreams that take new work, those that are to be trusted alone if there are any, the asker's
-/// hall first; and the number of those at their rate limits.
+/// The upstreams that accept new requests, only healthy ones if there are any, those in the
+/// caller's data hall first; and the number of upstreams at their rate limits.
 pub(super) fn candidates<'a>(
-    board: &'a Board,
+    cluster: &'a Cluster,
     service: &'a Service,
-    ask: &Ask,
+    requirements: &Requirements,
     now: Instant,
 ) -> (Vec<Candidate<'a>>, usize) {
-    let open = board.open(&service.name).filter(|u| !ask.avoid.contains(&u.tag));
-    let (open, spent): (Vec<&Upstream>, Vec<&Upstream>) =
-        open.partition(|u| bears_more(board, service, u, ask.placers, now));
-    let limited = spent.into_iter().filter(|u| u.is_limited()).count();
-    let mut candidates = trusted(board, open, now);
+    let open = cluster.open(&service.name).filter(|u| !requirements.excluded.contains(&u.tag));
+    let (open, at_limit): (Vec<&Upstream>, Vec<&Upstream>) =
+        open.partition(|u| accepts_more(cluster, service, u, requirements.schedulers, now));
+    let limited = at_limit.into_iter().filter(|u| u.is_limited()).count();
+    let mut candidates = healthy(cluster, open, now);
     if !candidates.is_empty() {
-        let offset = ask.offset % candidates.len();
+        let offset = requirements.offset % candidates.len();
         candidates.rotate_left(offset);
     }
-    candidates.sort_by_key(|u| (rank(u, now), u.listed.hall != ask.hall));
+    candidates.sort_by_key(|u| (rank(u, now), u.listed.hall != requirements.hall));
     let engine = service.engine.as_ref();
-    let candidate = |upstream| Candidate::new(board, upstream, engine, now);
+    let candidate = |upstream| Candidate::new(cluster, upstream, engine, now);
     (candidates.into_iter().map(candidate).collect(), limited)
 }
 
@@ -129,39 +141,39 @@
     (upstream.is_limited(), upstream.is_cold(now))
 }
 
-fn is_due(board: &Board, upstream: &Upstream, now: Instant) -> bool {
-    upstream.is_limited() && board.sent_within(&upstream.listed.id, PROBE_INTERVAL, now) == 0
+fn probe_due(cluster: &Cluster, upstream: &Upstream, now: Instant) -> bool {
+    upstream.is_limited() && cluster.sent_within(&upstream.listed.id, PROBE_INTERVAL, now) == 0
 }
 
-/// Whether an upstream takes one more request, by its rate limit or while it is cold. Without a scheduler the requests
-/// of other VMs are unknown, so a limited upstream takes none.
-pub(super) fn bears_more(
-    board: &Board,
+/// Whether an upstream accepts one more request, by its rate limit or while it is cold. Without a
+/// scheduler the requests of other VMs are unknown, so a limited upstream accepts none.
+pub(super) fn accepts_more(
+    cluster: &Cluster,
     service: &Service,
     upstream: &Upstream,
-    placers: usize,
+    schedulers: usize,
     now: Instant,
 ) -> bool {
-    if upstream.is_limited() && placers > 1 {
+    if upstream.is_limited() && schedulers > 1 {
         return false;
     }
-    let cold = service.cold_per_s.map(|per_s| Bound::cold(per_s, placers));
-    board.takes_more(upstream, cold, now)
+    let cold = service.cold_per_s.map(|per_s| Bound::cold(per_s, schedulers));
+    cluster.allows_request(upstream, cold, now)
 }
 
-/// Those that did not fail of late and are not left to a request that runs alone, or all where there are
-/// no others.
-pub(super) fn trusted<'a>(
-    board: &Board,
+/// The upstreams that have not failed recently and run no isolated request; all of them if there
+/// are no others.
+pub(super) fn healthy<'a>(
+    cluster: &Cluster,
     open: Vec<&'a Upstream>,
     now: Instant,
 ) -> Vec<&'a Upstream> {
-    let sound = |u: &&Upstream| {
+    let is_healthy = |u: &&Upstream| {
         u.unlisted.is_none()
-            && !u.suspicion.avoided(now)
-            && !u.silent(now)
-            && !board.is_left_alone(&u.listed.id)
+            && !u.suspicion.is_avoided(now)
+            && !u.is_unresponsive(now)
+            && !cluster.has_isolated_request(&u.listed.id)
     };
-    let trusted: Vec<&Upstream> = open.iter().copied().filter(sound).collect();
-    if trusted.is_empty() { open } else { trusted }
+    let healthy: Vec<&Upstream> = open.iter().copied().filter(is_healthy).collect();
+    if healthy.is_empty() { open } else { healthy }
 }
