--- a/request/src/placement/group.rs
+++ b/request/src/placement/group.rs
@@ -1,268 +1,305 @@
-//! Groups of engines for long prompts: which of them answers, and which hold memory for it.
+//! Groups of engines for long prompts: which engine generates the response, and which reserve
+//! memory for it.
 //!
-//! The prompts of a line take their turn: one is placed if its engines are free now, else it is
-//! planned on the engines that are done with it soonest. So no part is put on one that is unread, and
-//! first events come when they are predicted.
+//! The queued prompts are taken in order. A prompt is placed if its engines are free now, and
+//! otherwise planned on the engines that finish it soonest. Thus no part is sent to an engine with
+//! an unread part, and first events come when they are predicted.
 
 use std::cmp::Reverse;
 use std::time::{Duration, Instant};
 
 use foldlock_version::routes::{Engine, Service};
 
-use super::candidate::{Candidate, bears_more, trusted};
-use super::share::{MOST_ENGINES, Prompt, Reader, Readers, Share};
-use super::{Ask, Place, placed};
-use crate::board::{Board, Upstream};
+use super::candidate::{Candidate, accepts_more, healthy};
+use super::share::{EnginePlan, EnginePlans, MAX_ENGINES, Prompt, Share};
+use super::{Placement, Requirements, build_placement};
+use crate::cluster::{Cluster, Upstream};
 use crate::forecast;
-use crate::line::{self, Capacity, Waiting};
+use crate::long_queue::{self, Capacity, Entry};
 
-/// The longest part, milliseconds, where all engines were busy of late: all that comes meanwhile
-/// waits for it. Twice that where none was, so that the longest prompts find a place on a calm fleet.
-const MOST_PART_MS: f64 = 1_000.0;
+/// The longest part, milliseconds, where all engines were busy recently: everything that arrives
+/// meanwhile waits for it. Up to twice that where engines were idle, so that the longest prompts
+/// can be placed on an idle fleet.
+const MAX_PART_MS: f64 = 1_000.0;
 
-/// The time over which the demand of long prompts is taken: the mix of lengths turns within some
-/// seconds.
+/// The window over which the demand of long prompts is measured: the mix of lengths changes within
+/// a few seconds.
 pub const DEMAND_WINDOW: Duration = Duration::from_millis(2_000);
 
-/// The most prompts of the line that are planned before one's own: beyond it their engines are busy
-/// for longer than callers wait.
-const MOST_PLANNED: usize = 32;
+/// The maximum number of queued prompts that are planned in one run: later ones would find their
+/// engines busy for longer than callers wait.
+const MAX_PLANNED: usize = 32;
 
-/// How many times what other long prompts ask for has to be left to them for one to be read in longer parts.
-const TO_SPARE: f64 = 1.5;
+/// The remaining engines must cover the demand of other long prompts by this factor for a prompt to
+/// be read in longer parts.
+const SPARE_CAPACITY_FACTOR: f64 = 1.5;
 
-/// The part of the time for a first event whose prompt several engines hold that may be predicted.
-const HOLD_MARGIN: f64 = 0.85;
+/// Share of the reservation timeout within which the first event must be predicted of a prompt for
+/// which several engines reserve memory.
+const RESERVATION_SHARE: f64 = 0.85;
 
-/// The part of an engine's free memory that is asked for: what other VMs have just placed there
-/// takes the rest.
-const SPARE: f64 = 0.97;
+/// Share of an engine's free memory that is used: requests that other VMs have just placed there
+/// may take the rest.
+const FREE_MEMORY_SHARE: f64 = 0.97;
 
-/// The least memory worth setting aside at one engine, tokens.
-const LEAST_HELD: u64 = 8_000;
+/// The smallest useful reservation on one engine, tokens.
+const MIN_RESERVED_TOKENS: u64 = 8_000;
 
-/// Which engine answers, and which set memory aside for it: indices and tokens.
-struct Holding {
+/// The engine that generates the response, and the engines that reserve memory for it: indices and
+/// tokens.
+struct MemorySplit {
     main: usize,
-    holders: Vec<(usize, u64)>,
+    reservations: Vec<(usize, u64)>,
 }
 
-/// A long prompt that waits for its turn.
+/// A queued long prompt.
 #[derive(Debug, Clone, Copy)]
-pub struct Turn<'a> {
-    /// What is asked for.
-    pub ask: &'a Ask,
-    /// By which the caller knows it.
+pub struct LongPrompt<'a> {
+    /// What the prompt needs.
+    pub requirements: &'a Requirements,
+    /// Index that is returned with the placement.
     pub index: usize,
 }
 
-/// The long prompts that wait for the engines of one service.
+/// The queued long prompts of one service.
 #[derive(Debug, Clone, Copy)]
-pub struct Line<'a> {
-    /// The prompts, in no order.
-    pub turns: &'a [Turn<'a>],
-    /// The engines that long prompts kept busy of late.
+pub struct LongQueue<'a> {
+    /// The prompts, in any order.
+    pub prompts: &'a [LongPrompt<'a>],
+    /// The mean number of engines that long prompts recently kept busy.
     pub demand: f64,
-    /// How far on in the order of engines to begin, as [`Ask::offset`].
+    /// Where to begin in the order of engines, as [`Requirements::offset`].
     pub offset: usize,
-    /// Engines that are kept free for short prompts, which find none in time.
-    pub kept: usize,
+    /// The number of engines to keep free for short prompts that were not placed in time.
+    pub short_only: usize,
 }
 
-/// Places those prompts of a line whose engines are free now, each by the index of its turn. The
-/// others are planned, so that nobody takes the engines that one before it needs.
-pub fn line(
-    board: &Board,
+/// Places those queued prompts whose engines are free now, each with its index. The others are
+/// planned, so that no later prompt takes the engines that an earlier one needs.
+pub fn place_long(
+    cluster: &Cluster,
     service: &Service,
     engine: &Engine,
-    line: Line<'_>,
+    queue: LongQueue<'_>,
     now: Instant,
-) -> Vec<(usize, Place)> {
+) -> Vec<(usize, Placement)> {
     // Parts of split prompts would count against the rate limit.
-    let unlimited = board.open(&service.name).filter(|upstream| !upstream.is_limited());
-    let open = trusted(board, unlimited.collect(), now);
-    let candidate = |upstream| Candidate::new(board, upstream, Some(engine), now);
+    let unlimited = cluster.open(&service.name).filter(|upstream| !upstream.is_limited());
+    let open = healthy(cluster, unlimited.collect(), now);
+    let candidate = |upstream| Candidate::new(cluster, upstream, Some(engine), now);
     let mut candidates: Vec<Candidate<'_>> = open.into_iter().map(candidate).collect();
     candidates.reverse();
-    let offset = line.offset % candidates.len().max(1);
+    let offset = queue.offset % candidates.len().max(1);
     candidates.rotate_left(offset);
-    let mut readers = Readers::new(candidates, engine);
-    readers.keep(line.kept);
-    let most_part_ms = MOST_PART_MS * (1.0 + idle(&readers, line.demand));
+    let mut plans = EnginePlans::new(candidates, engine);
+    plans.keep_for_short(queue.short_only);
+    let max_part_ms = MAX_PART_MS * (1.0 + idle_share(&plans, queue.demand));
     let mut placed = Vec::new();
-    for waiting in in_order(line.turns, engine, &readers, now).into_iter().take(MOST_PLANNED) {
-        let turn = &line.turns[waiting.index];
-        let prompt = Prompt { read_ms: waiting.read_ms, left_ms: turn.ask.left_ms(now) };
-        let bears = |u: &Upstream| bears_more(board, service, u, turn.ask.placers, now);
-        let demand = demand_of_others(&line, prompt, turn.ask, now);
-        let most_ms = |share: &Share| longest_part_ms(&readers, demand, prompt, share);
-        match turn_now(turn.ask, engine, &readers, prompt, most_ms, bears) {
-            Some((share, place)) => {
-                readers.begin(&share, &place, turn.ask);
-                placed.push((turn.index, place));
+    for entry in queue_order(queue.prompts, engine, &plans, now).into_iter().take(MAX_PLANNED) {
+        let long = &queue.prompts[entry.index];
+        let prompt =
+            Prompt { prefill_ms: entry.prefill_ms, left_ms: long.requirements.left_ms(now) };
+        let accepts =
+            |u: &Upstream| accepts_more(cluster, service, u, long.requirements.schedulers, now);
+        let demand = demand_of_others(&queue, prompt, long.requirements, now);
+        let max_ms = |share: &Share| longest_part_ms(&plans, demand, prompt, share);
+        match place_now(long.requirements, engine, &plans, prompt, max_ms, accepts) {
+            Some((share, placement)) => {
+                plans.start(&share, &placement, long.requirements);
+                placed.push((long.index, placement));
             }
-            None => readers.plan(prompt, most_part_ms),
+            None => plans.plan_later(prompt, max_part_ms),
         }
     }
     placed
 }
 
-/// The place of a prompt whose engines are free now.
-fn turn_now(
-    ask: &Ask,
+/// The placement of a prompt whose engines are free now.
+fn place_now(
+    requirements: &Requirements,
     engine: &Engine,
-    readers: &Readers<'_>,
+    plans: &EnginePlans<'_>,
     prompt: Prompt,
-    most_part_ms: impl Fn(&Share) -> f64,
-    bears: impl Fn(&Upstream) -> bool,
-) -> Option<(Share, Place)> {
-    let may = |r: &Reader<'_>| !ask.avoid.contains(&r.candidate.upstream.tag);
-    let can_answer =
-        |r: &Reader<'_>| r.candidate.has_room(ask.memory.0, engine) && bears(r.candidate.upstream);
-    let share = readers.now(prompt, may, can_answer)?;
-    if share.part_ms > most_part_ms(&share) {
+    max_part_ms: impl Fn(&Share) -> f64,
+    accepts: impl Fn(&Upstream) -> bool,
+) -> Option<(Share, Placement)> {
+    let may = |r: &EnginePlan<'_>| !requirements.excluded.contains(&r.candidate.upstream.tag);
+    let can_be_main = |r: &EnginePlan<'_>| {
+        r.candidate.has_room(requirements.memory.0, engine) && accepts(r.candidate.upstream)
+    };
+    let share = plans.share_now(prompt, may, can_be_main)?;
+    if share.part_ms > max_part_ms(&share) {
         return None;
     }
-    let place = group(ask, engine, readers, &share)?;
-    Some((share, place))
+    let placement = place_group(requirements, engine, plans, &share)?;
+    Some((share, placement))
 }
 
-/// The longest part of a prompt that is read by these engines. Where the engines that are left suffice for what
-/// other long prompts ask for, nothing waits for it, and it may take the time that its first event has.
-fn longest_part_ms(readers: &Readers<'_>, demand: f64, prompt: Prompt, share: &Share) -> f64 {
-    let usual_ms = MOST_PART_MS * (1.0 + idle(readers, demand));
-    let apart = readers.all().iter().filter(|r| r.apart).count() as f64;
-    let left = apart - share.engines.len() as f64;
-    if left >= demand * TO_SPARE { usual_ms.max(prompt.left_ms) } else { usual_ms }
+/// The longest part of a prompt that these engines may read. Where the remaining engines cover the
+/// demand of other long prompts, nothing waits for it, and it may take all the time until the
+/// deadline of its first event.
+fn longest_part_ms(plans: &EnginePlans<'_>, demand: f64, prompt: Prompt, share: &Share) -> f64 {
+    let usual_max_ms = MAX_PART_MS * (1.0 + idle_share(plans, demand));
+    let for_long = plans.all().iter().filter(|r| r.for_long).count() as f64;
+    let left = for_long - share.engines.len() as f64;
+    if left >= demand * SPARE_CAPACITY_FACTOR {
+        usual_max_ms.max(prompt.left_ms)
+    } else {
+        usual_max_ms
+    }
 }
 
-/// Whether a prompt is too long for a service's engines even if all of them were idle: its parts would be longer
-/// than any that are placed, or than memory may be held for it.
-pub fn is_too_long(board: &Board, service: &Service, engine: &Engine, ask: &Ask) -> bool {
-    let Some(read_ms) = ask.long_read_ms(engine) else { return false };
-    if board.limited_rate(&service.name).is_some() && ask.memory > engine.memory {
+/// Whether a prompt is too long for a service's engines even if all of them were idle: its parts
+/// would be longer than the longest part allowed, or would take longer than memory may be reserved.
+pub fn is_too_long(
+    cluster: &Cluster,
+    service: &Service,
+    engine: &Engine,
+    requirements: &Requirements,
+) -> bool {
+    let Some(prefill_ms) = requirements.long_prefill_ms(engine) else { return false };
+    if cluster.limited_rate(&service.name).is_some() && requirements.memory > engine.memory {
         return true;
     }
-    let unlimited = board.open(&service.name).filter(|upstream| !upstream.is_limited());
-    let engines = unlimited.count().clamp(1, MOST_ENGINES);
-    let most_ms = if ask.memory > engine.memory {
-        ask.hold_limit.as_secs_f64() * 1e3 * HOLD_MARGIN
+    let unlimited = cluster.open(&service.name).filter(|upstream| !upstream.is_limited());
+    let engines = unlimited.count().clamp(1, MAX_ENGINES);
+    let max_ms = if requirements.memory > engine.memory {
+        requirements.reservation_timeout.as_secs_f64() * 1e3 * RESERVATION_SHARE
     } else {
-        (MOST_PART_MS * 2.0).max(ask.objective.as_secs_f64() * 1e3)
+        (MAX_PART_MS * 2.0).max(requirements.objective.as_secs_f64() * 1e3)
     };
-    read_ms / engines as f64 > most_ms
+    prefill_ms / engines as f64 > max_ms
 }
 
-/// What the other long prompts ask for, engines: a prompt's own reading is not in its way.
-fn demand_of_others(line: &Line<'_>, prompt: Prompt, ask: &Ask, now: Instant) -> f64 {
-    let counted = now.saturating_duration_since(ask.arrived) < DEMAND_WINDOW;
-    let own = if counted { prompt.read_ms / (DEMAND_WINDOW.as_secs_f64() * 1e3) } else { 0.0 };
-    (line.demand - own).max(0.0)
+/// The demand of the other long prompts, in engines: a prompt does not compete with its own
+/// prefill.
+fn demand_of_others(
+    queue: &LongQueue<'_>,
+    prompt: Prompt,
+    requirements: &Requirements,
+    now: Instant,
+) -> f64 {
+    let is_counted = now.saturating_duration_since(requirements.arrived) < DEMAND_WINDOW;
+    let own =
+        if is_counted { prompt.prefill_ms / (DEMAND_WINDOW.as_secs_f64() * 1e3) } else { 0.0 };
+    (queue.demand - own).max(0.0)
 }
 
-/// The prompts of a line in the order of their turns.
-fn in_order(
-    turns: &[Turn<'_>],
+/// The prompts in the order of the long queue.
+fn queue_order(
+    prompts: &[LongPrompt<'_>],
     engine: &Engine,
-    readers: &Readers<'_>,
+    plans: &EnginePlans<'_>,
     now: Instant,
-) -> Vec<Waiting> {
-    let waiting = |(index, turn): (usize, &Turn<'_>)| Waiting {
-        arrived: turn.ask.arrived,
-        read_ms: forecast::read_ms(engine, turn.ask.prompt.0),
-        objective: turn.ask.objective,
-        limit: turn.ask.limit,
+) -> Vec<Entry> {
+    let entry = |(index, long): (usize, &LongPrompt<'_>)| Entry {
+        arrived: long.requirements.arrived,
+        prefill_ms: forecast::prefill_ms(engine, long.requirements.prompt.0),
+        objective: long.requirements.objective,
+        queue_timeout: long.requirements.queue_timeout,
         index,
     };
-    let waiting = turns.iter().enumerate().map(waiting).collect();
-    line::order(waiting, capacity(readers), now)
+    let entries = prompts.iter().enumerate().map(entry).collect();
+    long_queue::order(entries, capacity(plans), now)
 }
 
-/// The engines apart from short answers.
-fn capacity(readers: &Readers<'_>) -> Capacity {
-    let apart = || readers.all().iter().filter(|r| r.apart);
-    let busy_ms: f64 = apart().map(|r| r.free_ms).sum();
+/// The capacity of the engines for long prompts.
+fn capacity(plans: &EnginePlans<'_>) -> Capacity {
+    let for_long = || plans.all().iter().filter(|r| r.for_long);
+    let busy_ms: f64 = for_long().map(|r| r.free_ms).sum();
     Capacity {
-        engines: apart().map(|r| 1.0 / r.candidate.pace).sum(),
-        most: MOST_ENGINES as f64,
-        busy_ms: busy_ms / (apart().count() as f64).max(1.0),
+        engines: for_long().map(|r| 1.0 / r.candidate.slowdown).sum(),
+        max_per_prompt: MAX_ENGINES as f64,
+        busy_ms: busy_ms / (for_long().count() as f64).max(1.0),
     }
 }
 
-/// The part of the engines apart from short answers that long prompts left idle of late.
-fn idle(readers: &Readers<'_>, demand: f64) -> f64 {
-    let apart = readers.all().iter().filter(|r| r.apart).count() as f64;
-    (1.0 - demand / apart.max(1.0)).clamp(0.0, 1.0)
+/// The share of the engines for long prompts that was idle recently.
+fn idle_share(plans: &EnginePlans<'_>, demand: f64) -> f64 {
+    let for_long = plans.all().iter().filter(|r| r.for_long).count() as f64;
+    (1.0 - demand / for_long.max(1.0)).clamp(0.0, 1.0)
 }
 
-/// When an engine has read a part, beside the part itself: where some request writes, a part is done
-/// with the pass that reads it.
-fn read_ms(candidate: &Candidate<'_>, engine: &Engine) -> f64 {
+/// The delay of a prefill in addition to its own time. On an engine that is decoding, a part is
+/// finished at the end of the pass that reads it.
+fn prefill_delay_ms(candidate: &Candidate<'_>, engine: &Engine) -> f64 {
     let load = &candidate.load;
-    let pass = forecast::pass_ms(engine, load.writers, load.memory);
-    let pass = if load.writers > 0 { pass * candidate.pace } else { 0.0 };
-    candidate.ahead_ms(engine) + pass
+    let pass = forecast::pass_ms(engine, load.decoding, load.memory);
+    let pass = if load.decoding > 0 { pass * candidate.slowdown } else { 0.0 };
+    candidate.queueing_delay_ms(engine) + pass
 }
 
-/// The place of a prompt at the engines that share it, if they have the memory.
-fn group(ask: &Ask, engine: &Engine, readers: &Readers<'_>, share: &Share) -> Option<Place> {
-    let of: Vec<&Reader<'_>> = share.engines.iter().map(|index| &readers.all()[*index]).collect();
-    let Holding { main, holders } = match main_engine(engine, &of, ask.memory.0) {
-        Some(main) => Holding { main, holders: Vec::new() },
-        None => spread(&of, engine, ask.memory.0)?,
+/// The placement of a prompt on the engines that share it, if they have enough memory.
+fn place_group(
+    requirements: &Requirements,
+    engine: &Engine,
+    plans: &EnginePlans<'_>,
+    share: &Share,
+) -> Option<Placement> {
+    let of: Vec<&EnginePlan<'_>> = share.engines.iter().map(|index| &plans.all()[*index]).collect();
+    let MemorySplit { main, reservations } = match main_engine(engine, &of, requirements.memory.0) {
+        Some(main) => MemorySplit { main, reservations: Vec::new() },
+        None => split_memory(&of, engine, requirements.memory.0)?,
     };
-    let held = |index: usize| holders.iter().find(|(holder, _)| *holder == index);
+    let reserved = |index: usize| reservations.iter().find(|(engine, _)| *engine == index);
     let others = (0..of.len()).filter(|index| *index != main);
     let helpers: Vec<(&Candidate<'_>, u64)> = others
-        .map(|index| (&of[index].candidate, held(index).map_or(0, |(_, tokens)| *tokens)))
+        .map(|index| (&of[index].candidate, reserved(index).map_or(0, |(_, tokens)| *tokens)))
         .collect();
     let main = &of[main].candidate;
-    let done = |c: &Candidate<'_>| read_ms(c, engine) + share.part_ms * c.pace;
-    let read = helpers.iter().map(|(c, _)| done(c)).fold(done(main), f64::max);
-    let pass = forecast::pass_ms(engine, main.load.writers + 1, main.load.memory);
-    let predicted_ms = read + pass * main.pace;
-    let hold_limit_ms = ask.hold_limit.as_secs_f64() * 1e3 * HOLD_MARGIN;
-    if !holders.is_empty() && predicted_ms > hold_limit_ms {
+    let done = |c: &Candidate<'_>| prefill_delay_ms(c, engine) + share.part_ms * c.slowdown;
+    let finish_ms = helpers.iter().map(|(c, _)| done(c)).fold(done(main), f64::max);
+    let pass = forecast::pass_ms(engine, main.load.decoding + 1, main.load.memory);
+    let predicted_ms = finish_ms + pass * main.slowdown;
+    let max_predicted_ms = requirements.reservation_timeout.as_secs_f64() * 1e3 * RESERVATION_SHARE;
+    if !reservations.is_empty() && predicted_ms > max_predicted_ms {
         return None;
     }
-    let open = readers.all().len();
-    Some(placed(ask, main, &helpers, share.part_ms, predicted_ms, open))
+    let candidate_count = plans.all().len();
+    Some(build_placement(
+        requirements,
+        main,
+        &helpers,
+        share.part_ms,
+        predicted_ms,
+        candidate_count,
+    ))
 }
 
-/// The engine that answers, among those with the memory.
-fn main_engine(engine: &Engine, readers: &[&Reader<'_>], memory: u64) -> Option<usize> {
-    readers
+/// The engine that generates the response, among those with enough memory.
+fn main_engine(engine: &Engine, plans: &[&EnginePlan<'_>], memory: u64) -> Option<usize> {
+    plans
         .iter()
         .enumerate()
         .filter(|(_, r)| r.candidate.has_room(memory, engine))
-        .min_by(|(_, a), (_, b)| a.compare_to_answer(b))
+        .min_by(|(_, a), (_, b)| a.compare_as_main(b))
         .map(|(index, _)| index)
 }
 
-/// Spreads a prompt over the memory of several engines: the one with the most room answers, the
-/// others set aside what it lacks.
-fn spread(readers: &[&Reader<'_>], engine: &Engine, memory: u64) -> Option<Holding> {
+/// Splits the memory of a prompt over several engines: the one with the most free memory generates
+/// the response, the others reserve the missing memory.
+fn split_memory(plans: &[&EnginePlan<'_>], engine: &Engine, memory: u64) -> Option<MemorySplit> {
     let free = |c: &Candidate<'_>| {
         let left = engine.memory.0.saturating_sub(c.load.memory);
-        (left as f64 * SPARE) as u64
+        (left as f64 * FREE_MEMORY_SHARE) as u64
     };
-    let mut order: Vec<usize> = (0..readers.len()).collect();
-    order.sort_by_key(|index| Reverse(free(&readers[*index].candidate)));
-    let takes = |c: &Candidate<'_>| c.load.requests < c.upstream.listed.slots;
-    let main = order.iter().copied().find(|i| takes(&readers[*i].candidate))?;
-    let mut missing = memory.saturating_sub(free(&readers[main].candidate));
-    let mut holders = Vec::new();
+    let mut order: Vec<usize> = (0..plans.len()).collect();
+    order.sort_by_key(|index| Reverse(free(&plans[*index].candidate)));
+    let has_slot = |c: &Candidate<'_>| c.load.requests < c.upstream.listed.slots;
+    let main = order.iter().copied().find(|i| has_slot(&plans[*i].candidate))?;
+    let mut missing = memory.saturating_sub(free(&plans[main].candidate));
+    let mut reservations = Vec::new();
     for index in order.into_iter().filter(|index| *index != main) {
-        if missing == 0 || holders.len() + 1 == MOST_ENGINES {
+        if missing == 0 || reservations.len() + 1 == MAX_ENGINES {
             break;
         }
-        let room = free(&readers[index].candidate);
-        if room < LEAST_HELD {
+        let room = free(&plans[index].candidate);
+        if room < MIN_RESERVED_TOKENS {
             continue;
         }
-        let held = room.min(missing.max(LEAST_HELD));
-        missing = missing.saturating_sub(held);
-        holders.push((index, held));
+        let reserved = room.min(missing.max(MIN_RESERVED_TOKENS));
+        missing = missing.saturating_sub(reserved);
+        reservations.push((index, reserved));
     }
-    (missing == 0).then_some(Holding { main, holders })
+    (missing == 0).then_some(MemorySplit { main, reservations })
 }
--- a/request/src/quarantine.rs
+++ b/request/src/quarantine.rs
@@ -1,14 +1,13 @@
-//! Requests under which upstreams ended: which of them run alone, and which are kept from all upstreams
-//! for a while.
+//! Isolation and quarantine of requests during which upstreams crashed.
 //!
-//! When an upstream ends, each request that it worked on may be the cause, and nearly all are not. So
-//! none is held for what it was beside. One under which two upstreams ended runs alone next: an upstream
-//! to itself, and no other copy of it meanwhile. If that is answered, it was not the cause and all is
-//! forgotten. If that upstream ends as well, it is kept from all for a time that grows with each such
-//! proof; after it, it may prove itself alone again.
+//! When an upstream crashes, each request that it processed may be the cause, and nearly all are not. So no request is
+//! quarantined for a crash on a shared upstream. A request with two crashes is isolated: it runs on an upstream without
+//! other requests, and one copy at a time. If it completes, it was not the cause, and its crashes are cleared. If that
+//! upstream crashes too (a solo crash), the request is quarantined, that is kept from all upstreams, for a time that
+//! grows with each solo crash. Afterwards it runs isolated again.
 //!
-//! What counts is that a process ended and its port closed. A connection that is reset, a wrong or
-//! broken answer, a silent upstream and one that said that it leaves count for nothing.
+//! A crash is a process that ended and whose port is closed. A reset connection, an invalid or truncated response, an
+//! upstream that does not respond and one that announced that it is leaving are not crashes.
 
 mod case;
 
@@ -18,214 +17,231 @@
 use serde::{Deserialize, Serialize};
 
 use crate::fingerprint::Fingerprint;
-use crate::quarantine::case::{Case, Proofs};
+use crate::quarantine::case::{Case, SoloCrashes};
 use crate::tag::Tag;
 
-/// Requests that are remembered. A crash cuts some sixteen, so these are 250 crashes in the time for which
-/// they count; at some 250 bytes each, 1 MB. The one that was quiet for longest goes first, those that are
-/// held last.
-const MOST: usize = 4_096;
+/// Upper bound on recorded requests. A crash interrupts some sixteen, so this is 250 crashes within their retention
+/// time; at some 250 bytes each, 1 MB. The request whose last event is oldest is evicted first, quarantined ones last.
+const MAX_CASES: usize = 4_096;
 
-/// How long news is told with each message: some beats, of which one arrives.
-const FRESH: Duration = Duration::from_millis(200);
+/// Time for which an event is announced with each message: a few heartbeats, so that one of them arrives.
+const FRESH_WINDOW: Duration = Duration::from_millis(200);
 
-/// How long it is told again after that, for a VM that begins to place requests later.
-const TOLD: Duration = Duration::from_secs(20);
+/// Time for which an event is included in full announcements, for VMs that become scheduler later.
+const ANNOUNCE_WINDOW: Duration = Duration::from_secs(20);
 
-/// How often all of it is told again: with each slow beat it would be ten times as many bytes at the VM
-/// that places for a fleet.
-const AGAIN: Duration = Duration::from_secs(2);
+/// Interval between full announcements. With one in each slow heartbeat, the scheduler would receive ten times as many
+/// bytes.
+const FULL_ANNOUNCE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// News that is told at most.
-const MOST_TOLD: usize = 64;
+/// Upper bound on the events that are announced.
+const MAX_ANNOUNCEMENTS: usize = 64;
 
-/// What is to become of a request.
+/// How a request may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It runs beside others.
-    Beside,
-    /// It runs alone, one copy at a time.
-    Alone,
-    /// It is kept from all upstreams for this long.
-    Held(Duration),
+    /// On an upstream shared with other requests.
+    Shared,
+    /// Without other requests on its upstream, one copy at a time.
+    Isolated,
+    /// On no upstream for this long.
+    Quarantined(Duration),
 }
 
-/// What was learnt of a request, as VMs tell each other.
+/// An event of a request, as announced between VMs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Announcement {
     fingerprint: Fingerprint,
-    what: What,
+    event: Event,
     age_ms: u32,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-enum What {
-    /// An upstream ended under it.
-    Ended(Ending),
-    /// It was answered whole.
-    Answered,
+enum Event {
+    /// An upstream crashed during the request.
+    #[serde(rename = "Ended")]
+    Crashed(Crash),
+    /// The request completed.
+    #[serde(rename = "Answered")]
+    Completed,
 }
 
-/// The end of an upstream under a request.
+/// A crash of an upstream during a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ending {
-    /// The upstream, one start of its program.
+pub struct Crash {
+    /// The incarnation of the upstream.
     pub upstream: Tag,
-    /// Whether the request ran alone there.
-    pub alone: bool,
+    /// Whether the request ran isolated there.
+    pub isolated: bool,
 }
 
-/// A request that is kept from all upstreams, as it is told.
+/// The crashes of a request and its quarantine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Held {
-    /// How often it ended an upstream while it ran alone.
-    pub proofs: u32,
-    /// For how long from now.
-    pub time: Duration,
-    /// Upstreams that ended under it.
-    pub ended: usize,
+pub struct Status {
+    /// Number of solo crashes.
+    pub solo_crashes: u32,
+    /// Remaining time of the quarantine; zero if it is not quarantined.
+    pub remaining: Duration,
+    /// Upstreams that crashed during it.
+    pub crashes: usize,
 }
 
-/// All requests that are remembered for what they did.
+/// All requests with recorded crashes.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     cases: HashMap<Fingerprint, Case>,
-    news: VecDeque<(Instant, Fingerprint, What)>,
-    /// When all of it was last told.
-    told: Option<Instant>,
+    announcements: VecDeque<(Instant, Fingerprint, Event)>,
+    /// Time of the last full announcement.
+    last_full: Option<Instant>,
 }
 
 impl Quarantine {
-    /// What is to become of a request.
+    /// Returns how a request may run.
     pub fn verdict(&self, fingerprint: Fingerprint, now: Instant) -> Verdict {
-        self.cases.get(&fingerprint).map_or(Verdict::Beside, |case| case.verdict(now))
+        self.cases.get(&fingerprint).map_or(Verdict::Shared, |case| case.verdict(now))
     }
 
-    /// An upstream ended under a request of this VM. Answers for how long it is held if that is new.
-    pub fn ended(
+    /// Records a crash during a request of this VM. Returns the status if this is a new solo crash.
+    pub fn record_crash(
         &mut self,
         fingerprint: Fingerprint,
-        ending: Ending,
+        crash: Crash,
         now: Instant,
-    ) -> Option<Held> {
-        self.note(fingerprint, What::Ended(ending), now);
-        self.take_ending(fingerprint, ending, now, now)
+    ) -> Option<Status> {
+        self.enqueue(fingerprint, Event::Crashed(crash), now);
+        self.apply_crash(fingerprint, crash, now, now)
     }
 
-    /// A request of this VM was answered whole. Answers whether anything was held against it.
-    pub fn answered(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
+    /// Records that a request of this VM completed. Returns whether crashes were cleared.
+    pub fn record_completion(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
         if !self.cases.get(&fingerprint).is_some_and(Case::is_suspected) {
             return false;
         }
-        self.note(fingerprint, What::Answered, now);
-        self.take_answer(fingerprint, now)
+        self.enqueue(fingerprint, Event::Completed, now);
+        self.apply_completion(fingerprint, now)
     }
 
-    /// A request is let go, whatever it did.
+    /// Releases a request and clears its crashes. Returns whether it was recorded.
     pub fn release(&mut self, fingerprint: Fingerprint, now: Instant) -> bool {
-        self.take_answer(fingerprint, now)
+        self.apply_completion(fingerprint, now)
     }
 
-    /// A request is known elsewhere to be held, after as many proofs, for this long by that VM's time of
-    /// day: never longer than so many proofs hold it, whatever the two clocks say.
-    pub fn hold(&mut self, fingerprint: Fingerprint, proofs: u32, time: Duration, now: Instant) {
-        let proofs = Proofs { count: proofs, until: None };
-        let until = Some(now + time.min(proofs.time()));
-        self.case(fingerprint, now).hear(Proofs { until, ..proofs }, now);
+    /// Merges a quarantine that another VM imposed after `count` solo crashes and that lasts for `duration` by the wall
+    /// clock of that VM. The duration is capped to that for `count`, so that a clock difference does not lengthen it.
+    pub fn merge_entry(
+        &mut self,
+        fingerprint: Fingerprint,
+        count: u32,
+        duration: Duration,
+        now: Instant,
+    ) {
+        let solo_crashes = SoloCrashes { count, until: None };
+        let until = Some(now + duration.min(solo_crashes.duration()));
+        self.case(fingerprint, now).merge(SoloCrashes { until, ..solo_crashes }, now);
     }
 
-    /// The upstreams that ended under a request.
-    pub fn ended_under(&self, fingerprint: Fingerprint) -> usize {
-        self.cases.get(&fingerprint).map_or(0, |case| case.ended.len())
+    /// Returns the number of upstreams that crashed during a request.
+    pub fn crash_count(&self, fingerprint: Fingerprint) -> usize {
+        self.cases.get(&fingerprint).map_or(0, |case| case.crashes.len())
     }
 
-    /// The requests that are held or run alone.
-    pub fn suspects(&self, now: Instant) -> impl Iterator<Item = (Fingerprint, Held, Verdict)> {
+    /// Returns the requests that are quarantined or run isolated.
+    pub fn suspects(&self, now: Instant) -> impl Iterator<Item = (Fingerprint, Status, Verdict)> {
         let suspects = self.cases.iter().map(move |(fingerprint, case)| {
-            let time = case.left(now).unwrap_or_default();
-            let held = Held { proofs: case.proofs.count, time, ended: case.ended.len() };
-            (*fingerprint, held, case.verdict(now))
+            let remaining = case.remaining(now).unwrap_or_default();
+            let status = Status {
+                solo_crashes: case.solo_crashes.count,
+                remaining,
+                crashes: case.crashes.len(),
+            };
+            (*fingerprint, status, case.verdict(now))
         });
-        suspects.filter(|(_, _, verdict)| *verdict != Verdict::Beside)
+        suspects.filter(|(_, _, verdict)| *verdict != Verdict::Shared)
     }
 
-    /// Requests that are remembered.
+    /// Returns the number of recorded requests.
     pub fn len(&self) -> usize {
         self.cases.len()
     }
 
-    /// Whether none is.
+    /// Returns whether no request is recorded.
     pub fn is_empty(&self) -> bool {
         self.cases.is_empty()
     }
 
-    /// What peers are told: what is new with each message, all that is recent now and then with one that
-    /// goes to all.
-    pub fn told(&mut self, to_all: bool, now: Instant) -> Vec<News> {
-        let due = self.told.is_none_or(|told| now.saturating_duration_since(told) >= AGAIN);
+    /// Returns the events to announce: fresh ones in each message, and periodically all recent ones in a message that
+    /// goes to all VMs.
+    pub fn announced(&mut self, to_all: bool, now: Instant) -> Vec<Announcement> {
+        let due = self
+            .last_full
+            .is_none_or(|at| now.saturating_duration_since(at) >= FULL_ANNOUNCE_INTERVAL);
         if to_all && due {
-            self.told = Some(now);
-            return self.recent(TOLD, now);
+            self.last_full = Some(now);
+            return self.announced_within(ANNOUNCE_WINDOW, now);
         }
-        self.recent(FRESH, now)
+        self.announced_within(FRESH_WINDOW, now)
     }
 
-    /// What was learnt within this time.
-    pub fn recent(&mut self, within: Duration, now: Instant) -> Vec<News> {
+    /// Returns the events of this VM within a time before now.
+    pub fn announced_within(&mut self, within: Duration, now: Instant) -> Vec<Announcement> {
         let age = |at: Instant| now.saturating_duration_since(at);
-        while self.news.front().is_some_and(|(at, ..)| age(*at) > TOLD) {
-            self.news.pop_front();
+        while self.announcements.front().is_some_and(|(at, ..)| age(*at) > ANNOUNCE_WINDOW) {
+            self.announcements.pop_front();
         }
-        let recent = self.news.iter().filter(|(at, ..)| age(*at) <= within);
-        recent
-            .map(|(at, fingerprint, what)| News {
+        let within = self.announcements.iter().filter(|(at, ..)| age(*at) <= within);
+        within
+            .map(|(at, fingerprint, event)| Announcement {
                 fingerprint: *fingerprint,
-                what: *what,
+                event: *event,
                 age_ms: age(*at).as_millis() as u32,
             })
             .collect()
     }
 
-    /// Takes what a peer told; the same again changes nothing.
-    pub fn hear(&mut self, told: &[News], now: Instant) {
-        for News { fingerprint, what, age_ms } in told {
+    /// Merges the events that a peer announced. Merging is idempotent.
+    pub fn merge(&mut self, announcements: &[Announcement], now: Instant) {
+        for Announcement { fingerprint, event, age_ms } in announcements {
             let age = Duration::from_millis(u64::from(*age_ms));
             let at = now.checked_sub(age).unwrap_or(now);
-            match what {
-                What::Ended(ending) => {
-                    self.take_ending(*fingerprint, *ending, at, now);
+            match event {
+                Event::Crashed(crash) => {
+                    self.apply_crash(*fingerprint, *crash, at, now);
                 }
-                What::Answered => {
-                    self.take_answer(*fingerprint, at);
+                Event::Completed => {
+                    self.apply_completion(*fingerprint, at);
                 }
             }
         }
     }
 
-    fn note(&mut self, fingerprint: Fingerprint, what: What, now: Instant) {
-        if self.news.len() == MOST_TOLD {
-            self.news.pop_front();
+    fn enqueue(&mut self, fingerprint: Fingerprint, event: Event, now: Instant) {
+        if self.announcements.len() == MAX_ANNOUNCEMENTS {
+            self.announcements.pop_front();
         }
-        self.news.push_back((now, fingerprint, what));
+        self.announcements.push_back((now, fingerprint, event));
     }
 
-    fn take_ending(
+    fn apply_crash(
         &mut self,
         fingerprint: Fingerprint,
-        ending: Ending,
+        crash: Crash,
         at: Instant,
         now: Instant,
-    ) -> Option<Held> {
+    ) -> Option<Status> {
         let case = self.case(fingerprint, now);
         let is_old = case.cleared.is_some_and(|cleared| at <= cleared);
-        if is_old || !case.add(ending, at) {
+        if is_old || !case.add(crash, at) {
             return None;
         }
-        let time = case.left(now).unwrap_or_default();
-        Some(Held { proofs: case.proofs.count, time, ended: case.ended.len() })
+        let remaining = case.remaining(now).unwrap_or_default();
+        Some(Status {
+            solo_crashes: case.solo_crashes.count,
+            remaining,
+            crashes: case.crashes.len(),
+        })
     }
 
-    fn take_answer(&mut self, fingerprint: Fingerprint, at: Instant) -> bool {
+    fn apply_completion(&mut self, fingerprint: Fingerprint, at: Instant) -> bool {
         let Some(case) = self.cases.get_mut(&fingerprint) else { return false };
         if case.cleared.is_some_and(|cleared| at <= cleared) {
             return false;
@@ -234,25 +250,25 @@
         true
     }
 
-    /// The case of a request, begun if there is none.
+    /// Returns the case of a request, and creates it if there is none or it has expired.
     fn case(&mut self, fingerprint: Fingerprint, now: Instant) -> &mut Case {
-        if !self.cases.contains_key(&fingerprint) && self.cases.len() >= MOST {
+        if !self.cases.contains_key(&fingerprint) && self.cases.len() >= MAX_CASES {
             self.make_room(now);
         }
         let case = self.cases.entry(fingerprint).or_insert_with(|| Case::new(now));
-        if case.is_over(now) {
-            *case = case.begun_anew(now);
+        if case.is_expired(now) {
+            *case = case.reset(now);
         }
-        case.touched = now;
+        case.last_event = now;
         case
     }
 
     fn make_room(&mut self, now: Instant) {
-        self.cases.retain(|_, case| !case.is_over(now));
-        if self.cases.len() < MOST {
+        self.cases.retain(|_, case| !case.is_expired(now));
+        if self.cases.len() < MAX_CASES {
             return;
         }
-        let rank = |case: &Case| (case.left(now).is_some(), case.touched);
+        let rank = |case: &Case| (case.remaining(now).is_some(), case.last_event);
         let first = self.cases.iter().min_by_key(|(_, case)| rank(case)).map(|(first, _)| *first);
         if let Some(first) = first {
             self.cases.remove(&first);
--- a/request/src/route/least_outstanding.rs
+++ b/request/src/route/least_outstanding.rs
@@ -1,17 +1,17 @@
-//! The fewest of this VM's own requests outstanding: a baseline.
+//! Chooses the engine with the fewest outstanding requests of this VM. A baseline.
 
 use rand::Rng;
 
-use super::{Ask, Candidate, Route};
+use super::{Candidate, Requirements, Route};
 
-/// The route.
+/// The policy, without state.
 #[derive(Debug)]
 pub struct LeastOutstanding;
 
 impl Route for LeastOutstanding {
     fn score<R: Rng>(
         &mut self,
-        _ask: &Ask,
+        _requirements: &Requirements,
         candidates: &[Candidate],
         _rng: &mut R,
     ) -> Vec<Option<f64>> {
--- a/request/src/route/two_choices.rs
+++ b/request/src/route/two_choices.rs
@@ -1,34 +1,34 @@
-//! The less loaded of two engines at random.
+//! Power of two choices: chooses the less loaded of two random engines.
 
 use rand::Rng;
 use rand::seq::index;
 
-use super::{Ask, Candidate, Route};
+use super::{Candidate, Requirements, Route};
 
-/// What tells the load.
+/// Which load is compared.
 #[derive(Debug, Clone, Copy)]
-pub enum Basis {
-    /// The engine's report, which lags: a baseline.
+pub enum LoadSource {
+    /// The load in the engine's report, which lags behind. A baseline.
     Report,
-    /// The work that all VMs announce.
+    /// The load that all VMs announce.
     Fleet,
 }
 
-/// The route.
+/// The policy.
 #[derive(Debug)]
 pub struct TwoChoices {
-    /// What tells the load.
-    pub basis: Basis,
+    /// Which load is compared.
+    pub source: LoadSource,
 }
 
 impl TwoChoices {
     fn load(&self, candidate: &Candidate) -> f64 {
-        match self.basis {
-            Basis::Report => candidate
+        match self.source {
+            LoadSource::Report => candidate
                 .report
                 .as_ref()
                 .map_or(0.0, |r| r.prefill.0 as f64 + f64::from(r.requests)),
-            Basis::Fleet => {
+            LoadSource::Fleet => {
                 let load = candidate.fleet;
                 load.queued().0 as f64 + f64::from(load.requests)
             }
@@ -39,7 +39,7 @@
 impl Route for TwoChoices {
     fn score<R: Rng>(
         &mut self,
-        _ask: &Ask,
+        _requirements: &Requirements,
         candidates: &[Candidate],
         rng: &mut R,
     ) -> Vec<Option<f64>> {
--- a/request/tests/limits.rs
+++ b/request/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that are split among VMs, fair queues and budgets.
+//! Limits that are allocated to VMs, fair queues, retry budgets and upstream health.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -29,8 +29,8 @@
 }
 
 proptest! {
-    /// Whoever asks, joins, falls silent or comes back: what VMs hold under one home, by their own
-    /// leases, never sums to more than the limit.
+    /// The valid quotas that one home granted never sum to more than the limit, in whatever order
+    /// VMs join, stop renewing their leases or return.
     #[test]
     fn quotas_never_sum_to_more_than_the_limit(
         concurrency in 1u32..200,
@@ -38,23 +38,23 @@
     ) {
         let limits = Limits { concurrency };
         let mut ledger = Ledger::default();
-        let mut held: BTreeMap<usize, (Limits, u32, f32, Instant)> = BTreeMap::new();
+        let mut leases: BTreeMap<usize, (Limits, u32, f32, Instant)> = BTreeMap::new();
         let mut now = Instant::now();
         for (i, demand, passed_ms) in exchanges {
             now += Duration::from_millis(passed_ms);
-            let quota = ledger.exchange(limits, &vm(i), demand, now);
-            held.insert(i, (limits, quota.concurrency, quota.requests, now));
-            held.retain(|_, (_, _, _, at)| now < *at + LEASE);
-            let slots: u32 = held.values().map(|h| h.1).sum();
-            let shares: f32 = held.values().map(|h| h.2).sum();
+            let quota = ledger.renew(limits, &vm(i), demand, now);
+            leases.insert(i, (limits, quota.concurrency, quota.requests, now));
+            leases.retain(|_, (_, _, _, at)| now < *at + LEASE);
+            let slots: u32 = leases.values().map(|l| l.1).sum();
+            let shares: f32 = leases.values().map(|l| l.2).sum();
             prop_assert!(slots <= concurrency, "{slots} slots of {concurrency}");
             prop_assert!(shares <= 1.0 + 1e-3, "{shares}");
         }
     }
 
-    /// After each VM has asked twice with steady demand, all of the limit is given out.
+    /// After a few renewals by each VM with constant demand, the whole limit is allocated.
     #[test]
-    fn nothing_is_left_over(concurrency in 1u32..200, demands in prop::collection::vec(demand(), 1..10)) {
+    fn the_whole_limit_is_allocated(concurrency in 1u32..200, demands in prop::collection::vec(demand(), 1..10)) {
         let limits = Limits { concurrency };
         let mut ledger = Ledger::default();
         let now = Instant::now();
@@ -62,31 +62,31 @@
         for _ in 0..2 + demands.len() {
             slots = 0;
             for (i, demand) in demands.iter().enumerate() {
-                slots += ledger.exchange(limits, &vm(i), *demand, now).concurrency;
+                slots += ledger.renew(limits, &vm(i), *demand, now).concurrency;
             }
         }
         prop_assert_eq!(slots, concurrency);
     }
 
-    /// A split follows demand: who demands more gets no less.
+    /// A VM with higher demand gets no smaller quota, up to one slot of rounding.
     #[test]
-    fn a_split_follows_demand(concurrency in 1u32..200, demands in prop::collection::vec(demand(), 2..10)) {
+    fn quotas_follow_demand(concurrency in 1u32..200, demands in prop::collection::vec(demand(), 2..10)) {
         let by_vm: BTreeMap<id::Vm, Demand> =
             demands.iter().enumerate().map(|(i, d)| (vm(i), *d)).collect();
-        let split = quota::split(Limits { concurrency }, &by_vm);
-        prop_assert_eq!(split.values().map(|q| q.concurrency).sum::<u32>(), concurrency);
+        let quotas = quota::allocate(Limits { concurrency }, &by_vm);
+        prop_assert_eq!(quotas.values().map(|q| q.concurrency).sum::<u32>(), concurrency);
         for (a, da) in &by_vm {
             for (b, db) in &by_vm {
                 if da.concurrency > db.concurrency {
-                    prop_assert!(split[a].concurrency + 1 >= split[b].concurrency);
+                    prop_assert!(quotas[a].concurrency + 1 >= quotas[b].concurrency);
                 }
             }
         }
     }
 
-    /// At one VM no more run than its part, and the rate is kept over any time.
+    /// One VM never exceeds its concurrency quota, nor its request rate over any period.
     #[test]
-    fn a_vm_keeps_its_part(
+    fn a_vm_stays_within_its_quota(
         concurrency in 1u32..10,
         rate in 1u32..50,
         steps in prop::collection::vec((0u64..200, any::<bool>()), 1..200),
@@ -112,20 +112,21 @@
         }
     }
 
-    /// Where two organisations always have requests waiting, they are served by weight.
+    /// Two organisations that always have queued requests are served in proportion to their
+    /// weights.
     #[test]
     fn weights_are_respected(heavy in 1u32..10, tokens in 100u64..10_000) {
         let queue = Arc::new(Queue::default());
         let (a, b): (id::Organisation, id::Organisation) = ("a".parse().unwrap(), "b".parse().unwrap());
         let mut waiting = Vec::new();
         for _ in 0..200 {
-            waiting.push(("a", queue.enter(&a, heavy, tokens)));
-            waiting.push(("b", queue.enter(&b, 1, tokens)));
+            waiting.push(("a", queue.enqueue(&a, heavy, tokens)));
+            waiting.push(("b", queue.enqueue(&b, 1, tokens)));
         }
         let mut served = (0u32, 0u32);
         while served.0 + served.1 < 110 {
             let next = waiting.iter().position(|(_, t)| t.is_next()).unwrap();
-            let (who, _ticket) = waiting.swap_remove(next);
+            let (who, _entry) = waiting.swap_remove(next);
             if who == "a" { served.0 += 1 } else { served.1 += 1 }
         }
         let share = f64::from(served.0) / 110.0;
@@ -133,13 +134,14 @@
         prop_assert!((share - expected).abs() < 0.05, "{share} {expected}");
     }
 
-    /// One organisation that queues a flood delays another's next request by at most one of its own.
+    /// A flood of queued requests from one organisation delays another's next request by at most
+    /// one request.
     #[test]
     fn a_flood_does_not_delay_others(flood in 1usize..300, tokens in 1u64..100_000) {
         let queue = Arc::new(Queue::default());
         let (a, b): (id::Organisation, id::Organisation) = ("a".parse().unwrap(), "b".parse().unwrap());
-        let mut waiting: Vec<_> = (0..flood).map(|_| queue.enter(&a, 1, tokens)).collect();
-        let other = queue.enter(&b, 1, tokens);
+        let mut waiting: Vec<_> = (0..flood).map(|_| queue.enqueue(&a, 1, tokens)).collect();
+        let other = queue.enqueue(&b, 1, tokens);
         let mut before = 0;
         while !other.is_next() {
             let next = waiting.iter().position(|t| t.is_next()).unwrap();
@@ -149,7 +151,7 @@
         prop_assert!(before <= 1);
     }
 
-    /// Retries stay within their share of requests, and a floor.
+    /// Retries never exceed their share of the requests plus a fixed minimum.
     #[test]
     fn retries_stay_within_budget(percent in 1u8..100, requests in 0u32..500) {
         let budget = Budget::new(Manual::default());
@@ -160,22 +162,22 @@
         prop_assert!(allowed <= f64::from(requests) * f64::from(percent) / 100.0 + 3.0);
     }
 
-    /// An upstream that fails is left alone for a while that grows, then tried by one request.
+    /// A failing upstream is excluded for a growing time, then probed with a single request.
     #[test]
     fn a_failing_upstream_is_tried_by_one_request(failures in 1u32..40) {
         let clock = Manual::default();
         let mut health = Health::default();
         for _ in 0..failures {
-            prop_assert!(health.usable(clock.now()));
-            health.sent();
-            health.failed(clock.now());
-            prop_assert!(!health.usable(clock.now()));
+            prop_assert!(health.is_usable(clock.now()));
+            health.on_sent();
+            health.on_failure(clock.now());
+            prop_assert!(!health.is_usable(clock.now()));
             clock.advance(Duration::from_secs(8));
         }
-        prop_assert!(health.usable(clock.now()));
-        health.sent();
-        prop_assert!(!health.usable(clock.now()), "the probe is on its way");
-        health.succeeded();
-        prop_assert!(health.usable(clock.now()));
+        prop_assert!(health.is_usable(clock.now()));
+        health.on_sent();
+        prop_assert!(!health.is_usable(clock.now()), "the probe is in flight");
+        health.on_success();
+        prop_assert!(health.is_usable(clock.now()));
     }
 }
--- a/request/tests/line.rs
+++ b/request/tests/line.rs
@@ -1,14 +1,14 @@
-//! The line of long prompts: its order, and how prompts are placed by it.
+//! The queue of long prompts: its order, and the placement of queued prompts.
 
 use std::time::{Duration, Instant};
 
 use foldlock_base::id;
 use foldlock_base::size::Tokens;
-use foldlock_request::board::{Board, Listed};
 use foldlock_request::budget::Charge;
+use foldlock_request::cluster::{Cluster, Listed};
 use foldlock_request::fingerprint::Fingerprint;
-use foldlock_request::line::{Capacity, Waiting, order};
-use foldlock_request::placement::{self, Ask, Line, Place, Turn};
+use foldlock_request::long_queue::{Capacity, Entry, order};
+use foldlock_request::placement::{self, LongPrompt, LongQueue, Placement, Requirements};
 use foldlock_request::report::{Observed, Report};
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::{Engine, Service};
@@ -27,44 +27,44 @@
     usual_answer: Tokens(1_266),
 };
 
-const TEN: Capacity = Capacity { engines: 10.0, most: 10.0, busy_ms: 0.0 };
+const TEN: Capacity = Capacity { engines: 10.0, max_per_prompt: 10.0, busy_ms: 0.0 };
 
 /// A prompt that arrived `age_ms` ago.
-fn waiting(index: usize, age_ms: u64, read_ms: f64, objective_ms: u64) -> (Instant, Waiting) {
+fn entry(index: usize, age_ms: u64, prefill_ms: f64, objective_ms: u64) -> (Instant, Entry) {
     let now = Instant::now();
-    let waiting = Waiting {
+    let entry = Entry {
         arrived: now.checked_sub(Duration::from_millis(age_ms)).unwrap(),
-        read_ms,
+        prefill_ms,
         objective: Duration::from_millis(objective_ms),
-        limit: Duration::from_secs(12),
+        queue_timeout: Duration::from_secs(12),
         index,
     };
-    (now, waiting)
+    (now, entry)
 }
 
-fn indices(line: Vec<Waiting>, capacity: Capacity, now: Instant) -> Vec<usize> {
-    order(line, capacity, now).into_iter().map(|w| w.index).collect()
+fn indices(queue: Vec<Entry>, capacity: Capacity, now: Instant) -> Vec<usize> {
+    order(queue, capacity, now).into_iter().map(|w| w.index).collect()
 }
 
 #[test]
-fn the_most_pressing_goes_first() {
-    let (now, calm) = waiting(1, 500, 2_000.0, 3_000);
-    let (_, pressing) = waiting(2, 100, 400.0, 1_500);
-    assert_eq!(indices(vec![calm, pressing], TEN, now), [2, 1]);
+fn the_earliest_deadline_goes_first() {
+    let (now, calm) = entry(1, 500, 2_000.0, 3_000);
+    let (_, urgent) = entry(2, 100, 400.0, 1_500);
+    assert_eq!(indices(vec![calm, urgent], TEN, now), [2, 1]);
 }
 
 #[test]
-fn the_longest_is_put_back_where_not_all_can_be_in_time() {
-    let (now, long) = waiting(1, 1_000, 18_000.0, 3_000);
-    let (_, second) = waiting(2, 900, 9_000.0, 3_000);
-    let (_, third) = waiting(3, 800, 8_000.0, 3_000);
+fn the_longest_is_deprioritized_where_not_all_can_be_in_time() {
+    let (now, long) = entry(1, 1_000, 18_000.0, 3_000);
+    let (_, second) = entry(2, 900, 9_000.0, 3_000);
+    let (_, third) = entry(3, 800, 8_000.0, 3_000);
     assert_eq!(indices(vec![long, second, third], TEN, now), [2, 3, 1]);
 }
 
 #[test]
-fn a_prompt_about_to_run_out_of_time_goes_before_all() {
-    let (now, last) = waiting(1, 11_600, 20_000.0, 3_000);
-    let (_, fresh) = waiting(2, 0, 400.0, 1_500);
+fn a_prompt_about_to_time_out_goes_before_all() {
+    let (now, last) = entry(1, 11_600, 20_000.0, 3_000);
+    let (_, fresh) = entry(2, 0, 400.0, 1_500);
     assert_eq!(indices(vec![fresh, last], TEN, now), [1, 2]);
 }
 
@@ -76,10 +76,10 @@
     format!("i-{i:02}").parse().unwrap()
 }
 
-fn board(engines: usize) -> Board {
-    let mut board = Board::default();
+fn cluster(engines: usize) -> Cluster {
+    let mut cluster = Cluster::default();
     for i in 0..engines {
-        board.list(Listed {
+        cluster.list(Listed {
             id: upstream(i),
             born: None,
             revision: 0.into(),
@@ -91,207 +91,219 @@
             cold_ms: 0,
         });
     }
-    board
+    cluster
 }
 
 /// A prompt that arrived at that moment.
-fn ask(tokens: u64, arrived: Instant) -> Ask {
-    Ask {
+fn requirements(tokens: u64, arrived: Instant) -> Requirements {
+    Requirements {
         prompt: Tokens(tokens),
         memory: Tokens(tokens + 1_000),
         objective: Duration::from_millis(3_000),
         pause: Some(Duration::from_millis(1_000)),
         arrived,
-        limit: Duration::from_secs(12),
-        avoid: Vec::new(),
+        queue_timeout: Duration::from_secs(12),
+        excluded: Vec::new(),
         connected: Vec::new(),
         hall: String::new(),
-        hold_limit: Duration::from_millis(2_400),
+        reservation_timeout: Duration::from_millis(2_400),
         fingerprint: Fingerprint::of("", "", "", b""),
         offset: 0,
-        placers: 1,
+        schedulers: 1,
         charge: Charge::Free,
     }
 }
 
-/// Places what has a place now, and enters it as under way.
-fn place(board: &mut Board, asks: &[Ask], now: Instant) -> Vec<(usize, Place)> {
-    let turns: Vec<Turn<'_>> =
-        asks.iter().enumerate().map(|(index, ask)| Turn { ask, index }).collect();
-    let line = Line { turns: &turns, demand: 0.0, offset: 0, kept: 0 };
-    let placed = placement::line(board, &service(), &ENGINE, line, now);
-    for (_, place) in &placed {
-        let number = board.number();
-        board.enter(number, place.flight.clone(), now);
+/// Places the prompts that can be placed now, and records them as in flight.
+fn place(cluster: &mut Cluster, prompts: &[Requirements], now: Instant) -> Vec<(usize, Placement)> {
+    let long: Vec<LongPrompt<'_>> = prompts
+        .iter()
+        .enumerate()
+        .map(|(index, requirements)| LongPrompt { requirements, index })
+        .collect();
+    let queue = LongQueue { prompts: &long, demand: 0.0, offset: 0, short_only: 0 };
+    let placed = placement::place_long(cluster, &service(), &ENGINE, queue, now);
+    for (_, placement) in &placed {
+        let number = cluster.next_number();
+        cluster.begin_attempt(number, placement.flight.clone(), now);
     }
     placed
 }
 
-fn engines(place: &Place) -> Vec<id::Upstream> {
-    let helpers = place.flight.helpers.iter().map(|helping| helping.upstream.clone());
-    helpers.chain([place.flight.upstream.clone()]).collect()
+fn engines(placement: &Placement) -> Vec<id::Upstream> {
+    let helpers = placement.flight.helpers.iter().map(|helping| helping.upstream.clone());
+    helpers.chain([placement.flight.upstream.clone()]).collect()
 }
 
 #[test]
-fn a_prompt_leaves_the_engines_to_one_that_waits_longer() {
-    let (mut board, now) = (board(6), Instant::now());
-    let first = ask(182_000, now.checked_sub(Duration::from_millis(900)).unwrap());
-    let second = ask(182_000, now.checked_sub(Duration::from_millis(100)).unwrap());
-    let placed = place(&mut board, &[second.clone(), first], now);
+fn a_prompt_does_not_take_the_engines_of_an_earlier_one() {
+    let (mut cluster, now) = (cluster(6), Instant::now());
+    let first = requirements(182_000, now.checked_sub(Duration::from_millis(900)).unwrap());
+    let second = requirements(182_000, now.checked_sub(Duration::from_millis(100)).unwrap());
+    let placed = place(&mut cluster, &[second.clone(), first], now);
     assert_eq!(placed.iter().map(|(index, _)| *index).collect::<Vec<_>>(), [1]);
-    assert!(place(&mut board, std::slice::from_ref(&second), now).is_empty(), "all are reading");
+    assert!(
+        place(&mut cluster, std::slice::from_ref(&second), now).is_empty(),
+        "all engines are busy"
+    );
     let read = now + Duration::from_millis(800);
-    assert_eq!(place(&mut board, &[second], read).len(), 1);
+    assert_eq!(place(&mut cluster, &[second], read).len(), 1);
 }
 
 #[test]
-fn prompts_that_find_different_engines_are_placed_together() {
-    let (mut board, now) = (board(6), Instant::now());
-    let small = ask(12_000, now);
-    let placed = place(&mut board, &[small.clone(), small], now);
+fn prompts_that_need_different_engines_are_placed_together() {
+    let (mut cluster, now) = (cluster(6), Instant::now());
+    let small = requirements(12_000, now);
+    let placed = place(&mut cluster, &[small.clone(), small], now);
     let [(_, one), (_, two)] = placed.as_slice() else { panic!("{placed:?}") };
     assert!(engines(one).iter().all(|engine| !engines(two).contains(engine)));
 }
 
-/// Whether a prompt has a place on idle engines, of which other long prompts ask for so many.
-fn has_place(engines: usize, demand: f64, prompt: &Ask, now: Instant) -> bool {
-    let turns = [Turn { ask: prompt, index: 0 }];
-    let line = Line { turns: &turns, demand, offset: 0, kept: 0 };
-    let placed = placement::line(&board(engines), &service(), &ENGINE, line, now);
-    placed.iter().all(|(_, place)| place.predicted_ms < 4_000.0) && !placed.is_empty()
+/// Whether a prompt can be placed on idle engines, of which other long prompts need `demand`.
+fn can_be_placed(engines: usize, demand: f64, prompt: &Requirements, now: Instant) -> bool {
+    let long = [LongPrompt { requirements: prompt, index: 0 }];
+    let queue = LongQueue { prompts: &long, demand, offset: 0, short_only: 0 };
+    let placed = placement::place_long(&cluster(engines), &service(), &ENGINE, queue, now);
+    placed.iter().all(|(_, placement)| placement.predicted_ms < 4_000.0) && !placed.is_empty()
 }
 
-/// The pattern: a calm day, and a prompt whose parts are long on as many engines as may share it. It is in time
-/// if it is placed at once, and waits for nothing but itself.
+/// Guards against long delays of the longest prompts on an idle fleet. The parts of such a prompt
+/// exceed the usual limit even on the maximum number of engines, but it is in time if it is placed
+/// at once, and no other prompt waits for it.
 #[test]
-fn the_longest_prompt_of_a_calm_day_is_read_at_once_where_enough_engines_are_left() {
+fn the_longest_prompt_is_placed_at_once_on_an_idle_fleet_where_enough_engines_are_left() {
     let now = Instant::now();
     let objective = Duration::from_millis(4_000);
-    let longest = Ask { objective, hold_limit: objective, ..ask(700_000, now) };
+    let longest =
+        Requirements { objective, reservation_timeout: objective, ..requirements(700_000, now) };
     let own = 44_000.0 / 2_000.0;
-    assert!(has_place(45, own, &longest, now), "it asks for 22 engines itself");
-    assert!(has_place(45, own + 11.0, &longest, now));
-    assert!(!has_place(45, own + 25.0, &longest, now), "others would wait for its engines");
-    assert!(!has_place(20, own + 11.0, &longest, now));
+    assert!(can_be_placed(45, own, &longest, now), "it needs 22 engines itself");
+    assert!(can_be_placed(45, own + 11.0, &longest, now));
+    assert!(!can_be_placed(45, own + 25.0, &longest, now), "others would wait for its engines");
+    assert!(!can_be_placed(20, own + 11.0, &longest, now));
 }
 
-/// The pattern: many VMs have died, and three engines of 24 are full of parts that nobody alive knows
-/// of. A group of 17 holds one of them as a rule. Each refusal names the first of them, and three
-/// refusals are what a request is tried for at once on a route with one attempt.
+/// Guards against retries that never avoid full engines. Many VMs have crashed, and three of 24
+/// engines are full of parts that no running VM has recorded. A group of 17 usually includes one of
+/// them. Each refusal names the first of them, and a route with one attempt allows three refusals
+/// in a row.
 #[test]
-fn a_group_without_the_engines_at_fault_is_found_in_three_refusals() {
+fn a_group_without_full_engines_is_found_after_at_most_three_refusals() {
     let now = Instant::now();
     let full = [upstream(23), upstream(20), upstream(17)];
-    let mut prompt = ask(182_000, now);
+    let mut prompt = requirements(182_000, now);
     for refusals in 0..=3 {
-        let placed = place(&mut board(24), std::slice::from_ref(&prompt), now);
+        let placed = place(&mut cluster(24), std::slice::from_ref(&prompt), now);
         let flight = &placed[0].1.flight;
-        let helps = |engine: &&id::Upstream| engines(&placed[0].1).contains(engine);
-        let Some(suspect) = full.iter().find(helps) else {
-            assert!(refusals > 0, "a group of so many holds one of them");
+        let is_used = |engine: &&id::Upstream| engines(&placed[0].1).contains(engine);
+        let Some(suspect) = full.iter().find(is_used) else {
+            assert!(refusals > 0, "a group of this size includes one of them");
             return;
         };
-        prompt.avoid.push(Tag::of(flight.left_out(suspect).as_str()));
+        prompt.excluded.push(Tag::of(flight.excluded_after(suspect).as_str()));
     }
-    panic!("three refusals named three engines, and the next group holds one of them");
+    panic!("three refusals named three engines, and the next group still includes one of them");
 }
 
-fn observe(board: &mut Board, i: usize, report: Option<Report>, at: Instant) {
-    board.observe(&upstream(i), Observed { report, at });
+fn observe(cluster: &mut Cluster, i: usize, report: Option<Report>, at: Instant) {
+    cluster.record_report(&upstream(i), Observed { report, at });
 }
 
 #[test]
-fn a_slow_engine_is_left_out_of_a_group() {
-    let (mut board, now) = (board(6), Instant::now());
-    let slow = Report { pace: 5.0, running: 0, waiting: 0, memory: Tokens(0), born: None };
-    observe(&mut board, 4, Some(slow), now);
-    let placed = place(&mut board, &[ask(182_000, now)], now);
+fn a_slow_engine_is_not_used_for_a_group() {
+    let (mut cluster, now) = (cluster(6), Instant::now());
+    let slow = Report { slowdown: 5.0, running: 0, waiting: 0, memory: Tokens(0), born: None };
+    observe(&mut cluster, 4, Some(slow), now);
+    let placed = place(&mut cluster, &[requirements(182_000, now)], now);
     assert!(!engines(&placed[0].1).contains(&upstream(4)), "{placed:?}");
     let later = now + Duration::from_secs(5);
-    let placed = place(&mut board, &[ask(182_000, later)], later);
-    assert!(engines(&placed[0].1).contains(&upstream(4)), "an old report counts no more");
+    let placed = place(&mut cluster, &[requirements(182_000, later)], later);
+    assert!(engines(&placed[0].1).contains(&upstream(4)), "an old report is ignored");
 }
 
 #[test]
-fn an_engine_that_gives_no_report_is_passed_over_by_the_vm_that_places_too() {
-    let (mut here, mut there) = (board(6), board(6));
+fn the_scheduler_avoids_an_engine_that_gave_another_vm_no_report() {
+    let (mut here, mut there) = (cluster(6), cluster(6));
     let now = Instant::now();
     observe(&mut here, 5, None, now);
-    there.hear_reports(&here.told_reports(now), now);
-    let placed = place(&mut there, &[ask(182_000, now)], now);
+    there.merge_reports(&here.announced_reports(now), now);
+    let placed = place(&mut there, &[requirements(182_000, now)], now);
     assert!(!engines(&placed[0].1).contains(&upstream(5)), "{placed:?}");
 }
 
 #[test]
-fn the_newest_report_counts_whoever_has_it() {
-    let (mut here, mut there) = (board(2), board(2));
+fn the_newest_report_counts_whichever_vm_received_it() {
+    let (mut here, mut there) = (cluster(2), cluster(2));
     let now = Instant::now();
     let report =
-        |pace| Some(Report { pace, running: 1, waiting: 0, memory: Tokens(9), born: None });
+        |slowdown| Some(Report { slowdown, running: 1, waiting: 0, memory: Tokens(9), born: None });
     observe(&mut here, 0, report(3.0), now);
     observe(&mut there, 0, report(1.0), now + Duration::from_millis(600));
     let later = now + Duration::from_millis(650);
-    there.hear_reports(&here.told_reports(later), later);
-    assert_eq!(there.get(&upstream(0)).unwrap().pace(later), 1.0);
-    here.hear_reports(&there.told_reports(later), later);
-    assert_eq!(here.get(&upstream(0)).unwrap().pace(later), 1.0);
-    assert!(here.told_reports(later).is_empty(), "who asked last tells");
+    there.merge_reports(&here.announced_reports(later), later);
+    assert_eq!(there.get(&upstream(0)).unwrap().slowdown(later), 1.0);
+    here.merge_reports(&there.announced_reports(later), later);
+    assert_eq!(here.get(&upstream(0)).unwrap().slowdown(later), 1.0);
+    assert!(
+        here.announced_reports(later).is_empty(),
+        "only the VM with the newest report announces it"
+    );
 }
 
 proptest! {
-    /// All that waits is in the order once, and the same whichever way it was heard.
+    /// The order contains each queued prompt once, and does not depend on the order of the input.
     #[test]
-    fn a_line_is_ordered_alike_however_it_is_heard(
+    fn the_order_of_the_queue_does_not_depend_on_the_input_order(
         prompts in prop::collection::vec((0_u64..12_000, 100_u32..40_000, 0_usize..3), 1..24),
         turn in any::<prop::sample::Index>(),
         engines in 1_u32..60,
     ) {
         let now = Instant::now();
-        let line: Vec<Waiting> = prompts.iter().enumerate().map(|(i, (age, read, class))| {
+        let queue: Vec<Entry> = prompts.iter().enumerate().map(|(i, (age, read, class))| {
             let age = age + i as u64;
             let objective = [1_500, 3_000, 4_000][*class];
-            let mut prompt = waiting(i, 0, f64::from(*read), objective).1;
+            let mut prompt = entry(i, 0, f64::from(*read), objective).1;
             prompt.arrived = now.checked_sub(Duration::from_millis(age)).unwrap();
             prompt
         }).collect();
-        let mut turned = line.clone();
-        turned.rotate_left(turn.index(line.len()));
-        let capacity = Capacity { engines: f64::from(engines), most: 17.0, busy_ms: 30.0 };
-        let one = indices(line.clone(), capacity, now);
+        let mut rotated = queue.clone();
+        rotated.rotate_left(turn.index(queue.len()));
+        let capacity = Capacity { engines: f64::from(engines), max_per_prompt: 17.0, busy_ms: 30.0 };
+        let one = indices(queue.clone(), capacity, now);
         let mut sorted = one.clone();
         sorted.sort_unstable();
-        prop_assert_eq!(sorted, (0..line.len()).collect::<Vec<_>>());
-        // Two prompts that arrived and end alike may change places; nothing else may.
+        prop_assert_eq!(sorted, (0..queue.len()).collect::<Vec<_>>());
+        // Only prompts with equal arrival, prefill time and objective may swap.
         let key = |index: &usize| {
-            let w = &line[*index];
-            (w.arrived, w.read_ms.to_bits(), w.objective)
+            let w = &queue[*index];
+            (w.arrived, w.prefill_ms.to_bits(), w.objective)
         };
-        let other = indices(turned, capacity, now);
+        let other = indices(rotated, capacity, now);
         prop_assert_eq!(
             one.iter().map(key).collect::<Vec<_>>(),
             other.iter().map(key).collect::<Vec<_>>()
         );
     }
 
-    /// Whatever waits, the first in line is placed on an idle fleet, and nobody is placed on an
-    /// engine that has more than a short prompt's reading ahead.
+    /// For any queue, at least one prompt is placed on an idle fleet, and no part is placed on an
+    /// engine with a larger backlog than a short prompt.
     #[test]
-    fn someone_is_always_served_and_no_part_lies_on_another(
+    fn a_prompt_is_always_placed_and_no_engine_reads_for_two(
         tokens in prop::collection::vec(30_000_u64..300_000, 1..12),
     ) {
-        let (mut board, now) = (board(12), Instant::now());
-        let asks: Vec<Ask> = tokens.iter().enumerate().map(|(i, tokens)| {
-            ask(*tokens, now.checked_sub(Duration::from_millis(10 * i as u64)).unwrap())
+        let (mut cluster, now) = (cluster(12), Instant::now());
+        let prompts: Vec<Requirements> = tokens.iter().enumerate().map(|(i, tokens)| {
+            requirements(*tokens, now.checked_sub(Duration::from_millis(10 * i as u64)).unwrap())
         }).collect();
-        let placed = place(&mut board, &asks, now);
+        let placed = place(&mut cluster, &prompts, now);
         prop_assert!(!placed.is_empty());
         let mut used: Vec<id::Upstream> = Vec::new();
-        for (_, place) in &placed {
-            prop_assert!(place.load.backlog_ms <= 20.0);
-            for (_, load) in &place.slowest {
+        for (_, placement) in &placed {
+            prop_assert!(placement.load.backlog_ms <= 20.0);
+            for (_, load) in &placement.busiest_helpers {
                 prop_assert!(load.backlog_ms <= 20.0);
             }
-            for engine in engines(place) {
+            for engine in engines(placement) {
                 prop_assert!(!used.contains(&engine), "{} reads for two", engine);
                 used.push(engine);
             }
--- /dev/null
+++ b/request/tests/patterns/simulation.rs
@@ -0,0 +1,398 @@
+//! Simulates placement for a given load: requests arrive, one scheduler places them, and engines
+//! prefill and decode in passes, at the speeds that their operators state. Only the arrivals and
+//! prompt lengths are random.
+
+use std::collections::{BTreeMap, HashMap};
+use std::time::{Duration, Instant};
+
+use foldlock_base::id;
+use foldlock_base::size::Tokens;
+use foldlock_request::budget::Charge;
+use foldlock_request::cluster::{Cluster, Holder, Listed};
+use foldlock_request::fingerprint::Fingerprint;
+use foldlock_request::forecast;
+use foldlock_request::placement::{Placement, Requirements};
+use foldlock_request::report::Observed;
+use foldlock_request::scheduler::{Key, Reply, Scheduler};
+use foldlock_request::tag::Tag;
+use foldlock_version::routes::{Bounds, Engine as Figures, Service, Table};
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+
+/// A kind of request.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct Kind {
+    pub(crate) name: &'static str,
+    /// The mean prompt length; lengths range from a third of it to twice that.
+    pub(crate) tokens: u64,
+    /// The number of events in a response.
+    pub(crate) events: u32,
+    pub(crate) objective_ms: u64,
+    pub(crate) pause_ms: u64,
+    pub(crate) time_ms: u64,
+}
+
+/// Requests of one kind that arrive at a constant rate for some time.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct LoadPhase {
+    pub(crate) kind: Kind,
+    pub(crate) from_ms: u64,
+    pub(crate) to_ms: u64,
+    pub(crate) per_s: f64,
+}
+
+#[derive(Debug, Clone)]
+struct Request {
+    kind: Kind,
+    arrival: Instant,
+    tokens: u64,
+    /// The prompt parts that are not prefilled yet.
+    parts_left: usize,
+    placement: Option<Placement>,
+    first_event: Option<Instant>,
+    last_event: Option<Instant>,
+    max_pause: Duration,
+    events_left: u32,
+}
+
+#[derive(Debug, Default)]
+struct Engine {
+    queued: Vec<(usize, f64)>,
+    prefilling: Vec<usize>,
+    decoding: Vec<usize>,
+    pass_ends: Option<Instant>,
+    stalled: bool,
+}
+
+/// Results for the requests of one kind.
+#[derive(Debug, Default, Clone, Copy)]
+pub(crate) struct Score {
+    pub(crate) total: usize,
+    /// Complete responses whose first event and pauses were all within their targets.
+    pub(crate) in_time: usize,
+    /// Other complete responses.
+    pub(crate) late: usize,
+}
+
+impl Score {
+    pub(crate) fn in_time_share(self) -> f64 {
+        self.in_time as f64 / self.total.max(1) as f64
+    }
+}
+
+/// A simulation.
+pub(crate) struct Simulation {
+    figures: Figures,
+    service: Tag,
+    table: Table,
+    cluster: Cluster,
+    scheduler: Scheduler,
+    engines: BTreeMap<id::Upstream, Engine>,
+    requests: Vec<Request>,
+    by_number: HashMap<u64, usize>,
+    start: Instant,
+    /// The largest number of engines that decoded at the same time.
+    pub(crate) max_decoding: usize,
+}
+
+impl Simulation {
+    pub(crate) fn new(engines: usize, figures: Figures) -> Simulation {
+        let service = Service {
+            name: "model".to_owned(),
+            connections: 9,
+            engine: Some(figures),
+            cold_per_s: None,
+        };
+        let time = Duration::from_secs(9);
+        let bounds = Bounds { header_bytes: 9, body_bytes: 9, header_time: time, idle_time: time };
+        let mut cluster = Cluster::default();
+        let id = |i: usize| -> id::Upstream { format!("i-{i:03}").parse().unwrap() };
+        for i in 0..engines {
+            cluster.list(Listed {
+                born: None,
+                revision: 0.into(),
+                id: id(i),
+                service: service.name.clone(),
+                address: format!("10.0.0.1:{i}"),
+                hall: "a".to_owned(),
+                slots: figures.slots,
+                leaving: false,
+                cold_ms: 0,
+            });
+        }
+        Simulation {
+            figures,
+            service: Tag::of(&service.name),
+            table: Table::builder(1, bounds).service(service).build(),
+            cluster,
+            scheduler: Scheduler::default(),
+            engines: (0..engines).map(|i| (id(i), Engine::default())).collect(),
+            requests: Vec::new(),
+            by_number: HashMap::new(),
+            start: Instant::now(),
+            max_decoding: 0,
+        }
+    }
+
+    /// The last engines become unresponsive for good, which their reports state from the start.
+    pub(crate) fn stall(&mut self, engines: usize) {
+        let stalled: Vec<id::Upstream> = self.engines.keys().rev().take(engines).cloned().collect();
+        for id in stalled {
+            self.engines.get_mut(&id).unwrap().stalled = true;
+            self.cluster.record_report(&id, Observed { report: None, at: self.start });
+        }
+    }
+
+    /// Draws the arrivals from a seed and simulates until all requests have ended.
+    pub(crate) fn run(&mut self, phases: &[LoadPhase], seed: u64) -> HashMap<&'static str, Score> {
+        let mut rng = StdRng::seed_from_u64(seed);
+        for phase in phases {
+            self.draw_arrivals(phase, &mut rng);
+        }
+        self.requests.sort_by_key(|request| request.arrival);
+        let mut next = 0;
+        let end = self.start + Duration::from_secs(60);
+        let mut next_attempt = self.start;
+        loop {
+            let arrival = self.requests.get(next).map(|request| request.arrival);
+            let pass_end = self.engines.values().filter_map(|engine| engine.pass_ends).min();
+            let retry = (!self.scheduler.is_idle()).then_some(next_attempt);
+            let Some(now) = [arrival, pass_end, retry].into_iter().flatten().min() else { break };
+            if now > end {
+                break;
+            }
+            if arrival == Some(now) {
+                self.arrive(next, now);
+                next += 1;
+            }
+            self.finish_passes(now);
+            self.cancel_expired(now);
+            self.place_queued(now);
+            next_attempt = now + Duration::from_millis(20);
+            self.begin_passes(now);
+        }
+        self.scores()
+    }
+
+    fn draw_arrivals(&mut self, phase: &LoadPhase, rng: &mut StdRng) {
+        let mut at_ms = phase.from_ms as f64;
+        loop {
+            // Poisson arrivals: the time to the next one is exponentially distributed.
+            at_ms -= rng.random_range(f64::EPSILON..1.0).ln() * 1e3 / phase.per_s;
+            if at_ms >= phase.to_ms as f64 {
+                return;
+            }
+            let spread = rng.random_range(-1.1..0.7_f64).exp();
+            self.requests.push(Request {
+                kind: phase.kind,
+                arrival: self.start + Duration::from_secs_f64(at_ms / 1e3),
+                tokens: (phase.kind.tokens as f64 * spread) as u64,
+                parts_left: 0,
+                placement: None,
+                first_event: None,
+                last_event: None,
+                max_pause: Duration::ZERO,
+                events_left: phase.kind.events,
+            });
+        }
+    }
+
+    fn requirements_for(&self, index: usize) -> Requirements {
+        let request = &self.requests[index];
+        let kind = &request.kind;
+        Requirements {
+            prompt: Tokens(request.tokens),
+            memory: Tokens(request.tokens + self.figures.usual_answer.0),
+            objective: Duration::from_millis(kind.objective_ms),
+            pause: Some(Duration::from_millis(kind.pause_ms)),
+            arrived: request.arrival,
+            queue_timeout: Duration::from_millis(kind.time_ms),
+            excluded: Vec::new(),
+            hall: "a".to_owned(),
+            connected: Vec::new(),
+            reservation_timeout: Duration::from_millis(2_400),
+            fingerprint: Fingerprint::of("", "", "", b""),
+            offset: 0,
+            schedulers: 1,
+            charge: Charge::Free,
+        }
+    }
+
+    fn key(number: u64) -> Key {
+        Key { holder: Holder::Own, incarnation: 1, number }
+    }
+
+    fn arrive(&mut self, index: usize, now: Instant) {
+        let number = self.cluster.next_number();
+        self.by_number.insert(number, index);
+        self.request_placement(number, index, now);
+    }
+
+    fn request_placement(&mut self, number: u64, index: usize, now: Instant) {
+        let requirements = self.requirements_for(index);
+        let (cluster, table) = (&mut self.cluster, &self.table);
+        let answer = self.scheduler.request(
+            cluster,
+            table,
+            Simulation::key(number),
+            self.service,
+            requirements,
+            now,
+        );
+        if let Reply::Granted(placement, _) = answer {
+            self.on_placed(number, *placement, now);
+        }
+    }
+
+    /// Cancels requests whose callers have no time left.
+    fn cancel_expired(&mut self, now: Instant) {
+        let is_expired = |(_, index): &(&u64, &usize)| {
+            let request = &self.requests[**index];
+            let time = Duration::from_millis(request.kind.time_ms);
+            request.placement.is_none() && now >= request.arrival + time
+        };
+        let expired: Vec<u64> =
+            self.by_number.iter().filter(is_expired).map(|(number, _)| *number).collect();
+        for number in expired {
+            self.scheduler.cancel(&mut self.cluster, &Simulation::key(number), now);
+            self.by_number.remove(&number);
+        }
+    }
+
+    fn place_queued(&mut self, now: Instant) {
+        for (key, answer) in self.scheduler.place_queued(&mut self.cluster, &self.table, now) {
+            if let Reply::Granted(placement, _) = answer {
+                self.on_placed(key.number, *placement, now);
+            }
+        }
+    }
+
+    fn on_placed(&mut self, number: u64, placement: Placement, now: Instant) {
+        let index = self.by_number[&number];
+        if self.requests[index].placement.is_some() {
+            return;
+        }
+        let flight = placement.flight.clone();
+        self.cluster.begin_attempt(number, flight.clone(), now);
+        let helpers = flight.helpers.iter().map(|helping| &helping.upstream);
+        let all: Vec<&id::Upstream> = helpers.chain([&flight.upstream]).collect();
+        self.requests[index].parts_left = all.len();
+        for id in all {
+            let engine = self.engines.get_mut(id).unwrap();
+            engine.queued.push((index, f64::from(flight.part_ms)));
+        }
+        self.requests[index].placement = Some(placement);
+    }
+
+    /// Completes the passes that end now: prompt parts are prefilled, and each decoding request
+    /// gets an event.
+    fn finish_passes(&mut self, now: Instant) {
+        let ended: Vec<id::Upstream> = self
+            .engines
+            .iter()
+            .filter(|(_, engine)| engine.pass_ends == Some(now))
+            .map(|(id, _)| id.clone())
+            .collect();
+        for id in ended {
+            let engine = self.engines.get_mut(&id).unwrap();
+            engine.pass_ends = None;
+            let prefilled = std::mem::take(&mut engine.prefilling);
+            let mut events = std::mem::take(&mut engine.decoding);
+            for index in prefilled {
+                self.requests[index].parts_left -= 1;
+                let generates_response = self.generates_response_at(index, &id);
+                if generates_response || self.requests[index].parts_left == 0 {
+                    events.push(index);
+                }
+            }
+            events.sort_unstable();
+            events.dedup();
+            let decoding: Vec<usize> =
+                events.into_iter().filter(|index| self.add_event(*index, now)).collect();
+            // The engine that generates the response starts to decode after all parts are
+            // prefilled.
+            for index in decoding {
+                let at = self.requests[index].placement.as_ref().unwrap().flight.upstream.clone();
+                self.engines.get_mut(&at).unwrap().decoding.push(index);
+            }
+        }
+    }
+
+    fn generates_response_at(&self, index: usize, id: &id::Upstream) -> bool {
+        self.requests[index]
+            .placement
+            .as_ref()
+            .is_some_and(|placement| placement.flight.upstream == *id)
+    }
+
+    /// Adds an event to a response if its prompt is prefilled. Returns whether more events follow.
+    fn add_event(&mut self, index: usize, now: Instant) -> bool {
+        if self.requests[index].parts_left > 0 {
+            return false;
+        }
+        let number = self.number_of(index);
+        let request = &mut self.requests[index];
+        if let Some(last) = request.last_event.replace(now) {
+            request.max_pause = request.max_pause.max(now - last);
+        }
+        if request.first_event.is_none() {
+            request.first_event = Some(now);
+            self.cluster.record_first_event(number, now);
+        }
+        request.events_left = request.events_left.saturating_sub(1);
+        if request.events_left == 0 {
+            self.cluster.end_attempt(number, now);
+        }
+        request.events_left > 0
+    }
+
+    fn number_of(&self, index: usize) -> u64 {
+        let found = self.by_number.iter().find(|(_, other)| **other == index);
+        *found.expect("the request has a number").0
+    }
+
+    fn begin_passes(&mut self, now: Instant) {
+        for engine in self.engines.values_mut().filter(|engine| !engine.stalled) {
+            if engine.pass_ends.is_some() || engine.queued.is_empty() && engine.decoding.is_empty()
+            {
+                continue;
+            }
+            let prefill_ms: f64 = engine.queued.iter().map(|(_, ms)| ms).sum();
+            engine.prefilling = engine.queued.drain(..).map(|(index, _)| index).collect();
+            let starting = engine.prefilling.iter().filter(|index| {
+                let request = &self.requests[**index];
+                request.parts_left <= 1
+            });
+            let decoders = engine.decoding.len() + starting.count();
+            let memory: u64 =
+                engine.decoding.iter().map(|index| self.requests[*index].tokens).sum();
+            let pass_ms = if decoders > 0 {
+                forecast::pass_ms(&self.figures, decoders as u32, memory)
+            } else {
+                0.0
+            };
+            engine.pass_ends = Some(now + Duration::from_secs_f64((prefill_ms + pass_ms) / 1e3));
+        }
+        let decoding = self.engines.values().filter(|engine| !engine.decoding.is_empty()).count();
+        self.max_decoding = self.max_decoding.max(decoding);
+    }
+
+    fn scores(&self) -> HashMap<&'static str, Score> {
+        let mut scores: HashMap<&'static str, Score> = HashMap::new();
+        for request in &self.requests {
+            let score = scores.entry(request.kind.name).or_default();
+            score.total += 1;
+            let Some(first) = request.first_event.filter(|_| request.events_left == 0) else {
+                continue;
+            };
+            let objective = Duration::from_millis(request.kind.objective_ms);
+            let pause = Duration::from_millis(request.kind.pause_ms);
+            if first <= request.arrival + objective && request.max_pause <= pause {
+                score.in_time += 1;
+            } else {
+                score.late += 1;
+            }
+        }
+        scores
+    }
+}
--- a/request/tests/scheduler.rs
+++ b/request/tests/scheduler.rs
@@ -1,15 +1,15 @@
-//! One VM that places the requests of all: what waits, what is asked again, what is given up.
+//! One VM that places the requests of all: queued, repeated and cancelled requests.
 
 use std::time::{Duration, Instant};
 
 use foldlock_base::id;
 use foldlock_base::size::Tokens;
-use foldlock_request::board::{Board, Holder, Listed};
 use foldlock_request::budget::Charge;
+use foldlock_request::cluster::{Cluster, Holder, Listed};
 use foldlock_request::fingerprint::Fingerprint;
-use foldlock_request::placement::{Ask, Place, Rejection};
-use foldlock_request::quarantine::Ending;
-use foldlock_request::scheduler::{Answer, Key, Scheduler};
+use foldlock_request::placement::{Placement, Rejection, Requirements};
+use foldlock_request::quarantine::Crash;
+use foldlock_request::scheduler::{Key, Reply, Scheduler};
 use foldlock_request::tag::Tag;
 use foldlock_version::routes::{Bounds, Engine, Service, Table};
 use proptest::prelude::*;
@@ -48,10 +48,10 @@
         .build()
 }
 
-fn board(engines: usize) -> Board {
-    let mut board = Board::default();
+fn cluster(engines: usize) -> Cluster {
+    let mut cluster = Cluster::default();
     for i in 0..engines {
-        board.list(Listed {
+        cluster.list(Listed {
             id: format!("i-{i:03}").parse().unwrap(),
             born: None,
             revision: 0.into(),
@@ -63,7 +63,7 @@
             cold_ms: 0,
         });
     }
-    board
+    cluster
 }
 
 fn vm(i: usize) -> id::Vm {
@@ -74,38 +74,38 @@
     Key { holder: Holder::Peer(vm(vm_index)), incarnation: 1, number }
 }
 
-fn short(arrived: Instant) -> Ask {
-    Ask {
+fn short(arrived: Instant) -> Requirements {
+    Requirements {
         prompt: Tokens(5_000),
         memory: Tokens(6_500),
         objective: Duration::from_millis(400),
         pause: Some(Duration::from_millis(250)),
         arrived,
-        limit: Duration::from_secs(10),
-        avoid: Vec::new(),
+        queue_timeout: Duration::from_secs(10),
+        excluded: Vec::new(),
         connected: Vec::new(),
         hall: "a".to_owned(),
-        hold_limit: Duration::from_millis(2_400),
+        reservation_timeout: Duration::from_millis(2_400),
         fingerprint: Fingerprint::of("", "", "", b""),
         offset: 0,
-        placers: 1,
+        schedulers: 1,
         charge: Charge::Free,
     }
 }
 
-fn long(tokens: u64, arrived: Instant) -> Ask {
-    Ask {
+fn long(tokens: u64, arrived: Instant) -> Requirements {
+    Requirements {
         prompt: Tokens(tokens),
         memory: Tokens(tokens + 800),
         objective: Duration::from_millis(3_000),
         pause: Some(Duration::from_millis(1_000)),
-        limit: Duration::from_secs(15),
+        queue_timeout: Duration::from_secs(15),
         ..short(arrived)
     }
 }
 
 struct Fleet {
-    board: Board,
+    cluster: Cluster,
     table: Table,
     scheduler: Scheduler,
     now: Instant,
@@ -114,273 +114,288 @@
 impl Fleet {
     fn new(engines: usize) -> Fleet {
         let scheduler = Scheduler::default();
-        Fleet { board: board(engines), table: table(), scheduler, now: Instant::now() }
+        Fleet { cluster: cluster(engines), table: table(), scheduler, now: Instant::now() }
     }
 
-    fn ask(&mut self, key: Key, ask: Ask) -> Answer {
+    fn request(&mut self, key: Key, requirements: Requirements) -> Reply {
         let model = Tag::of("model");
-        self.scheduler.ask(&mut self.board, &self.table, key, model, ask, self.now)
+        self.scheduler.request(&mut self.cluster, &self.table, key, model, requirements, self.now)
     }
 
-    fn look(&mut self) -> Vec<(Key, Place)> {
-        let answers = self.scheduler.look(&mut self.board, &self.table, self.now);
-        let place = |(key, answer)| match answer {
-            Answer::Placed(place, _) => (key, *place),
-            answer => panic!("{key:?}: {answer:?}"),
+    fn place_queued(&mut self) -> Vec<(Key, Placement)> {
+        let replies = self.scheduler.place_queued(&mut self.cluster, &self.table, self.now);
+        let placement = |(key, reply)| match reply {
+            Reply::Granted(placement, _) => (key, *placement),
+            reply => panic!("{key:?}: {reply:?}"),
         };
-        answers.into_iter().map(place).collect()
+        replies.into_iter().map(placement).collect()
     }
 
     fn cancel(&mut self, key: &Key) {
-        self.scheduler.cancel(&mut self.board, key, self.now);
+        self.scheduler.cancel(&mut self.cluster, key, self.now);
     }
 
-    fn after(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now += Duration::from_millis(ms);
     }
 }
 
-fn placed(answer: Answer) -> (Place, u64) {
-    match answer {
-        Answer::Placed(place, grant) => (*place, grant),
-        answer => panic!("{answer:?}"),
+fn granted(reply: Reply) -> (Placement, u64) {
+    match reply {
+        Reply::Granted(placement, grant) => (*placement, grant),
+        reply => panic!("{reply:?}"),
     }
 }
 
 #[test]
-fn who_asks_again_gets_the_same_place() {
+fn a_repeated_grant_request_gets_the_same_grant() {
     let mut fleet = Fleet::new(3);
-    let ask = short(fleet.now);
-    let (place, grant) = placed(fleet.ask(key(1, 1), ask.clone()));
-    fleet.after(25);
-    let (again, grant_again) = placed(fleet.ask(key(1, 1), ask.clone()));
-    assert_eq!((place.flight, grant), (again.flight, grant_again));
-    assert_eq!(fleet.board.under_way(), 1);
-    let (_, next) = placed(fleet.ask(key(1, 2), ask));
-    assert!(next > grant, "each place has a higher number");
+    let requirements = short(fleet.now);
+    let (placement, grant) = granted(fleet.request(key(1, 1), requirements.clone()));
+    fleet.advance(25);
+    let (again, grant_again) = granted(fleet.request(key(1, 1), requirements.clone()));
+    assert_eq!((placement.flight, grant), (again.flight, grant_again));
+    assert_eq!(fleet.cluster.in_flight(), 1);
+    let (_, next) = granted(fleet.request(key(1, 2), requirements));
+    assert!(next > grant, "each grant has a higher number");
 }
 
 #[test]
-fn many_vms_that_ask_at_one_moment_do_not_meet_at_one_engine() {
+fn concurrent_requests_of_many_vms_are_spread_over_engines() {
     let mut fleet = Fleet::new(12);
-    let ask = short(fleet.now);
+    let requirements = short(fleet.now);
     let mut reading = std::collections::HashMap::new();
     for i in 0..24 {
-        let (place, _) = placed(fleet.ask(key(i, 1), ask.clone()));
-        *reading.entry(place.flight.upstream).or_insert(0_u32) += 1;
-        assert!(place.predicted_ms <= 0.85 * 400.0, "{}", place.predicted_ms);
+        let (placement, _) = granted(fleet.request(key(i, 1), requirements.clone()));
+        *reading.entry(placement.flight.upstream).or_insert(0_u32) += 1;
+        assert!(placement.predicted_ms <= 0.85 * 400.0, "{}", placement.predicted_ms);
     }
-    // One is read at once, and five fit into the pass after it without a pause of over 250 ms.
+    // One prompt is read at once, and five fit into the following pass without a pause of over 250
+    // ms.
     assert!(reading.values().all(|reads| *reads <= 6), "{reading:?}");
 }
 
-/// The number of the VM of a key.
+/// The index of the VM of a key.
 fn vm_of(key: &Key) -> usize {
     let Holder::Peer(found) = &key.holder else { panic!("{key:?}") };
     (0..10).find(|i| vm(*i) == *found).unwrap()
 }
 
 #[test]
-fn a_long_prompt_waits_its_turn_whichever_vm_it_came_to() {
+fn long_prompts_of_several_vms_share_one_queue() {
     let mut fleet = Fleet::new(6);
     let (first, second) = (long(190_000, fleet.now), long(190_000, fleet.now));
-    assert!(matches!(fleet.ask(key(1, 1), first), Answer::Waits));
-    assert!(matches!(fleet.ask(key(2, 1), second), Answer::Waits));
-    let placed = fleet.look();
+    assert!(matches!(fleet.request(key(1, 1), first), Reply::Queued));
+    assert!(matches!(fleet.request(key(2, 1), second), Reply::Queued));
+    let placed = fleet.place_queued();
     let [(first, _)] = placed.as_slice() else { panic!("{placed:?}") };
-    assert!(fleet.look().is_empty(), "the engines read that one");
-    fleet.after(400);
+    assert!(fleet.place_queued().is_empty(), "the engines are busy with the first prompt");
+    fleet.advance(400);
     let again = long(190_000, fleet.now);
-    assert!(matches!(fleet.ask(key(3 - vm_of(first), 1), again), Answer::Waits));
-    fleet.after(400);
-    let placed = fleet.look();
+    assert!(matches!(fleet.request(key(3 - vm_of(first), 1), again), Reply::Queued));
+    fleet.advance(400);
+    let placed = fleet.place_queued();
     let [(second, _)] = placed.as_slice() else { panic!("{placed:?}") };
     assert_ne!(first, second);
 }
 
 #[test]
-fn who_waits_is_not_placed_where_it_may_not_be_sent_by_now() {
+fn a_queued_request_is_not_placed_on_engines_excluded_meanwhile() {
     let mut fleet = Fleet::new(2);
-    let engines: Vec<Tag> = fleet.board.ids().map(|id| fleet.board.tag_of(id)).collect();
-    let ask = long(60_000, fleet.now);
-    for barred in engines {
-        assert!(matches!(fleet.ask(key(1, 1), ask.clone()), Answer::Waits));
-        let asked_again = Ask { avoid: vec![barred], ..ask.clone() };
-        assert!(matches!(fleet.ask(key(1, 1), asked_again), Answer::Waits));
-        let placed = fleet.look();
-        let [(_, place)] = placed.as_slice() else { panic!("{placed:?}") };
-        let used = std::iter::once(&place.flight.upstream)
-            .chain(place.flight.helpers.iter().map(|helping| &helping.upstream));
-        assert!(used.map(|id| fleet.board.tag_of(id)).all(|tag| tag != barred));
+    let engines: Vec<Tag> = fleet.cluster.ids().map(|id| fleet.cluster.tag_of(id)).collect();
+    let requirements = long(60_000, fleet.now);
+    for excluded in engines {
+        assert!(matches!(fleet.request(key(1, 1), requirements.clone()), Reply::Queued));
+        let repeated = Requirements { excluded: vec![excluded], ..requirements.clone() };
+        assert!(matches!(fleet.request(key(1, 1), repeated), Reply::Queued));
+        let placed = fleet.place_queued();
+        let [(_, placement)] = placed.as_slice() else { panic!("{placed:?}") };
+        let used = std::iter::once(&placement.flight.upstream)
+            .chain(placement.flight.helpers.iter().map(|helping| &helping.upstream));
+        assert!(used.map(|id| fleet.cluster.tag_of(id)).all(|tag| tag != excluded));
         fleet.cancel(&key(1, 1));
     }
 }
 
 #[test]
-fn what_asks_no_more_holds_up_nobody() {
+fn a_cancelled_request_does_not_delay_others() {
     let mut fleet = Fleet::new(6);
-    let ask = long(190_000, fleet.now);
-    fleet.ask(key(1, 1), ask.clone());
-    fleet.ask(key(2, 1), ask.clone());
+    let requirements = long(190_000, fleet.now);
+    fleet.request(key(1, 1), requirements.clone());
+    fleet.request(key(2, 1), requirements.clone());
     fleet.cancel(&key(1, 1));
-    let placed = fleet.look();
+    let placed = fleet.place_queued();
     assert_eq!(placed.iter().map(|(key, _)| key.clone()).collect::<Vec<_>>(), [key(2, 1)]);
     fleet.cancel(&key(2, 1));
-    assert_eq!(fleet.board.under_way(), 0, "its engines are free again");
+    assert_eq!(fleet.cluster.in_flight(), 0, "its engines are released");
 }
 
 #[test]
-fn a_vm_that_falls_silent_waits_for_nothing() {
+fn queued_requests_of_an_unresponsive_vm_are_dropped() {
     let mut fleet = Fleet::new(6);
-    let ask = long(190_000, fleet.now);
-    fleet.ask(key(1, 1), ask.clone());
-    fleet.ask(key(2, 1), ask.clone());
-    fleet.look();
-    fleet.after(400);
-    fleet.ask(key(2, 1), ask.clone());
-    fleet.ask(key(1, 1), ask);
-    fleet.after(700);
-    fleet.look();
-    assert_eq!(fleet.scheduler.waiting(), 0);
+    let requirements = long(190_000, fleet.now);
+    fleet.request(key(1, 1), requirements.clone());
+    fleet.request(key(2, 1), requirements.clone());
+    fleet.place_queued();
+    fleet.advance(400);
+    fleet.request(key(2, 1), requirements.clone());
+    fleet.request(key(1, 1), requirements);
+    fleet.advance(700);
+    fleet.place_queued();
+    assert_eq!(fleet.scheduler.queue_len(), 0);
 }
 
 #[test]
-fn a_start_anew_is_another_request() {
+fn the_same_number_after_a_vm_restart_is_another_request() {
     let mut fleet = Fleet::new(3);
-    let (_, first) = placed(fleet.ask(key(1, 1), short(fleet.now)));
-    let renewed = Key { incarnation: 2, ..key(1, 1) };
-    let (_, second) = placed(fleet.ask(renewed, short(fleet.now)));
+    let (_, first) = granted(fleet.request(key(1, 1), short(fleet.now)));
+    let restarted = Key { incarnation: 2, ..key(1, 1) };
+    let (_, second) = granted(fleet.request(restarted, short(fleet.now)));
     assert!(second > first);
 }
 
-/// Several engines have to hold this prompt, and would be silent for longer than they may be trusted with it: it is
-/// told so at once, and not after most of its caller's time.
+/// Guards against prompts that are rejected only after most of their caller's time. Several engines
+/// would have to reserve memory for this prompt for longer than the reservation timeout, so it is
+/// rejected at once.
 #[test]
-fn a_prompt_beyond_all_engines_together_is_refused_at_once() {
+fn a_prompt_too_long_for_all_engines_together_is_rejected_at_once() {
     let now = Instant::now();
-    let long = |tokens| Ask {
+    let long = |tokens| Requirements {
         prompt: Tokens(tokens),
         memory: Tokens(tokens + 1_000),
         objective: Duration::from_secs(4),
         pause: Some(Duration::from_secs(1)),
         ..short(now)
     };
-    let (mut board, mut scheduler) = (board(40), Scheduler::default());
-    let mut ask = |number, tokens| {
-        scheduler.ask(&mut board, &table(), key(1, number), Tag::of("model"), long(tokens), now)
+    let (mut cluster, mut scheduler) = (cluster(40), Scheduler::default());
+    let mut request = |number, tokens| {
+        scheduler.request(
+            &mut cluster,
+            &table(),
+            key(1, number),
+            Tag::of("model"),
+            long(tokens),
+            now,
+        )
     };
-    assert!(matches!(ask(1, 600_000), Answer::Waits), "its parts take 1.6 s");
-    assert!(matches!(ask(2, 800_000), Answer::Rejected(Rejection::TooLarge)), "and these 2.8 s");
+    assert!(matches!(request(1, 600_000), Reply::Queued), "its parts take 1.6 s");
+    assert!(matches!(request(2, 800_000), Reply::Rejected(Rejection::TooLarge)), "and these 2.8 s");
 }
 
 #[test]
-fn a_service_that_is_not_known_has_no_place() {
+fn a_request_for_an_unknown_service_is_rejected() {
     let mut fleet = Fleet::new(1);
-    let ask = short(fleet.now);
-    let Fleet { scheduler, board, table, now } = &mut fleet;
-    let answer = scheduler.ask(board, table, key(1, 1), Tag::of("other"), ask.clone(), *now);
-    assert!(matches!(answer, Answer::Rejected(Rejection::Closed)), "{answer:?}");
-    let answer = scheduler.ask(board, table, key(1, 2), Tag::of("plain"), ask, *now);
-    assert!(matches!(answer, Answer::Rejected(Rejection::Closed)), "no upstream of it is listed");
+    let requirements = short(fleet.now);
+    let Fleet { scheduler, cluster, table, now } = &mut fleet;
+    let reply =
+        scheduler.request(cluster, table, key(1, 1), Tag::of("other"), requirements.clone(), *now);
+    assert!(matches!(reply, Reply::Rejected(Rejection::NoUpstream)), "{reply:?}");
+    let reply = scheduler.request(cluster, table, key(1, 2), Tag::of("plain"), requirements, *now);
+    assert!(matches!(reply, Reply::Rejected(Rejection::NoUpstream)), "no upstream of it is listed");
 }
 
 proptest! {
-    /// Whoever asks, cancels or falls silent, in whichever order: no engine gets more requests or
-    /// memory than it has, and what ended leaves nothing behind.
+    /// Requests, cancellations and VMs that stop requesting, in any order: no engine gets more
+    /// requests or memory than it has, and finished requests leave no state behind.
     #[test]
-    fn no_engine_is_overfilled_and_nothing_stays(
+    fn no_engine_is_overcommitted_and_no_state_is_left_behind(
         steps in prop::collection::vec((0_usize..6, 0_u64..30, 1_000_u64..400_000, 0_u64..200, 0_u8..4), 1..80),
     ) {
         let mut fleet = Fleet::new(8);
         for (vm, number, tokens, after_ms, step) in steps {
-            fleet.after(after_ms);
-            let ask = if tokens < 20_000 { short(fleet.now) } else { long(tokens, fleet.now) };
+            fleet.advance(after_ms);
+            let requirements = if tokens < 20_000 { short(fleet.now) } else { long(tokens, fleet.now) };
             match step {
                 0 | 1 => {
-                    fleet.ask(key(vm, number), ask);
+                    fleet.request(key(vm, number), requirements);
                 }
                 2 => fleet.cancel(&key(vm, number)),
                 _ => {
-                    fleet.look();
+                    fleet.place_queued();
                 }
             }
-            for (id, load) in fleet.board.loads(Some(&ENGINE), fleet.now) {
+            for (id, load) in fleet.cluster.loads(Some(&ENGINE), fleet.now) {
                 prop_assert!(load.requests <= SLOTS, "{} has {:?}", id, load);
                 prop_assert!(load.memory <= ENGINE.memory.0, "{} has {:?}", id, load);
             }
         }
-        fleet.after(2_000);
-        fleet.look();
-        fleet.after(2_000);
-        fleet.look();
-        prop_assert_eq!(fleet.scheduler.waiting(), 0);
-        prop_assert_eq!(fleet.board.under_way(), 0);
+        fleet.advance(2_000);
+        fleet.place_queued();
+        fleet.advance(2_000);
+        fleet.place_queued();
+        prop_assert_eq!(fleet.scheduler.queue_len(), 0);
+        prop_assert_eq!(fleet.cluster.in_flight(), 0);
     }
 }
 
-/// Two upstreams ended under a request: it may be the cause, or have been beside the one that is.
-fn suspect(fleet: &mut Fleet, ask: &Ask) {
+/// Two upstreams crashed during a request: it may be the cause, or have run beside the cause.
+fn suspect(fleet: &mut Fleet, requirements: &Requirements) {
     for upstream in ["i-900", "i-901"] {
-        let ending = Ending { upstream: Tag::of(upstream), alone: false };
-        fleet.board.quarantine.ended(ask.fingerprint, ending, fleet.now);
+        let ending = Crash { upstream: Tag::of(upstream), isolated: false };
+        fleet.cluster.quarantine.record_crash(requirements.fingerprint, ending, fleet.now);
     }
 }
 
-fn suspicious(ask: Ask) -> Ask {
-    Ask { fingerprint: Fingerprint::of("", "POST", "/deadly/", b""), ..ask }
+fn suspicious(requirements: Requirements) -> Requirements {
+    Requirements { fingerprint: Fingerprint::of("", "POST", "/deadly/", b""), ..requirements }
 }
 
 #[test]
-fn a_suspect_runs_at_an_upstream_that_is_left_to_it() {
-    for suspected in [short as fn(Instant) -> Ask, |now| long(60_000, now)] {
+fn a_suspect_request_runs_isolated_on_its_upstream() {
+    for suspected in [short as fn(Instant) -> Requirements, |now| long(60_000, now)] {
         let mut fleet = Fleet::new(6);
-        let beside = placed(fleet.ask(key(0, 1), short(fleet.now))).0;
-        let ask = suspicious(suspected(fleet.now));
-        suspect(&mut fleet, &ask);
-        let alone = match fleet.ask(key(0, 2), ask.clone()) {
-            Answer::Placed(place, _) => *place,
-            _ => fleet.look().pop().expect("there is room").1,
+        let shared = granted(fleet.request(key(0, 1), short(fleet.now))).0;
+        let requirements = suspicious(suspected(fleet.now));
+        suspect(&mut fleet, &requirements);
+        let isolated = match fleet.request(key(0, 2), requirements.clone()) {
+            Reply::Granted(placement, _) => *placement,
+            _ => fleet.place_queued().pop().expect("there is room").1,
         };
-        assert_eq!(alone.flight.alone, Some(ask.fingerprint));
-        assert_ne!(alone.flight.upstream, beside.flight.upstream);
+        assert_eq!(isolated.flight.isolated, Some(requirements.fingerprint));
+        assert_ne!(isolated.flight.upstream, shared.flight.upstream);
         for number in 3..20 {
-            let other = placed(fleet.ask(key(0, number), short(fleet.now))).0;
-            assert_ne!(other.flight.upstream, alone.flight.upstream, "nothing is put beside it");
+            let other = granted(fleet.request(key(0, number), short(fleet.now))).0;
+            assert_ne!(
+                other.flight.upstream, isolated.flight.upstream,
+                "no other request is placed on its upstream"
+            );
         }
     }
 }
 
 #[test]
-fn a_second_copy_of_a_suspect_waits_for_what_becomes_of_the_first() {
-    for suspected in [short as fn(Instant) -> Ask, |now| long(60_000, now)] {
+fn a_second_copy_of_a_suspect_is_queued_until_the_first_has_ended() {
+    for suspected in [short as fn(Instant) -> Requirements, |now| long(60_000, now)] {
         let mut fleet = Fleet::new(6);
-        let ask = suspicious(suspected(fleet.now));
-        suspect(&mut fleet, &ask);
-        fleet.ask(key(0, 1), ask.clone());
-        fleet.ask(key(1, 1), ask.clone());
-        fleet.look();
-        assert_eq!(fleet.board.under_way(), 1);
-        assert!(matches!(fleet.ask(key(1, 1), ask.clone()), Answer::Waits));
-        // The first ends its upstream: the second is told so, and so is the next that comes.
-        let ending = Ending { upstream: Tag::of("i-000"), alone: true };
-        fleet.board.quarantine.ended(ask.fingerprint, ending, fleet.now);
-        let answers = fleet.scheduler.look(&mut fleet.board, &fleet.table, fleet.now);
-        let held =
-            |answer: &Answer| matches!(answer, Answer::Rejected(Rejection::Quarantined { .. }));
-        assert!(answers.iter().any(|(waiting, answer)| *waiting == key(1, 1) && held(answer)));
-        assert!(held(&fleet.ask(key(2, 1), ask.clone())));
+        let requirements = suspicious(suspected(fleet.now));
+        suspect(&mut fleet, &requirements);
+        fleet.request(key(0, 1), requirements.clone());
+        fleet.request(key(1, 1), requirements.clone());
+        fleet.place_queued();
+        assert_eq!(fleet.cluster.in_flight(), 1);
+        assert!(matches!(fleet.request(key(1, 1), requirements.clone()), Reply::Queued));
+        // The first copy crashes its upstream: the queued copy is rejected, and so is the next one.
+        let ending = Crash { upstream: Tag::of("i-000"), isolated: true };
+        fleet.cluster.quarantine.record_crash(requirements.fingerprint, ending, fleet.now);
+        let replies = fleet.scheduler.place_queued(&mut fleet.cluster, &fleet.table, fleet.now);
+        let is_quarantined =
+            |reply: &Reply| matches!(reply, Reply::Rejected(Rejection::Quarantined { .. }));
+        assert!(
+            replies.iter().any(|(queued, reply)| *queued == key(1, 1) && is_quarantined(reply))
+        );
+        assert!(is_quarantined(&fleet.request(key(2, 1), requirements.clone())));
     }
 }
 
 #[test]
-fn a_suspect_whose_vm_ends_may_run_again_elsewhere() {
+fn a_suspect_runs_again_after_its_vm_has_stopped() {
     let mut fleet = Fleet::new(6);
-    let ask = suspicious(short(fleet.now));
-    suspect(&mut fleet, &ask);
-    placed(fleet.ask(key(0, 1), ask.clone()));
-    assert!(matches!(fleet.ask(key(1, 1), ask.clone()), Answer::Waits));
-    fleet.board.peer_lost(&vm(0), fleet.now);
-    let again = fleet.look();
+    let requirements = suspicious(short(fleet.now));
+    suspect(&mut fleet, &requirements);
+    granted(fleet.request(key(0, 1), requirements.clone()));
+    assert!(matches!(fleet.request(key(1, 1), requirements.clone()), Reply::Queued));
+    fleet.cluster.remove_peer(&vm(0), fleet.now);
+    let again = fleet.place_queued();
     assert_eq!(again.len(), 1);
     assert_eq!(again[0].0, key(1, 1));
 }
