--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! What all tasks of a process on a fleet's VM share.
+//! The state that all tasks of a fleet VM's process share.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, OnceLock, RwLock};
@@ -37,118 +37,120 @@
 use crate::fleet::withdrawals::Withdrawals;
 use crate::log;
 
-/// How long a VM counts as just started: many that start together have their settings by then.
+/// Time after the start in which requests wait for settings. VMs that start together have received
+/// theirs by then.
 const STARTING: Duration = Duration::from_millis(500);
 
-/// Records of requests that are kept: a minute's worth at 8 requests a second, under 1 MB.
+/// Request records kept in memory: one minute at 8 requests per second, less than 1 MB.
 const RECORDS: usize = 512;
 
-/// The part of the time to stop in, in which requests are still taken: those that come on
-/// connections opened before the platform has seen that this VM is not ready, some 2 of 8 s. A long
-/// stream, of 5 s, then ends before the kill.
+/// Share of the stop timeout in which new requests are still accepted. They arrive on connections
+/// that the platform opened before it noticed that this VM is not ready, which takes about 2 of 8 s.
+/// A long stream of 5 s that starts in this time ends before the process is killed.
 const SERVED_STOPPING: f64 = 0.3;
 
-/// How often idle connections are looked through.
+/// Interval between checks for expired idle connections.
 const SWEEP: Duration = Duration::from_secs(1);
 
-/// The process.
+/// The shared state of one process.
 pub struct Process<D: Dialect> {
-    /// What it is.
+    /// The configuration.
     pub config: Config,
-    /// How peers know it.
+    /// The directory entry of this VM.
     pub member: Member,
     /// The clock.
     pub clock: System,
-    /// Whether the machine was suspended.
+    /// Detects that the machine was suspended.
     pub sleep: Sleep,
-    /// Told when it was.
+    /// Notified after the machine was suspended.
     pub woke: Notify,
     /// The log.
     pub log: Logger,
-    /// The bound on lines of decisions that went well.
+    /// Rate limit for log lines of successful decisions.
     pub routine_lines: Volume,
-    /// The bound on lines of refusals, failures and repeats.
+    /// Rate limit for log lines of rejections, failures and retries.
     pub trouble_lines: Volume,
-    /// The bound on single lines of what the directory lists.
+    /// Rate limit for log lines of single changes in the directory.
     pub listing_lines: Volume,
     /// The metrics.
     pub metrics: Metrics,
-    /// The records of requests.
+    /// The newest request records.
     pub ring: Ring,
-    /// How old the settings are.
+    /// The age of the settings.
     pub fresh: Fresh,
-    /// Where peers are told and heard.
+    /// The socket for heartbeats and other datagrams between peers.
     pub socket: UdpSocket,
-    /// The upstreams and what is under way there.
+    /// The upstreams and their in-flight attempts.
     pub cluster: Mutex<Cluster>,
-    /// What places the requests of the VMs that ask this one; locked before the cluster state.
+    /// Places the requests of the VMs whose scheduler this one is. Locked before `cluster`.
     pub scheduler: Mutex<Scheduler>,
-    /// The scheduler that holds this VM's share of the fleet's retry budget.
+    /// The scheduler that accounts for this VM's share of the fleet's retry budget.
     pub affiliation: Mutex<Affiliation>,
-    /// The requests of this VM that ask for a placement.
+    /// Grant requests of this VM without a reply.
     pub questions: Questions,
-    /// Told when something in the cluster state ends or begins, so that what waits may have a placement.
+    /// Notified when the cluster state changes such that a queued request may get a placement.
     pub room: Notify,
-    /// Told when peers are to hear of it.
+    /// Notified when the state of this VM is to be announced to peers.
     pub tell: Notify,
-    /// Whether all that want to hear are to be told at once.
+    /// Whether the next announcement goes at once to all peers that requested heartbeats.
     pub tell_all: AtomicBool,
     /// Idle connections to upstreams.
     pub pool: Pool,
-    /// The engines' memory.
+    /// Client for reservations of engine memory.
     pub memory: D::Memory,
-    /// The engines' reports.
+    /// Client for the engines' reports.
     pub reports: D::Reports,
-    /// Upstreams that asked this VM for a rest.
+    /// Upstreams that requested a backoff of this VM.
     pub backoffs: Mutex<Backoffs>,
-    /// The settings as peers read them.
+    /// The settings, compressed for peers.
     pub packed_settings: Kept,
-    /// The listings as peers read them.
+    /// The listings, compressed for peers.
     pub packed_listing: Kept,
-    /// What changed in the listings of late, as this VM saw it at the directory.
+    /// The latest changes of the listings that this VM read from the directory.
     pub steps: Mutex<Steps>,
-    /// The listings, by their revision and digest, that were compared with a peer's as a whole.
+    /// Revision and digest of the listings that were last compared with a peer's full listings.
     pub compared: Mutex<Option<(Revision, u64)>>,
-    /// Answers that their callers have not read to the end.
+    /// Responses that their callers have not read completely.
     pub unread: Arc<Unread>,
-    /// Entries of the directory that name nothing to use.
+    /// Directory entries that cannot be decoded.
     pub unreadable: Unreadable,
-    /// What the directory is to be told of requests that are held.
+    /// Pending writes to the directory, such as entries of quarantined requests.
     pub register: Register,
-    /// VMs that stop, to be withdrawn for them.
+    /// Stopping VMs whose directory entries this VM withdraws for them.
     pub withdrawals: Withdrawals,
     /// The other VMs.
     pub peers: Peers,
-    /// The directory's revision up to which listings are known.
+    /// The directory revision up to which changes of the listings have been received.
     at: Mutex<Revision>,
-    /// When it was last noticed that the directory has come back from an older copy of itself.
+    /// When it was last detected that the directory was restored from an older copy.
     restored: Mutex<Option<Instant>>,
-    /// Whether the directory itself answers this VM; if so, what peers tell of listings is left.
+    /// Whether this VM watches the directory itself; if so, it ignores listings that peers announce.
     pub watching: AtomicBool,
-    /// Whether this VM has listed itself.
+    /// Whether this VM has registered itself in the directory.
     pub listed: AtomicBool,
-    /// Cancelled at the signal to stop.
+    /// Cancelled when the process receives the signal to stop.
     pub stopping: CancellationToken,
-    /// Cancelled when the process is about to end and what has no answer yet gets its last one.
+    /// Cancelled shortly before the process exits: requests without a response get an error response.
     pub ending: CancellationToken,
-    /// When the signal to stop came.
+    /// When the process received the signal to stop.
     pub stopped: OnceLock<Instant>,
-    /// The callers' connections and the streams that are passed on.
+    /// The tasks of callers' connections and of streams to callers.
     pub tasks: TaskTracker,
     settings: RwLock<Option<Arc<Settings>>>,
-    /// Notified when settings are in force, and when they are first confirmed.
+    /// Notified when settings come into force, and when settings are first confirmed.
     applied: Notify,
     next_request: AtomicU64,
 }
 
-/// An attempt's entry in the cluster state; it is removed when this is dropped, however the attempt ends.
+/// Keeps an attempt in the cluster state and removes it when dropped, so that it is removed however the
+/// attempt ends.
 pub struct Entered<D: Dialect> {
     process: Arc<Process<D>>,
     number: u64,
 }
 
 impl<D: Dialect> Process<D> {
-    /// A process that has heard nothing yet.
+    /// A process without settings, listings or peers.
     pub fn new(config: Config, socket: UdpSocket, log: Logger) -> Process<D> {
         let clock = System;
         let member = Member {
@@ -206,29 +208,29 @@
         }
     }
 
-    /// The time.
+    /// The current time.
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    /// The same with the time for which the machine was suspended.
+    /// The current time on a clock that includes the time for which the machine was suspended.
     pub fn moment(&self) -> Moment {
         self.clock.moment()
     }
 
-    /// The settings in force.
+    /// The settings in force, if any.
     pub fn settings(&self) -> Option<Arc<Settings>> {
         self.settings.read().unwrap().clone()
     }
 
-    /// Waits for the first settings while this VM has just started: they are on the way, and a request that
-    /// is refused is late by the time at which it comes back.
+    /// Waits during startup for the first settings. They arrive shortly, whereas a rejected request would
+    /// miss its objective by the time the caller retries it.
     pub async fn started(&self) {
         self.wait_at_start(|| self.version() > 0).await;
     }
 
-    /// Waits during startup until the settings are confirmed: those of a peer arrive before the heartbeat that confirms
-    /// them. Returns whether they are.
+    /// Waits during startup until the settings are confirmed: settings read from a peer arrive before the
+    /// heartbeat that confirms them. Returns whether they are confirmed.
     pub async fn first_confirmed(&self) -> bool {
         let is_confirmed = || self.version() > 0 && self.fresh.holds(self.moment());
         self.wait_at_start(is_confirmed).await;
@@ -247,11 +249,11 @@
                 changed.await;
             }
         };
-        // The caller checks the condition again.
+        // The result is ignored: the caller checks the condition again.
         let _ = tokio::time::timeout(left, met).await;
     }
 
-    /// Records that the settings in force were the newest at this moment.
+    /// Records that the settings in force were the newest ones at this moment.
     pub fn confirm(&self, at: Moment) {
         let is_first = self.fresh.age(at).is_none();
         self.fresh.confirm(at);
@@ -265,7 +267,7 @@
         self.settings.read().unwrap().as_ref().map_or(0, |s| s.table.number())
     }
 
-    /// Takes settings that are newer than those in force; others are left.
+    /// Puts settings in force if they are newer than the current ones, and ignores them otherwise.
     pub fn take_settings(&self, settings: Settings, from: &str) {
         let number = settings.table.number();
         let mut current = self.settings.write().unwrap();
@@ -280,30 +282,31 @@
         self.tell_all();
     }
 
-    /// Tells all that want to hear, at once.
+    /// Announces the state of this VM at once to all peers that requested heartbeats.
     pub fn tell_all(&self) {
         self.tell_all.store(true, Ordering::Relaxed);
         self.tell.notify_one();
     }
 
-    /// Whether new connections are welcome.
+    /// Whether this VM accepts new connections: it has sufficiently fresh settings and is not stopping.
     pub fn ready(&self) -> bool {
         let moment = self.moment();
         !self.stopping.is_cancelled() && self.version() > 0 && self.fresh.welcomes(moment)
     }
 
-    /// Whether a stop is so far on that a new request could not be finished before the kill.
+    /// Whether a stop has progressed so far that a new request might not end before the process is killed.
     pub fn closing(&self) -> bool {
         let left = self.config.fleet.stop().mul_f64(SERVED_STOPPING);
         self.stopped.get().is_some_and(|at| self.now().saturating_duration_since(*at) > left)
     }
 
-    /// The directory's revision up to which listings are known; none before the first.
+    /// The directory revision up to which changes of the listings have been received. Unset before the first
+    /// listing.
     pub fn at(&self) -> Revision {
         *self.at.lock().unwrap()
     }
 
-    /// Listings are known up to this revision. Answers what was known before.
+    /// Records that changes of the listings were received up to this revision. Returns the revision before.
     pub fn known_to(&self, revision: Revision) -> Revision {
         let mut at = self.at.lock().unwrap();
         let before = *at;
@@ -311,18 +314,18 @@
         before
     }
 
-    /// The directory has come back from an older copy of itself.
+    /// Records that the directory was restored from an older copy.
     pub fn note_restored(&self) {
         *self.restored.lock().unwrap() = Some(self.now());
     }
 
-    /// When the directory came back from a copy, if that is not longer ago than `within`.
+    /// When the directory was restored from an older copy, if that was less than `within` ago.
     pub fn restored(&self, within: Duration) -> Option<Instant> {
         let at = (*self.restored.lock().unwrap())?;
         (self.now().saturating_duration_since(at) < within).then_some(at)
     }
 
-    /// What this VM knows of the directory.
+    /// The listings as this VM has them: upstreams, VMs, quarantined requests and halls.
     pub fn listing(&self) -> Listing {
         let cluster = self.cluster.lock().unwrap();
         let upstreams = cluster.peer_listings(self.now()).collect();
@@ -333,46 +336,47 @@
         Listing { revision: self.at(), upstreams, members, quarantined: held, halls }
     }
 
-    /// An id for a request whose own cannot be used.
+    /// A generated id for a request whose own id is missing or invalid.
     pub fn request_id(&self) -> id::Request {
         let next = self.next_request.fetch_add(1, Ordering::Relaxed);
         let text = format!("{}-{:x}-{next:x}", self.member.vm, self.member.incarnation);
-        text.parse().expect("made of allowed characters")
+        text.parse().expect("consists of allowed characters")
     }
 
-    /// A request of this VM, as it is named to others.
+    /// The number that identifies a request of this VM in messages to peers.
     pub fn numbered(&self, number: u64) -> Number {
         Number { incarnation: self.member.incarnation, number }
     }
 
-    /// A name for memory that is set aside, never used again.
+    /// A unique id for a reservation of engine memory.
     pub fn ticket(&self) -> String {
         self.request_id().to_string()
     }
 
-    /// The configuration file may have changed.
+    /// Reads the configuration file again and applies the parameters of the retry budget; other values
+    /// take effect only at a start of the process.
     pub fn reload(&self) {
         let read = self.config.file.as_deref().map(crate::config::read_fleet);
         let what = match read {
             Some(Ok(fleet)) => {
                 self.scheduler.lock().unwrap().budget.set(fleet.budget());
-                "the figures of the retry budget were read again".to_owned()
+                "retry budget parameters reloaded".to_owned()
             }
-            Some(Err(e)) => format!("the old configuration stays: {e}"),
-            None => "there is no configuration file".to_owned(),
+            Some(Err(e)) => format!("configuration file not reloaded, keeping the previous configuration: {e}"),
+            None => "no configuration file to reload".to_owned(),
         };
         log::event(&self.log, Event::Reloaded, what);
     }
 
-    /// Enters an attempt in the cluster state. The VM that gave its placement knows of it, the others hear with
-    /// the next beat.
+    /// Adds an attempt to the cluster state. The scheduler that granted its placement has recorded it already;
+    /// the other VMs receive it with the next heartbeat.
     pub fn enter(self: &Arc<Self>, number: u64, flight: Flight) -> Entered<D> {
         self.cluster.lock().unwrap().begin_attempt(number, flight, self.now());
         self.tell.notify_one();
         Entered { process: self.clone(), number }
     }
 
-    /// Something of this VM ended or began at an upstream.
+    /// Notifies the scheduler and the heartbeat task that an attempt of this VM has progressed or ended.
     fn moved(&self) {
         self.room.notify_one();
         self.tell.notify_one();
@@ -380,7 +384,7 @@
 }
 
 impl<D: Dialect> Entered<D> {
-    /// The first event has come.
+    /// Records that the first event of the response has arrived.
     pub fn began(&self) {
         self.process.cluster.lock().unwrap().record_first_event(self.number, self.process.now());
         self.process.moved();
@@ -394,7 +398,7 @@
     }
 }
 
-/// Closes idle connections in time.
+/// Closes expired idle connections until the process stops.
 pub async fn sweep<D: Dialect>(process: Arc<Process<D>>) {
     while !process.stopping.is_cancelled() {
         tokio::time::sleep(SWEEP).await;
