--- a/daemon/src/fleet/config.rs
+++ b/daemon/src/fleet/config.rs
@@ -1,4 +1,4 @@
-//! What one VM of a fleet is.
+//! The configuration of a VM in a fleet.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,99 +11,104 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Where the platform asks whether this VM is ready.
+    /// Address for the platform's readiness checks.
     pub ready: SocketAddr,
-    /// Where peers and operators reach this VM, by UDP and TCP.
+    /// Address for peers and operators, UDP and TCP.
     pub peers: SocketAddr,
-    /// Where metrics are read, if not only at `peers`.
+    /// Additional address for metrics and the other operator endpoints. Without it they are served at
+    /// `peers` only.
     #[serde(default)]
     pub metrics: Option<SocketAddr>,
-    /// The directory, `IP:port`.
+    /// Address of the directory, `IP:port`.
     pub directory: String,
-    /// The share of a processor that this VM has, cores: those with the most place for all.
+    /// Processor share of this VM in cores. The VMs with the largest share become schedulers.
     #[serde(default)]
     pub processor: f64,
-    /// The memory that this VM has, MB.
+    /// Memory of this VM, MB.
     #[serde(default = "usual_memory_mb")]
     pub memory_mb: usize,
-    /// How long a caller may take nothing of its answer until its connection is closed, milliseconds.
+    /// Time after which a caller's connection is closed if the caller reads nothing of its response,
+    /// milliseconds.
     #[serde(default = "usual_write_timeout_ms")]
     pub write_timeout_ms: u64,
-    /// How old the settings may be while requests with a key are served, milliseconds: the
-    /// operator's bound on the use of a key that was taken away. Absent: any age.
+    /// Maximum age of the settings while requests with an API key are served, milliseconds. It bounds
+    /// how long a revoked key can be used. Absent: no maximum.
     #[serde(default)]
     pub settings_age_ms: Option<u64>,
-    /// How long memory may stay set aside after the request that used it has ended, milliseconds.
+    /// Time within which reserved engine memory must be released after its request has ended, milliseconds.
     #[serde(default = "usual_memory_release_ms")]
     pub memory_release_ms: u64,
-    /// The time between the signal to stop and the kill, milliseconds.
+    /// Time between the signal to stop and the kill, milliseconds.
     pub stop_ms: u64,
-    /// Repeated attempts that the fleet may send for each request to a service.
+    /// Retries that the fleet may send per request to a service.
     pub repeat_ratio: f64,
-    /// Repeated attempts that the fleet may send to a service beside, in each window.
+    /// Additional retries that the fleet may send to a service in each window.
     pub repeat_slack: f64,
-    /// The window over which these are counted, milliseconds.
+    /// Window over which requests and retries are counted, milliseconds.
     pub repeat_window_ms: u64,
 }
 
-/// Where the configuration does not say: a small VM.
+/// Default: the memory of a small VM.
 fn usual_memory_mb() -> usize {
     128
 }
 
-/// Where the configuration does not say: as long as callers wait for an answer.
+/// Default: as long as callers wait for a response.
 fn usual_write_timeout_ms() -> u64 {
     15_000
 }
 
-/// Where the configuration does not say: what both of the users' sites state.
+/// Default: the value that both of the users' sites specify.
 fn usual_memory_release_ms() -> u64 {
     4_000
 }
 
-/// The part of the time for memory to be given back for which it is set aside at a time: a VM that
-/// dies leaves it behind no longer.
+/// Lifetime of a reservation, as a share of the release time. If a VM crashes, its reservations lapse
+/// within the release time.
 const HOLD: f64 = 0.85;
 
-/// The part of it after which it is renewed: twice before it would lapse.
+/// Renewal interval of a reservation, as a share of the release time: two renewals fall into the
+/// lifetime.
 const RENEW: f64 = 0.35;
 
-/// The part of it for which an upstream may be silent while others hold memory for it: it may have
-/// died when the silence began, and the memory has to be given back within the rest.
+/// Time for which an upstream may send nothing while other upstreams have memory reserved for its
+/// request, as a share of the release time. The upstream may have crashed when it fell silent, and the
+/// memory must be released within the remaining share.
 const HELD_SILENCE: f64 = 0.6;
 
 impl Fleet {
-    /// The share of a processor, thousandths of a core.
+    /// Processor share of this VM, thousandths of a core.
     pub fn millicores(&self) -> u32 {
         (self.processor * 1e3) as u32
     }
 
-    /// The memory of this VM, bytes.
+    /// Memory of this VM, bytes.
     pub fn memory(&self) -> usize {
         self.memory_mb * 1_000_000
     }
 
-    /// How long a caller may take nothing of its answer.
+    /// Time after which a caller that reads nothing of its response is disconnected.
     pub fn write_timeout(&self) -> Duration {
         Duration::from_millis(self.write_timeout_ms)
     }
 
-    /// For how long memory is set aside at a time.
+    /// Lifetime of a reservation of engine memory, counted from each renewal.
     pub fn hold(&self) -> Duration {
         Duration::from_millis(self.memory_release_ms).mul_f64(HOLD)
     }
 
-    /// How often memory that is set aside is renewed.
+    /// Interval between renewals of a reservation.
     pub fn renewal(&self) -> Duration {
         Duration::from_millis(self.memory_release_ms).mul_f64(RENEW)
     }
 
-    /// How long an upstream may be silent for which others hold memory.
+    /// Time for which an upstream may send nothing while other upstreams have memory reserved for its
+    /// request.
     pub fn held_silence(&self) -> Duration {
         Duration::from_millis(self.memory_release_ms).mul_f64(HELD_SILENCE)
     }
 
-    /// The budget of repeated attempts.
+    /// Parameters of the retry budget.
     pub fn budget(&self) -> Parameters {
         Parameters {
             ratio: self.repeat_ratio,
@@ -112,30 +117,30 @@
         }
     }
 
-    /// The greatest age of the settings.
+    /// Maximum age of the settings while requests with an API key are served, if there is one.
     pub fn settings_age(&self) -> Option<Duration> {
         self.settings_age_ms.map(Duration::from_millis)
     }
 
-    /// The time to stop in.
+    /// Time between the signal to stop and the kill.
     pub fn stop(&self) -> Duration {
         Duration::from_millis(self.stop_ms)
     }
 }
 
-/// The configuration of a VM of a fleet.
+/// The complete configuration of a VM in a fleet.
 #[derive(Debug, Clone, Serialize)]
 pub struct Config {
-    /// The name of this VM.
+    /// Name of this VM.
     pub vm: id::Vm,
-    /// Its data hall.
+    /// Data hall of this VM.
     pub hall: id::Hall,
-    /// Where callers connect.
+    /// Address for callers.
     pub listen: SocketAddr,
-    /// The lowest level that is logged.
+    /// Minimum level of logged events.
     pub log_level: String,
-    /// The file that this was read from, read again on SIGHUP.
+    /// The configuration file, read again on SIGHUP.
     pub file: Option<std::path::PathBuf>,
-    /// The rest.
+    /// The `fleet` section.
     pub fleet: Fleet,
 }
