--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -1,5 +1,5 @@
-//! What operators, peers and the platform read: readiness, metrics, records, live decisions, the
-//! settings and a dump of the state.
+//! HTTP endpoints for operators, peers and the platform: readiness, metrics, request records, live
+//! decisions, settings, listings and a dump of the state.
 
 use std::convert::Infallible;
 use std::str::FromStr;
@@ -29,40 +29,41 @@
 use crate::fleet::unread::Cut;
 use crate::log;
 
-/// The path under which peers read the settings.
+/// Path of the settings, for peers.
 pub const SETTINGS: &str = "/settings";
 
-/// The path under which peers read the listings.
+/// Path of the listings, for peers.
 pub const LISTING: &str = "/listing";
 
-/// In the query of either: answered only where what is held here is newer than this.
+/// Query parameter of both paths: the response has a body only if this VM has a newer version or revision
+/// than the given one, and is 404 otherwise.
 pub const ABOVE: &str = "above=";
 
-/// The path under which an operator lets a request go; its fingerprint follows.
+/// Path prefix for the release of a quarantined request; its fingerprint follows.
 const RELEASE: &str = "/release/";
 
-/// The pause after a failed accept, for instance for want of descriptors.
+/// Pause after a failed accept, for example when no file descriptors are left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Records that a dump holds.
+/// Request records in a dump.
 const RECORDS: usize = 20;
 
-/// Lines that may wait for a slow watcher.
+/// Buffered lines for a slow reader of live decisions.
 const LINES: usize = 64;
 
-/// JSON, deflated.
+/// Content type of deflated JSON.
 const PACKED: &str = "application/octet-stream";
 const JSON: &str = "application/json";
 const TEXT: &str = "text/plain; charset=utf-8";
 const METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Answers whether this VM is ready, whatever the path.
+/// Serves readiness checks, on any path.
 pub async fn ready<D: Dialect>(process: Arc<Process<D>>, listener: TcpListener) {
     let answer = |process: &Arc<Process<D>>, _: Request<Incoming>| is_ready(process);
     accept(process, listener, answer).await;
 }
 
-/// Answers operators and peers.
+/// Serves operators and peers.
 pub async fn run<D: Dialect>(process: Arc<Process<D>>, listener: TcpListener) {
     let answer = |process: &Arc<Process<D>>, request: Request<Incoming>| route(process, &request);
     accept(process, listener, answer).await;
@@ -92,7 +93,7 @@
                 let answered = answer(&process, request);
                 async move { Ok::<_, Infallible>(answered) }
             });
-            // A reader that breaks off has its reasons.
+            // The client may close the connection at any time, so errors are ignored.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
@@ -117,16 +118,16 @@
         "/decisions" => decisions(process),
         SETTINGS => match process.settings() {
             Some(settings) if above(request).is_some_and(|v| settings.table.number() <= v) => {
-                answer::text(StatusCode::NOT_FOUND, TEXT, "none newer\n")
+                answer::text(StatusCode::NOT_FOUND, TEXT, "no newer version\n")
             }
             Some(settings) => {
                 let packed = process.packed_settings.get(settings.table.number(), &settings.text);
                 answer::text(StatusCode::OK, PACKED, packed)
             }
-            None => answer::text(StatusCode::NOT_FOUND, TEXT, "no settings yet\n"),
+            None => answer::text(StatusCode::NOT_FOUND, TEXT, "no settings loaded yet\n"),
         },
         LISTING if above(request).is_some_and(|revision| process.at() <= revision) => {
-            answer::text(StatusCode::NOT_FOUND, TEXT, "none newer\n")
+            answer::text(StatusCode::NOT_FOUND, TEXT, "no newer revision\n")
         }
         LISTING => {
             let text = serde_json::to_vec(&process.listing()).expect("plain data");
@@ -141,12 +142,12 @@
     }
 }
 
-/// What the asker has, if it says so.
+/// The version or revision that the client already has, if the query gives one.
 fn above<T: FromStr>(request: &Request<Incoming>) -> Option<T> {
     request.uri().query()?.strip_prefix(ABOVE)?.parse().ok()
 }
 
-/// Sets the gauges to what they measure now.
+/// Updates the gauges to current values.
 fn observe<D: Dialect>(process: &Process<D>) {
     let now = process.now();
     let metrics = &process.metrics;
@@ -168,25 +169,26 @@
             let text = serde_json::to_string(&record).expect("plain data");
             answer::text(StatusCode::OK, JSON, text)
         }
-        None => answer::text(StatusCode::NOT_FOUND, TEXT, "no record of this request here\n"),
+        None => answer::text(StatusCode::NOT_FOUND, TEXT, "no record of this request on this VM\n"),
     }
 }
 
-/// Lets a request go that is held: here at once, at all VMs as the directory tells them.
+/// Ends the quarantine of a request: on this VM at once, on the others when they read the change from the
+/// directory.
 fn release<D: Dialect>(process: &Process<D>, method: &Method, path: &str) -> Response<Body> {
     if *method != Method::POST {
-        return answer::text(StatusCode::METHOD_NOT_ALLOWED, TEXT, "ask with POST\n");
+        return answer::text(StatusCode::METHOD_NOT_ALLOWED, TEXT, "method not allowed, use POST\n");
     }
     let fingerprint = path.strip_prefix(RELEASE).map(str::parse::<Fingerprint>);
     let Some(Ok(fingerprint)) = fingerprint else {
-        return answer::text(StatusCode::BAD_REQUEST, TEXT, "that is no fingerprint\n");
+        return answer::text(StatusCode::BAD_REQUEST, TEXT, "invalid fingerprint\n");
     };
     let now = process.now();
     if !process.cluster.lock().unwrap().quarantine.release(fingerprint, now) {
-        return answer::text(StatusCode::NOT_FOUND, TEXT, "nothing is held against it here\n");
+        return answer::text(StatusCode::NOT_FOUND, TEXT, "no request with this fingerprint is quarantined on this VM\n");
     }
     process.register.order(Order::Release(fingerprint));
-    log::event(&process.log, Event::Released, format!("{fingerprint}, by an operator"));
+    log::event(&process.log, Event::Released, format!("{fingerprint}, released by an operator"));
     answer::text(StatusCode::OK, JSON, json!({"released": fingerprint}).to_string())
 }
 
@@ -247,7 +249,7 @@
     })
 }
 
-/// The rate limit of an upstream, with its age, source and recent use.
+/// The rate limit of an upstream with its age, source and recent use.
 fn rate_limit(cluster: &Cluster, upstream: &Upstream, now: Instant) -> Option<serde_json::Value> {
     let known = upstream.rate_limit.as_ref()?;
     let rate = known.limit.rate?;
@@ -259,7 +261,7 @@
     }))
 }
 
-/// Streams decisions as JSON lines until the watcher leaves.
+/// Streams decisions as JSON lines until the client disconnects.
 fn decisions<D: Dialect>(process: &Arc<Process<D>>) -> Response<Body> {
     let (lines, receiver) = mpsc::channel(LINES);
     tokio::spawn(feed(process.ring.subscribe(), lines));
