--- a/daemon/src/fleet/metrics.rs
+++ b/daemon/src/fleet/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a fleet's VM, with units in their names.
+//! Metrics of a VM in a fleet, with units in their names.
 
 use std::time::Duration;
 
@@ -13,36 +13,36 @@
 
 use crate::metrics::{ByKind, band};
 
-/// The labels of an answered request.
+/// Labels of a request with a response.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ByLength {
-    /// Whether a model answered, or a plain service.
+    /// `model` if the service has an engine, otherwise `plain`.
     pub target: &'static str,
-    /// The upper end of the band of prompt lengths.
+    /// Upper end of the band of prompt lengths.
     pub prompt_tokens: &'static str,
 }
 
 /// A call to the directory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Call {
-    /// A look who is listed, which may be seconds old.
+    /// Reads the listed VMs; the response may be seconds old.
     Look,
-    /// All that is listed is read.
+    /// Reads all listings.
     Read,
-    /// Changes are waited for.
+    /// Waits for changes.
     Watch,
-    /// Something is written.
+    /// Writes an entry.
     Write,
 }
 
-/// The label of a call to the directory.
+/// Label of a call to the directory.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ByCall {
     /// The call.
     pub call: Call,
 }
 
-/// What is read from a peer.
+/// A document that is read from a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Text {
     /// The settings.
@@ -51,51 +51,51 @@
     Listing,
 }
 
-/// The label of a read from a peer.
+/// Label of a read from a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ByText {
-    /// What is read.
+    /// The document.
     pub text: Text,
 }
 
-/// What is sent to an upstream.
+/// A message to an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Sent {
-    /// A request of a caller, whichever attempt it is.
+    /// A request of a caller, first attempt or retry.
     Request,
-    /// A part of a prompt that another engine answers.
+    /// A prefill part of a prompt whose response another engine generates.
     Part,
-    /// An order to set memory aside, renew it or give it back.
+    /// An order that reserves memory, renews a reservation or releases it.
     Order,
 }
 
-/// The label of what is sent to an upstream.
+/// Label of a message to an upstream.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct BySent {
-    /// What is sent.
+    /// The kind of message.
     pub sent: Sent,
 }
 
-/// Outcome of a request for which upstreams were at their rate limits.
+/// Outcome of a request when upstreams were at their rate limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Limited {
-    /// Placed at another upstream.
+    /// Sent to another upstream.
     Elsewhere,
-    /// Rejected, since all upstreams were.
+    /// Rejected because all upstreams were at their rate limits.
     Rejected,
 }
 
-/// The label of such an outcome.
+/// Label of an outcome under rate limits.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ByLimited {
     /// The outcome.
     pub limited: Limited,
 }
 
-/// The label of a decision on a repeat.
+/// Label of a decision on a retry.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ByVerdict {
-    /// Whether the budget granted it.
+    /// Whether the retry budget granted it.
     pub granted: &'static str,
 }
 
@@ -104,65 +104,65 @@
     registry: Registry,
     /// Requests that arrived.
     pub requests: Counter,
-    /// Answers that are not a success, by kind.
+    /// Error responses by kind.
     pub errors: Family<ByKind, Counter>,
-    /// Seconds to the first event or whole answer.
+    /// Seconds to the first event or the complete response.
     pub first: Family<ByLength, Histogram>,
-    /// Predicted over real time to the first event.
+    /// Predicted divided by measured time to the first event.
     pub prediction: Histogram,
-    /// Requests sent again.
+    /// Retries.
     pub retries: Counter,
-    /// Repeats that the fleet's retry budget granted or refused.
+    /// Retries that the fleet's retry budget granted or denied.
     pub budgeted: Family<ByVerdict, Counter>,
-    /// Streams that went on elsewhere.
+    /// Streams resumed at another upstream.
     pub resumed: Counter,
     /// Connections opened to upstreams.
     pub connections: Counter,
-    /// Calls to the directory, by kind; a range of many pages is one.
+    /// Calls to the directory by kind. A range of several pages counts as one.
     pub directory_calls: Family<ByCall, Counter>,
     /// Calls to the directory that failed.
     pub directory_failures: Counter,
-    /// Messages sent to peers.
+    /// Heartbeats sent to peers.
     pub beats: Counter,
     /// Bytes of the datagrams sent to peers.
     pub peer_bytes: Counter,
-    /// Texts read from peers.
+    /// Documents read from peers.
     pub peer_reads: Family<ByText, Counter>,
-    /// Reports asked for at engines.
+    /// Reports requested from engines.
     pub reports: Counter,
-    /// What else is sent to upstreams, by kind.
+    /// Other messages to upstreams by kind.
     pub upstream_messages: Family<BySent, Counter>,
-    /// Times that the directory came back from an older copy of itself.
+    /// Times that the directory was restored from an older copy.
     pub restored: Counter,
-    /// Requests for which upstreams were at their rate limits.
+    /// Requests for which upstreams were at their rate limits, by outcome.
     pub rate_limited: Family<ByLimited, Counter>,
-    /// Upstreams that name a rate limit.
+    /// Upstreams with a rate limit.
     pub limited_upstreams: Gauge,
-    /// Answers in which an upstream says of itself that it leaves, wants a rest or takes only so much.
+    /// Responses in which an upstream announces that it is leaving, requests a backoff or sets a rate limit.
     pub notices: Counter,
-    /// Upstreams that ended under a request of this VM; one counts for each request.
+    /// Crashes of upstreams during requests of this VM, counted once for each request.
     pub ended_under: Counter,
-    /// Requests that were held since an upstream ended which they had to themselves.
+    /// Requests that were quarantined after a solo crash.
     pub held: Counter,
-    /// Requests that are held or run alone, as far as this VM knows.
+    /// Requests that are quarantined or run isolated, as recorded on this VM.
     pub suspects: Gauge,
-    /// Entries of the directory that name nothing to use, each version of one.
+    /// Directory entries that cannot be decoded; each version of an entry counts.
     pub unreadable: Counter,
     /// Data halls that are drained.
     pub drained_halls: Gauge,
-    /// Answers given up since their callers read too slowly.
+    /// Responses aborted because their callers read too slowly.
     pub given_up: Counter,
-    /// Bytes of answers that callers have not read.
+    /// Response bytes that callers have not read.
     pub unread: Gauge,
-    /// Requests that wait for this VM to place them.
+    /// Requests queued at this VM's scheduler.
     pub line: Gauge,
-    /// The settings version in force.
+    /// Settings version in force.
     pub version: Gauge,
-    /// The age of the settings, ms.
+    /// Age of the settings, ms; -1 before they are first confirmed.
     pub age_ms: Gauge,
-    /// Attempts under way.
+    /// In-flight attempts of this VM.
     pub flights: Gauge,
-    /// Peers that are heard.
+    /// Peers that are up and not leaving.
     pub peers: Gauge,
 }
 
@@ -209,32 +209,32 @@
 }
 
 impl Metrics {
-    /// A call to the directory begins.
+    /// Counts a call to the directory.
     pub fn called(&self, call: Call) {
         self.directory_calls.get_or_create(&ByCall { call }).inc();
     }
 
-    /// Calls to the directory of a kind.
+    /// Returns the number of calls of a kind to the directory.
     pub fn calls(&self, call: Call) -> u64 {
         self.directory_calls.get_or_create(&ByCall { call }).get()
     }
 
-    /// Messages of a kind are sent to upstreams.
+    /// Counts messages of a kind to upstreams.
     pub fn sent(&self, sent: Sent, count: usize) {
         self.upstream_messages.get_or_create(&BySent { sent }).inc_by(count as u64);
     }
 
-    /// Texts read from peers of a kind.
+    /// Returns the number of documents of a kind read from peers.
     pub fn reads(&self, text: Text) -> u64 {
         self.peer_reads.get_or_create(&ByText { text }).get()
     }
 
-    /// A text is read from a peer.
+    /// Counts a document read from a peer.
     pub fn peer_read(&self, text: Text) {
         self.peer_reads.get_or_create(&ByText { text }).inc();
     }
 
-    /// The budget has granted or refused a repeat.
+    /// Counts a retry that the retry budget granted or denied.
     pub fn repeat_decided(&self, granted: bool) {
         let granted = if granted { "true" } else { "false" };
         self.budgeted.get_or_create(&ByVerdict { granted }).inc();
@@ -285,19 +285,19 @@
         r.register("peers", "Peers that are heard", self.peers.clone());
     }
 
-    /// Counts an answer that is not a success.
+    /// Counts an error response.
     pub fn error(&self, kind: Kind) {
         self.errors.get_or_create(&ByKind { kind: kind.as_str() }).inc();
     }
 
-    /// Observes the time to the first event, or to a whole answer.
+    /// Observes the time to the first event or the complete response.
     pub fn answered(&self, service: &Service, prompt_tokens: u64, first: Duration) {
         let target = if service.engine.is_some() { "model" } else { "plain" };
         let labels = ByLength { target, prompt_tokens: band(prompt_tokens) };
         self.first.get_or_create(&labels).observe(first.as_secs_f64());
     }
 
-    /// Observes a prediction against what came.
+    /// Observes the predicted relative to the measured time to the first event.
     pub fn predicted(&self, predicted_ms: f64, real: Duration) {
         let real_ms = real.as_secs_f64() * 1e3;
         if real_ms > 0.0 {
@@ -305,11 +305,11 @@
         }
     }
 
-    /// The metrics as text, in the OpenMetrics format.
+    /// Encodes the metrics in the OpenMetrics text format.
     pub fn encode(&self) -> String {
         let mut text = String::new();
         let encoded = prometheus_client::encoding::text::encode(&mut text, &self.registry);
-        encoded.expect("strings take all text");
+        encoded.expect("writing to a string cannot fail");
         text
     }
 }
