--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -1,9 +1,9 @@
-//! A VM of a fleet whose settings, upstreams and VMs are listed in a directory: it serves routes by
-//! host and path, with opaque bodies.
+//! A VM of a fleet. It serves routes selected by host and path, treats bodies as opaque, and reads
+//! settings, upstreams and VMs from a directory.
 //!
-//! What talks to the platform comes in through two traits: [`Dialect`] for heads and [`Directory`]
-//! for what the platform keeps. A request's walk goes one way: [`callers`], [`serve`], [`admit`],
-//! [`gate`] (placement), [`attempt`], then [`events`] or a whole answer.
+//! Two traits adapt it to the platform: [`Dialect`] for HTTP headers and [`Directory`] for stored
+//! entries. A request passes through [`callers`], [`serve`], [`admit`], [`gate`] (placement),
+//! [`attempt`] and then [`events`], unless its response is not a stream.
 
 pub mod admit;
 pub mod affiliation;
@@ -66,7 +66,8 @@
 use config::Config;
 use process::Process;
 
-/// Serves until the signal to stop, and then until all requests have ended.
+/// Serves until the process receives the signal to stop, then until all requests have ended or the stop
+/// timeout expires.
 pub async fn run<D: Dialect, R: Directory>(
     config: Config,
     directory: R,
@@ -87,7 +88,7 @@
     Ok(())
 }
 
-/// Binds the listeners and starts the tasks of a process.
+/// Binds the listeners and starts all tasks of the process.
 pub async fn start<D: Dialect, R: Directory>(
     config: Config,
     directory: R,
