--- a/daemon/tests/soak/caller.rs
+++ b/daemon/tests/soak/caller.rs
@@ -290,7 +290,7 @@
                 key: crate::KEY,
                 time: STREAM,
                 prompt: SHORT,
-                body: server::DEADLY,
+                body: server::CRASH_BODY,
             };
             let wait = STREAM + SLACK * 4;
             let _ = tokio::time::timeout(wait, exchange(&mut connection, call.encode())).await;
--- a/daemon/tests/soak/fault.rs
+++ b/daemon/tests/soak/fault.rs
@@ -191,7 +191,7 @@
 pub(crate) async fn end_servers(world: Arc<World>, seed: u64) {
     let mut draw = StdRng::seed_from_u64(seed);
     loop {
-        let server = world.book.ends().await;
+        let server = world.book.next_crash().await;
         let down = Duration::from_millis(draw.random_range(200..1_500));
         tokio::spawn(end_server(world.clone(), server, down));
     }
@@ -306,7 +306,7 @@
 
 /// A server that left got no new work later than [`DRAIN`], if all VMs and the store were in touch.
 fn check_drained(world: &World, id: &str, said: Instant) {
-    for (request, run) in world.book.all() {
+    for (request, run) in world.book.all_runs() {
         let late = run.server == id && run.at > said + DRAIN;
         if late && world.all_in_touch(said, run.at) {
             let after = run.at - said;
--- a/daemon/tests/soak/main.rs
+++ b/daemon/tests/soak/main.rs
@@ -244,9 +244,9 @@
 /// Once all callers have left, servers work on nothing and hold no memory.
 async fn nothing_is_left(world: &World) {
     let left = Instant::now();
-    while world.book.working() > 0 || world.tickets() > 0 {
-        if world.book.working() > 0 && left.elapsed() > LEFT {
-            world.note(format!("{} requests are worked on for nobody", world.book.working()));
+    while world.book.running() > 0 || world.tickets() > 0 {
+        if world.book.running() > 0 && left.elapsed() > LEFT {
+            world.note(format!("{} requests are worked on for nobody", world.book.running()));
             return;
         }
         if left.elapsed() > RELEASE {
@@ -296,7 +296,7 @@
     few_end(world);
     words_are_kept(world);
     limits::are_kept(world);
-    for (id, run) in world.book.all() {
+    for (id, run) in world.book.all_runs() {
         if run.organisation.as_deref() == Some("gone") && run.at > taken + REVOKE {
             let after = run.at - taken;
             world.note(format!("{id} ran {after:?} after its key was taken away"));
@@ -362,7 +362,7 @@
 fn few_end(world: &World) {
     let mut reached: Vec<(Instant, String)> = world
         .book
-        .all()
+        .all_runs()
         .into_iter()
         .filter(|(id, _)| id.starts_with(DEADLY))
         .map(|(_, run)| (run.at, run.server))
--- a/daemon/tests/soak/world.rs
+++ b/daemon/tests/soak/world.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, Weak};
 use std::time::{Duration, Instant};
 
-use foldlock_platform_standin::server::{Book, Server, Word};
+use foldlock_platform_standin::server::{Journal, Server, Word};
 use foldlock_platform_standin::store::{Entry, Store};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -85,7 +85,7 @@
 /// All of it.
 pub(crate) struct World {
     pub(crate) store: Store,
-    pub(crate) book: Arc<Book>,
+    pub(crate) book: Arc<Journal>,
     pub(crate) vms: Vec<Vm>,
     pub(crate) places: Vec<Place>,
     /// What should not have happened.
@@ -200,7 +200,7 @@
         let store = Store::default();
         store.desire(settings);
         let store_served = store.serve().await;
-        let book = Arc::new(Book::default());
+        let book = Arc::new(Journal::default());
         let mut places = Vec::new();
         for (service, count) in SERVICES {
             for index in 0..count {
@@ -348,7 +348,7 @@
     NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed)
 }
 
-async fn place(service: &'static str, index: usize, book: &Arc<Book>) -> Place {
+async fn place(service: &'static str, index: usize, book: &Arc<Journal>) -> Place {
     let id = format!("{service}-{index}");
     let server = Server::new(&id, book.clone());
     let served = server.serve().await;
