--- a/daemon/tests/soak/fault.rs
+++ b/daemon/tests/soak/fault.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use foldlock_platform_standin::server::Word;
+use foldlock_platform_standin::server::Notice;
 use foldlock_platform_standin::store::Mood;
 use nix::sys::signal::Signal;
 use rand::rngs::StdRng;
@@ -261,10 +261,10 @@
 /// A server refuses all that it is sent, and asks for rest.
 async fn rest(world: &World, place: usize, time: Duration) {
     let id = world.places[place].id();
-    world.places[place].say(Word { rest: Some(time), ..Word::default() });
+    world.places[place].say(Notice { backoff: Some(time), ..Notice::default() });
     tokio::time::sleep(time).await;
     if world.places[place].id() == id {
-        world.places[place].say(Word::default());
+        world.places[place].say(Notice::default());
     }
 }
 
@@ -287,7 +287,7 @@
 /// A server says that it leaves, in its answers and perhaps its entry, serves on for a while, and is replaced.
 async fn drain(world: &World, place: usize, listed: bool) {
     let id = world.places[place].id();
-    world.places[place].say(Word { leaving: true, ..Word::default() });
+    world.places[place].say(Notice { leaving: true, ..Notice::default() });
     if listed {
         world.list(&world.places[place], true);
     }
--- a/daemon/tests/soak/limits.rs
+++ b/daemon/tests/soak/limits.rs
@@ -26,8 +26,8 @@
     }
     let mut limited = 0;
     for (server, arrivals) in &by_server {
-        for of_one in arrivals.chunk_by(|a, b| a.word.limit == b.word.limit) {
-            let Some(rate) = of_one[0].word.limit else { continue };
+        for of_one in arrivals.chunk_by(|a, b| a.notice.rate_limit == b.notice.rate_limit) {
+            let Some(rate) = of_one[0].notice.rate_limit else { continue };
             limited += 1;
             let counted = counted(world, of_one);
             if let Some((at, came)) = busiest(&counted).filter(|(_, came)| *came > most(rate)) {
--- a/daemon/tests/soak/main.rs
+++ b/daemon/tests/soak/main.rs
@@ -326,7 +326,7 @@
         let name = &world.vms[vm].name;
         for (index, told) in arrivals.iter().enumerate() {
             let later = &arrivals[index + 1..];
-            if told.word.leaving {
+            if told.notice.leaving {
                 leaving += 1;
                 let late =
                     |a: &&Arrival| a.sent > told.at + LEFT_ALONE && ran_on(world, vm, told, a);
@@ -337,7 +337,7 @@
                     ));
                 }
             }
-            let Some(rest) = told.word.rest else { continue };
+            let Some(rest) = told.notice.backoff else { continue };
             rests += 1;
             let within = |a: &&Arrival| {
                 let after = a.at - told.at;
--- a/daemon/tests/soak/world.rs
+++ b/daemon/tests/soak/world.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex, Weak};
 use std::time::{Duration, Instant};
 
-use foldlock_platform_standin::server::{Journal, Server, Word};
+use foldlock_platform_standin::server::{Journal, Notice, Server};
 use foldlock_platform_standin::store::{Entry, Store};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -183,12 +183,12 @@
 impl Place {
     /// The server names this rate limit from now on.
     pub(crate) fn limit(&self, rate: Option<f64>) {
-        self.instance.lock().unwrap().server.limit(rate);
+        self.instance.lock().unwrap().server.set_rate_limit(rate);
     }
 
     /// The server says this of itself from now on.
-    pub(crate) fn say(&self, word: Word) {
-        self.instance.lock().unwrap().server.say(word);
+    pub(crate) fn say(&self, notice: Notice) {
+        self.instance.lock().unwrap().server.set_notice(notice);
     }
 }
 
@@ -275,7 +275,10 @@
 
     /// Memory that is set aside at servers that live.
     pub(crate) fn tickets(&self) -> usize {
-        self.places.iter().map(|place| place.instance.lock().unwrap().server.tickets()).sum()
+        self.places
+            .iter()
+            .map(|place| place.instance.lock().unwrap().server.reservation_count())
+            .sum()
     }
 
     /// Notes what should not have happened.
