--- a/daemon/tests/soak/fault.rs
+++ b/daemon/tests/soak/fault.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use foldlock_platform_standin::server::Notice;
-use foldlock_platform_standin::store::Mood;
+use foldlock_platform_standin::store::Behaviour;
 use nix::sys::signal::Signal;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -51,7 +51,7 @@
     LeaveUnheard(usize),
     /// A server refuses all for so long and asks for as much rest.
     Rest(usize, Duration),
-    Store(Mood, Duration),
+    Store(Behaviour, Duration),
     Forget,
     /// The store comes back from a copy of this age.
     Restore(Duration),
@@ -97,9 +97,14 @@
     [Link::Slow(delay), Link::Silent, Link::OneWay, Link::Reset][draw.random_range(0..4)]
 }
 
-fn mood(draw: &mut StdRng) -> Mood {
+fn mood(draw: &mut StdRng) -> Behaviour {
     let delay = Duration::from_millis(draw.random_range(20..400));
-    [Mood::Busy, Mood::Silent, Mood::LosesAnswers, Mood::Slow(delay)][draw.random_range(0..4)]
+    [
+        Behaviour::Unavailable,
+        Behaviour::Unresponsive,
+        Behaviour::DropsResponses,
+        Behaviour::Slow(delay),
+    ][draw.random_range(0..4)]
 }
 
 /// Plays faults for so long, or planned work alone, and returns once the last one has ended.
@@ -164,12 +169,12 @@
         Fault::Restore(age) => restore(&world, age).await,
         Fault::Store(mood, time) => {
             let number = world.disturb(Part::Store);
-            world.store.set(mood);
+            world.store.set_behaviour(mood);
             tokio::time::sleep(time).await;
-            world.store.set(Mood::Sound);
+            world.store.set_behaviour(Behaviour::Normal);
             world.calm(number);
         }
-        Fault::Forget => world.store.forget(),
+        Fault::Forget => world.store.compact(),
     }
 }
 
@@ -270,13 +275,13 @@
 
 /// The store is away for a moment and comes back from a copy. The servers write themselves again.
 async fn restore(world: &World, age: Duration) {
-    let copy = world.store.copy();
+    let copy = world.store.snapshot();
     tokio::time::sleep(age).await;
     let number = world.disturb(Part::Store);
-    world.store.set(Mood::Busy);
+    world.store.set_behaviour(Behaviour::Unavailable);
     tokio::time::sleep(AWAY).await;
     world.store.restore(copy);
-    world.store.set(Mood::Sound);
+    world.store.set_behaviour(Behaviour::Normal);
     tokio::time::sleep(WRITTEN_AGAIN).await;
     world.list_again();
     tokio::time::sleep(LAPSE).await;
--- a/daemon/tests/soak/main.rs
+++ b/daemon/tests/soak/main.rs
@@ -172,10 +172,10 @@
 /// Takes a key away, then adds a route and asks each VM for it. Gives when the key was taken away.
 async fn change(world: Arc<World>, time: Duration) -> Instant {
     tokio::time::sleep(time / 5).await;
-    world.store.desire(&desired(TAKEN));
+    world.store.put_settings(&desired(TAKEN));
     let taken = Instant::now();
     tokio::time::sleep(time / 5).await;
-    world.store.desire(&desired(ADDED));
+    world.store.put_settings(&desired(ADDED));
     let added = Instant::now();
     let mut served = [0; VMS];
     while added.elapsed() < time * 2 / 5 {
--- a/daemon/tests/soak/world.rs
+++ b/daemon/tests/soak/world.rs
@@ -198,7 +198,7 @@
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).unwrap();
         let store = Store::default();
-        store.desire(settings);
+        store.put_settings(settings);
         let store_served = store.serve().await;
         let book = Arc::new(Journal::default());
         let mut places = Vec::new();
@@ -242,7 +242,7 @@
     pub(crate) fn list(&self, place: &Place, leaving: bool) {
         place.instance.lock().unwrap().leaving = leaving;
         let entry = Entry { service: place.service, address: place.link.address, leaving };
-        self.store.list(&place.id(), &entry);
+        self.store.put_server(&place.id(), &entry);
     }
 
     /// Servers write their entries again, as they do after the store has come back from a copy; those of
@@ -258,7 +258,7 @@
     pub(crate) fn lapse(&self) {
         let living: Vec<String> = self.places.iter().map(Place::id).collect();
         let ended = self.store.servers().into_iter().filter(|id| !living.contains(id));
-        ended.for_each(|id| self.store.unlist(&id));
+        ended.for_each(|id| self.store.remove_server(&id));
     }
 
     /// A new instance takes over a place; the one before it ends at once.
@@ -269,7 +269,7 @@
         place.link.lead_to(served.address);
         let next = Instance { id, server, leaving: false, _served: served };
         let before = std::mem::replace(&mut *place.instance.lock().unwrap(), next);
-        self.store.unlist(&before.id);
+        self.store.remove_server(&before.id);
         self.list(place, false);
     }
 
