--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -177,7 +177,11 @@
 /// directory.
 fn release<D: Dialect>(process: &Process<D>, method: &Method, path: &str) -> Response<Body> {
     if *method != Method::POST {
-        return answer::text(StatusCode::METHOD_NOT_ALLOWED, TEXT, "method not allowed, use POST\n");
+        return answer::text(
+            StatusCode::METHOD_NOT_ALLOWED,
+            TEXT,
+            "method not allowed, use POST\n",
+        );
     }
     let fingerprint = path.strip_prefix(RELEASE).map(str::parse::<Fingerprint>);
     let Some(Ok(fingerprint)) = fingerprint else {
@@ -185,7 +189,11 @@
     };
     let now = process.now();
     if !process.cluster.lock().unwrap().quarantine.release(fingerprint, now) {
-        return answer::text(StatusCode::NOT_FOUND, TEXT, "no request with this fingerprint is quarantined on this VM\n");
+        return answer::text(
+            StatusCode::NOT_FOUND,
+            TEXT,
+            "no request with this fingerprint is quarantined on this VM\n",
+        );
     }
     process.register.order(Order::Release(fingerprint));
     log::event(&process.log, Event::Released, format!("{fingerprint}, released by an operator"));
