--- a/daemon/src/fleet/admit.rs
+++ b/daemon/src/fleet/admit.rs
@@ -114,7 +114,7 @@
     let Some(settings) = process.settings() else {
         let error = refuse(Kind::StoreUnavailable, "there are no settings yet");
         // Where keys have to be confirmed, VMs with settings refuse as well while the directory is away.
-        let confirmed = process.config.fleet.settings_age().is_some();
+        let confirmed = process.config.fleet.max_settings_age().is_some();
         let cause = if confirmed { Cause::StaleSettings } else { Cause::NoSettings };
         return Err(error.retry_after(cause.retry_after(time)));
     };
--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -115,7 +115,7 @@
 /// How long an attempt may go without its answer or first event before the request goes elsewhere.
 fn patience<D: Dialect>(job: &Job<D>, placement: &Placement, tries: &Tries) -> Duration {
     if placement.flight.has_reservations() {
-        return job.process.config.fleet.held_silence();
+        return job.process.config.fleet.reserved_silence_timeout();
     }
     let last = tries.ran + 1 >= job.route.attempts || placement.candidates < 2;
     if last || !job.repeatable() {
--- a/daemon/src/fleet/config.rs
+++ b/daemon/src/fleet/config.rs
@@ -65,16 +65,16 @@
 
 /// Lifetime of a reservation, as a share of the release time. If a VM crashes, its reservations lapse
 /// within the release time.
-const HOLD: f64 = 0.85;
+const RESERVATION_SHARE: f64 = 0.85;
 
 /// Renewal interval of a reservation, as a share of the release time: two renewals fall into the
 /// lifetime.
-const RENEW: f64 = 0.35;
+const RENEWAL_SHARE: f64 = 0.35;
 
 /// Time for which an upstream may send nothing while other upstreams have memory reserved for its
 /// request, as a share of the release time. The upstream may have crashed when it fell silent, and the
 /// memory must be released within the remaining share.
-const HELD_SILENCE: f64 = 0.6;
+const RESERVED_SILENCE_SHARE: f64 = 0.6;
 
 impl Fleet {
     /// Processor share of this VM, thousandths of a core.
@@ -93,19 +93,19 @@
     }
 
     /// Lifetime of a reservation of engine memory, counted from each renewal.
-    pub fn hold(&self) -> Duration {
-        Duration::from_millis(self.memory_release_ms).mul_f64(HOLD)
+    pub fn reservation_time(&self) -> Duration {
+        Duration::from_millis(self.memory_release_ms).mul_f64(RESERVATION_SHARE)
     }
 
     /// Interval between renewals of a reservation.
-    pub fn renewal(&self) -> Duration {
-        Duration::from_millis(self.memory_release_ms).mul_f64(RENEW)
+    pub fn renewal_interval(&self) -> Duration {
+        Duration::from_millis(self.memory_release_ms).mul_f64(RENEWAL_SHARE)
     }
 
     /// Time for which an upstream may send nothing while other upstreams have memory reserved for its
     /// request.
-    pub fn held_silence(&self) -> Duration {
-        Duration::from_millis(self.memory_release_ms).mul_f64(HELD_SILENCE)
+    pub fn reserved_silence_timeout(&self) -> Duration {
+        Duration::from_millis(self.memory_release_ms).mul_f64(RESERVED_SILENCE_SHARE)
     }
 
     /// Parameters of the retry budget.
@@ -118,12 +118,12 @@
     }
 
     /// Maximum age of the settings while requests with an API key are served, if there is one.
-    pub fn settings_age(&self) -> Option<Duration> {
+    pub fn max_settings_age(&self) -> Option<Duration> {
         self.settings_age_ms.map(Duration::from_millis)
     }
 
     /// Time between the signal to stop and the kill.
-    pub fn stop(&self) -> Duration {
+    pub fn stop_timeout(&self) -> Duration {
         Duration::from_millis(self.stop_ms)
     }
 }
--- a/daemon/src/fleet/events.rs
+++ b/daemon/src/fleet/events.rs
@@ -202,7 +202,7 @@
     if source.hold.is_empty() {
         silence
     } else {
-        silence.min(job.process.config.fleet.held_silence())
+        silence.min(job.process.config.fleet.reserved_silence_timeout())
     }
 }
 
--- a/daemon/src/fleet/hold.rs
+++ b/daemon/src/fleet/hold.rs
@@ -58,7 +58,7 @@
         let start = |r: &Reservation| notices::start(&job.process, &r.upstream);
         let starts: Vec<Tag> = reservations.iter().map(start).collect();
         let memory = &job.process.memory;
-        let time = job.process.config.fleet.hold();
+        let time = job.process.config.fleet.reservation_time();
         reservations.iter().for_each(|reservation| note_order(&job.process, reservation));
         let sent = job.process.now();
         let answers = join_all(reservations.iter().map(|r| memory.reserve(r, time))).await;
@@ -124,7 +124,7 @@
 
 async fn renew<D: Dialect>(process: Arc<Process<D>>, reservations: Arc<Vec<Reservation>>) {
     loop {
-        tokio::time::sleep(process.config.fleet.renewal()).await;
+        tokio::time::sleep(process.config.fleet.renewal_interval()).await;
         join_all(reservations.iter().map(|r| renew_one(&process, r))).await;
     }
 }
@@ -143,7 +143,7 @@
     process: &Process<D>,
     reservation: &Reservation,
 ) -> Result<(), memory::Failure> {
-    let time = process.config.fleet.hold();
+    let time = process.config.fleet.reservation_time();
     let start = notices::start(process, &reservation.upstream);
     note_order(process, reservation);
     let sent = process.now();
--- a/daemon/src/fleet/job.rs
+++ b/daemon/src/fleet/job.rs
@@ -122,7 +122,7 @@
             excluded,
             connected: self.connected(),
             hall: self.process.member.hall.clone(),
-            reservation_timeout: self.process.config.fleet.held_silence(),
+            reservation_timeout: self.process.config.fleet.reserved_silence_timeout(),
             fingerprint: self.fingerprint,
             offset: 0,
             schedulers: 1,
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -173,7 +173,7 @@
             listing_lines: Volume::new(volume::LISTING, clock.now()),
             metrics: Metrics::default(),
             ring: Ring::new(RECORDS),
-            fresh: Fresh::new(config.fleet.settings_age()),
+            fresh: Fresh::new(config.fleet.max_settings_age()),
             cluster: Mutex::default(),
             scheduler: Mutex::new(Scheduler::new(config.fleet.budget())),
             affiliation: Mutex::default(),
@@ -296,7 +296,7 @@
 
     /// Whether a stop has progressed so far that a new request might not end before the process is killed.
     pub fn closing(&self) -> bool {
-        let left = self.config.fleet.stop().mul_f64(SERVED_STOPPING);
+        let left = self.config.fleet.stop_timeout().mul_f64(SERVED_STOPPING);
         self.stopped.get().is_some_and(|at| self.now().saturating_duration_since(*at) > left)
     }
 
@@ -362,7 +362,9 @@
                 self.scheduler.lock().unwrap().budget.set(fleet.budget());
                 "retry budget parameters reloaded".to_owned()
             }
-            Some(Err(e)) => format!("configuration file not reloaded, keeping the previous configuration: {e}"),
+            Some(Err(e)) => {
+                format!("configuration file not reloaded, keeping the previous configuration: {e}")
+            }
             None => "no configuration file to reload".to_owned(),
         };
         log::event(&self.log, Event::Reloaded, what);
--- a/daemon/src/fleet/stop.rs
+++ b/daemon/src/fleet/stop.rs
@@ -31,7 +31,7 @@
     withdraw::leave(process, directory).await;
     tokio::time::sleep(LINGER.saturating_sub(process.now() - began)).await;
     process.tasks.close();
-    let until = began + process.config.fleet.stop().saturating_sub(MARGIN);
+    let until = began + process.config.fleet.stop_timeout().saturating_sub(MARGIN);
     let last_answers = until - LAST_ANSWERS;
     if tokio::time::timeout_at(last_answers.into(), process.tasks.wait()).await.is_err() {
         process.ending.cancel();
--- a/daemon/tests/deploy.rs
+++ b/daemon/tests/deploy.rs
@@ -63,7 +63,7 @@
     assert_eq!(config.listen.to_string(), "10.1.0.40:8227");
     assert_eq!(config.fleet.peers.to_string(), "10.1.0.40:7340");
     assert_eq!(config.fleet.settings_age_ms, Some(5_000));
-    assert_eq!(config.fleet.stop().as_secs(), 8);
+    assert_eq!(config.fleet.stop_timeout().as_secs(), 8);
     assert_eq!(config.fleet.memory_release_ms, 3_000);
     assert_eq!(config.fleet.budget().slack, 100.0);
     assert_eq!(config.fleet.millicores(), 120);
@@ -75,7 +75,7 @@
     let mut fields = sample();
     fields["Bounds"]["StrictRevoke"] = json!(false);
     let Mode::Fleet(config) = read(&fields) else { panic!("not a fleet's") };
-    assert_eq!(config.fleet.settings_age(), None);
+    assert_eq!(config.fleet.max_settings_age(), None);
 }
 
 #[test]
