--- a/daemon/src/fleet/catch_up.rs
+++ b/daemon/src/fleet/catch_up.rs
@@ -103,10 +103,15 @@
     let Some(near) = process.peers.neighbour(process.now()) else { return false };
     let path = match source {
         Source::Settings(_) => {
-            format!("{}?{}{}", operators::SETTINGS, operators::ABOVE, process.version())
+            format!(
+                "{}?{}{}",
+                operators::SETTINGS_PATH,
+                operators::NEWER_THAN_QUERY,
+                process.version()
+            )
         }
         Source::Listing(_) => {
-            format!("{}?{}{}", operators::LISTING, operators::ABOVE, process.at())
+            format!("{}?{}{}", operators::LISTING_PATH, operators::NEWER_THAN_QUERY, process.at())
         }
     };
     let Ok(text) = read(near, &path, NEAR_READ_TIMEOUT).await else { return false };
@@ -119,8 +124,8 @@
     source: Source,
 ) -> Result<(), String> {
     let (peer, path) = match source {
-        Source::Settings(peer) => (peer, operators::SETTINGS),
-        Source::Listing(peer) => (peer, operators::LISTING),
+        Source::Settings(peer) => (peer, operators::SETTINGS_PATH),
+        Source::Listing(peer) => (peer, operators::LISTING_PATH),
     };
     let text = read(peer, path, READ_TIMEOUT).await?;
     take(process, directory, &source, peer, text)
--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -30,29 +30,29 @@
 use crate::log;
 
 /// Path of the settings, for peers.
-pub const SETTINGS: &str = "/settings";
+pub const SETTINGS_PATH: &str = "/settings";
 
 /// Path of the listings, for peers.
-pub const LISTING: &str = "/listing";
+pub const LISTING_PATH: &str = "/listing";
 
 /// Query parameter of both paths: the response has a body only if this VM has a newer version or revision
 /// than the given one, and is 404 otherwise.
-pub const ABOVE: &str = "above=";
+pub const NEWER_THAN_QUERY: &str = "above=";
 
 /// Path prefix for the release of a quarantined request; its fingerprint follows.
-const RELEASE: &str = "/release/";
+const RELEASE_PATH: &str = "/release/";
 
 /// Pause after a failed accept, for example when no file descriptors are left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Request records in a dump.
-const RECORDS: usize = 20;
+const MAX_DUMP_RECORDS: usize = 20;
 
 /// Buffered lines for a slow reader of live decisions.
-const LINES: usize = 64;
+const LINE_BUFFER: usize = 64;
 
 /// Content type of deflated JSON.
-const PACKED: &str = "application/octet-stream";
+const DEFLATED_JSON: &str = "application/octet-stream";
 const JSON: &str = "application/json";
 const TEXT: &str = "text/plain; charset=utf-8";
 const METRICS: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
@@ -90,8 +90,8 @@
         let process = process.clone();
         tokio::spawn(async move {
             let service = service_fn(|request| {
-                let answered = answer(&process, request);
-                async move { Ok::<_, Infallible>(answered) }
+                let response = answer(&process, request);
+                async move { Ok::<_, Infallible>(response) }
             });
             // The client may close the connection at any time, so errors are ignored.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
@@ -111,30 +111,31 @@
     match path {
         "/ready" => is_ready(process),
         "/metrics" => {
-            observe(process);
+            update_gauges(process);
             answer::text(StatusCode::OK, METRICS, process.metrics.encode())
         }
         "/dump" => answer::text(StatusCode::OK, JSON, dump(process).to_string()),
         "/decisions" => decisions(process),
-        SETTINGS => match process.settings() {
-            Some(settings) if above(request).is_some_and(|v| settings.table.number() <= v) => {
+        SETTINGS_PATH => match process.settings() {
+            Some(settings) if newer_than(request).is_some_and(|v| settings.table.number() <= v) => {
                 answer::text(StatusCode::NOT_FOUND, TEXT, "no newer version\n")
             }
             Some(settings) => {
-                let packed = process.packed_settings.get(settings.table.number(), &settings.text);
-                answer::text(StatusCode::OK, PACKED, packed)
+                let compressed =
+                    process.packed_settings.get(settings.table.number(), &settings.text);
+                answer::text(StatusCode::OK, DEFLATED_JSON, compressed)
             }
             None => answer::text(StatusCode::NOT_FOUND, TEXT, "no settings loaded yet\n"),
         },
-        LISTING if above(request).is_some_and(|revision| process.at() <= revision) => {
+        LISTING_PATH if newer_than(request).is_some_and(|revision| process.at() <= revision) => {
             answer::text(StatusCode::NOT_FOUND, TEXT, "no newer revision\n")
         }
-        LISTING => {
+        LISTING_PATH => {
             let text = serde_json::to_vec(&process.listing()).expect("plain data");
-            let of = xxh3_64(&text);
-            answer::text(StatusCode::OK, PACKED, process.packed_listing.get(of, &text))
+            let digest = xxh3_64(&text);
+            answer::text(StatusCode::OK, DEFLATED_JSON, process.packed_listing.get(digest, &text))
         }
-        _ if path.starts_with(RELEASE) => release(process, request.method(), path),
+        _ if path.starts_with(RELEASE_PATH) => release(process, request.method(), path),
         _ => match path.strip_prefix("/why/").map(str::parse::<id::Request>) {
             Some(Ok(request)) => why(process, &request),
             _ => answer::text(StatusCode::NOT_FOUND, TEXT, "no such path\n"),
@@ -143,12 +144,12 @@
 }
 
 /// The version or revision that the client already has, if the query gives one.
-fn above<T: FromStr>(request: &Request<Incoming>) -> Option<T> {
-    request.uri().query()?.strip_prefix(ABOVE)?.parse().ok()
+fn newer_than<T: FromStr>(request: &Request<Incoming>) -> Option<T> {
+    request.uri().query()?.strip_prefix(NEWER_THAN_QUERY)?.parse().ok()
 }
 
 /// Updates the gauges to current values.
-fn observe<D: Dialect>(process: &Process<D>) {
+fn update_gauges<D: Dialect>(process: &Process<D>) {
     let now = process.now();
     let metrics = &process.metrics;
     let age = process.fresh.age(process.moment()).map_or(-1, |age| age.as_millis() as i64);
@@ -183,7 +184,7 @@
             "method not allowed, use POST\n",
         );
     }
-    let fingerprint = path.strip_prefix(RELEASE).map(str::parse::<Fingerprint>);
+    let fingerprint = path.strip_prefix(RELEASE_PATH).map(str::parse::<Fingerprint>);
     let Some(Ok(fingerprint)) = fingerprint else {
         return answer::text(StatusCode::BAD_REQUEST, TEXT, "invalid fingerprint\n");
     };
@@ -234,12 +235,12 @@
             })
         })
         .collect();
-    let held: Vec<_> = cluster.quarantined().collect();
+    let quarantined: Vec<_> = cluster.quarantined().collect();
     let drained: Vec<_> = cluster.halls().drained().collect();
     json!({
         "drained_halls": drained,
         "suspects": suspects,
-        "held": held,
+        "held": quarantined,
         "unreadable": process.unreadable.all(),
         "config": process.config,
         "ready": process.ready(),
@@ -253,30 +254,33 @@
         "idle_connections": process.pool.len(),
         "unread": process.unread.dump(),
         "upstreams": upstreams,
-        "records": process.ring.newest(RECORDS),
+        "records": process.ring.newest(MAX_DUMP_RECORDS),
     })
 }
 
 /// The rate limit of an upstream with its age, source and recent use.
 fn rate_limit(cluster: &Cluster, upstream: &Upstream, now: Instant) -> Option<serde_json::Value> {
-    let known = upstream.rate_limit.as_ref()?;
-    let rate = known.limit.rate?;
+    let limited = upstream.rate_limit.as_ref()?;
+    let rate = limited.limit.rate?;
     let second = Duration::from_secs(1);
     Some(json!({
-        "rate": rate, "version": known.limit.version, "source": known.source,
-        "since_ms": now.saturating_duration_since(known.limited_since).as_millis() as u64,
+        "rate": rate, "version": limited.limit.version, "source": limited.source,
+        "since_ms": now.saturating_duration_since(limited.limited_since).as_millis() as u64,
         "sent_last_second": cluster.sent_within(&upstream.listed.id, second, now),
     }))
 }
 
 /// Streams decisions as JSON lines until the client disconnects.
 fn decisions<D: Dialect>(process: &Arc<Process<D>>) -> Response<Body> {
-    let (lines, receiver) = mpsc::channel(LINES);
-    tokio::spawn(feed(process.ring.subscribe(), lines));
+    let (lines, receiver) = mpsc::channel(LINE_BUFFER);
+    tokio::spawn(forward_decisions(process.ring.subscribe(), lines));
     Response::new(Body::Lines(receiver))
 }
 
-async fn feed(mut decisions: broadcast::Receiver<Item>, lines: mpsc::Sender<Result<Bytes, Cut>>) {
+async fn forward_decisions(
+    mut decisions: broadcast::Receiver<Item>,
+    lines: mpsc::Sender<Result<Bytes, Cut>>,
+) {
     loop {
         let line = tokio::select! {
             line = decisions.recv() => line,
