--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -159,8 +159,8 @@
     }
     let request = request(job, placement, &hold.helpers(&grant), last_event);
     let sent = job.process.now();
-    job.process.metrics.sent(Sent::Request, 1);
-    job.process.metrics.sent(Sent::Part, placement.flight.helpers.len());
+    job.process.metrics.count_upstream_messages(Sent::Request, 1);
+    job.process.metrics.count_upstream_messages(Sent::Part, placement.flight.helpers.len());
     let answer = match channel.send(request).await {
         Ok(answer) => answer,
         Err(Failure::Refused(why) | Failure::Unsent(why)) => return End::Unsent(why),
--- a/daemon/src/fleet/catch_up.rs
+++ b/daemon/src/fleet/catch_up.rs
@@ -140,11 +140,11 @@
 ) -> Result<(), String> {
     match source {
         Source::Settings(_) => {
-            process.metrics.peer_read(Text::Settings);
+            process.metrics.count_peer_read(Text::Settings);
             process.take_settings(directory.decode(text)?, &format!("peer {from}"));
         }
         Source::Listing(_) => {
-            process.metrics.peer_read(Text::Listing);
+            process.metrics.count_peer_read(Text::Listing);
             let listing = serde_json::from_slice(&text).map_err(|e| {
                 format!("cannot decode the directory listing received from VM {from}: {e}")
             })?;
--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -326,7 +326,7 @@
 /// An entry names nothing to use; logged once for each version of it.
 fn unreadable<D: Dialect>(process: &Process<D>, key: &str, revision: Revision, why: &str) {
     if process.unreadable.note(key, revision, why) {
-        process.metrics.unreadable.inc();
+        process.metrics.unreadable_entries.inc();
         log::event(&process.log, Event::EntryUnreadable, format!("{key} at {revision}: {why}"));
     }
 }
--- a/daemon/src/fleet/ending.rs
+++ b/daemon/src/fleet/ending.rs
@@ -67,7 +67,7 @@
     drop(cluster);
     tell::tell_scheduler(&job.process);
     job.process.pool.forget(&upstream);
-    job.process.metrics.ended_under.inc();
+    job.process.metrics.crashes.inc();
     job.record(Decision::Crashed { upstream, crashes: known, isolated: alone });
     if let Some(held) = held {
         hold(job, held);
@@ -80,7 +80,7 @@
 fn hold<D: Dialect>(job: &Job<D>, status: Status) {
     let Status { solo_crashes: proofs, remaining, crashes } = status;
     let held_ms = remaining.as_millis() as u64;
-    job.process.metrics.held.inc();
+    job.process.metrics.quarantined.inc();
     job.record(Decision::Quarantined { quarantine_ms: held_ms, solo_crashes: proofs });
     job.process.register.order(Order::Hold(QuarantineEntry {
         fingerprint: job.fingerprint,
--- a/daemon/src/fleet/events.rs
+++ b/daemon/src/fleet/events.rs
@@ -100,7 +100,7 @@
     let mut passed = Passed { last: job.terms.last_event, ..Passed::default() };
     let first_token = job.held();
     let engine = job.process.now().saturating_duration_since(source.sent);
-    job.process.metrics.predicted(source.predicted_ms, engine);
+    job.process.metrics.observe_prediction(source.predicted_ms, engine);
     let mut parts = first;
     loop {
         let ended = pump(&job, &mut source, parts, &mut passed, &sink).await;
@@ -142,7 +142,7 @@
 }
 
 fn failed<D: Dialect>(job: &Job<D>, kind: Kind, why: String) {
-    job.process.metrics.error(kind);
+    job.process.metrics.count_error(kind);
     job.record(Decision::Failed { kind, ran: Ran::Yes, why });
 }
 
@@ -226,7 +226,7 @@
             grant = gate::place(job, tries, true) => grant.ok()?,
             _ = sink.closed() => return None,
         };
-        job.process.metrics.resumed.inc();
+        job.process.metrics.resumed_streams.inc();
         from = grant.placement.flight.upstream.clone();
         let end = tokio::select! {
             end = attempt::run(job, grant, Some(last), tries) => end,
--- a/daemon/src/fleet/follow.rs
+++ b/daemon/src/fleet/follow.rs
@@ -98,7 +98,7 @@
         }
         let asked = process.moment();
         let from = contact.from(process.at());
-        process.metrics.called(if from.is_some() { Call::Watch } else { Call::Read });
+        process.metrics.count_directory_call(if from.is_some() { Call::Watch } else { Call::Read });
         let answer = match from {
             Some(at) => tokio::select! {
                 answer = directory.watch(at, WATCH_TIMEOUT) => answer,
@@ -256,7 +256,7 @@
         return false;
     }
     process.note_restored();
-    process.metrics.restored.inc();
+    process.metrics.directory_restores.inc();
     let what = format!("known to {known}, now at {at}, by {from}");
     log::event(&process.log, Event::DirectoryRestored, what);
     tokio::spawn(list_again(process.clone()));
@@ -299,7 +299,7 @@
 pub async fn announce<D: Dialect, R: Directory>(process: Arc<Process<D>>, directory: R) {
     let mut pause = RETRY_INTERVAL;
     loop {
-        process.metrics.called(Call::Write);
+        process.metrics.count_directory_call(Call::Write);
         let Err(fault) = directory.register(&process.member).await else { break };
         log::event(
             &process.log,
--- a/daemon/src/fleet/hold.rs
+++ b/daemon/src/fleet/hold.rs
@@ -154,7 +154,7 @@
 
 /// Counts an order that is about to be sent.
 fn note_order<D: Dialect>(process: &Process<D>, reservation: &Reservation) {
-    process.metrics.sent(Sent::Order, 1);
+    process.metrics.count_upstream_messages(Sent::Order, 1);
     process.cluster.lock().unwrap().record_unscheduled(&reservation.upstream, process.now());
 }
 
--- a/daemon/src/fleet/join.rs
+++ b/daemon/src/fleet/join.rs
@@ -79,7 +79,7 @@
     let mut pause = RETRY_INTERVAL;
     let mut failures = 0;
     while !process.stopping.is_cancelled() {
-        process.metrics.called(Call::Look);
+        process.metrics.count_directory_call(Call::Look);
         match directory.members(prefix).await {
             Ok(changes) => {
                 if failures > 0 {
--- a/daemon/src/fleet/metrics.rs
+++ b/daemon/src/fleet/metrics.rs
@@ -107,15 +107,15 @@
     /// Error responses by kind.
     pub errors: Family<ByKind, Counter>,
     /// Seconds to the first event or the complete response.
-    pub first: Family<ByLength, Histogram>,
+    pub first_event_seconds: Family<ByLength, Histogram>,
     /// Predicted divided by measured time to the first event.
-    pub prediction: Histogram,
+    pub prediction_ratio: Histogram,
     /// Retries.
     pub retries: Counter,
     /// Retries that the fleet's retry budget granted or denied.
-    pub budgeted: Family<ByVerdict, Counter>,
+    pub budgeted_retries: Family<ByVerdict, Counter>,
     /// Streams resumed at another upstream.
-    pub resumed: Counter,
+    pub resumed_streams: Counter,
     /// Connections opened to upstreams.
     pub connections: Counter,
     /// Calls to the directory by kind. A range of several pages counts as one.
@@ -123,45 +123,45 @@
     /// Calls to the directory that failed.
     pub directory_failures: Counter,
     /// Heartbeats sent to peers.
-    pub beats: Counter,
+    pub heartbeats: Counter,
     /// Bytes of the datagrams sent to peers.
     pub peer_bytes: Counter,
     /// Documents read from peers.
     pub peer_reads: Family<ByText, Counter>,
     /// Reports requested from engines.
-    pub reports: Counter,
+    pub engine_reports: Counter,
     /// Other messages to upstreams by kind.
     pub upstream_messages: Family<BySent, Counter>,
     /// Times that the directory was restored from an older copy.
-    pub restored: Counter,
+    pub directory_restores: Counter,
     /// Requests for which upstreams were at their rate limits, by outcome.
     pub rate_limited: Family<ByLimited, Counter>,
     /// Upstreams with a rate limit.
     pub limited_upstreams: Gauge,
     /// Responses in which an upstream announces that it is leaving, requests a backoff or sets a rate limit.
-    pub notices: Counter,
+    pub upstream_notices: Counter,
     /// Crashes of upstreams during requests of this VM, counted once for each request.
-    pub ended_under: Counter,
+    pub crashes: Counter,
     /// Requests that were quarantined after a solo crash.
-    pub held: Counter,
+    pub quarantined: Counter,
     /// Requests that are quarantined or run isolated, as recorded on this VM.
     pub suspects: Gauge,
     /// Directory entries that cannot be decoded; each version of an entry counts.
-    pub unreadable: Counter,
+    pub unreadable_entries: Counter,
     /// Data halls that are drained.
     pub drained_halls: Gauge,
     /// Responses aborted because their callers read too slowly.
-    pub given_up: Counter,
+    pub aborted_responses: Counter,
     /// Response bytes that callers have not read.
-    pub unread: Gauge,
+    pub unread_bytes: Gauge,
     /// Requests queued at this VM's scheduler.
-    pub line: Gauge,
+    pub queue_len: Gauge,
     /// Settings version in force.
-    pub version: Gauge,
+    pub settings_version: Gauge,
     /// Age of the settings, ms; -1 before they are first confirmed.
-    pub age_ms: Gauge,
+    pub settings_age_ms: Gauge,
     /// In-flight attempts of this VM.
-    pub flights: Gauge,
+    pub attempts: Gauge,
     /// Peers that are up and not leaving.
     pub peers: Gauge,
 }
@@ -173,34 +173,34 @@
             registry: Registry::with_prefix("foldlock"),
             requests: Counter::default(),
             errors: Family::default(),
-            first: Family::new_with_constructor(seconds),
-            prediction: Histogram::new(exponential_buckets(0.0625, 1.414, 20)),
+            first_event_seconds: Family::new_with_constructor(seconds),
+            prediction_ratio: Histogram::new(exponential_buckets(0.0625, 1.414, 20)),
             retries: Counter::default(),
-            budgeted: Family::default(),
-            resumed: Counter::default(),
+            budgeted_retries: Family::default(),
+            resumed_streams: Counter::default(),
             connections: Counter::default(),
             directory_calls: Family::default(),
             directory_failures: Counter::default(),
-            beats: Counter::default(),
+            heartbeats: Counter::default(),
             peer_bytes: Counter::default(),
             peer_reads: Family::default(),
-            reports: Counter::default(),
+            engine_reports: Counter::default(),
             upstream_messages: Family::default(),
-            restored: Counter::default(),
+            directory_restores: Counter::default(),
             rate_limited: Family::default(),
             limited_upstreams: Gauge::default(),
-            notices: Counter::default(),
-            ended_under: Counter::default(),
-            held: Counter::default(),
+            upstream_notices: Counter::default(),
+            crashes: Counter::default(),
+            quarantined: Counter::default(),
             suspects: Gauge::default(),
-            unreadable: Counter::default(),
+            unreadable_entries: Counter::default(),
             drained_halls: Gauge::default(),
-            given_up: Counter::default(),
-            unread: Gauge::default(),
-            line: Gauge::default(),
-            version: Gauge::default(),
-            age_ms: Gauge::default(),
-            flights: Gauge::default(),
+            aborted_responses: Counter::default(),
+            unread_bytes: Gauge::default(),
+            queue_len: Gauge::default(),
+            settings_version: Gauge::default(),
+            settings_age_ms: Gauge::default(),
+            attempts: Gauge::default(),
             peers: Gauge::default(),
         };
         metrics.register();
@@ -210,98 +210,114 @@
 
 impl Metrics {
     /// Counts a call to the directory.
-    pub fn called(&self, call: Call) {
+    pub fn count_directory_call(&self, call: Call) {
         self.directory_calls.get_or_create(&ByCall { call }).inc();
     }
 
     /// Returns the number of calls of a kind to the directory.
-    pub fn calls(&self, call: Call) -> u64 {
+    pub fn directory_call_count(&self, call: Call) -> u64 {
         self.directory_calls.get_or_create(&ByCall { call }).get()
     }
 
     /// Counts messages of a kind to upstreams.
-    pub fn sent(&self, sent: Sent, count: usize) {
+    pub fn count_upstream_messages(&self, sent: Sent, count: usize) {
         self.upstream_messages.get_or_create(&BySent { sent }).inc_by(count as u64);
     }
 
     /// Returns the number of documents of a kind read from peers.
-    pub fn reads(&self, text: Text) -> u64 {
+    pub fn peer_read_count(&self, text: Text) -> u64 {
         self.peer_reads.get_or_create(&ByText { text }).get()
     }
 
     /// Counts a document read from a peer.
-    pub fn peer_read(&self, text: Text) {
+    pub fn count_peer_read(&self, text: Text) {
         self.peer_reads.get_or_create(&ByText { text }).inc();
     }
 
     /// Counts a retry that the retry budget granted or denied.
-    pub fn repeat_decided(&self, granted: bool) {
+    pub fn count_retry_decision(&self, granted: bool) {
         let granted = if granted { "true" } else { "false" };
-        self.budgeted.get_or_create(&ByVerdict { granted }).inc();
+        self.budgeted_retries.get_or_create(&ByVerdict { granted }).inc();
     }
 
     fn register(&mut self) {
         let r = &mut self.registry;
         r.register("requests", "Requests that arrived", self.requests.clone());
         r.register("errors", "Answers that are not a success", self.errors.clone());
-        r.register("first_event_seconds", "Time to the first event", self.first.clone());
-        r.register("prediction_ratio", "Predicted over real time", self.prediction.clone());
+        r.register(
+            "first_event_seconds",
+            "Time to the first event",
+            self.first_event_seconds.clone(),
+        );
+        r.register("prediction_ratio", "Predicted over real time", self.prediction_ratio.clone());
         r.register("retries", "Requests sent again", self.retries.clone());
         let what = "Repeats that the fleet's retry budget granted or refused";
-        r.register("budgeted_repeats", what, self.budgeted.clone());
-        r.register("resumed_streams", "Streams that went on elsewhere", self.resumed.clone());
+        r.register("budgeted_repeats", what, self.budgeted_retries.clone());
+        r.register(
+            "resumed_streams",
+            "Streams that went on elsewhere",
+            self.resumed_streams.clone(),
+        );
         r.register("connections", "Connections opened to upstreams", self.connections.clone());
         r.register("directory_calls", "Calls to the directory", self.directory_calls.clone());
         r.register("directory_failures", "Failed calls to it", self.directory_failures.clone());
-        r.register("peer_messages", "Messages sent to peers", self.beats.clone());
+        r.register("peer_messages", "Messages sent to peers", self.heartbeats.clone());
         let what = "Bytes of the datagrams sent to peers";
         r.register("peer_sent_bytes", what, self.peer_bytes.clone());
         r.register("peer_reads", "Texts read from peers", self.peer_reads.clone());
-        r.register("engine_reports", "Reports asked for at engines", self.reports.clone());
+        r.register("engine_reports", "Reports asked for at engines", self.engine_reports.clone());
         let what = "Requests, parts and orders sent to upstreams";
         r.register("upstream_messages", what, self.upstream_messages.clone());
         let what = "Times that the directory came back from an older copy";
-        r.register("directory_restored", what, self.restored.clone());
+        r.register("directory_restored", what, self.directory_restores.clone());
         let what = "Requests for which upstreams were at their rate limits";
         r.register("rate_limited_requests", what, self.rate_limited.clone());
         let what = "Upstreams that name a rate limit";
         r.register("limited_upstreams", what, self.limited_upstreams.clone());
         let what = "Answers whose upstream says that it leaves, wants a rest or takes only so much";
-        r.register("upstream_notices", what, self.notices.clone());
+        r.register("upstream_notices", what, self.upstream_notices.clone());
         let what = "Requests under which an upstream ended";
-        r.register("upstream_endings", what, self.ended_under.clone());
-        r.register("quarantined", "Requests kept from all upstreams", self.held.clone());
+        r.register("upstream_endings", what, self.crashes.clone());
+        r.register("quarantined", "Requests kept from all upstreams", self.quarantined.clone());
         r.register("suspects", "Requests that are held or run alone", self.suspects.clone());
         let what = "Entries of the directory that name nothing to use";
-        r.register("unreadable_entries", what, self.unreadable.clone());
+        r.register("unreadable_entries", what, self.unreadable_entries.clone());
         r.register("drained_halls", "Data halls that are drained", self.drained_halls.clone());
         let what = "Answers given up since their callers read too slowly";
-        r.register("answers_given_up", what, self.given_up.clone());
-        r.register("unread_bytes", "Bytes that callers have not read", self.unread.clone());
-        r.register("waiting", "Requests of all VMs that wait for a place here", self.line.clone());
-        r.register("settings_version", "The settings version in force", self.version.clone());
-        r.register("settings_age_ms", "Age of the settings", self.age_ms.clone());
-        r.register("attempts", "Attempts under way", self.flights.clone());
+        r.register("answers_given_up", what, self.aborted_responses.clone());
+        r.register("unread_bytes", "Bytes that callers have not read", self.unread_bytes.clone());
+        r.register(
+            "waiting",
+            "Requests of all VMs that wait for a place here",
+            self.queue_len.clone(),
+        );
+        r.register(
+            "settings_version",
+            "The settings version in force",
+            self.settings_version.clone(),
+        );
+        r.register("settings_age_ms", "Age of the settings", self.settings_age_ms.clone());
+        r.register("attempts", "Attempts under way", self.attempts.clone());
         r.register("peers", "Peers that are heard", self.peers.clone());
     }
 
     /// Counts an error response.
-    pub fn error(&self, kind: Kind) {
+    pub fn count_error(&self, kind: Kind) {
         self.errors.get_or_create(&ByKind { kind: kind.as_str() }).inc();
     }
 
     /// Observes the time to the first event or the complete response.
-    pub fn answered(&self, service: &Service, prompt_tokens: u64, first: Duration) {
+    pub fn observe_response(&self, service: &Service, prompt_tokens: u64, first: Duration) {
         let target = if service.engine.is_some() { "model" } else { "plain" };
         let labels = ByLength { target, prompt_tokens: band(prompt_tokens) };
-        self.first.get_or_create(&labels).observe(first.as_secs_f64());
+        self.first_event_seconds.get_or_create(&labels).observe(first.as_secs_f64());
     }
 
     /// Observes the predicted relative to the measured time to the first event.
-    pub fn predicted(&self, predicted_ms: f64, real: Duration) {
+    pub fn observe_prediction(&self, predicted_ms: f64, real: Duration) {
         let real_ms = real.as_secs_f64() * 1e3;
         if real_ms > 0.0 {
-            self.prediction.observe(predicted_ms / real_ms);
+            self.prediction_ratio.observe(predicted_ms / real_ms);
         }
     }
 
--- a/daemon/src/fleet/notices.rs
+++ b/daemon/src/fleet/notices.rs
@@ -31,7 +31,7 @@
     if notice.is_empty() {
         return;
     }
-    process.metrics.notices.inc();
+    process.metrics.upstream_notices.inc();
     if notice.leaving {
         leaves(process, start, &process.member.vm);
     }
--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -153,14 +153,14 @@
     let now = process.now();
     let metrics = &process.metrics;
     let age = process.fresh.age(process.moment()).map_or(-1, |age| age.as_millis() as i64);
-    metrics.age_ms.set(age);
+    metrics.settings_age_ms.set(age);
     let cluster = process.cluster.lock().unwrap();
-    metrics.flights.set(cluster.own_attempts().count() as i64);
-    metrics.unread.set(process.unread.bytes() as i64);
+    metrics.attempts.set(cluster.own_attempts().count() as i64);
+    metrics.unread_bytes.set(process.unread.bytes() as i64);
     metrics.limited_upstreams.set(cluster.limited_count() as i64);
     metrics.suspects.set(cluster.quarantine.suspects(now).count() as i64);
     drop(cluster);
-    metrics.line.set(process.scheduler.lock().unwrap().queue_len() as i64);
+    metrics.queue_len.set(process.scheduler.lock().unwrap().queue_len() as i64);
     metrics.peers.set(process.peers.heard(now).len() as i64);
 }
 
--- a/daemon/src/fleet/outcome.rs
+++ b/daemon/src/fleet/outcome.rs
@@ -58,7 +58,7 @@
 pub fn finished<D: Dialect>(job: &Arc<Job<D>>, streamed: Option<Streamed>) {
     ending::answered(job);
     let first = streamed.map_or_else(|| job.held(), |s| s.first);
-    job.process.metrics.answered(&job.service, job.terms.prompt.0, first);
+    job.process.metrics.observe_response(&job.service, job.terms.prompt.0, first);
     job.record(Decision::Finished {
         first_token_ms: millis(first),
         engine_ms: millis(streamed.map_or(first, |s| s.engine)),
@@ -70,7 +70,7 @@
 /// Notes answers that were given up, since their callers read too slowly for the memory of this VM.
 pub fn given_up<D: Dialect>(process: &Process<D>, answers: Vec<GivenUp>) {
     for GivenUp { request, bytes } in answers {
-        process.metrics.given_up.inc();
+        process.metrics.aborted_responses.inc();
         if process.trouble_lines.admit(process.now()).is_some() {
             let all = process.unread.bytes();
             let what = format!("{request}: {bytes} bytes unread, {all} of the others");
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -277,7 +277,7 @@
         *current = Some(Arc::new(settings));
         drop(current);
         self.applied.notify_waiters();
-        self.metrics.version.set(number as i64);
+        self.metrics.settings_version.set(number as i64);
         log::event(&self.log, Event::VersionInForce, format!("version {number} from {from}"));
         self.tell_all();
     }
--- a/daemon/src/fleet/reports.rs
+++ b/daemon/src/fleet/reports.rs
@@ -89,7 +89,7 @@
     }
     let at = process.now();
     let start = notices::start(&process, &listed.id);
-    process.metrics.reports.inc();
+    process.metrics.engine_reports.inc();
     let Annotated { notice, value: answer } =
         process.reports.report(&listed.id, &listed.address).await;
     notices::heard(&process, &listed.id, start, at, notice);
--- a/daemon/src/fleet/serve.rs
+++ b/daemon/src/fleet/serve.rs
@@ -49,7 +49,7 @@
         Err(error) => Err(error),
     };
     Ok(answered.unwrap_or_else(|error| {
-        process.metrics.error(error.kind());
+        process.metrics.count_error(error.kind());
         answer::error(&error, &id)
     }))
 }
--- a/daemon/src/fleet/tell.rs
+++ b/daemon/src/fleet/tell.rs
@@ -97,7 +97,7 @@
         };
         send(process, &Message::Heartbeat(beat), target.address);
     }
-    process.metrics.beats.inc_by(targets.len() as u64);
+    process.metrics.heartbeats.inc_by(targets.len() as u64);
 }
 
 /// Sends a message. A full or closed way loses it, as the network may: beats say the same again, and
--- a/daemon/src/fleet/tries.rs
+++ b/daemon/src/fleet/tries.rs
@@ -63,7 +63,7 @@
     pub fn placed<D: Dialect>(&mut self, job: &Job<D>) {
         if self.charge() == Charge::Withdraw {
             self.granted += 1;
-            job.process.metrics.repeat_decided(true);
+            job.process.metrics.count_retry_decision(true);
         }
         self.begun = true;
         if let Some(Failure { upstream, why }) = self.failure.take() {
@@ -76,7 +76,7 @@
     pub fn unplaced<D: Dialect>(&mut self, job: &Job<D>, rejection: &Rejection) {
         let budget = match rejection {
             Rejection::OverBudget(exhausted) => {
-                job.process.metrics.repeat_decided(false);
+                job.process.metrics.count_retry_decision(false);
                 Some(*exhausted)
             }
             _ => None,
--- a/daemon/src/fleet/withdraw.rs
+++ b/daemon/src/fleet/withdraw.rs
@@ -58,7 +58,7 @@
 }
 
 async fn withdraw<D: Dialect, R: Directory>(process: &Process<D>, directory: &R, vms: &[id::Vm]) {
-    process.metrics.called(Call::Write);
+    process.metrics.count_directory_call(Call::Write);
     match tokio::time::timeout(WITHDRAW, directory.withdraw(vms)).await {
         Ok(Ok(())) => {}
         Ok(Err(fault)) => {
--- a/daemon/src/fleet/writer.rs
+++ b/daemon/src/fleet/writer.rs
@@ -49,7 +49,7 @@
 async fn write<D: Dialect, R: Directory>(process: &Process<D>, directory: &R, order: &Order) {
     let mut pause = RETRY;
     while !process.stopping.is_cancelled() && !is_moot(process, order) {
-        process.metrics.called(Call::Write);
+        process.metrics.count_directory_call(Call::Write);
         match carry_out(process, directory, order).await {
             Ok(()) => return,
             Err(fault) => {
