--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -39,18 +39,18 @@
 
 /// Time after the start in which requests wait for settings. VMs that start together have received
 /// theirs by then.
-const STARTING: Duration = Duration::from_millis(500);
+const STARTUP_WINDOW: Duration = Duration::from_millis(500);
 
 /// Request records kept in memory: one minute at 8 requests per second, less than 1 MB.
-const RECORDS: usize = 512;
+const MAX_RECORDS: usize = 512;
 
 /// Share of the stop timeout in which new requests are still accepted. They arrive on connections
 /// that the platform opened before it noticed that this VM is not ready, which takes about 2 of 8 s.
 /// A long stream of 5 s that starts in this time ends before the process is killed.
-const SERVED_STOPPING: f64 = 0.3;
+const ACCEPT_SHARE: f64 = 0.3;
 
 /// Interval between checks for expired idle connections.
-const SWEEP: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The shared state of one process.
 pub struct Process<D: Dialect> {
@@ -172,7 +172,7 @@
             trouble_lines: Volume::new(volume::TROUBLE, clock.now()),
             listing_lines: Volume::new(volume::LISTING, clock.now()),
             metrics: Metrics::default(),
-            ring: Ring::new(RECORDS),
+            ring: Ring::new(MAX_RECORDS),
             fresh: Fresh::new(config.fleet.max_settings_age()),
             cluster: Mutex::default(),
             scheduler: Mutex::new(Scheduler::new(config.fleet.budget())),
@@ -239,7 +239,7 @@
 
     /// Waits for a condition on the settings until startup is over.
     async fn wait_at_start(&self, is_met: impl Fn() -> bool) {
-        let left = STARTING.saturating_sub(self.peers.age(self.now()));
+        let remaining = STARTUP_WINDOW.saturating_sub(self.peers.age(self.now()));
         let met = async {
             loop {
                 let changed = self.applied.notified();
@@ -250,7 +250,7 @@
             }
         };
         // The result is ignored: the caller checks the condition again.
-        let _ = tokio::time::timeout(left, met).await;
+        let _ = tokio::time::timeout(remaining, met).await;
     }
 
     /// Records that the settings in force were the newest ones at this moment.
@@ -296,8 +296,8 @@
 
     /// Whether a stop has progressed so far that a new request might not end before the process is killed.
     pub fn closing(&self) -> bool {
-        let left = self.config.fleet.stop_timeout().mul_f64(SERVED_STOPPING);
-        self.stopped.get().is_some_and(|at| self.now().saturating_duration_since(*at) > left)
+        let accept_time = self.config.fleet.stop_timeout().mul_f64(ACCEPT_SHARE);
+        self.stopped.get().is_some_and(|at| self.now().saturating_duration_since(*at) > accept_time)
     }
 
     /// The directory revision up to which changes of the listings have been received. Unset before the first
@@ -329,11 +329,11 @@
     pub fn listing(&self) -> Listing {
         let cluster = self.cluster.lock().unwrap();
         let upstreams = cluster.peer_listings(self.now()).collect();
-        let held = cluster.quarantined().cloned().collect();
+        let quarantined = cluster.quarantined().cloned().collect();
         let halls = cluster.halls().clone();
         drop(cluster);
         let members = self.peers.members();
-        Listing { revision: self.at(), upstreams, members, quarantined: held, halls }
+        Listing { revision: self.at(), upstreams, members, quarantined, halls }
     }
 
     /// A generated id for a request whose own id is missing or invalid.
@@ -403,7 +403,7 @@
 /// Closes expired idle connections until the process stops.
 pub async fn sweep<D: Dialect>(process: Arc<Process<D>>) {
     while !process.stopping.is_cancelled() {
-        tokio::time::sleep(SWEEP).await;
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         process.pool.sweep(process.now());
     }
 }
