--- a/daemon/src/fleet/beats.rs
+++ b/daemon/src/fleet/beats.rs
@@ -48,7 +48,7 @@
     let mut due = true;
     loop {
         let cadence = process.peers.cadence();
-        let next = told.next(due, process.tell_all.load(Ordering::Relaxed), cadence);
+        let next = told.next(due, process.announce_to_all.load(Ordering::Relaxed), cadence);
         tokio::select! {
             heard = process.socket.recv_from(&mut buffer) => {
                 if let Ok((length, from)) = heard {
@@ -57,13 +57,13 @@
                 }
                 // Else a peer's port is closed; its silence is noticed below.
             }
-            () = process.tell.notified(), if !due => due = true,
+            () = process.announce.notified(), if !due => due = true,
             () = tokio::time::sleep_until(next.into()) => {
                 let now = process.now();
                 drop_silent(&process, now);
-                let round = told.round(process.tell_all.load(Ordering::Relaxed), cadence, now);
+                let round = told.round(process.announce_to_all.load(Ordering::Relaxed), cadence, now);
                 if round == Round::All {
-                    process.tell_all.store(false, Ordering::Relaxed);
+                    process.announce_to_all.store(false, Ordering::Relaxed);
                 }
                 // What the spare ones have not heard yet, the next round tells.
                 due = false;
@@ -180,7 +180,7 @@
     let room = cluster.merge_flights(&state.vm, &work.flights, granted, now);
     drop(cluster);
     if room || !work.suspects.is_empty() {
-        process.room.notify_one();
+        process.cluster_changed.notify_one();
     }
 }
 
--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -165,7 +165,7 @@
     change_log.add(event, format!("{}, by revision {}", hall.name, hall.revision));
     let drained = process.cluster.lock().unwrap().halls().drained().count();
     process.metrics.drained_halls.set(drained as i64);
-    process.room.notify_one();
+    process.cluster_changed.notify_one();
 }
 
 /// A copy of the directory lacks requests that were held since it was made: the VM that had the proof writes
@@ -297,7 +297,7 @@
     if leaving {
         process.pool.forget(&id);
     }
-    process.room.notify_one();
+    process.cluster_changed.notify_one();
 }
 
 fn quarantined<D: Dialect>(
@@ -309,7 +309,7 @@
     let wall_ms = process.clock.wall_millis();
     if process.cluster.lock().unwrap().list_quarantined(entry, process.now(), wall_ms) {
         change_log.add(Event::Quarantined, what);
-        process.room.notify_one();
+        process.cluster_changed.notify_one();
     }
 }
 
--- a/daemon/src/fleet/ending.rs
+++ b/daemon/src/fleet/ending.rs
@@ -72,8 +72,8 @@
     if let Some(held) = held {
         hold(job, held);
     }
-    job.process.tell.notify_one();
-    job.process.room.notify_one();
+    job.process.announce.notify_one();
+    job.process.cluster_changed.notify_one();
 }
 
 /// The request is held from now on: the directory is to tell all VMs, and those that start later.
@@ -108,6 +108,6 @@
     if listed {
         job.process.register.order(Order::Release(fingerprint));
     }
-    job.process.tell.notify_one();
-    job.process.room.notify_one();
+    job.process.announce.notify_one();
+    job.process.cluster_changed.notify_one();
 }
--- a/daemon/src/fleet/follow.rs
+++ b/daemon/src/fleet/follow.rs
@@ -103,7 +103,7 @@
             Some(at) => tokio::select! {
                 answer = directory.watch(at, WATCH_TIMEOUT) => answer,
                 // What it told before may have ended in that time.
-                () = process.woke.notified() => {
+                () = process.after_suspension.notified() => {
                     contact.forget();
                     continue;
                 }
@@ -227,7 +227,7 @@
     contact.settle(process.restored(RESTORE_PERIOD));
     let is_told = process.peers.told_by_others(now) >= at;
     if changed && !is_told {
-        process.tell_all();
+        process.announce_to_all();
     }
 }
 
--- a/daemon/src/fleet/members.rs
+++ b/daemon/src/fleet/members.rs
@@ -16,7 +16,7 @@
     if news == News::Renewed {
         process.cluster.lock().unwrap().remove_peer(&vm, process.now());
     }
-    process.tell.notify_one();
+    process.announce.notify_one();
     true
 }
 
--- a/daemon/src/fleet/notices.rs
+++ b/daemon/src/fleet/notices.rs
@@ -58,8 +58,8 @@
     process.pool.forget(&upstream);
     let what = format!("{upstream}, by its answer to {heard_by}");
     log::event(&process.log, Event::UpstreamLeaving, what);
-    process.tell_all();
-    process.room.notify_one();
+    process.announce_to_all();
+    process.cluster_changed.notify_one();
 }
 
 /// An upstream asks this VM for a rest.
--- a/daemon/src/fleet/outcome.rs
+++ b/daemon/src/fleet/outcome.rs
@@ -26,7 +26,7 @@
 /// Notes how an attempt ended, for this VM and the one that places.
 pub fn tell<D: Dialect>(job: &Job<D>, upstream: &id::Upstream, outcome: Outcome) {
     job.process.cluster.lock().unwrap().record_outcome(upstream, outcome, job.process.now());
-    job.process.tell.notify_one();
+    job.process.announce.notify_one();
 }
 
 /// Records how a request failed.
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -63,7 +63,7 @@
     /// Detects that the machine was suspended.
     pub sleep: Sleep,
     /// Notified after the machine was suspended.
-    pub woke: Notify,
+    pub after_suspension: Notify,
     /// The log.
     pub log: Logger,
     /// Rate limit for log lines of successful decisions.
@@ -89,11 +89,11 @@
     /// Grant requests of this VM without a reply.
     pub questions: Questions,
     /// Notified when the cluster state changes such that a queued request may get a placement.
-    pub room: Notify,
+    pub cluster_changed: Notify,
     /// Notified when the state of this VM is to be announced to peers.
-    pub tell: Notify,
+    pub announce: Notify,
     /// Whether the next announcement goes at once to all peers that requested heartbeats.
-    pub tell_all: AtomicBool,
+    pub announce_to_all: AtomicBool,
     /// Idle connections to upstreams.
     pub pool: Pool,
     /// Client for reservations of engine memory.
@@ -165,7 +165,7 @@
             member,
             socket,
             sleep: Sleep::new(&clock),
-            woke: Notify::new(),
+            after_suspension: Notify::new(),
             clock,
             log,
             routine_lines: Volume::new(volume::ROUTINE, clock.now()),
@@ -178,9 +178,9 @@
             scheduler: Mutex::new(Scheduler::new(config.fleet.budget())),
             affiliation: Mutex::default(),
             questions: Questions::default(),
-            room: Notify::new(),
-            tell: Notify::new(),
-            tell_all: AtomicBool::new(false),
+            cluster_changed: Notify::new(),
+            announce: Notify::new(),
+            announce_to_all: AtomicBool::new(false),
             pool: Pool::default(),
             memory: D::Memory::default(),
             reports: D::Reports::default(),
@@ -279,13 +279,13 @@
         self.applied.notify_waiters();
         self.metrics.settings_version.set(number as i64);
         log::event(&self.log, Event::VersionInForce, format!("version {number} from {from}"));
-        self.tell_all();
+        self.announce_to_all();
     }
 
     /// Announces the state of this VM at once to all peers that requested heartbeats.
-    pub fn tell_all(&self) {
-        self.tell_all.store(true, Ordering::Relaxed);
-        self.tell.notify_one();
+    pub fn announce_to_all(&self) {
+        self.announce_to_all.store(true, Ordering::Relaxed);
+        self.announce.notify_one();
     }
 
     /// Whether this VM accepts new connections: it has sufficiently fresh settings and is not stopping.
@@ -374,14 +374,14 @@
     /// the other VMs receive it with the next heartbeat.
     pub fn enter(self: &Arc<Self>, number: u64, flight: Flight) -> Entered<D> {
         self.cluster.lock().unwrap().begin_attempt(number, flight, self.now());
-        self.tell.notify_one();
+        self.announce.notify_one();
         Entered { process: self.clone(), number }
     }
 
     /// Notifies the scheduler and the heartbeat task that an attempt of this VM has progressed or ended.
-    fn moved(&self) {
-        self.room.notify_one();
-        self.tell.notify_one();
+    fn notify_change(&self) {
+        self.cluster_changed.notify_one();
+        self.announce.notify_one();
     }
 }
 
@@ -389,14 +389,14 @@
     /// Records that the first event of the response has arrived.
     pub fn began(&self) {
         self.process.cluster.lock().unwrap().record_first_event(self.number, self.process.now());
-        self.process.moved();
+        self.process.notify_change();
     }
 }
 
 impl<D: Dialect> Drop for Entered<D> {
     fn drop(&mut self) {
         self.process.cluster.lock().unwrap().end_attempt(self.number, self.process.now());
-        self.process.moved();
+        self.process.notify_change();
     }
 }
 
--- a/daemon/src/fleet/rate_limits.rs
+++ b/daemon/src/fleet/rate_limits.rs
@@ -92,8 +92,8 @@
 }
 
 fn broadcast<D: Dialect>(process: &Process<D>) {
-    process.tell_all();
-    process.room.notify_one();
+    process.announce_to_all();
+    process.cluster_changed.notify_one();
 }
 
 fn log_change<D: Dialect>(
--- a/daemon/src/fleet/reports.rs
+++ b/daemon/src/fleet/reports.rs
@@ -111,7 +111,7 @@
     let observed = Observed { report: answer.as_ref().ok().copied(), at };
     let before = process.cluster.lock().unwrap().record_report(&listed.id, observed);
     log_change(&process, &listed.id, before, &answer);
-    process.tell.notify_one();
+    process.announce.notify_one();
 }
 
 /// An upstream said itself, to this VM or to a peer, that it has started at this moment.
@@ -127,8 +127,8 @@
     process.pool.forget(upstream);
     let what = format!("{upstream} at {born}, heard by {from}");
     log::event(&process.log, Event::UpstreamRestarted, what);
-    process.tell_all();
-    process.room.notify_one();
+    process.announce_to_all();
+    process.cluster_changed.notify_one();
 }
 
 /// Logs what is news in an answer: silence, an answer after it, another pace.
--- a/daemon/src/fleet/scheduler.rs
+++ b/daemon/src/fleet/scheduler.rs
@@ -64,7 +64,7 @@
     scheduler.budget.record_contact(&key.holder, is_client, vms, now);
     let answer = scheduler.request(&mut cluster, &settings.table, key, service, requirements, now);
     if matches!(answer, Reply::Queued) {
-        process.room.notify_one();
+        process.cluster_changed.notify_one();
     }
     answer
 }
@@ -114,14 +114,14 @@
 fn cancel<D: Dialect>(process: &Process<D>, key: &Key) {
     let mut scheduler = process.scheduler.lock().unwrap();
     scheduler.cancel(&mut process.cluster.lock().unwrap(), key, process.now());
-    process.room.notify_one();
+    process.cluster_changed.notify_one();
 }
 
 /// Places what waits, as there is room for it.
 pub async fn run<D: Dialect>(process: Arc<Process<D>>) {
     loop {
         let idle = process.scheduler.lock().unwrap().is_idle();
-        let room = process.room.notified();
+        let room = process.cluster_changed.notified();
         let _ = tokio::time::timeout(if idle { IDLE_INTERVAL } else { QUEUE_INTERVAL }, room).await;
         look(&process);
         tokio::time::sleep(BATCH_INTERVAL).await;
--- a/daemon/src/fleet/suspended.rs
+++ b/daemon/src/fleet/suspended.rs
@@ -31,8 +31,8 @@
     process.peers.forget_heard();
     process.pool.clear();
     process.scheduler.lock().unwrap().budget.clear();
-    process.woke.notify_one();
-    process.tell_all();
+    process.after_suspension.notify_one();
+    process.announce_to_all();
     let what = format!("for {} ms", slept.as_millis());
     log::event(&process.log, Event::Suspended, what);
 }
--- a/daemon/src/fleet/withdraw.rs
+++ b/daemon/src/fleet/withdraw.rs
@@ -44,7 +44,7 @@
 pub async fn leave<D: Dialect, R: Directory>(process: &Process<D>, directory: &R) {
     let asks = process.peers.is_large() && !is_first(process);
     process.withdrawals.stops(asks);
-    process.tell_all();
+    process.announce_to_all();
     let withdrawn = process.withdrawals.gone();
     if !asks || tokio::time::timeout(PATIENCE, withdrawn).await.is_err() {
         withdraw(process, directory, std::slice::from_ref(&process.member.vm)).await;
