--- a/daemon/src/fleet/catch_up.rs
+++ b/daemon/src/fleet/catch_up.rs
@@ -63,9 +63,9 @@
     if process.watching.load(Ordering::Relaxed) {
         return None;
     }
-    let at = process.at();
+    let at = process.revision();
     let digest = process.cluster.lock().unwrap().digest();
-    let compared = *process.compared.lock().unwrap() == Some((at, digest));
+    let compared = *process.last_compared.lock().unwrap() == Some((at, digest));
     process.peers.other_listings(at, digest, compared, now).map(Source::Listing)
 }
 
@@ -111,7 +111,12 @@
             )
         }
         Source::Listing(_) => {
-            format!("{}?{}{}", operators::LISTING_PATH, operators::NEWER_THAN_QUERY, process.at())
+            format!(
+                "{}?{}{}",
+                operators::LISTING_PATH,
+                operators::NEWER_THAN_QUERY,
+                process.revision()
+            )
         }
     };
     let Ok(text) = read(near, &path, NEAR_READ_TIMEOUT).await else { return false };
@@ -152,7 +157,7 @@
             // What still differs then is for a later revision to settle: two VMs would else read each other's
             // listings without an end.
             let digest = process.cluster.lock().unwrap().digest();
-            *process.compared.lock().unwrap() = Some((process.at(), digest));
+            *process.last_compared.lock().unwrap() = Some((process.revision(), digest));
         }
     }
     Ok(())
--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -259,7 +259,7 @@
 /// This VM's own entry is gone though it runs: a withdrawal of the start before it may be carried out
 /// seconds after it was asked for. Unlisted, no peer hears it, and what it has under way counts nowhere.
 fn list_again<D: Dialect>(process: &Process<D>) {
-    if process.listed.load(Ordering::Relaxed) && !process.stopping.is_cancelled() {
+    if process.registered.load(Ordering::Relaxed) && !process.stopping.is_cancelled() {
         process.register.order(Order::Announce);
     }
 }
--- a/daemon/src/fleet/follow.rs
+++ b/daemon/src/fleet/follow.rs
@@ -97,7 +97,7 @@
             continue;
         }
         let asked = process.moment();
-        let from = contact.from(process.at());
+        let from = contact.from(process.revision());
         process.metrics.count_directory_call(if from.is_some() { Call::Watch } else { Call::Read });
         let answer = match from {
             Some(at) => tokio::select! {
@@ -154,12 +154,15 @@
     let now = process.now();
     // What it is yet to learn, who watches among it, comes from any peer that has heard of it; and those that watch
     // answer a beat or two after it has learnt who they are.
-    let learns =
-        if process.at().is_none() { LEARN_TIMEOUT } else { process.peers.cadence().places() * 2 };
+    let learns = if process.revision().is_none() {
+        LEARN_TIMEOUT
+    } else {
+        process.peers.cadence().places() * 2
+    };
     if process.peers.age(now) < learns && process.peers.knows(now) {
         return true;
     }
-    if process.at().is_none() {
+    if process.revision().is_none() {
         return false;
     }
     process.peers.watched(now) && !(is_watcher(process) && process.peers.settled(now))
@@ -201,7 +204,7 @@
     let Changes { revision: at, changes } = changes;
     note_era(process, at, "the directory");
     // Also where a peer told of it first.
-    contact.note_restored(process.restored(RESTORE_PERIOD));
+    contact.note_restored(process.restored_within(RESTORE_PERIOD));
     let provenance = contact.provenance(from, now);
     if from.is_none() {
         changes::end_unlisted(process, &changes, at, provenance, &mut change_log);
@@ -210,7 +213,7 @@
     contact.note_settings(process.version(), provenance, &changes);
     let changed = !changes.is_empty();
     contact.goes_on(at);
-    process.known_to(at);
+    process.advance_revision(at);
     let mut step: Vec<step::Change> =
         changes.iter().filter_map(|change| changes::told(change, provenance)).collect();
     changes
@@ -224,7 +227,7 @@
     if !contact.is_behind() {
         process.confirm(asked);
     }
-    contact.settle(process.restored(RESTORE_PERIOD));
+    contact.settle(process.restored_within(RESTORE_PERIOD));
     let is_told = process.peers.told_by_others(now) >= at;
     if changed && !is_told {
         process.announce_to_all();
@@ -251,11 +254,11 @@
 /// Notes the era of a revision. Answers whether the directory has come back from a copy since what is known
 /// of it: then this VM's own entry may be gone, which no other VM would write again.
 pub(super) fn note_era<D: Dialect>(process: &Arc<Process<D>>, at: Revision, from: &str) -> bool {
-    let known = process.at();
+    let known = process.revision();
     if known.is_none() || at.era <= known.era {
         return false;
     }
-    process.note_restored();
+    process.record_restored();
     process.metrics.directory_restores.inc();
     let what = format!("known to {known}, now at {at}, by {from}");
     log::event(&process.log, Event::DirectoryRestored, what);
@@ -267,7 +270,7 @@
 async fn list_again<D: Dialect>(process: Arc<Process<D>>) {
     let all = (LIST_AGAIN * process.peers.listed_count() as u32).max(LEAST_LIST_AGAIN);
     tokio::time::sleep(all.mul_f64(rand::random_range(0.0..1.0))).await;
-    if process.listed.load(Ordering::Relaxed) && !process.stopping.is_cancelled() {
+    if process.registered.load(Ordering::Relaxed) && !process.stopping.is_cancelled() {
         process.register.order(Order::Announce);
     }
 }
@@ -309,5 +312,5 @@
         tokio::time::sleep(pause).await;
         pause = (pause * 2).min((MOST_RETRY * 4).max(longest_pause(&process)));
     }
-    process.listed.store(true, Ordering::Relaxed);
+    process.registered.store(true, Ordering::Relaxed);
 }
--- a/daemon/src/fleet/join.rs
+++ b/daemon/src/fleet/join.rs
@@ -110,7 +110,7 @@
     let mut change_log = ChangeLog::default();
     let members = changes.into_iter().filter(|change| matches!(change, Change::Member(_)));
     members.for_each(|member| changes::apply(process, member, Provenance::Sound, &mut change_log));
-    change_log.log(process, process.at(), "a look at who is listed");
+    change_log.log(process, process.revision(), "a look at who is listed");
 }
 
 /// How long the VM at this place in the order waits until it reads the directory.
--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -127,7 +127,9 @@
             }
             None => answer::text(StatusCode::NOT_FOUND, TEXT, "no settings loaded yet\n"),
         },
-        LISTING_PATH if newer_than(request).is_some_and(|revision| process.at() <= revision) => {
+        LISTING_PATH
+            if newer_than(request).is_some_and(|revision| process.revision() <= revision) =>
+        {
             answer::text(StatusCode::NOT_FOUND, TEXT, "no newer revision\n")
         }
         LISTING_PATH => {
@@ -246,7 +248,7 @@
         "ready": process.ready(),
         "stopping": process.stopping.is_cancelled(),
         "requests": cluster.own_attempts().count(),
-        "directory": process.at(),
+        "directory": process.revision(),
         "version": process.version(),
         "settings_age_ms": process.fresh.age(process.moment()).map(|age| age.as_millis() as u64),
         "peers": process.peers.dump(now),
--- a/daemon/src/fleet/peer_sync.rs
+++ b/daemon/src/fleet/peer_sync.rs
@@ -19,7 +19,7 @@
 /// it did not bring. So nothing that ended here comes back by a peer's word, and what is leaving
 /// stays so.
 pub fn listing<D: Dialect>(process: &Arc<Process<D>>, listing: Listing) {
-    let at = process.at();
+    let at = process.revision();
     if process.watching.load(Ordering::Relaxed) || listing.revision < at {
         return;
     }
@@ -28,7 +28,7 @@
     // The peer may know the copy alone.
     let restored = follow::note_era(process, revision, "a peer");
     let provenance = if restored { Provenance::Lapsed } else { Provenance::Sound };
-    process.known_to(revision);
+    process.advance_revision(revision);
     let upstreams: Vec<Listed> = {
         let cluster = process.cluster.lock().unwrap();
         listing.upstreams.into_iter().filter(|listed| cluster.accepts(listed)).collect()
@@ -52,7 +52,7 @@
 /// back by a later revision alone, as with [`listing`]. A VM that stands by, and watches less often, takes it as
 /// well: it would else not hear a VM that has just started.
 pub fn step<D: Dialect>(process: &Arc<Process<D>>, step: Step, from: &id::Vm) {
-    if !step.follows(process.at()) {
+    if !step.follows(process.revision()) {
         return;
     }
     let mut change_log = ChangeLog::default();
@@ -61,7 +61,7 @@
             changes::apply(process, change, Provenance::Sound, &mut change_log);
         }
     }
-    process.known_to(step.to);
+    process.advance_revision(step.to);
     change_log.log(process, step.to, from.as_str());
 }
 
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -109,7 +109,7 @@
     /// The latest changes of the listings that this VM read from the directory.
     pub steps: Mutex<Steps>,
     /// Revision and digest of the listings that were last compared with a peer's full listings.
-    pub compared: Mutex<Option<(Revision, u64)>>,
+    pub last_compared: Mutex<Option<(Revision, u64)>>,
     /// Responses that their callers have not read completely.
     pub unread: Arc<Unread>,
     /// Directory entries that cannot be decoded.
@@ -121,13 +121,13 @@
     /// The other VMs.
     pub peers: Peers,
     /// The directory revision up to which changes of the listings have been received.
-    at: Mutex<Revision>,
+    revision: Mutex<Revision>,
     /// When it was last detected that the directory was restored from an older copy.
     restored: Mutex<Option<Instant>>,
     /// Whether this VM watches the directory itself; if so, it ignores listings that peers announce.
     pub watching: AtomicBool,
     /// Whether this VM has registered itself in the directory.
-    pub listed: AtomicBool,
+    pub registered: AtomicBool,
     /// Cancelled when the process receives the signal to stop.
     pub stopping: CancellationToken,
     /// Cancelled shortly before the process exits: requests without a response get an error response.
@@ -188,15 +188,15 @@
             packed_settings: Kept::default(),
             packed_listing: Kept::default(),
             steps: Mutex::default(),
-            compared: Mutex::default(),
+            last_compared: Mutex::default(),
             unread: Unread::new(config.fleet.memory()),
             unreadable: Unreadable::default(),
             register: Register::default(),
             withdrawals: Withdrawals::default(),
-            at: Mutex::default(),
+            revision: Mutex::default(),
             restored: Mutex::default(),
             watching: AtomicBool::new(false),
-            listed: AtomicBool::new(false),
+            registered: AtomicBool::new(false),
             stopping: CancellationToken::new(),
             ending: CancellationToken::new(),
             stopped: OnceLock::new(),
@@ -302,25 +302,25 @@
 
     /// The directory revision up to which changes of the listings have been received. Unset before the first
     /// listing.
-    pub fn at(&self) -> Revision {
-        *self.at.lock().unwrap()
+    pub fn revision(&self) -> Revision {
+        *self.revision.lock().unwrap()
     }
 
     /// Records that changes of the listings were received up to this revision. Returns the revision before.
-    pub fn known_to(&self, revision: Revision) -> Revision {
-        let mut at = self.at.lock().unwrap();
-        let before = *at;
-        *at = before.max(revision);
+    pub fn advance_revision(&self, revision: Revision) -> Revision {
+        let mut current = self.revision.lock().unwrap();
+        let before = *current;
+        *current = before.max(revision);
         before
     }
 
     /// Records that the directory was restored from an older copy.
-    pub fn note_restored(&self) {
+    pub fn record_restored(&self) {
         *self.restored.lock().unwrap() = Some(self.now());
     }
 
     /// When the directory was restored from an older copy, if that was less than `within` ago.
-    pub fn restored(&self, within: Duration) -> Option<Instant> {
+    pub fn restored_within(&self, within: Duration) -> Option<Instant> {
         let at = (*self.restored.lock().unwrap())?;
         (self.now().saturating_duration_since(at) < within).then_some(at)
     }
@@ -333,7 +333,7 @@
         let halls = cluster.halls().clone();
         drop(cluster);
         let members = self.peers.members();
-        Listing { revision: self.at(), upstreams, members, quarantined, halls }
+        Listing { revision: self.revision(), upstreams, members, quarantined, halls }
     }
 
     /// A generated id for a request whose own id is missing or invalid.
