--- a/daemon/src/fleet/admit.rs
+++ b/daemon/src/fleet/admit.rs
@@ -107,7 +107,7 @@
     request: &Request<Incoming>,
 ) -> Result<Admitted, Error> {
     let time = terms.timeout.unwrap_or(USUAL_PATIENCE);
-    if process.closing() {
+    if process.rejects_new_requests() {
         let error = refuse(Kind::Draining, "this VM is about to end");
         return Err(error.retry_after(Cause::Stopping.retry_after(time)));
     }
--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -95,7 +95,7 @@
     let until = job.deadline.min(job.process.now() + limit);
     let ended = tokio::select! {
         ended = tokio::time::timeout_at(until.into(), sent) => ended,
-        () = job.process.ending.cancelled() => {
+        () = job.process.aborting.cancelled() => {
             return End::Broken("this VM ends before the answer came".to_owned());
         }
     };
--- a/daemon/src/fleet/gate.rs
+++ b/daemon/src/fleet/gate.rs
@@ -104,7 +104,9 @@
                 placed(job, &grant, started);
                 return Ok(grant);
             }
-            Err(Rejection::NoUpstream) if job.process.now() < closed && !job.process.closing() => {
+            Err(Rejection::NoUpstream)
+                if job.process.now() < closed && !job.process.rejects_new_requests() =>
+            {
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
             Err(rejection) => return Err(rejection),
@@ -118,7 +120,7 @@
 /// Answers whether it waited.
 async fn rested<D: Dialect>(job: &Job<D>, begun: bool) -> Result<bool, Rejection> {
     let Some(left) = notices::all_rest(&job.process, &job.service.name) else { return Ok(false) };
-    let in_time = job.held() + left < job.route.objective && !job.process.closing();
+    let in_time = job.held() + left < job.route.objective && !job.process.rejects_new_requests();
     let held = begun && left < MAX_BACKOFF_BEGUN;
     if !(in_time || held) {
         return Err(Rejection::Backoff { left_ms: left.as_millis() as u64 });
@@ -187,7 +189,7 @@
 
 /// The refusal of a request that has not run.
 pub fn refusal<D: Dialect>(job: &Job<D>, rejection: Rejection, proof: Unsent) -> Error {
-    if job.process.closing() {
+    if job.process.rejects_new_requests() {
         let why = "this VM is about to end, and there was no place in time";
         let after = retry_after::Cause::Stopping.retry_after(job.left());
         return Error::unsent(Kind::Draining, why, proof).retry_after(after);
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -147,7 +147,7 @@
 
 impl Until {
     fn is_over<D: Dialect>(self, process: &Process<D>) -> bool {
-        process.now() >= self.limit || !self.begun && process.closing()
+        process.now() >= self.limit || !self.begun && process.rejects_new_requests()
     }
 }
 
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -131,9 +131,9 @@
     /// Cancelled when the process receives the signal to stop.
     pub stopping: CancellationToken,
     /// Cancelled shortly before the process exits: requests without a response get an error response.
-    pub ending: CancellationToken,
+    pub aborting: CancellationToken,
     /// When the process received the signal to stop.
-    pub stopped: OnceLock<Instant>,
+    pub stop_requested: OnceLock<Instant>,
     /// The tasks of callers' connections and of streams to callers.
     pub tasks: TaskTracker,
     settings: RwLock<Option<Arc<Settings>>>,
@@ -198,8 +198,8 @@
             watching: AtomicBool::new(false),
             registered: AtomicBool::new(false),
             stopping: CancellationToken::new(),
-            ending: CancellationToken::new(),
-            stopped: OnceLock::new(),
+            aborting: CancellationToken::new(),
+            stop_requested: OnceLock::new(),
             tasks: TaskTracker::new(),
             settings: RwLock::new(None),
             applied: Notify::new(),
@@ -295,9 +295,11 @@
     }
 
     /// Whether a stop has progressed so far that a new request might not end before the process is killed.
-    pub fn closing(&self) -> bool {
+    pub fn rejects_new_requests(&self) -> bool {
         let accept_time = self.config.fleet.stop_timeout().mul_f64(ACCEPT_SHARE);
-        self.stopped.get().is_some_and(|at| self.now().saturating_duration_since(*at) > accept_time)
+        self.stop_requested
+            .get()
+            .is_some_and(|at| self.now().saturating_duration_since(*at) > accept_time)
     }
 
     /// The directory revision up to which changes of the listings have been received. Unset before the first
--- a/daemon/src/fleet/serve.rs
+++ b/daemon/src/fleet/serve.rs
@@ -207,6 +207,6 @@
     let pause = REFUSED_PAUSE * 2_u32.checked_pow(more)?;
     let waits = tries.ran == 0
         && job.held() + pause < job.route.objective.mul_f64(REFUSED_HELD)
-        && !job.process.closing();
+        && !job.process.rejects_new_requests();
     waits.then_some(pause)
 }
--- a/daemon/src/fleet/stop.rs
+++ b/daemon/src/fleet/stop.rs
@@ -26,7 +26,7 @@
     let began = process.now();
     log::event(&process.log, Event::Stopping, "not ready from now on");
     // The first signal counts.
-    let _ = process.stopped.set(began);
+    let _ = process.stop_requested.set(began);
     process.stopping.cancel();
     withdraw::leave(process, directory).await;
     tokio::time::sleep(LINGER.saturating_sub(process.now() - began)).await;
@@ -34,7 +34,7 @@
     let until = began + process.config.fleet.stop_timeout().saturating_sub(MARGIN);
     let last_answers = until - LAST_ANSWERS;
     if tokio::time::timeout_at(last_answers.into(), process.tasks.wait()).await.is_err() {
-        process.ending.cancel();
+        process.aborting.cancel();
     }
     let ended = tokio::time::timeout_at(until.into(), process.tasks.wait()).await;
     let left = process.tasks.len();
--- a/daemon/src/fleet/tries.rs
+++ b/daemon/src/fleet/tries.rs
@@ -95,5 +95,5 @@
         && tries.ran < job.route.attempts
         && tries.ran + tries.refused < job.route.attempts + REFUSED_MORE
         && !job.left().is_zero()
-        && !job.process.ending.is_cancelled()
+        && !job.process.aborting.is_cancelled()
 }
