--- a/daemon/src/fleet/admit.rs
+++ b/daemon/src/fleet/admit.rs
@@ -85,7 +85,7 @@
         entry,
     };
     let timeout_ms = patience.as_millis() as u64;
-    let age = process.fresh.age(process.moment());
+    let age = process.freshness.age(process.moment());
     let settings_age_ms = age.map(|age| age.as_millis() as u64);
     let prompt = job.service.engine.is_some().then_some(job.terms.prompt);
     let fingerprint = Some(fingerprint);
@@ -153,8 +153,8 @@
         return Err(refuse(Kind::Unauthorized, why));
     };
     let moment = process.moment();
-    if !process.fresh.holds(moment) {
-        let why = match process.fresh.age(moment) {
+    if !process.freshness.holds(moment) {
+        let why = match process.freshness.age(moment) {
             Some(age) => format!(
                 "the settings were last confirmed {} ms ago: keys may have changed",
                 age.as_millis()
--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -45,7 +45,7 @@
             .iter()
             .map(|(number, (count, text))| format!("{count} x {number} {text}"))
             .collect();
-        let age = match process.fresh.age(process.moment()) {
+        let age = match process.freshness.age(process.moment()) {
             Some(age) => format!("{} ms old", age.as_millis()),
             None => "not confirmed yet".to_owned(),
         };
--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -154,7 +154,7 @@
 fn update_gauges<D: Dialect>(process: &Process<D>) {
     let now = process.now();
     let metrics = &process.metrics;
-    let age = process.fresh.age(process.moment()).map_or(-1, |age| age.as_millis() as i64);
+    let age = process.freshness.age(process.moment()).map_or(-1, |age| age.as_millis() as i64);
     metrics.settings_age_ms.set(age);
     let cluster = process.cluster.lock().unwrap();
     metrics.attempts.set(cluster.own_attempts().count() as i64);
@@ -250,7 +250,7 @@
         "requests": cluster.own_attempts().count(),
         "directory": process.revision(),
         "version": process.version(),
-        "settings_age_ms": process.fresh.age(process.moment()).map(|age| age.as_millis() as u64),
+        "settings_age_ms": process.freshness.age(process.moment()).map(|age| age.as_millis() as u64),
         "peers": process.peers.dump(now),
         "waiting": waiting,
         "idle_connections": process.pool.len(),
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -77,7 +77,7 @@
     /// The newest request records.
     pub ring: Ring,
     /// The age of the settings.
-    pub fresh: Fresh,
+    pub freshness: Fresh,
     /// The socket for heartbeats and other datagrams between peers.
     pub socket: UdpSocket,
     /// The upstreams and their in-flight attempts.
@@ -173,7 +173,7 @@
             listing_lines: Volume::new(volume::LISTING, clock.now()),
             metrics: Metrics::default(),
             ring: Ring::new(MAX_RECORDS),
-            fresh: Fresh::new(config.fleet.max_settings_age()),
+            freshness: Fresh::new(config.fleet.max_settings_age()),
             cluster: Mutex::default(),
             scheduler: Mutex::new(Scheduler::new(config.fleet.budget())),
             affiliation: Mutex::default(),
@@ -232,7 +232,7 @@
     /// Waits during startup until the settings are confirmed: settings read from a peer arrive before the
     /// heartbeat that confirms them. Returns whether they are confirmed.
     pub async fn first_confirmed(&self) -> bool {
-        let is_confirmed = || self.version() > 0 && self.fresh.holds(self.moment());
+        let is_confirmed = || self.version() > 0 && self.freshness.holds(self.moment());
         self.wait_at_start(is_confirmed).await;
         is_confirmed()
     }
@@ -255,8 +255,8 @@
 
     /// Records that the settings in force were the newest ones at this moment.
     pub fn confirm(&self, at: Moment) {
-        let is_first = self.fresh.age(at).is_none();
-        self.fresh.confirm(at);
+        let is_first = self.freshness.age(at).is_none();
+        self.freshness.confirm(at);
         if is_first {
             self.applied.notify_waiters();
         }
@@ -291,7 +291,7 @@
     /// Whether this VM accepts new connections: it has sufficiently fresh settings and is not stopping.
     pub fn ready(&self) -> bool {
         let moment = self.moment();
-        !self.stopping.is_cancelled() && self.version() > 0 && self.fresh.welcomes(moment)
+        !self.stopping.is_cancelled() && self.version() > 0 && self.freshness.welcomes(moment)
     }
 
     /// Whether a stop has progressed so far that a new request might not end before the process is killed.
--- a/daemon/src/fleet/tell.rs
+++ b/daemon/src/fleet/tell.rs
@@ -121,7 +121,7 @@
     State {
         stamp: process.peers.stamp(process.moment()),
         version: process.version(),
-        age_ms: process.fresh.age(process.moment()).map(|age| age.as_millis() as u64 + 1),
+        age_ms: process.freshness.age(process.moment()).map(|age| age.as_millis() as u64 + 1),
         revision: process.revision(),
         digest,
         leaving: process.stopping.is_cancelled(),
