--- a/daemon/src/fleet/admit.rs
+++ b/daemon/src/fleet/admit.rs
@@ -39,9 +39,11 @@
     arrived: Instant,
 ) -> Result<Job<D>, Error> {
     suspended::check(process);
-    process.started().await;
+    process.wait_for_settings().await;
     let checked = match check(process, &terms, &request) {
-        Err(error) if error.kind() == Kind::StoreUnavailable && process.first_confirmed().await => {
+        Err(error)
+            if error.kind() == Kind::StoreUnavailable && process.wait_for_confirmation().await =>
+        {
             check(process, &terms, &request)
         }
         checked => checked,
--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -29,7 +29,7 @@
 use crate::fleet::metrics::Sent;
 use crate::fleet::notices::{self, Exclusion};
 use crate::fleet::outcome::{self, note, tell};
-use crate::fleet::process::Entered;
+use crate::fleet::process::Guard;
 use crate::fleet::rate_limits;
 use crate::fleet::source::{Begun, Next, Source};
 use crate::fleet::tries::Tries;
@@ -89,7 +89,7 @@
     tries: &Tries,
 ) -> End<D> {
     let upstream = grant.placement.flight.upstream.clone();
-    let entered = job.process.enter(grant.number, grant.placement.flight.clone());
+    let entered = job.process.begin_attempt(grant.number, grant.placement.flight.clone());
     let limit = patience(job, &grant.placement, tries);
     let sent = sent(job, grant, last_event, entered);
     let until = job.deadline.min(job.process.now() + limit);
@@ -134,7 +134,7 @@
     job: &Arc<Job<D>>,
     grant: Grant,
     last_event: Option<u64>,
-    entered: Entered<D>,
+    entered: Guard<D>,
 ) -> End<D> {
     let placement = &grant.placement;
     let upstream = placement.flight.upstream.clone();
@@ -331,7 +331,7 @@
 ) -> End<D> {
     match source.next().await {
         Next::Parts(first) => {
-            source.entered.began();
+            source.entered.record_first_event();
             End::Events(Box::new(Begun { head, first, source }))
         }
         Next::End => {
--- a/daemon/src/fleet/catch_up.rs
+++ b/daemon/src/fleet/catch_up.rs
@@ -146,7 +146,7 @@
     match source {
         Source::Settings(_) => {
             process.metrics.count_peer_read(Text::Settings);
-            process.take_settings(directory.decode(text)?, &format!("peer {from}"));
+            process.apply_settings(directory.decode(text)?, &format!("peer {from}"));
         }
         Source::Listing(_) => {
             process.metrics.count_peer_read(Text::Listing);
--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -219,7 +219,7 @@
     change_log: &mut ChangeLog,
 ) {
     match change {
-        Change::Settings(settings) => process.take_settings(*settings, "the directory"),
+        Change::Settings(settings) => process.apply_settings(*settings, "the directory"),
         Change::Upstream(listed) => upstream_listed(process, listed, provenance, change_log),
         Change::UpstreamRemoved(id, revision) => {
             listing_ended(process, &id, revision, provenance, change_log);
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -294,7 +294,7 @@
     }
 
     fn request(&self) -> Number {
-        self.process.numbered(self.number)
+        self.process.request_number(self.number)
     }
 
     fn is_over(&self) -> bool {
--- a/daemon/src/fleet/hold.rs
+++ b/daemon/src/fleet/hold.rs
@@ -116,7 +116,7 @@
     held.map(|(helping, address)| Reservation {
         upstream: helping.upstream.clone(),
         address: address.clone(),
-        reservation_id: job.process.ticket(),
+        reservation_id: job.process.reservation_id(),
         tokens: Tokens(helping.reserved),
     })
     .collect()
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -144,7 +144,7 @@
 
 /// Keeps an attempt in the cluster state and removes it when dropped, so that it is removed however the
 /// attempt ends.
-pub struct Entered<D: Dialect> {
+pub struct Guard<D: Dialect> {
     process: Arc<Process<D>>,
     number: u64,
 }
@@ -225,20 +225,20 @@
 
     /// Waits during startup for the first settings. They arrive shortly, whereas a rejected request would
     /// miss its objective by the time the caller retries it.
-    pub async fn started(&self) {
-        self.wait_at_start(|| self.version() > 0).await;
+    pub async fn wait_for_settings(&self) {
+        self.wait_during_startup(|| self.version() > 0).await;
     }
 
     /// Waits during startup until the settings are confirmed: settings read from a peer arrive before the
     /// heartbeat that confirms them. Returns whether they are confirmed.
-    pub async fn first_confirmed(&self) -> bool {
+    pub async fn wait_for_confirmation(&self) -> bool {
         let is_confirmed = || self.version() > 0 && self.freshness.holds(self.moment());
-        self.wait_at_start(is_confirmed).await;
+        self.wait_during_startup(is_confirmed).await;
         is_confirmed()
     }
 
     /// Waits for a condition on the settings until startup is over.
-    async fn wait_at_start(&self, is_met: impl Fn() -> bool) {
+    async fn wait_during_startup(&self, is_met: impl Fn() -> bool) {
         let remaining = STARTUP_WINDOW.saturating_sub(self.peers.age(self.now()));
         let met = async {
             loop {
@@ -268,7 +268,7 @@
     }
 
     /// Puts settings in force if they are newer than the current ones, and ignores them otherwise.
-    pub fn take_settings(&self, settings: Settings, from: &str) {
+    pub fn apply_settings(&self, settings: Settings, from: &str) {
         let number = settings.table.number();
         let mut current = self.settings.write().unwrap();
         if current.as_ref().is_some_and(|c| c.table.number() >= number) {
@@ -346,12 +346,12 @@
     }
 
     /// The number that identifies a request of this VM in messages to peers.
-    pub fn numbered(&self, number: u64) -> Number {
+    pub fn request_number(&self, number: u64) -> Number {
         Number { incarnation: self.member.incarnation, number }
     }
 
     /// A unique id for a reservation of engine memory.
-    pub fn ticket(&self) -> String {
+    pub fn reservation_id(&self) -> String {
         self.request_id().to_string()
     }
 
@@ -374,10 +374,10 @@
 
     /// Adds an attempt to the cluster state. The scheduler that granted its placement has recorded it already;
     /// the other VMs receive it with the next heartbeat.
-    pub fn enter(self: &Arc<Self>, number: u64, flight: Flight) -> Entered<D> {
+    pub fn begin_attempt(self: &Arc<Self>, number: u64, flight: Flight) -> Guard<D> {
         self.cluster.lock().unwrap().begin_attempt(number, flight, self.now());
         self.announce.notify_one();
-        Entered { process: self.clone(), number }
+        Guard { process: self.clone(), number }
     }
 
     /// Notifies the scheduler and the heartbeat task that an attempt of this VM has progressed or ended.
@@ -387,15 +387,15 @@
     }
 }
 
-impl<D: Dialect> Entered<D> {
+impl<D: Dialect> Guard<D> {
     /// Records that the first event of the response has arrived.
-    pub fn began(&self) {
+    pub fn record_first_event(&self) {
         self.process.cluster.lock().unwrap().record_first_event(self.number, self.process.now());
         self.process.notify_change();
     }
 }
 
-impl<D: Dialect> Drop for Entered<D> {
+impl<D: Dialect> Drop for Guard<D> {
     fn drop(&mut self) {
         self.process.cluster.lock().unwrap().end_attempt(self.number, self.process.now());
         self.process.notify_change();
--- a/daemon/src/fleet/scheduler.rs
+++ b/daemon/src/fleet/scheduler.rs
@@ -42,7 +42,7 @@
     service: &Service,
     requirements: &Requirements,
 ) {
-    let key = key(Holder::Own, process.numbered(number));
+    let key = key(Holder::Own, process.request_number(number));
     let (now, is_client) = (process.now(), affiliation::contact_own(process));
     let answer =
         schedule(process, key, Tag::of(&service.name), requirements.clone(), is_client, now);
@@ -104,7 +104,7 @@
 
 /// A request of this VM asks no more.
 pub fn cancel_own<D: Dialect>(process: &Process<D>, number: u64) {
-    cancel(process, &key(Holder::Own, process.numbered(number)));
+    cancel(process, &key(Holder::Own, process.request_number(number)));
 }
 
 fn key(holder: Holder, request: Number) -> Key {
--- a/daemon/src/fleet/source.rs
+++ b/daemon/src/fleet/source.rs
@@ -16,7 +16,7 @@
 use crate::fleet::hold::Hold;
 use crate::fleet::job::Job;
 use crate::fleet::outcome::{note, tell};
-use crate::fleet::process::Entered;
+use crate::fleet::process::Guard;
 
 /// A stream that has begun.
 pub struct Begun<D: Dialect> {
@@ -38,7 +38,7 @@
     pub sent: Instant,
     /// The predicted time to the first event, milliseconds.
     pub predicted_ms: f64,
-    pub(super) entered: Entered<D>,
+    pub(super) entered: Guard<D>,
     pub(super) hold: Hold<D>,
     pub(super) channel: Channel,
     pub(super) rest: Duration,
