--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -122,7 +122,7 @@
             }
             Some(settings) => {
                 let compressed =
-                    process.packed_settings.get(settings.table.number(), &settings.text);
+                    process.compressed_settings.get(settings.table.number(), &settings.text);
                 answer::text(StatusCode::OK, DEFLATED_JSON, compressed)
             }
             None => answer::text(StatusCode::NOT_FOUND, TEXT, "no settings loaded yet\n"),
@@ -135,7 +135,11 @@
         LISTING_PATH => {
             let text = serde_json::to_vec(&process.listing()).expect("plain data");
             let digest = xxh3_64(&text);
-            answer::text(StatusCode::OK, DEFLATED_JSON, process.packed_listing.get(digest, &text))
+            answer::text(
+                StatusCode::OK,
+                DEFLATED_JSON,
+                process.compressed_listing.get(digest, &text),
+            )
         }
         _ if path.starts_with(RELEASE_PATH) => release(process, request.method(), path),
         _ => match path.strip_prefix("/why/").map(str::parse::<id::Request>) {
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -103,9 +103,9 @@
     /// Upstreams that requested a backoff of this VM.
     pub backoffs: Mutex<Backoffs>,
     /// The settings, compressed for peers.
-    pub packed_settings: Kept,
+    pub compressed_settings: Kept,
     /// The listings, compressed for peers.
-    pub packed_listing: Kept,
+    pub compressed_listing: Kept,
     /// The latest changes of the listings that this VM read from the directory.
     pub steps: Mutex<Steps>,
     /// Revision and digest of the listings that were last compared with a peer's full listings.
@@ -185,8 +185,8 @@
             memory: D::Memory::default(),
             reports: D::Reports::default(),
             backoffs: Mutex::default(),
-            packed_settings: Kept::default(),
-            packed_listing: Kept::default(),
+            compressed_settings: Kept::default(),
+            compressed_listing: Kept::default(),
             steps: Mutex::default(),
             last_compared: Mutex::default(),
             unread: Unread::new(config.fleet.memory()),
