--- a/daemon/src/fleet/admit.rs
+++ b/daemon/src/fleet/admit.rs
@@ -39,9 +39,11 @@
     arrived: Instant,
 ) -> Result<Job<D>, Error> {
     suspended::check(process);
-    process.started().await;
+    process.wait_for_settings().await;
     let checked = match check(process, &terms, &request) {
-        Err(error) if error.kind() == Kind::StoreUnavailable && process.first_confirmed().await => {
+        Err(error)
+            if error.kind() == Kind::StoreUnavailable && process.wait_for_confirmation().await =>
+        {
             check(process, &terms, &request)
         }
         checked => checked,
@@ -85,7 +87,7 @@
         entry,
     };
     let timeout_ms = patience.as_millis() as u64;
-    let age = process.fresh.age(process.moment());
+    let age = process.freshness.age(process.moment());
     let settings_age_ms = age.map(|age| age.as_millis() as u64);
     let prompt = job.service.engine.is_some().then_some(job.terms.prompt);
     let fingerprint = Some(fingerprint);
@@ -107,14 +109,14 @@
     request: &Request<Incoming>,
 ) -> Result<Admitted, Error> {
     let time = terms.timeout.unwrap_or(USUAL_PATIENCE);
-    if process.closing() {
+    if process.rejects_new_requests() {
         let error = refuse(Kind::Draining, "this VM is about to end");
         return Err(error.retry_after(Cause::Stopping.retry_after(time)));
     }
     let Some(settings) = process.settings() else {
         let error = refuse(Kind::StoreUnavailable, "there are no settings yet");
         // Where keys have to be confirmed, VMs with settings refuse as well while the directory is away.
-        let confirmed = process.config.fleet.settings_age().is_some();
+        let confirmed = process.config.fleet.max_settings_age().is_some();
         let cause = if confirmed { Cause::StaleSettings } else { Cause::NoSettings };
         return Err(error.retry_after(cause.retry_after(time)));
     };
@@ -153,8 +155,8 @@
         return Err(refuse(Kind::Unauthorized, why));
     };
     let moment = process.moment();
-    if !process.fresh.holds(moment) {
-        let why = match process.fresh.age(moment) {
+    if !process.freshness.holds(moment) {
+        let why = match process.freshness.age(moment) {
             Some(age) => format!(
                 "the settings were last confirmed {} ms ago: keys may have changed",
                 age.as_millis()
--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -29,7 +29,7 @@
 use crate::fleet::metrics::Sent;
 use crate::fleet::notices::{self, Exclusion};
 use crate::fleet::outcome::{self, note, tell};
-use crate::fleet::process::Entered;
+use crate::fleet::process::Guard;
 use crate::fleet::rate_limits;
 use crate::fleet::source::{Begun, Next, Source};
 use crate::fleet::tries::Tries;
@@ -89,13 +89,13 @@
     tries: &Tries,
 ) -> End<D> {
     let upstream = grant.placement.flight.upstream.clone();
-    let entered = job.process.enter(grant.number, grant.placement.flight.clone());
+    let entered = job.process.begin_attempt(grant.number, grant.placement.flight.clone());
     let limit = patience(job, &grant.placement, tries);
     let sent = sent(job, grant, last_event, entered);
     let until = job.deadline.min(job.process.now() + limit);
     let ended = tokio::select! {
         ended = tokio::time::timeout_at(until.into(), sent) => ended,
-        () = job.process.ending.cancelled() => {
+        () = job.process.aborting.cancelled() => {
             return End::Broken("this VM ends before the answer came".to_owned());
         }
     };
@@ -115,7 +115,7 @@
 /// How long an attempt may go without its answer or first event before the request goes elsewhere.
 fn patience<D: Dialect>(job: &Job<D>, placement: &Placement, tries: &Tries) -> Duration {
     if placement.flight.has_reservations() {
-        return job.process.config.fleet.held_silence();
+        return job.process.config.fleet.reserved_silence_timeout();
     }
     let last = tries.ran + 1 >= job.route.attempts || placement.candidates < 2;
     if last || !job.repeatable() {
@@ -134,7 +134,7 @@
     job: &Arc<Job<D>>,
     grant: Grant,
     last_event: Option<u64>,
-    entered: Entered<D>,
+    entered: Guard<D>,
 ) -> End<D> {
     let placement = &grant.placement;
     let upstream = placement.flight.upstream.clone();
@@ -159,8 +159,8 @@
     }
     let request = request(job, placement, &hold.helpers(&grant), last_event);
     let sent = job.process.now();
-    job.process.metrics.sent(Sent::Request, 1);
-    job.process.metrics.sent(Sent::Part, placement.flight.helpers.len());
+    job.process.metrics.count_upstream_messages(Sent::Request, 1);
+    job.process.metrics.count_upstream_messages(Sent::Part, placement.flight.helpers.len());
     let answer = match channel.send(request).await {
         Ok(answer) => answer,
         Err(Failure::Refused(why) | Failure::Unsent(why)) => return End::Unsent(why),
@@ -331,7 +331,7 @@
 ) -> End<D> {
     match source.next().await {
         Next::Parts(first) => {
-            source.entered.began();
+            source.entered.record_first_event();
             End::Events(Box::new(Begun { head, first, source }))
         }
         Next::End => {
--- a/daemon/src/fleet/catch_up.rs
+++ b/daemon/src/fleet/catch_up.rs
@@ -63,9 +63,9 @@
     if process.watching.load(Ordering::Relaxed) {
         return None;
     }
-    let at = process.at();
+    let at = process.revision();
     let digest = process.cluster.lock().unwrap().digest();
-    let compared = *process.compared.lock().unwrap() == Some((at, digest));
+    let compared = *process.last_compared.lock().unwrap() == Some((at, digest));
     process.peers.other_listings(at, digest, compared, now).map(Source::Listing)
 }
 
@@ -103,10 +103,20 @@
     let Some(near) = process.peers.neighbour(process.now()) else { return false };
     let path = match source {
         Source::Settings(_) => {
-            format!("{}?{}{}", operators::SETTINGS, operators::ABOVE, process.version())
+            format!(
+                "{}?{}{}",
+                operators::SETTINGS_PATH,
+                operators::NEWER_THAN_QUERY,
+                process.version()
+            )
         }
         Source::Listing(_) => {
-            format!("{}?{}{}", operators::LISTING, operators::ABOVE, process.at())
+            format!(
+                "{}?{}{}",
+                operators::LISTING_PATH,
+                operators::NEWER_THAN_QUERY,
+                process.revision()
+            )
         }
     };
     let Ok(text) = read(near, &path, NEAR_READ_TIMEOUT).await else { return false };
@@ -119,8 +129,8 @@
     source: Source,
 ) -> Result<(), String> {
     let (peer, path) = match source {
-        Source::Settings(peer) => (peer, operators::SETTINGS),
-        Source::Listing(peer) => (peer, operators::LISTING),
+        Source::Settings(peer) => (peer, operators::SETTINGS_PATH),
+        Source::Listing(peer) => (peer, operators::LISTING_PATH),
     };
     let text = read(peer, path, READ_TIMEOUT).await?;
     take(process, directory, &source, peer, text)
@@ -135,11 +145,11 @@
 ) -> Result<(), String> {
     match source {
         Source::Settings(_) => {
-            process.metrics.peer_read(Text::Settings);
-            process.take_settings(directory.decode(text)?, &format!("peer {from}"));
+            process.metrics.count_peer_read(Text::Settings);
+            process.apply_settings(directory.decode(text)?, &format!("peer {from}"));
         }
         Source::Listing(_) => {
-            process.metrics.peer_read(Text::Listing);
+            process.metrics.count_peer_read(Text::Listing);
             let listing = serde_json::from_slice(&text).map_err(|e| {
                 format!("cannot decode the directory listing received from VM {from}: {e}")
             })?;
@@ -147,7 +157,7 @@
             // What still differs then is for a later revision to settle: two VMs would else read each other's
             // listings without an end.
             let digest = process.cluster.lock().unwrap().digest();
-            *process.compared.lock().unwrap() = Some((process.at(), digest));
+            *process.last_compared.lock().unwrap() = Some((process.revision(), digest));
         }
     }
     Ok(())
--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -45,7 +45,7 @@
             .iter()
             .map(|(number, (count, text))| format!("{count} x {number} {text}"))
             .collect();
-        let age = match process.fresh.age(process.moment()) {
+        let age = match process.freshness.age(process.moment()) {
             Some(age) => format!("{} ms old", age.as_millis()),
             None => "not confirmed yet".to_owned(),
         };
@@ -165,7 +165,7 @@
     change_log.add(event, format!("{}, by revision {}", hall.name, hall.revision));
     let drained = process.cluster.lock().unwrap().halls().drained().count();
     process.metrics.drained_halls.set(drained as i64);
-    process.room.notify_one();
+    process.cluster_changed.notify_one();
 }
 
 /// A copy of the directory lacks requests that were held since it was made: the VM that had the proof writes
@@ -219,7 +219,7 @@
     change_log: &mut ChangeLog,
 ) {
     match change {
-        Change::Settings(settings) => process.take_settings(*settings, "the directory"),
+        Change::Settings(settings) => process.apply_settings(*settings, "the directory"),
         Change::Upstream(listed) => upstream_listed(process, listed, provenance, change_log),
         Change::UpstreamRemoved(id, revision) => {
             listing_ended(process, &id, revision, provenance, change_log);
@@ -259,7 +259,7 @@
 /// This VM's own entry is gone though it runs: a withdrawal of the start before it may be carried out
 /// seconds after it was asked for. Unlisted, no peer hears it, and what it has under way counts nowhere.
 fn list_again<D: Dialect>(process: &Process<D>) {
-    if process.listed.load(Ordering::Relaxed) && !process.stopping.is_cancelled() {
+    if process.registered.load(Ordering::Relaxed) && !process.stopping.is_cancelled() {
         process.register.order(Order::Announce);
     }
 }
@@ -297,7 +297,7 @@
     if leaving {
         process.pool.forget(&id);
     }
-    process.room.notify_one();
+    process.cluster_changed.notify_one();
 }
 
 fn quarantined<D: Dialect>(
@@ -309,7 +309,7 @@
     let wall_ms = process.clock.wall_millis();
     if process.cluster.lock().unwrap().list_quarantined(entry, process.now(), wall_ms) {
         change_log.add(Event::Quarantined, what);
-        process.room.notify_one();
+        process.cluster_changed.notify_one();
     }
 }
 
@@ -326,7 +326,7 @@
 /// An entry names nothing to use; logged once for each version of it.
 fn unreadable<D: Dialect>(process: &Process<D>, key: &str, revision: Revision, why: &str) {
     if process.unreadable.note(key, revision, why) {
-        process.metrics.unreadable.inc();
+        process.metrics.unreadable_entries.inc();
         log::event(&process.log, Event::EntryUnreadable, format!("{key} at {revision}: {why}"));
     }
 }
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -147,7 +147,7 @@
 
 impl Until {
     fn is_over<D: Dialect>(self, process: &Process<D>) -> bool {
-        process.now() >= self.limit || !self.begun && process.closing()
+        process.now() >= self.limit || !self.begun && process.rejects_new_requests()
     }
 }
 
@@ -294,7 +294,7 @@
     }
 
     fn request(&self) -> Number {
-        self.process.numbered(self.number)
+        self.process.request_number(self.number)
     }
 
     fn is_over(&self) -> bool {
--- a/daemon/src/fleet/tell.rs
+++ b/daemon/src/fleet/tell.rs
@@ -97,7 +97,7 @@
         };
         send(process, &Message::Heartbeat(beat), target.address);
     }
-    process.metrics.beats.inc_by(targets.len() as u64);
+    process.metrics.heartbeats.inc_by(targets.len() as u64);
 }
 
 /// Sends a message. A full or closed way loses it, as the network may: beats say the same again, and
@@ -121,8 +121,8 @@
     State {
         stamp: process.peers.stamp(process.moment()),
         version: process.version(),
-        age_ms: process.fresh.age(process.moment()).map(|age| age.as_millis() as u64 + 1),
-        revision: process.at(),
+        age_ms: process.freshness.age(process.moment()).map(|age| age.as_millis() as u64 + 1),
+        revision: process.revision(),
         digest,
         leaving: process.stopping.is_cancelled(),
         withdraw: process.withdrawals.asks(),
--- a/daemon/src/fleet/tries.rs
+++ b/daemon/src/fleet/tries.rs
@@ -63,7 +63,7 @@
     pub fn placed<D: Dialect>(&mut self, job: &Job<D>) {
         if self.charge() == Charge::Withdraw {
             self.granted += 1;
-            job.process.metrics.repeat_decided(true);
+            job.process.metrics.count_retry_decision(true);
         }
         self.begun = true;
         if let Some(Failure { upstream, why }) = self.failure.take() {
@@ -76,7 +76,7 @@
     pub fn unplaced<D: Dialect>(&mut self, job: &Job<D>, rejection: &Rejection) {
         let budget = match rejection {
             Rejection::OverBudget(exhausted) => {
-                job.process.metrics.repeat_decided(false);
+                job.process.metrics.count_retry_decision(false);
                 Some(*exhausted)
             }
             _ => None,
@@ -95,5 +95,5 @@
         && tries.ran < job.route.attempts
         && tries.ran + tries.refused < job.route.attempts + REFUSED_MORE
         && !job.left().is_zero()
-        && !job.process.ending.is_cancelled()
+        && !job.process.aborting.is_cancelled()
 }
--- a/daemon/tests/soak/main.rs
+++ b/daemon/tests/soak/main.rs
@@ -172,10 +172,10 @@
 /// Takes a key away, then adds a route and asks each VM for it. Gives when the key was taken away.
 async fn change(world: Arc<World>, time: Duration) -> Instant {
     tokio::time::sleep(time / 5).await;
-    world.store.desire(&desired(TAKEN));
+    world.store.put_settings(&desired(TAKEN));
     let taken = Instant::now();
     tokio::time::sleep(time / 5).await;
-    world.store.desire(&desired(ADDED));
+    world.store.put_settings(&desired(ADDED));
     let added = Instant::now();
     let mut served = [0; VMS];
     while added.elapsed() < time * 2 / 5 {
@@ -244,9 +244,9 @@
 /// Once all callers have left, servers work on nothing and hold no memory.
 async fn nothing_is_left(world: &World) {
     let left = Instant::now();
-    while world.book.working() > 0 || world.tickets() > 0 {
-        if world.book.working() > 0 && left.elapsed() > LEFT {
-            world.note(format!("{} requests are worked on for nobody", world.book.working()));
+    while world.book.running() > 0 || world.tickets() > 0 {
+        if world.book.running() > 0 && left.elapsed() > LEFT {
+            world.note(format!("{} requests are worked on for nobody", world.book.running()));
             return;
         }
         if left.elapsed() > RELEASE {
@@ -296,7 +296,7 @@
     few_end(world);
     words_are_kept(world);
     limits::are_kept(world);
-    for (id, run) in world.book.all() {
+    for (id, run) in world.book.all_runs() {
         if run.organisation.as_deref() == Some("gone") && run.at > taken + REVOKE {
             let after = run.at - taken;
             world.note(format!("{id} ran {after:?} after its key was taken away"));
@@ -326,7 +326,7 @@
         let name = &world.vms[vm].name;
         for (index, told) in arrivals.iter().enumerate() {
             let later = &arrivals[index + 1..];
-            if told.word.leaving {
+            if told.notice.leaving {
                 leaving += 1;
                 let late =
                     |a: &&Arrival| a.sent > told.at + LEFT_ALONE && ran_on(world, vm, told, a);
@@ -337,7 +337,7 @@
                     ));
                 }
             }
-            let Some(rest) = told.word.rest else { continue };
+            let Some(rest) = told.notice.backoff else { continue };
             rests += 1;
             let within = |a: &&Arrival| {
                 let after = a.at - told.at;
@@ -362,7 +362,7 @@
 fn few_end(world: &World) {
     let mut reached: Vec<(Instant, String)> = world
         .book
-        .all()
+        .all_runs()
         .into_iter()
         .filter(|(id, _)| id.starts_with(DEADLY))
         .map(|(_, run)| (run.at, run.server))
