--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -7,8 +7,9 @@
 use foldlock_base::prelude::*;
 use foldlock_request::cluster::{Hall, Halls, Listed};
 use foldlock_request::dialect::Dialect;
-use foldlock_request::directory::{Change, QuarantineEntry};
+use foldlock_request::directory::Change;
 use foldlock_request::fingerprint::Fingerprint;
+use foldlock_request::quarantine_entry;
 use foldlock_request::revision::Revision;
 use foldlock_request::step;
 
@@ -171,7 +172,7 @@
 /// A copy of the directory lacks requests that were held since it was made: the VM that had the proof writes
 /// them again.
 fn hold_again<D: Dialect>(process: &Process<D>, changes: &[Change]) {
-    let is_listed = |entry: &QuarantineEntry| {
+    let is_listed = |entry: &quarantine_entry::Entry| {
         changes
             .iter()
             .any(|change| matches!(change, Change::Quarantined(listed) if listed == entry))
@@ -182,12 +183,12 @@
     own.for_each(|entry| process.register.order(Order::Hold(entry.clone())));
 }
 
-fn is_released<D: Dialect>(process: &Process<D>, entry: &QuarantineEntry) -> bool {
+fn is_released<D: Dialect>(process: &Process<D>, entry: &quarantine_entry::Entry) -> bool {
     process.cluster.lock().unwrap().is_released(entry.fingerprint)
 }
 
 /// A copy of the directory lists a request that was let go since it was made: one VM removes it again.
-fn release_again<D: Dialect>(process: &Process<D>, entry: &QuarantineEntry) {
+fn release_again<D: Dialect>(process: &Process<D>, entry: &quarantine_entry::Entry) {
     if process.peers.scheduler(false, process.now()) == Some(Scheduler::Own) {
         process.register.order(Order::Remove(entry.fingerprint));
     }
@@ -302,7 +303,7 @@
 
 fn quarantined<D: Dialect>(
     process: &Process<D>,
-    entry: QuarantineEntry,
+    entry: quarantine_entry::Entry,
     change_log: &mut ChangeLog,
 ) {
     let what = format!("{entry:?}");
--- a/daemon/src/fleet/ending.rs
+++ b/daemon/src/fleet/ending.rs
@@ -8,9 +8,9 @@
 use foldlock_connection::channel::{Channel, Failure};
 use foldlock_request::decision::Decision;
 use foldlock_request::dialect::Dialect;
-use foldlock_request::directory::QuarantineEntry;
 use foldlock_request::flight::Flight;
 use foldlock_request::quarantine::{Crash, Status};
+use foldlock_request::quarantine_entry;
 use foldlock_request::suspicion::{Failure as Cause, Outcome};
 use foldlock_request::tag::Tag;
 
@@ -82,7 +82,7 @@
     let held_ms = remaining.as_millis() as u64;
     job.process.metrics.held.inc();
     job.record(Decision::Quarantined { quarantine_ms: held_ms, solo_crashes: proofs });
-    job.process.register.order(Order::Hold(QuarantineEntry {
+    job.process.register.order(Order::Hold(quarantine_entry::Entry {
         fingerprint: job.fingerprint,
         organisation: job.organisation.as_ref().map_or_else(String::new, |o| o.name.clone()),
         path: job.head.uri.path().to_owned(),
--- a/daemon/src/fleet/register.rs
+++ b/daemon/src/fleet/register.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Mutex;
 
-use foldlock_request::directory::QuarantineEntry;
 use foldlock_request::fingerprint::Fingerprint;
+use foldlock_request::quarantine_entry;
 use tokio::sync::mpsc;
 
 /// Orders that wait while the directory is away. Each is a request that ended three upstreams or more.
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Order {
     /// A request is held.
-    Hold(QuarantineEntry),
+    Hold(quarantine_entry::Entry),
     /// It is no longer.
     Release(Fingerprint),
     /// The same, of an entry that came back with a copy of the directory and is not believed here.
--- a/request/src/cluster.rs
+++ b/request/src/cluster.rs
@@ -25,7 +25,7 @@
 
 use crate::fingerprint::Fingerprint;
 use crate::quarantine::Quarantine;
-use crate::quarantine_entry::QuarantineEntry;
+use crate::quarantine_entry;
 use crate::revision::Revision;
 use crate::suspicion::Suspicion;
 use crate::tag::Tag;
@@ -55,7 +55,7 @@
     /// Requests during which upstreams crashed.
     pub quarantine: Quarantine,
     /// Quarantined requests that the directory lists.
-    quarantined: BTreeMap<Fingerprint, QuarantineEntry>,
+    quarantined: BTreeMap<Fingerprint, quarantine_entry::Entry>,
     /// Requests that the directory listed as quarantined and that have been released.
     released: VecDeque<Fingerprint>,
     outcomes: VecDeque<(Instant, AttemptOutcome)>,
--- a/request/src/cluster/quarantined.rs
+++ b/request/src/cluster/quarantined.rs
@@ -4,7 +4,7 @@
 
 use super::Cluster;
 use crate::fingerprint::Fingerprint;
-use crate::quarantine_entry::QuarantineEntry;
+use crate::quarantine_entry;
 
 /// Most released requests that are remembered, in case a restored copy of the directory still lists them: as
 /// many as an operator releases within some seconds.
@@ -12,7 +12,12 @@
 
 impl Cluster {
     /// Applies a directory entry of a quarantined request. Returns whether it is new or has changed.
-    pub fn list_quarantined(&mut self, entry: QuarantineEntry, now: Instant, wall_ms: u64) -> bool {
+    pub fn list_quarantined(
+        &mut self,
+        entry: quarantine_entry::Entry,
+        now: Instant,
+        wall_ms: u64,
+    ) -> bool {
         let remaining = Duration::from_millis(entry.until_ms.saturating_sub(wall_ms));
         self.quarantine.merge_entry(entry.fingerprint, entry.proofs, remaining, now);
         self.digest.set(None);
@@ -39,7 +44,7 @@
     }
 
     /// The requests that the directory lists as quarantined.
-    pub fn quarantined(&self) -> impl Iterator<Item = &QuarantineEntry> {
+    pub fn quarantined(&self) -> impl Iterator<Item = &quarantine_entry::Entry> {
         self.quarantined.values()
     }
 }
--- a/request/src/directory.rs
+++ b/request/src/directory.rs
@@ -13,7 +13,7 @@
 
 use crate::cluster::{Hall, Halls, Listed};
 use crate::fingerprint::Fingerprint;
-pub use crate::quarantine_entry::QuarantineEntry;
+use crate::quarantine_entry;
 use crate::revision::Revision;
 
 /// A VM of the fleet.
@@ -53,7 +53,7 @@
     pub members: Vec<Member>,
     /// The quarantined requests.
     #[serde(default, rename = "held")]
-    pub quarantined: Vec<QuarantineEntry>,
+    pub quarantined: Vec<quarantine_entry::Entry>,
     /// The data halls that are drained or were undrained.
     #[serde(default)]
     pub halls: Halls,
@@ -78,7 +78,7 @@
     /// A data hall was drained or undrained.
     Hall(Hall),
     /// A request was quarantined.
-    Quarantined(QuarantineEntry),
+    Quarantined(quarantine_entry::Entry),
     /// A request was released from quarantine.
     Released(Fingerprint),
     /// Settings that cannot be decoded, and the reason.
@@ -156,7 +156,7 @@
     /// Lists a request as quarantined.
     fn quarantine(
         &self,
-        entry: &QuarantineEntry,
+        entry: &quarantine_entry::Entry,
     ) -> impl Future<Output = Result<(), Failure>> + Send;
 
     /// Releases a request from quarantine.
--- a/request/src/quarantine_entry.rs
+++ b/request/src/quarantine_entry.rs
@@ -7,7 +7,7 @@
 
 /// The directory entry of a quarantined request, read by all VMs and by operators.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct QuarantineEntry {
+pub struct Entry {
     /// The fingerprint, which is the same for all copies of the request.
     pub fingerprint: Fingerprint,
     /// The organisation of its key; empty if it had none.
--- a/request/src/step.rs
+++ b/request/src/step.rs
@@ -12,7 +12,7 @@
 use crate::cluster::{Hall, Listed};
 use crate::directory::Member;
 use crate::fingerprint::Fingerprint;
-use crate::quarantine_entry::QuarantineEntry;
+use crate::quarantine_entry;
 use crate::revision::Revision;
 
 /// Maximum number of changes announced at once. A change takes some 100 bytes, and all of them
@@ -36,7 +36,7 @@
     Hall(Hall),
     /// A request was quarantined.
     #[serde(rename = "Held")]
-    Quarantined(QuarantineEntry),
+    Quarantined(quarantine_entry::Entry),
     /// A request was released from quarantine.
     Released(Fingerprint),
 }
