--- a/request/src/cluster.rs
+++ b/request/src/cluster.rs
@@ -35,7 +35,7 @@
 pub use limits::Dispatch;
 pub use listed::{Listed, Restart};
 pub use load::{INTERACTIVE_PAUSE_MS, Load};
-pub use outcomes::AttemptOutcome;
+pub use outcomes::Completion;
 pub use upstream::Upstream;
 
 /// Most removed upstreams that are remembered. No message is delayed for as long as it takes for this many
@@ -58,7 +58,7 @@
     quarantined: BTreeMap<Fingerprint, quarantine_entry::Entry>,
     /// Requests that the directory listed as quarantined and that have been released.
     released: VecDeque<Fingerprint>,
-    outcomes: VecDeque<(Instant, AttemptOutcome)>,
+    outcomes: VecDeque<(Instant, Completion)>,
     merged_outcomes: HashMap<id::Vm, u64>,
     own_dispatches: limits::OwnDispatches,
     /// Number of upstreams with a rate limit.
--- a/request/src/cluster/outcomes.rs
+++ b/request/src/cluster/outcomes.rs
@@ -17,7 +17,7 @@
 
 /// The outcome of an attempt, as announced to peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct AttemptOutcome {
+pub struct Completion {
     number: u64,
     upstream: Tag,
     outcome: Outcome,
@@ -29,7 +29,7 @@
         let Some(upstream) = self.upstreams.get_mut(id) else { return };
         upstream.record_outcome(outcome, now);
         self.last_number += 1;
-        let attempt = AttemptOutcome { number: self.last_number, upstream: upstream.tag, outcome };
+        let attempt = Completion { number: self.last_number, upstream: upstream.tag, outcome };
         if self.outcomes.len() == MAX_OUTCOMES {
             self.outcomes.pop_front();
         }
@@ -37,7 +37,7 @@
     }
 
     /// The recent outcomes, as announced to peers.
-    pub fn announced_outcomes(&mut self, now: Instant) -> Vec<AttemptOutcome> {
+    pub fn announced_outcomes(&mut self, now: Instant) -> Vec<Completion> {
         let is_old = |at: &Instant| now.saturating_duration_since(*at) > OUTCOME_ANNOUNCE_WINDOW;
         while self.outcomes.front().is_some_and(|(at, _)| is_old(at)) {
             self.outcomes.pop_front();
@@ -46,7 +46,7 @@
     }
 
     /// Merges the outcomes that a peer announced, each of them once.
-    pub fn merge_outcomes(&mut self, vm: &id::Vm, announced: &[AttemptOutcome], now: Instant) {
+    pub fn merge_outcomes(&mut self, vm: &id::Vm, announced: &[Completion], now: Instant) {
         let last_merged = self.merged_outcomes.get(vm).copied().unwrap_or(0);
         for attempt in announced.iter().filter(|attempt| attempt.number > last_merged) {
             let upstream =
--- a/request/src/message.rs
+++ b/request/src/message.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::budget::Charge;
-use crate::cluster::{AttemptOutcome, Dispatch, Load, Restart};
+use crate::cluster::{Completion, Dispatch, Load, Restart};
 use crate::fingerprint::Fingerprint;
 use crate::placement::{Rejection, Requirements};
 use crate::rate_limit::Limit;
@@ -143,7 +143,7 @@
     /// Its in-flight attempts.
     pub flights: Vec<flight::Announcement>,
     /// Outcomes of recent attempts.
-    pub outcomes: Vec<AttemptOutcome>,
+    pub outcomes: Vec<Completion>,
     /// Its latest reports of engines.
     pub reports: Vec<report::Announcement>,
     /// Its data on requests during which upstreams crashed.
