--- a/daemon/src/pump.rs
+++ b/daemon/src/pump.rs
@@ -6,7 +6,7 @@
 use foldlock_base::error::Error;
 use foldlock_base::id;
 use foldlock_connection::events::Event as Part;
-use foldlock_request::cursor::{Cursor, CursorWriter, Key};
+use foldlock_request::cursor::{self, Cursor, Key};
 use foldlock_request::prompt::Style;
 use serde::Serialize;
 use tokio::sync::{mpsc, oneshot};
@@ -50,7 +50,7 @@
 
 /// Writes parts of an answer as server-sent events.
 pub struct Lines {
-    cursor: Option<CursorWriter>,
+    cursor: Option<cursor::Writer>,
     head: String,
     style: Style,
 }
@@ -114,7 +114,11 @@
 impl Lines {
     /// A writer for a stream that is gone on with.
     pub fn new(request: &id::Request, model: &str, style: Style, key: &Key, at: &Cursor) -> Lines {
-        Lines { cursor: Some(CursorWriter::new(key, at)), head: head(request, model, style), style }
+        Lines {
+            cursor: Some(cursor::Writer::new(key, at)),
+            head: head(request, model, style),
+            style,
+        }
     }
 
     /// Writes parts.
@@ -181,7 +185,7 @@
             organisation: job.organisation.clone(),
             index: 0,
         };
-        self.lines.cursor = Some(CursorWriter::new(&job.version.key, &at));
+        self.lines.cursor = Some(cursor::Writer::new(&job.version.key, &at));
     }
 
     async fn send(&mut self, parts: &[Part]) -> bool {
--- a/request/src/cursor.rs
+++ b/request/src/cursor.rs
@@ -53,23 +53,23 @@
 
 /// Writes the cursors of one stream. The part that is the same in all of them is hashed and encoded
 /// only once.
-pub struct CursorWriter {
+pub struct Writer {
     prefix: String,
     hasher: SipHasher24,
 }
 
 const SEPARATOR: char = '~';
 
-impl CursorWriter {
+impl Writer {
     /// A writer for the cursors of the stream of `at`.
-    pub fn new(key: &Key, at: &Cursor) -> CursorWriter {
+    pub fn new(key: &Key, at: &Cursor) -> Writer {
         let payload = format!(
             "{}{SEPARATOR}{}{SEPARATOR}{}{SEPARATOR}{}",
             at.engine, at.stream, at.request, at.organisation
         );
         let mut hasher = SipHasher24::new_with_key(&key.0);
         hasher.write(payload.as_bytes());
-        CursorWriter { prefix: URL_SAFE_NO_PAD.encode(payload), hasher }
+        Writer { prefix: URL_SAFE_NO_PAD.encode(payload), hasher }
     }
 
     /// Writes the cursor for the token with this index.
@@ -85,7 +85,7 @@
     /// Encodes and signs the cursor as text.
     pub fn sign(&self, key: &Key) -> String {
         let mut text = String::new();
-        CursorWriter::new(key, self)
+        Writer::new(key, self)
             .write(self.index, &mut text)
             .expect("writing to a String cannot fail");
         text
