--- a/daemon/src/fleet/reports.rs
+++ b/daemon/src/fleet/reports.rs
@@ -10,7 +10,7 @@
 use foldlock_request::directory::Member;
 use foldlock_request::message::Message;
 use foldlock_request::notice::Annotated;
-use foldlock_request::report::{Observed, Report, ReportError, Reports};
+use foldlock_request::report::{self, Observed, Report, Reports};
 use foldlock_request::tag::Tag;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -93,7 +93,7 @@
     let Annotated { notice, value: answer } =
         process.reports.report(&listed.id, &listed.address).await;
     notices::heard(&process, &listed.id, start, at, notice);
-    if let Err(ReportError::Unreadable(why)) = &answer {
+    if let Err(report::Failure::Unreadable(why)) = &answer {
         if process.trouble_lines.admit(process.now()).is_some() {
             log::event(&process.log, Event::ReportUnreadable, format!("{}: {why}", listed.id));
         }
@@ -136,11 +136,11 @@
     process: &Process<D>,
     id: &id::Upstream,
     before: Option<Observed>,
-    answer: &Result<Report, ReportError>,
+    answer: &Result<Report, report::Failure>,
 ) {
     let known = before.map(|observed| observed.report);
     match answer {
-        Err(ReportError::Unresponsive(why)) if known != Some(None) => {
+        Err(report::Failure::Unresponsive(why)) if known != Some(None) => {
             log::event(&process.log, Event::UpstreamSilent, format!("{id}: {why}"));
         }
         Err(_) => {}
--- a/request/src/report.rs
+++ b/request/src/report.rs
@@ -27,7 +27,7 @@
 
 /// Why a report could not be fetched.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ReportError {
+pub enum Failure {
     /// The engine did not respond.
     Unresponsive(String),
     /// The response is not a valid report.
@@ -41,7 +41,7 @@
         &self,
         upstream: &id::Upstream,
         address: &str,
-    ) -> impl Future<Output = Annotated<Result<Report, ReportError>>> + Send;
+    ) -> impl Future<Output = Annotated<Result<Report, Failure>>> + Send;
 }
 
 /// The result of fetching a report, with its time.
