--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -37,7 +37,6 @@
 pub mod questions;
 pub mod rate_limits;
 pub mod record;
-pub mod register;
 pub mod reports;
 pub mod scheduler;
 pub mod serve;
@@ -51,6 +50,7 @@
 pub mod volume;
 pub mod withdraw;
 pub mod withdrawals;
+pub mod write_queue;
 pub mod writer;
 
 use std::sync::Arc;
--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -16,7 +16,7 @@
 use crate::fleet::members;
 use crate::fleet::peers::Scheduler;
 use crate::fleet::process::Process;
-use crate::fleet::register::Order;
+use crate::fleet::write_queue::Write;
 use crate::log;
 
 /// The log lines of the changes in one listing.
@@ -180,7 +180,7 @@
     let cluster = process.cluster.lock().unwrap();
     let own =
         cluster.quarantined().filter(|entry| entry.vm == process.member.vm && !is_listed(entry));
-    own.for_each(|entry| process.register.order(Order::Hold(entry.clone())));
+    own.for_each(|entry| process.directory_writes.push(Write::Quarantine(entry.clone())));
 }
 
 fn is_released<D: Dialect>(process: &Process<D>, entry: &quarantine_entry::Entry) -> bool {
@@ -190,7 +190,7 @@
 /// A copy of the directory lists a request that was let go since it was made: one VM removes it again.
 fn release_again<D: Dialect>(process: &Process<D>, entry: &quarantine_entry::Entry) {
     if process.peers.scheduler(false, process.now()) == Some(Scheduler::Own) {
-        process.register.order(Order::Remove(entry.fingerprint));
+        process.directory_writes.push(Write::RemoveRestored(entry.fingerprint));
     }
 }
 
@@ -261,7 +261,7 @@
 /// seconds after it was asked for. Unlisted, no peer hears it, and what it has under way counts nowhere.
 fn list_again<D: Dialect>(process: &Process<D>) {
     if process.listed.load(Ordering::Relaxed) && !process.stopping.is_cancelled() {
-        process.register.order(Order::Announce);
+        process.directory_writes.push(Write::Register);
     }
 }
 
--- a/daemon/src/fleet/ending.rs
+++ b/daemon/src/fleet/ending.rs
@@ -15,8 +15,8 @@
 use foldlock_request::tag::Tag;
 
 use crate::fleet::job::Job;
-use crate::fleet::register::Order;
 use crate::fleet::tell;
+use crate::fleet::write_queue::Write;
 
 /// How long an upstream is asked whether it listens: a dead port says so within a way there and back, a
 /// few milliseconds. One that says nothing may be cut off, which is not the request's doing.
@@ -82,7 +82,7 @@
     let held_ms = remaining.as_millis() as u64;
     job.process.metrics.held.inc();
     job.record(Decision::Quarantined { quarantine_ms: held_ms, solo_crashes: proofs });
-    job.process.register.order(Order::Hold(quarantine_entry::Entry {
+    job.process.directory_writes.push(Write::Quarantine(quarantine_entry::Entry {
         fingerprint: job.fingerprint,
         organisation: job.organisation.as_ref().map_or_else(String::new, |o| o.name.clone()),
         path: job.head.uri.path().to_owned(),
@@ -106,7 +106,7 @@
     drop(cluster);
     job.record(Decision::Cleared);
     if listed {
-        job.process.register.order(Order::Release(fingerprint));
+        job.process.directory_writes.push(Write::Release(fingerprint));
     }
     job.process.tell.notify_one();
     job.process.room.notify_one();
--- a/daemon/src/fleet/follow.rs
+++ b/daemon/src/fleet/follow.rs
@@ -17,7 +17,7 @@
 use crate::fleet::metrics::Call;
 use crate::fleet::peers::WATCHERS;
 use crate::fleet::process::Process;
-use crate::fleet::register::Order;
+use crate::fleet::write_queue::Write;
 use crate::log;
 
 /// How long one watch waits for a change. It bounds the age of the settings: each answer confirms
@@ -268,7 +268,7 @@
     let all = (LIST_AGAIN * process.peers.listed_count() as u32).max(LEAST_LIST_AGAIN);
     tokio::time::sleep(all.mul_f64(rand::random_range(0.0..1.0))).await;
     if process.listed.load(Ordering::Relaxed) && !process.stopping.is_cancelled() {
-        process.register.order(Order::Announce);
+        process.directory_writes.push(Write::Register);
     }
 }
 
--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -25,8 +25,8 @@
 
 use crate::fleet::answer::{self, Body};
 use crate::fleet::process::Process;
-use crate::fleet::register::Order;
 use crate::fleet::unread::Cut;
+use crate::fleet::write_queue::Write;
 use crate::log;
 
 /// The path under which peers read the settings.
@@ -185,7 +185,7 @@
     if !process.cluster.lock().unwrap().quarantine.release(fingerprint, now) {
         return answer::text(StatusCode::NOT_FOUND, TEXT, "nothing is held against it here\n");
     }
-    process.register.order(Order::Release(fingerprint));
+    process.directory_writes.push(Write::Release(fingerprint));
     log::event(&process.log, Event::Released, format!("{fingerprint}, by an operator"));
     answer::text(StatusCode::OK, JSON, json!({"released": fingerprint}).to_string())
 }
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -30,11 +30,11 @@
 use crate::fleet::packed::Kept;
 use crate::fleet::peers::Peers;
 use crate::fleet::questions::Questions;
-use crate::fleet::register::Register;
 use crate::fleet::unread::Unread;
 use crate::fleet::unreadable::Unreadable;
 use crate::fleet::volume::{self, Volume};
 use crate::fleet::withdrawals::Withdrawals;
+use crate::fleet::write_queue;
 use crate::log;
 
 /// How long a VM counts as just started: many that start together have their settings by then.
@@ -114,7 +114,7 @@
     /// Entries of the directory that name nothing to use.
     pub unreadable: Unreadable,
     /// What the directory is to be told of requests that are held.
-    pub register: Register,
+    pub directory_writes: write_queue::Queue,
     /// VMs that stop, to be withdrawn for them.
     pub withdrawals: Withdrawals,
     /// The other VMs.
@@ -189,7 +189,7 @@
             compared: Mutex::default(),
             unread: Unread::new(config.fleet.memory()),
             unreadable: Unreadable::default(),
-            register: Register::default(),
+            directory_writes: write_queue::Queue::default(),
             withdrawals: Withdrawals::default(),
             at: Mutex::default(),
             restored: Mutex::default(),
--- a/daemon/src/fleet/register.rs
+++ b/daemon/src/fleet/write_queue.rs
@@ -7,43 +7,43 @@
 use tokio::sync::mpsc;
 
 /// Orders that wait while the directory is away. Each is a request that ended three upstreams or more.
-const WAITING: usize = 256;
+const CAPACITY: usize = 256;
 
 /// What is to be written.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Order {
+pub enum Write {
     /// A request is held.
-    Hold(quarantine_entry::Entry),
+    Quarantine(quarantine_entry::Entry),
     /// It is no longer.
     Release(Fingerprint),
     /// The same, of an entry that came back with a copy of the directory and is not believed here.
-    Remove(Fingerprint),
+    RemoveRestored(Fingerprint),
     /// This VM lists itself again.
-    Announce,
+    Register,
 }
 
 /// The orders that wait.
 #[derive(Debug)]
-pub struct Register {
-    sender: mpsc::Sender<Order>,
-    receiver: Mutex<Option<mpsc::Receiver<Order>>>,
+pub struct Queue {
+    sender: mpsc::Sender<Write>,
+    receiver: Mutex<Option<mpsc::Receiver<Write>>>,
 }
 
-impl Default for Register {
-    fn default() -> Register {
-        let (sender, receiver) = mpsc::channel(WAITING);
-        Register { sender, receiver: Mutex::new(Some(receiver)) }
+impl Default for Queue {
+    fn default() -> Queue {
+        let (sender, receiver) = mpsc::channel(CAPACITY);
+        Queue { sender, receiver: Mutex::new(Some(receiver)) }
     }
 }
 
-impl Register {
+impl Queue {
     /// The orders, for the one task that carries them out.
-    pub fn take(&self) -> Option<mpsc::Receiver<Order>> {
+    pub fn take_receiver(&self) -> Option<mpsc::Receiver<Write>> {
         self.receiver.lock().unwrap().take()
     }
 
     /// Gives an order. Where too many wait it is left: VMs tell each other of what is held anyway.
-    pub fn order(&self, order: Order) {
-        let _ = self.sender.try_send(order);
+    pub fn push(&self, write: Write) {
+        let _ = self.sender.try_send(write);
     }
 }
--- a/daemon/src/fleet/writer.rs
+++ b/daemon/src/fleet/writer.rs
@@ -13,94 +13,95 @@
 use crate::fleet::metrics::Call;
 use crate::fleet::peers::Scheduler;
 use crate::fleet::process::Process;
-use crate::fleet::register::Order;
+use crate::fleet::write_queue::Write;
 use crate::log;
 
 /// Entries in the directory at most: some 300 KB in one listing, at 300 bytes each.
-const MOST_LISTED: usize = 1_024;
+const MAX_ENTRIES: usize = 1_024;
 
 /// The pause after a call that failed; it doubles with each failure.
-const RETRY: Duration = Duration::from_millis(200);
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The longest such pause.
-const MOST_RETRY: Duration = Duration::from_millis(1_600);
+const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(1_600);
 
 /// How often entries are looked through for those that are over.
-const SWEEP: Duration = Duration::from_secs(30);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(30);
 
 /// How long an entry stays after its request was held: it says how often that was needed.
-const KEPT: Duration = Duration::from_secs(3_600);
+const RETENTION: Duration = Duration::from_secs(3_600);
 
 /// Carries out orders, and ends entries that are over while this VM places, until the process stops.
 pub async fn run<D: Dialect, R: Directory>(process: Arc<Process<D>>, directory: R) {
-    let Some(mut orders) = process.register.take() else { return };
+    let Some(mut writes) = process.directory_writes.take_receiver() else { return };
     while !process.stopping.is_cancelled() {
         tokio::select! {
-            order = orders.recv() => match order {
-                Some(order) => write(&process, &directory, &order).await,
+            write = writes.recv() => match write {
+                Some(write) => execute(&process, &directory, &write).await,
                 None => return,
             },
-            () = tokio::time::sleep(SWEEP) => sweep(&process),
+            () = tokio::time::sleep(SWEEP_INTERVAL) => sweep(&process),
             () = process.stopping.cancelled() => return,
         }
     }
 }
 
-async fn write<D: Dialect, R: Directory>(process: &Process<D>, directory: &R, order: &Order) {
-    let mut pause = RETRY;
-    while !process.stopping.is_cancelled() && !is_moot(process, order) {
+async fn execute<D: Dialect, R: Directory>(process: &Process<D>, directory: &R, write: &Write) {
+    let mut pause = RETRY_INTERVAL;
+    while !process.stopping.is_cancelled() && !is_obsolete(process, write) {
         process.metrics.called(Call::Write);
-        match carry_out(process, directory, order).await {
+        match attempt(process, directory, write).await {
             Ok(()) => return,
             Err(fault) => {
                 process.metrics.directory_failures.inc();
-                log::event(&process.log, Event::WriteFailed, format!("{order:?}: {fault}"));
+                log::event(&process.log, Event::WriteFailed, format!("{write:?}: {fault}"));
             }
         }
         tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(MOST_RETRY);
+        pause = (pause * 2).min(MAX_RETRY_INTERVAL);
     }
 }
 
-async fn carry_out<D: Dialect, R: Directory>(
+async fn attempt<D: Dialect, R: Directory>(
     process: &Process<D>,
     directory: &R,
-    order: &Order,
+    write: &Write,
 ) -> Result<(), directory::Failure> {
-    match order {
-        Order::Hold(entry) => directory.quarantine(entry).await,
-        Order::Release(fingerprint) | Order::Remove(fingerprint) => {
+    match write {
+        Write::Quarantine(entry) => directory.quarantine(entry).await,
+        Write::Release(fingerprint) | Write::RemoveRestored(fingerprint) => {
             directory.release(*fingerprint).await
         }
-        Order::Announce => directory.register(&process.member).await,
+        Write::Register => directory.register(&process.member).await,
     }
 }
 
 /// Whether an order needs no writing any more.
-fn is_moot<D: Dialect>(process: &Process<D>, order: &Order) -> bool {
+fn is_obsolete<D: Dialect>(process: &Process<D>, write: &Write) -> bool {
     let cluster = process.cluster.lock().unwrap();
-    match order {
-        Order::Hold(entry) => {
-            let listed = cluster.quarantined().count();
-            let known = cluster.quarantined().any(|held| held.fingerprint == entry.fingerprint);
-            entry.until_ms <= process.clock.wall_millis() || listed >= MOST_LISTED && !known
+    match write {
+        Write::Quarantine(entry) => {
+            let count = cluster.quarantined().count();
+            let is_listed =
+                cluster.quarantined().any(|listed| listed.fingerprint == entry.fingerprint);
+            entry.until_ms <= process.clock.wall_millis() || count >= MAX_ENTRIES && !is_listed
         }
-        Order::Release(fingerprint) => {
-            !cluster.quarantined().any(|held| held.fingerprint == *fingerprint)
+        Write::Release(fingerprint) => {
+            !cluster.quarantined().any(|listed| listed.fingerprint == *fingerprint)
         }
-        Order::Remove(fingerprint) => !cluster.is_released(*fingerprint),
-        Order::Announce => false,
+        Write::RemoveRestored(fingerprint) => !cluster.is_released(*fingerprint),
+        Write::Register => false,
     }
 }
 
 fn sweep<D: Dialect>(process: &Process<D>) {
-    let places = process.peers.scheduler(false, process.now()) == Some(Scheduler::Own);
-    if !places || !process.watching.load(Ordering::Relaxed) {
+    let is_scheduler = process.peers.scheduler(false, process.now()) == Some(Scheduler::Own);
+    if !is_scheduler || !process.watching.load(Ordering::Relaxed) {
         return;
     }
     let now_ms = process.clock.wall_millis();
-    let kept_ms = KEPT.as_millis() as u64;
+    let retention_ms = RETENTION.as_millis() as u64;
     let cluster = process.cluster.lock().unwrap();
-    let over = cluster.quarantined().filter(|entry| entry.until_ms + kept_ms <= now_ms);
-    over.for_each(|entry| process.register.order(Order::Release(entry.fingerprint)));
+    let expired = cluster.quarantined().filter(|entry| entry.until_ms + retention_ms <= now_ms);
+    expired.for_each(|entry| process.directory_writes.push(Write::Release(entry.fingerprint)));
 }
