--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -285,7 +285,7 @@
     cluster.set_cold(&id, cold, process.now());
     let restarted = known && cluster.tag_of(&id) != before;
     drop(cluster);
-    process.unreadable.forget(id.as_str());
+    process.unreadable.remove(id.as_str());
     if !changed {
         return;
     }
@@ -326,7 +326,7 @@
 
 /// An entry names nothing to use; logged once for each version of it.
 fn unreadable<D: Dialect>(process: &Process<D>, key: &str, revision: Revision, why: &str) {
-    if process.unreadable.note(key, revision, why) {
+    if process.unreadable.insert(key, revision, why) {
         process.metrics.unreadable.inc();
         log::event(&process.log, Event::EntryUnreadable, format!("{key} at {revision}: {why}"));
     }
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -31,7 +31,7 @@
 use crate::fleet::peers::Peers;
 use crate::fleet::questions::Questions;
 use crate::fleet::unread::Unread;
-use crate::fleet::unreadable::Unreadable;
+use crate::fleet::unreadable;
 use crate::fleet::volume::{self, Volume};
 use crate::fleet::withdrawals::Withdrawals;
 use crate::fleet::write_queue;
@@ -112,7 +112,7 @@
     /// Answers that their callers have not read to the end.
     pub unread: Arc<Unread>,
     /// Entries of the directory that name nothing to use.
-    pub unreadable: Unreadable,
+    pub unreadable: unreadable::Entries,
     /// What the directory is to be told of requests that are held.
     pub directory_writes: write_queue::Queue,
     /// VMs that stop, to be withdrawn for them.
@@ -188,7 +188,7 @@
             steps: Mutex::default(),
             compared: Mutex::default(),
             unread: Unread::new(config.fleet.memory()),
-            unreadable: Unreadable::default(),
+            unreadable: unreadable::Entries::default(),
             directory_writes: write_queue::Queue::default(),
             withdrawals: Withdrawals::default(),
             at: Mutex::default(),
--- a/daemon/src/fleet/unreadable.rs
+++ b/daemon/src/fleet/unreadable.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 /// Entries that are remembered; one more is logged each time that it is read.
-const MOST: usize = 256;
+const MAX_ENTRIES: usize = 256;
 
 /// An entry that names nothing to use.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
@@ -20,23 +20,23 @@
 
 /// The entries, by their keys.
 #[derive(Debug, Default)]
-pub struct Unreadable(Mutex<BTreeMap<String, Entry>>);
+pub struct Entries(Mutex<BTreeMap<String, Entry>>);
 
-impl Unreadable {
+impl Entries {
     /// Notes an entry. Answers whether this version of it is news.
-    pub fn note(&self, key: &str, revision: Revision, why: &str) -> bool {
+    pub fn insert(&self, key: &str, revision: Revision, why: &str) -> bool {
         let mut entries = self.0.lock().unwrap();
         if entries.get(key).is_some_and(|known| known.revision == revision) {
             return false;
         }
-        if entries.len() < MOST || entries.contains_key(key) {
+        if entries.len() < MAX_ENTRIES || entries.contains_key(key) {
             entries.insert(key.to_owned(), Entry { revision, why: why.to_owned() });
         }
         true
     }
 
     /// An entry can be used again.
-    pub fn forget(&self, key: &str) {
+    pub fn remove(&self, key: &str) {
         self.0.lock().unwrap().remove(key);
     }
 
