--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -237,7 +237,7 @@
         }
         Change::MemberWithdrawn(vm) if vm == process.member.vm => {
             if process.stopping.is_cancelled() {
-                process.withdrawals.withdrawn();
+                process.withdrawals.on_withdrawn();
             }
             list_again(process);
         }
--- a/daemon/src/fleet/follow.rs
+++ b/daemon/src/fleet/follow.rs
@@ -174,7 +174,7 @@
 
 /// Whether a few VMs watch the directory for all: also one that stops, and hears the others leave, is told.
 fn is_large<D: Dialect>(process: &Process<D>) -> bool {
-    process.peers.is_large() || process.withdrawals.asks()
+    process.peers.is_large() || process.withdrawals.is_delegated()
 }
 
 /// How long this VM relies on what it was told once no peer says any more that the directory answers it.
--- a/daemon/src/fleet/members.rs
+++ b/daemon/src/fleet/members.rs
@@ -22,8 +22,8 @@
 
 /// A VM says that it stops. The one that withdraws others does so if it asks for that.
 pub fn leaves<D: Dialect>(process: &Process<D>, vm: &id::Vm, asks: bool) {
-    if withdrawn(process, vm) && asks && withdraw::is_first(process) {
-        process.withdrawals.note(vm.clone());
+    if withdrawn(process, vm) && asks && withdraw::withdraws_others(process) {
+        process.withdrawals.push(vm.clone());
     }
 }
 
--- a/daemon/src/fleet/tell.rs
+++ b/daemon/src/fleet/tell.rs
@@ -125,7 +125,7 @@
         revision: process.at(),
         digest,
         leaving: process.stopping.is_cancelled(),
-        withdraw: process.withdrawals.asks(),
+        withdraw: process.withdrawals.is_delegated(),
         watching: process.watching.load(Ordering::Relaxed),
         synced: process.peers.settled(now),
         restarts: starts,
--- a/daemon/src/fleet/withdraw.rs
+++ b/daemon/src/fleet/withdraw.rs
@@ -16,50 +16,50 @@
 use crate::log;
 
 /// How long withdrawals gather: with a call and a beat, well under the time for which one that stops lives on.
-const GATHER: Duration = Duration::from_millis(300);
+const BATCH_INTERVAL: Duration = Duration::from_millis(300);
 
 /// How long a VM that stops waits for others to withdraw it: some gatherings, and under the time for which it
 /// still accepts connections.
-const PATIENCE: Duration = Duration::from_millis(2_000);
+const DELEGATION_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// How long the directory may take; peers notice the silence of one that ends anyway.
-const WITHDRAW: Duration = Duration::from_millis(500);
+const WITHDRAW_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Withdraws others until the process ends.
 pub async fn run<D: Dialect, R: Directory>(process: Arc<Process<D>>, directory: R) {
     loop {
-        process.withdrawals.came().await;
-        tokio::time::sleep(GATHER).await;
+        process.withdrawals.wait_pending().await;
+        tokio::time::sleep(BATCH_INTERVAL).await;
         loop {
-            let some = process.withdrawals.some();
-            if some.is_empty() {
+            let batch = process.withdrawals.next_batch();
+            if batch.is_empty() {
                 break;
             }
-            withdraw(&process, &directory, &some).await;
+            withdraw(&process, &directory, &batch).await;
         }
     }
 }
 
 /// Tells all that this VM stops, and withdraws it, or lets another do that.
 pub async fn leave<D: Dialect, R: Directory>(process: &Process<D>, directory: &R) {
-    let asks = process.peers.is_large() && !is_first(process);
-    process.withdrawals.stops(asks);
+    let delegated = process.peers.is_large() && !withdraws_others(process);
+    process.withdrawals.set_delegated(delegated);
     process.tell_all();
-    let withdrawn = process.withdrawals.gone();
-    if !asks || tokio::time::timeout(PATIENCE, withdrawn).await.is_err() {
+    let withdrawn = process.withdrawals.wait_withdrawn();
+    if !delegated || tokio::time::timeout(DELEGATION_TIMEOUT, withdrawn).await.is_err() {
         withdraw(process, directory, std::slice::from_ref(&process.member.vm)).await;
     }
 }
 
 /// Whether this VM is the one that withdraws others: the first of those that are heard and stay. Where all stop, each
 /// would be that once it has heard the others; so who asks to be withdrawn itself is not.
-pub fn is_first<D: Dialect>(process: &Process<D>) -> bool {
-    !process.withdrawals.asks() && process.peers.position(process.now()) == 0
+pub fn withdraws_others<D: Dialect>(process: &Process<D>) -> bool {
+    !process.withdrawals.is_delegated() && process.peers.position(process.now()) == 0
 }
 
 async fn withdraw<D: Dialect, R: Directory>(process: &Process<D>, directory: &R, vms: &[id::Vm]) {
     process.metrics.called(Call::Write);
-    match tokio::time::timeout(WITHDRAW, directory.withdraw(vms)).await {
+    match tokio::time::timeout(WITHDRAW_TIMEOUT, directory.withdraw(vms)).await {
         Ok(Ok(())) => {}
         Ok(Err(fault)) => {
             process.metrics.directory_failures.inc();
--- a/daemon/src/fleet/withdrawals.rs
+++ b/daemon/src/fleet/withdrawals.rs
@@ -11,48 +11,48 @@
 /// The VMs that are to be withdrawn, and whether this one was.
 #[derive(Debug, Default)]
 pub struct Withdrawals {
-    waiting: Mutex<BTreeSet<id::Vm>>,
-    came: Notify,
+    pending: Mutex<BTreeSet<id::Vm>>,
+    added: Notify,
     withdrawn: Notify,
     /// Whether this VM stops and asks to be withdrawn.
-    asks: AtomicBool,
+    delegated: AtomicBool,
 }
 
 impl Withdrawals {
     /// A VM leaves.
-    pub fn note(&self, vm: id::Vm) {
-        self.waiting.lock().unwrap().insert(vm);
-        self.came.notify_one();
+    pub fn push(&self, vm: id::Vm) {
+        self.pending.lock().unwrap().insert(vm);
+        self.added.notify_one();
     }
 
     /// Waits until one leaves.
-    pub async fn came(&self) {
-        self.came.notified().await;
+    pub async fn wait_pending(&self) {
+        self.added.notified().await;
     }
 
     /// This VM stops, and asks to be withdrawn or does it itself.
-    pub fn stops(&self, asks: bool) {
-        self.asks.store(asks, Ordering::Relaxed);
+    pub fn set_delegated(&self, delegated: bool) {
+        self.delegated.store(delegated, Ordering::Relaxed);
     }
 
     /// Whether this VM stops and asks to be withdrawn: it was one of a large fleet then.
-    pub fn asks(&self) -> bool {
-        self.asks.load(Ordering::Relaxed)
+    pub fn is_delegated(&self) -> bool {
+        self.delegated.load(Ordering::Relaxed)
     }
 
     /// This VM's own entry is gone.
-    pub fn withdrawn(&self) {
+    pub fn on_withdrawn(&self) {
         self.withdrawn.notify_one();
     }
 
     /// Waits until this VM's own entry is gone.
-    pub async fn gone(&self) {
+    pub async fn wait_withdrawn(&self) {
         self.withdrawn.notified().await;
     }
 
     /// As many as go with one call.
-    pub fn some(&self) -> Vec<id::Vm> {
-        let mut waiting = self.waiting.lock().unwrap();
-        std::iter::from_fn(|| waiting.pop_first()).take(WITHDRAW_BATCH_SIZE).collect()
+    pub fn next_batch(&self) -> Vec<id::Vm> {
+        let mut pending = self.pending.lock().unwrap();
+        std::iter::from_fn(|| pending.pop_first()).take(WITHDRAW_BATCH_SIZE).collect()
     }
 }
