--- a/daemon/tests/fleet_size.rs
+++ b/daemon/tests/fleet_size.rs
@@ -84,7 +84,7 @@
 fn vms_that_hear_nobody_come_to_the_directory_one_after_the_other() {
     // The smallest directory takes 2,000 reading calls a second, of which one start makes up to eight pages.
     let most_in_a_second = 250;
-    let times: Vec<Duration> = (0..2_000).map(join::patience).collect();
+    let times: Vec<Duration> = (0..2_000).map(join::peer_timeout).collect();
     for from in &times {
         let within = |at: &&Duration| *at >= from && **at < *from + Duration::from_secs(1);
         let reads = times.iter().filter(within).count();
--- a/daemon/tests/join.rs
+++ b/daemon/tests/join.rs
@@ -8,34 +8,34 @@
 
 use foldlockd::fleet::join;
 
-const PATIENCE: Duration = Duration::from_millis(50);
+const TIMEOUT: Duration = Duration::from_millis(50);
 
 /// The thread does nothing else for twice as long as the VM waits.
 fn stall() {
     let began = Instant::now();
-    while began.elapsed() < PATIENCE * 2 {}
+    while began.elapsed() < TIMEOUT * 2 {}
 }
 
 #[tokio::test]
-async fn a_vm_that_stood_still_hears_what_it_was_told_meanwhile() {
-    let looks = Cell::new(0);
-    let heard = || {
-        looks.set(looks.get() + 1);
-        if looks.get() == 1 {
+async fn messages_received_during_a_stall_count() {
+    let polls = Cell::new(0);
+    let is_up = || {
+        polls.set(polls.get() + 1);
+        if polls.get() == 1 {
             stall();
         }
-        looks.get() > 2
+        polls.get() > 2
     };
-    assert!(join::comes_about(PATIENCE, heard).await);
+    assert!(join::poll_until(TIMEOUT, is_up).await);
 }
 
 #[tokio::test]
-async fn a_vm_that_hears_nobody_ends_its_wait() {
-    let looks = Cell::new(0);
-    let heard = || {
-        looks.set(looks.get() + 1);
+async fn the_wait_ends_after_a_fixed_number_of_polls() {
+    let polls = Cell::new(0);
+    let is_up = || {
+        polls.set(polls.get() + 1);
         false
     };
-    assert!(!join::comes_about(PATIENCE, heard).await);
-    assert_eq!(looks.get(), 6, "one more than pauses");
+    assert!(!join::poll_until(TIMEOUT, is_up).await);
+    assert_eq!(polls.get(), 6, "one more than pauses");
 }
