--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -59,27 +59,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Provenance {
     /// It is current.
-    Sound,
+    Current,
     /// It was away of late: a listing that has ended may only have lapsed.
-    Lapsed,
+    AfterOutage,
     /// It has come back from a copy of itself: what it lists is older than what is known, and what it does
     /// not list may only be missing there.
-    Copy,
+    AfterRestore,
 }
 
 impl Provenance {
     /// Whether an upstream whose listing has ended may still live.
-    fn may_live(self) -> bool {
-        self != Provenance::Sound
+    fn may_be_running(self) -> bool {
+        self != Provenance::Current
     }
 }
 
 /// A change as peers are told of it; none where it is told in another way, or may not hold.
-pub fn told(change: &Change, provenance: Provenance) -> Option<step::Change> {
+pub fn announced(change: &Change, provenance: Provenance) -> Option<step::Change> {
     Some(match change {
         Change::Upstream(listed) => step::Change::Upstream(listed.clone()),
         // It may live; once it is taken for gone, that is told.
-        Change::UpstreamRemoved(..) if provenance.may_live() => return None,
+        Change::UpstreamRemoved(..) if provenance.may_be_running() => return None,
         Change::UpstreamRemoved(id, revision) | Change::UpstreamUnreadable(id, revision, _) => {
             step::Change::UpstreamRemoved(id.clone(), *revision)
         }
@@ -95,7 +95,7 @@
 }
 
 /// After a whole read, what is not in it has ended.
-pub fn end_unlisted<D: Dialect>(
+pub fn remove_unlisted<D: Dialect>(
     process: &Process<D>,
     changes: &[Change],
     revision: Revision,
@@ -109,31 +109,31 @@
             _ => None,
         })
         .collect();
-    let known: Vec<id::Upstream> =
+    let unlisted: Vec<id::Upstream> =
         process.cluster.lock().unwrap().ids().filter(|id| !listed.contains(id)).cloned().collect();
-    known.iter().for_each(|id| listing_ended(process, id, revision, provenance, change_log));
-    if provenance == Provenance::Copy {
-        hold_again(process, changes);
+    unlisted.iter().for_each(|id| unlist_upstream(process, id, revision, provenance, change_log));
+    if provenance == Provenance::AfterRestore {
+        requarantine_missing(process, changes);
         return;
     }
     let is_own = |change: &Change| matches!(change, Change::Member(member) if member.vm == process.member.vm);
     // What a peer tells leaves out the VM that it tells.
     if process.watching.load(Ordering::Relaxed) && !changes.iter().any(is_own) {
-        list_again(process);
+        register_again(process);
     }
     release_unlisted(process, changes, change_log);
 }
 
 /// After a whole read of the directory, a hall that is not in it is drained no more. A copy lacks what its
 /// operator writes again.
-pub fn take_back_unlisted<D: Dialect>(
+pub fn undrain_unlisted<D: Dialect>(
     process: &Process<D>,
     changes: &[Change],
     revision: Revision,
     provenance: Provenance,
     change_log: &mut ChangeLog,
 ) {
-    if provenance == Provenance::Copy {
+    if provenance == Provenance::AfterRestore {
         return;
     }
     let drained: Vec<&str> = changes
@@ -143,25 +143,25 @@
             _ => None,
         })
         .collect();
-    let taken_back = process.cluster.lock().unwrap().sync_halls(&drained, revision);
-    for name in taken_back {
-        hall_changed(process, &Hall { name, drained: false, revision }, change_log);
+    let undrained = process.cluster.lock().unwrap().sync_halls(&drained, revision);
+    for name in undrained {
+        on_hall_change(process, &Hall { name, drained: false, revision }, change_log);
     }
 }
 
 /// Takes what a peer knows of halls.
-pub fn halls_told<D: Dialect>(process: &Process<D>, halls: &Halls, change_log: &mut ChangeLog) {
+pub fn merge_halls<D: Dialect>(process: &Process<D>, halls: &Halls, change_log: &mut ChangeLog) {
     let changed = process.cluster.lock().unwrap().merge_halls(halls);
-    changed.iter().for_each(|hall| hall_changed(process, hall, change_log));
+    changed.iter().for_each(|hall| on_hall_change(process, hall, change_log));
 }
 
-fn hall_noted<D: Dialect>(process: &Process<D>, hall: Hall, change_log: &mut ChangeLog) {
+fn update_hall<D: Dialect>(process: &Process<D>, hall: Hall, change_log: &mut ChangeLog) {
     if process.cluster.lock().unwrap().update_hall(hall.clone()) {
-        hall_changed(process, &hall, change_log);
+        on_hall_change(process, &hall, change_log);
     }
 }
 
-fn hall_changed<D: Dialect>(process: &Process<D>, hall: &Hall, change_log: &mut ChangeLog) {
+fn on_hall_change<D: Dialect>(process: &Process<D>, hall: &Hall, change_log: &mut ChangeLog) {
     let event = if hall.drained { Event::HallDrained } else { Event::HallTakenBack };
     change_log.add(event, format!("{}, by revision {}", hall.name, hall.revision));
     let drained = process.cluster.lock().unwrap().halls().drained().count();
@@ -171,7 +171,7 @@
 
 /// A copy of the directory lacks requests that were held since it was made: the VM that had the proof writes
 /// them again.
-fn hold_again<D: Dialect>(process: &Process<D>, changes: &[Change]) {
+fn requarantine_missing<D: Dialect>(process: &Process<D>, changes: &[Change]) {
     let is_listed = |entry: &quarantine_entry::Entry| {
         changes
             .iter()
@@ -188,7 +188,7 @@
 }
 
 /// A copy of the directory lists a request that was let go since it was made: one VM removes it again.
-fn release_again<D: Dialect>(process: &Process<D>, entry: &quarantine_entry::Entry) {
+fn remove_restored<D: Dialect>(process: &Process<D>, entry: &quarantine_entry::Entry) {
     if process.peers.scheduler(false, process.now()) == Some(Scheduler::Own) {
         process.directory_writes.push(Write::RemoveRestored(entry.fingerprint));
     }
@@ -206,10 +206,10 @@
             _ => None,
         })
         .collect();
-    let known: Vec<Fingerprint> =
+    let quarantined: Vec<Fingerprint> =
         process.cluster.lock().unwrap().quarantined().map(|entry| entry.fingerprint).collect();
-    let gone = known.into_iter().filter(|fingerprint| !listed.contains(fingerprint));
-    gone.for_each(|fingerprint| released(process, fingerprint, change_log));
+    let unlisted = quarantined.into_iter().filter(|fingerprint| !listed.contains(fingerprint));
+    unlisted.for_each(|fingerprint| release(process, fingerprint, change_log));
 }
 
 /// Takes one change.
@@ -221,13 +221,13 @@
 ) {
     match change {
         Change::Settings(settings) => process.take_settings(*settings, "the directory"),
-        Change::Upstream(listed) => upstream_listed(process, listed, provenance, change_log),
+        Change::Upstream(listed) => list_upstream(process, listed, provenance, change_log),
         Change::UpstreamRemoved(id, revision) => {
-            listing_ended(process, &id, revision, provenance, change_log);
+            unlist_upstream(process, &id, revision, provenance, change_log);
         }
         Change::UpstreamUnreadable(id, revision, why) => {
-            unreadable(process, id.as_str(), revision, &why);
-            listing_ended(process, &id, revision, Provenance::Sound, change_log);
+            on_unreadable(process, id.as_str(), revision, &why);
+            unlist_upstream(process, &id, revision, Provenance::Current, change_log);
         }
         Change::Member(member) => {
             let what = format!("{} at {}", member.vm, member.address);
@@ -239,33 +239,33 @@
             if process.stopping.is_cancelled() {
                 process.withdrawals.on_withdrawn();
             }
-            list_again(process);
+            register_again(process);
         }
         Change::MemberWithdrawn(vm) => {
             members::withdrawn(process, &vm);
         }
-        Change::Hall(hall) => hall_noted(process, hall, change_log),
+        Change::Hall(hall) => update_hall(process, hall, change_log),
         Change::Quarantined(entry)
-            if provenance == Provenance::Copy && is_released(process, &entry) =>
+            if provenance == Provenance::AfterRestore && is_released(process, &entry) =>
         {
-            release_again(process, &entry);
+            remove_restored(process, &entry);
         }
-        Change::Quarantined(entry) => quarantined(process, entry, change_log),
-        Change::Released(fingerprint) => released(process, fingerprint, change_log),
-        Change::Unreadable { key, revision, why } => unreadable(process, &key, revision, &why),
+        Change::Quarantined(entry) => list_quarantined(process, entry, change_log),
+        Change::Released(fingerprint) => release(process, fingerprint, change_log),
+        Change::Unreadable { key, revision, why } => on_unreadable(process, &key, revision, &why),
         Change::SettingsUnreadable(why) => log::event(&process.log, Event::VersionRefused, why),
     }
 }
 
 /// This VM's own entry is gone though it runs: a withdrawal of the start before it may be carried out
 /// seconds after it was asked for. Unlisted, no peer hears it, and what it has under way counts nowhere.
-fn list_again<D: Dialect>(process: &Process<D>) {
+fn register_again<D: Dialect>(process: &Process<D>) {
     if process.listed.load(Ordering::Relaxed) && !process.stopping.is_cancelled() {
         process.directory_writes.push(Write::Register);
     }
 }
 
-fn upstream_listed<D: Dialect>(
+fn list_upstream<D: Dialect>(
     process: &Process<D>,
     listed: Listed,
     provenance: Provenance,
@@ -276,14 +276,14 @@
     let what = format!("{} of {} at {}", listed.id, listed.service, listed.address);
     let id = listed.id.clone();
     let mut cluster = process.cluster.lock().unwrap();
-    let before = cluster.tag_of(&id);
-    let known = cluster.get(&id).is_some();
+    let previous_tag = cluster.tag_of(&id);
+    let was_listed = cluster.get(&id).is_some();
     let changed = match provenance {
-        Provenance::Sound | Provenance::Lapsed => cluster.list(listed),
-        Provenance::Copy => cluster.list_restored(listed),
+        Provenance::Current | Provenance::AfterOutage => cluster.list(listed),
+        Provenance::AfterRestore => cluster.list_restored(listed),
     };
     cluster.set_cold(&id, cold, process.now());
-    let restarted = known && cluster.tag_of(&id) != before;
+    let restarted = was_listed && cluster.tag_of(&id) != previous_tag;
     drop(cluster);
     process.unreadable.remove(id.as_str());
     if !changed {
@@ -301,7 +301,7 @@
     process.room.notify_one();
 }
 
-fn quarantined<D: Dialect>(
+fn list_quarantined<D: Dialect>(
     process: &Process<D>,
     entry: quarantine_entry::Entry,
     change_log: &mut ChangeLog,
@@ -314,42 +314,38 @@
     }
 }
 
-fn released<D: Dialect>(
-    process: &Process<D>,
-    fingerprint: Fingerprint,
-    change_log: &mut ChangeLog,
-) {
+fn release<D: Dialect>(process: &Process<D>, fingerprint: Fingerprint, change_log: &mut ChangeLog) {
     if process.cluster.lock().unwrap().unlist_quarantined(fingerprint, process.now()) {
         change_log.add(Event::Released, fingerprint.to_string());
     }
 }
 
 /// An entry names nothing to use; logged once for each version of it.
-fn unreadable<D: Dialect>(process: &Process<D>, key: &str, revision: Revision, why: &str) {
+fn on_unreadable<D: Dialect>(process: &Process<D>, key: &str, revision: Revision, why: &str) {
     if process.unreadable.insert(key, revision, why) {
         process.metrics.unreadable.inc();
         log::event(&process.log, Event::EntryUnreadable, format!("{key} at {revision}: {why}"));
     }
 }
 
-fn listing_ended<D: Dialect>(
+fn unlist_upstream<D: Dialect>(
     process: &Process<D>,
     id: &id::Upstream,
     revision: Revision,
     provenance: Provenance,
     change_log: &mut ChangeLog,
 ) {
-    if provenance.may_live() {
+    if provenance.may_be_running() {
         process.cluster.lock().unwrap().unlist(id, process.now());
         return;
     }
     if process.cluster.lock().unwrap().remove(id, revision) {
-        ended(process, id, "its listing ended", change_log);
+        on_upstream_removed(process, id, "its listing ended", change_log);
     }
 }
 
 /// An upstream is gone.
-pub fn ended<D: Dialect>(
+pub fn on_upstream_removed<D: Dialect>(
     process: &Process<D>,
     id: &id::Upstream,
     why: &str,
--- a/daemon/src/fleet/contact.rs
+++ b/daemon/src/fleet/contact.rs
@@ -89,9 +89,9 @@
     pub fn provenance(&self, from: Option<Revision>, now: Instant) -> Provenance {
         let trouble = |at: Instant| now.saturating_duration_since(at) < RECENT;
         match self.restored {
-            Some(_) if from.is_none() => Provenance::Copy,
-            _ if self.trouble.is_some_and(trouble) => Provenance::Lapsed,
-            _ => Provenance::Sound,
+            Some(_) if from.is_none() => Provenance::AfterRestore,
+            _ if self.trouble.is_some_and(trouble) => Provenance::AfterOutage,
+            _ => Provenance::Current,
         }
     }
 
@@ -109,7 +109,7 @@
         });
         match held {
             Some(number) if number >= in_force => self.behind = false,
-            _ if provenance == Provenance::Copy => self.behind = in_force > 0,
+            _ if provenance == Provenance::AfterRestore => self.behind = in_force > 0,
             _ => {}
         }
     }
--- a/daemon/src/fleet/follow.rs
+++ b/daemon/src/fleet/follow.rs
@@ -204,20 +204,22 @@
     contact.note_restored(process.restored(RESTORE_PERIOD));
     let provenance = contact.provenance(from, now);
     if from.is_none() {
-        changes::end_unlisted(process, &changes, at, provenance, &mut change_log);
-        changes::take_back_unlisted(process, &changes, at, provenance, &mut change_log);
+        changes::remove_unlisted(process, &changes, at, provenance, &mut change_log);
+        changes::undrain_unlisted(process, &changes, at, provenance, &mut change_log);
     }
     contact.note_settings(process.version(), provenance, &changes);
     let changed = !changes.is_empty();
     contact.goes_on(at);
     process.known_to(at);
     let mut step: Vec<step::Change> =
-        changes.iter().filter_map(|change| changes::told(change, provenance)).collect();
+        changes.iter().filter_map(|change| changes::announced(change, provenance)).collect();
     changes
         .into_iter()
         .for_each(|change| changes::apply(process, change, provenance, &mut change_log));
     let gone = process.cluster.lock().unwrap().expire(RELIST_TIMEOUT, at, now);
-    gone.iter().for_each(|id| changes::ended(process, id, "not listed again", &mut change_log));
+    gone.iter().for_each(|id| {
+        changes::on_upstream_removed(process, id, "not listed again", &mut change_log)
+    });
     step.extend(gone.into_iter().map(|id| step::Change::UpstreamRemoved(id, at)));
     note_step(process, from, at, step);
     change_log.log(process, at, "the directory");
--- a/daemon/src/fleet/join.rs
+++ b/daemon/src/fleet/join.rs
@@ -113,7 +113,8 @@
 fn list_members<D: Dialect>(process: &Process<D>, changes: Vec<Change>) {
     let mut change_log = ChangeLog::default();
     let members = changes.into_iter().filter(|change| matches!(change, Change::Member(_)));
-    members.for_each(|member| changes::apply(process, member, Provenance::Sound, &mut change_log));
+    members
+        .for_each(|member| changes::apply(process, member, Provenance::Current, &mut change_log));
     change_log.log(process, process.at(), "a look at who is listed");
 }
 
--- a/daemon/src/fleet/peer_sync.rs
+++ b/daemon/src/fleet/peer_sync.rs
@@ -27,7 +27,7 @@
     let revision = listing.revision;
     // The peer may know the copy alone.
     let restored = follow::note_era(process, revision, "a peer");
-    let provenance = if restored { Provenance::Lapsed } else { Provenance::Sound };
+    let provenance = if restored { Provenance::AfterOutage } else { Provenance::Current };
     process.known_to(revision);
     let upstreams: Vec<Listed> = {
         let cluster = process.cluster.lock().unwrap();
@@ -38,13 +38,13 @@
     let held = listing.quarantined.into_iter().map(Change::Quarantined);
     let changes: Vec<Change> = upstreams.chain(members).chain(held).collect();
     let mut change_log = ChangeLog::default();
-    changes::halls_told(process, &listing.halls, &mut change_log);
+    changes::merge_halls(process, &listing.halls, &mut change_log);
     if newer {
-        changes::end_unlisted(process, &changes, revision, provenance, &mut change_log);
+        changes::remove_unlisted(process, &changes, revision, provenance, &mut change_log);
     }
     changes
         .into_iter()
-        .for_each(|change| changes::apply(process, change, Provenance::Sound, &mut change_log));
+        .for_each(|change| changes::apply(process, change, Provenance::Current, &mut change_log));
     change_log.log(process, revision, "a peer");
 }
 
@@ -58,7 +58,7 @@
     let mut change_log = ChangeLog::default();
     for change in step.changes {
         if let Some(change) = accepted(process, change) {
-            changes::apply(process, change, Provenance::Sound, &mut change_log);
+            changes::apply(process, change, Provenance::Current, &mut change_log);
         }
     }
     process.known_to(step.to);
