--- a/daemon/src/fleet/peer_sync.rs
+++ b/daemon/src/fleet/peer_sync.rs
@@ -10,8 +10,8 @@
 use foldlock_request::step::{self, Step};
 
 use crate::fleet::changes::{self, ChangeLog, Provenance};
-use crate::fleet::follow;
 use crate::fleet::process::Process;
+use crate::fleet::watch;
 
 /// Takes the listings that a peer knows, where the directory itself is not heard.
 ///
@@ -26,7 +26,7 @@
     let newer = listing.revision > at;
     let revision = listing.revision;
     // The peer may know the copy alone.
-    let restored = follow::note_era(process, revision, "a peer");
+    let restored = watch::detect_restore(process, revision, "a peer");
     let provenance = if restored { Provenance::AfterOutage } else { Provenance::Current };
     process.known_to(revision);
     let upstreams: Vec<Listed> = {
--- a/daemon/src/fleet/follow.rs
+++ b/daemon/src/fleet/watch.rs
@@ -26,17 +26,17 @@
 
 /// The pause between two watches, in which changes gather: it bounds the calls while many things
 /// change, and adds to the time in which a change is heard.
-const GATHER: Duration = Duration::from_millis(100);
+const WATCH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The same of a VM that only stands by: the first that watches tells all, and this one tells what that one
 /// does not, well within the time in which an upstream that leaves gets no more work.
-const GATHER_SPARE: Duration = Duration::from_millis(500);
+const STANDBY_WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The pause after a call that failed; it doubles with each failure.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The longest such pause: a directory that is back is to be noticed well within its bounds.
-const MOST_RETRY: Duration = Duration::from_millis(400);
+const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
 /// How long after the directory's return an upstream whose listing lapsed may take to list itself
 /// again; from then on it is gone.
@@ -45,33 +45,33 @@
 /// How much longer than the VM before it in the order a VM relies on what it was told, once no peer
 /// says any more that the directory answers it: so the first few of them ask, and the others hear
 /// from these.
-const TURN: Duration = Duration::from_millis(15);
+const TAKEOVER_DELAY_PER_VM: Duration = Duration::from_millis(15);
 
 /// The longest such time, beside a beat. With the time after which a peer's word counts no more, and a call, it
 /// has to be well under the time within which an upstream that leaves gets no more work, 2 s and more.
-const MOST_TURN: Duration = Duration::from_millis(300);
+const MAX_TAKEOVER_DELAY: Duration = Duration::from_millis(300);
 
 /// What each VM before it adds to that, without a longest time: the VMs of a large fleet would else all ask in one
 /// moment. So at most a thousand calls a second are begun.
-const TURN_EACH: Duration = Duration::from_millis(1);
+const UNCAPPED_TAKEOVER_DELAY_PER_VM: Duration = Duration::from_millis(1);
 
 /// How long a VM that has started waits for the listings once a peer is heard that has settings: the first VMs of a
 /// fleet of 1,000 that starts have read theirs after a second, and those that hear them another one later.
-const LEARN_TIMEOUT: Duration = Duration::from_secs(3);
+const FIRST_SYNC_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The longest pause after a failed call of a VM that need not watch: those that watch tell it as
 /// soon as the directory is back.
-const MOST_RETRY_TOLD: Duration = Duration::from_millis(2_000);
+const MAX_FOLLOWER_RETRY_INTERVAL: Duration = Duration::from_millis(2_000);
 
 /// What each VM of a large fleet adds to the longest pauses: together they make a hundred calls a second of a
 /// directory that does not answer.
-const MOST_RETRY_EACH: Duration = Duration::from_millis(10);
+const MAX_RETRY_INTERVAL_PER_VM: Duration = Duration::from_millis(10);
 
 /// How often that pause doubles at most.
-const MOST_DOUBLED: u32 = 8;
+const MAX_DOUBLINGS: u32 = 8;
 
 /// How often a VM that relies on its peers looks whether it still may.
-const TOLD_LOOK: Duration = Duration::from_millis(150);
+const WATCHER_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
 /// How long after its return from a copy the directory may still list what is older than what is known. By then
 /// who lives has written itself again, within two seconds, and the entries of who ended since have lapsed,
@@ -80,23 +80,23 @@
 
 /// The time that each VM adds to that in which all list themselves again, once the directory has come back
 /// from a copy: 150 calls a second, where 400 are free in the smallest installation.
-const LIST_AGAIN: Duration = Duration::from_micros(6_667);
+const REGISTER_AGAIN_WINDOW_PER_VM: Duration = Duration::from_micros(6_667);
 
 /// The least such time.
-const LEAST_LIST_AGAIN: Duration = Duration::from_secs(2);
+const MIN_REGISTER_AGAIN_WINDOW: Duration = Duration::from_secs(2);
 
 /// Follows the directory until the process stops.
 pub async fn run<D: Dialect, R: Directory>(process: Arc<Process<D>>, directory: R) {
     let mut contact = Contact::default();
     join::find_peers(&process, &directory).await;
     loop {
-        if !asks(&process).await {
+        if !should_watch(&process).await {
             process.watching.store(false, Ordering::Relaxed);
             contact.is_told();
-            tokio::time::sleep(TOLD_LOOK).await;
+            tokio::time::sleep(WATCHER_CHECK_INTERVAL).await;
             continue;
         }
-        let asked = process.moment();
+        let requested_at = process.moment();
         let from = contact.from(process.at());
         process.metrics.called(if from.is_some() { Call::Watch } else { Call::Read });
         let answer = match from {
@@ -112,8 +112,8 @@
         };
         match answer {
             Ok(changes) => {
-                heard(&process, &mut contact, from, changes, asked);
-                tokio::time::sleep(gather(&process)).await;
+                on_changes(&process, &mut contact, from, changes, requested_at);
+                tokio::time::sleep(watch_interval(&process)).await;
             }
             Err(directory::Failure::Compacted) => {
                 log::event(&process.log, Event::DirectoryCompacted, "reading all anew");
@@ -121,15 +121,17 @@
             }
             // What it holds now is read anew; its new era is noted then.
             Err(directory::Failure::Restored) => contact.forget(),
-            Err(directory::Failure::Unavailable(why)) => failed(&process, &mut contact, &why).await,
+            Err(directory::Failure::Unavailable(why)) => {
+                on_failure(&process, &mut contact, &why).await
+            }
         }
     }
 }
 
 /// The pause between two watches of this VM.
-fn gather<D: Dialect>(process: &Process<D>) -> Duration {
-    let tells = process.peers.told_by_others(process.now()).is_none();
-    if tells || !is_large(process) { GATHER } else { GATHER_SPARE }
+fn watch_interval<D: Dialect>(process: &Process<D>) -> Duration {
+    let announces = process.peers.told_by_others(process.now()).is_none();
+    if announces || !is_large(process) { WATCH_INTERVAL } else { STANDBY_WATCH_INTERVAL }
 }
 
 /// Whether this VM asks the directory itself: one of the first that are heard, in the order in which they place, or
@@ -137,26 +139,29 @@
 ///
 /// A VM that hears nobody stands first as far as it knows. So whoever does not watch yet waits for its turn, by its
 /// place among all that are listed: else all of a large fleet would ask in one moment, once the first are late.
-async fn asks<D: Dialect>(process: &Process<D>) -> bool {
+async fn should_watch<D: Dialect>(process: &Process<D>) -> bool {
     if !is_large(process) || process.watching.load(Ordering::Relaxed) && is_watcher(process) {
         return true;
     }
-    if is_told(process) {
+    if follows_peers(process) {
         return false;
     }
-    tokio::time::sleep(turn(process)).await;
-    !is_told(process)
+    tokio::time::sleep(takeover_delay(process)).await;
+    !follows_peers(process)
 }
 
 /// Whether a peer was heard just now that the directory answers, and this VM need not ask it as well. One that has
 /// just started has not heard all of those before it, so its place among those that are heard says nothing yet.
-fn is_told<D: Dialect>(process: &Process<D>) -> bool {
+fn follows_peers<D: Dialect>(process: &Process<D>) -> bool {
     let now = process.now();
     // What it is yet to learn, who watches among it, comes from any peer that has heard of it; and those that watch
     // answer a beat or two after it has learnt who they are.
-    let learns =
-        if process.at().is_none() { LEARN_TIMEOUT } else { process.peers.cadence().places() * 2 };
-    if process.peers.age(now) < learns && process.peers.knows(now) {
+    let sync_timeout = if process.at().is_none() {
+        FIRST_SYNC_TIMEOUT
+    } else {
+        process.peers.cadence().places() * 2
+    };
+    if process.peers.age(now) < sync_timeout && process.peers.knows(now) {
         return true;
     }
     if process.at().is_none() {
@@ -168,8 +173,8 @@
 /// Whether this VM is one of those that watch in a large fleet. One that stops takes over from none: where all do,
 /// each would be the first of those that stay.
 fn is_watcher<D: Dialect>(process: &Process<D>) -> bool {
-    let stays = !process.stopping.is_cancelled() || process.watching.load(Ordering::Relaxed);
-    stays && process.peers.position(process.now()) < WATCHERS
+    let may_watch = !process.stopping.is_cancelled() || process.watching.load(Ordering::Relaxed);
+    may_watch && process.peers.position(process.now()) < WATCHERS
 }
 
 /// Whether a few VMs watch the directory for all: also one that stops, and hears the others leave, is told.
@@ -178,19 +183,19 @@
 }
 
 /// How long this VM relies on what it was told once no peer says any more that the directory answers it.
-fn turn<D: Dialect>(process: &Process<D>) -> Duration {
+fn takeover_delay<D: Dialect>(process: &Process<D>) -> Duration {
     let position = process.peers.position_listed() as u32;
     // From some place on, those before this VM answer with their next beat.
-    let most = MOST_TURN + process.peers.cadence().idle();
-    (TURN * position).min(most) + TURN_EACH * position
+    let max = MAX_TAKEOVER_DELAY + process.peers.cadence().idle();
+    (TAKEOVER_DELAY_PER_VM * position).min(max) + UNCAPPED_TAKEOVER_DELAY_PER_VM * position
 }
 
-fn heard<D: Dialect>(
+fn on_changes<D: Dialect>(
     process: &Arc<Process<D>>,
     contact: &mut Contact,
     from: Option<Revision>,
     changes: Changes,
-    asked: Moment,
+    requested_at: Moment,
 ) {
     let now = process.now();
     process.watching.store(true, Ordering::Relaxed);
@@ -199,7 +204,7 @@
     }
     let mut change_log = ChangeLog::default();
     let Changes { revision: at, changes } = changes;
-    note_era(process, at, "the directory");
+    detect_restore(process, at, "the directory");
     // Also where a peer told of it first.
     contact.note_restored(process.restored(RESTORE_PERIOD));
     let provenance = contact.provenance(from, now);
@@ -216,25 +221,25 @@
     changes
         .into_iter()
         .for_each(|change| changes::apply(process, change, provenance, &mut change_log));
-    let gone = process.cluster.lock().unwrap().expire(RELIST_TIMEOUT, at, now);
-    gone.iter().for_each(|id| {
+    let expired = process.cluster.lock().unwrap().expire(RELIST_TIMEOUT, at, now);
+    expired.iter().for_each(|id| {
         changes::on_upstream_removed(process, id, "not listed again", &mut change_log)
     });
-    step.extend(gone.into_iter().map(|id| step::Change::UpstreamRemoved(id, at)));
-    note_step(process, from, at, step);
+    step.extend(expired.into_iter().map(|id| step::Change::UpstreamRemoved(id, at)));
+    record_step(process, from, at, step);
     change_log.log(process, at, "the directory");
     if !contact.is_behind() {
-        process.confirm(asked);
+        process.confirm(requested_at);
     }
     contact.settle(process.restored(RESTORE_PERIOD));
-    let is_told = process.peers.told_by_others(now) >= at;
-    if changed && !is_told {
+    let is_announced = process.peers.told_by_others(now) >= at;
+    if changed && !is_announced {
         process.tell_all();
     }
 }
 
 /// Notes what changed, as peers are told of it; after a whole read that is not known.
-fn note_step<D: Dialect>(
+fn record_step<D: Dialect>(
     process: &Process<D>,
     from: Option<Revision>,
     to: Revision,
@@ -252,7 +257,11 @@
 
 /// Notes the era of a revision. Answers whether the directory has come back from a copy since what is known
 /// of it: then this VM's own entry may be gone, which no other VM would write again.
-pub(super) fn note_era<D: Dialect>(process: &Arc<Process<D>>, at: Revision, from: &str) -> bool {
+pub(super) fn detect_restore<D: Dialect>(
+    process: &Arc<Process<D>>,
+    at: Revision,
+    from: &str,
+) -> bool {
     let known = process.at();
     if known.is_none() || at.era <= known.era {
         return false;
@@ -261,44 +270,46 @@
     process.metrics.restored.inc();
     let what = format!("known to {known}, now at {at}, by {from}");
     log::event(&process.log, Event::DirectoryRestored, what);
-    tokio::spawn(list_again(process.clone()));
+    tokio::spawn(register_again(process.clone()));
     true
 }
 
 /// Lists this VM again, at some moment of the time in which all do.
-async fn list_again<D: Dialect>(process: Arc<Process<D>>) {
-    let all = (LIST_AGAIN * process.peers.listed_count() as u32).max(LEAST_LIST_AGAIN);
-    tokio::time::sleep(all.mul_f64(rand::random_range(0.0..1.0))).await;
+async fn register_again<D: Dialect>(process: Arc<Process<D>>) {
+    let window = (REGISTER_AGAIN_WINDOW_PER_VM * process.peers.listed_count() as u32)
+        .max(MIN_REGISTER_AGAIN_WINDOW);
+    tokio::time::sleep(window.mul_f64(rand::random_range(0.0..1.0))).await;
     if process.listed.load(Ordering::Relaxed) && !process.stopping.is_cancelled() {
         process.directory_writes.push(Write::Register);
     }
 }
 
-async fn failed<D: Dialect>(process: &Arc<Process<D>>, contact: &mut Contact, why: &str) {
+async fn on_failure<D: Dialect>(process: &Arc<Process<D>>, contact: &mut Contact, why: &str) {
     let failures = contact.failed(process.now());
     if failures == 1 {
         log::event(&process.log, Event::DirectoryDown, why);
     }
     process.watching.store(false, Ordering::Relaxed);
     process.metrics.directory_failures.inc();
-    let pause = RETRY_INTERVAL * 2_u32.saturating_pow(failures.min(MOST_DOUBLED) - 1);
+    let pause = RETRY_INTERVAL * 2_u32.saturating_pow(failures.min(MAX_DOUBLINGS) - 1);
     if !is_large(process) || is_watcher(process) {
-        tokio::time::sleep(pause.min(MOST_RETRY)).await;
+        tokio::time::sleep(pause.min(MAX_RETRY_INTERVAL)).await;
         return;
     }
-    let until = process.now() + pause.min(MOST_RETRY_TOLD.max(longest_pause(process)));
+    let until =
+        process.now() + pause.min(MAX_FOLLOWER_RETRY_INTERVAL.max(max_retry_interval(process)));
     while process.now() < until && !process.peers.watched(process.now()) {
-        tokio::time::sleep(TOLD_LOOK.min(until - process.now())).await;
+        tokio::time::sleep(WATCHER_CHECK_INTERVAL.min(until - process.now())).await;
     }
 }
 
 /// The longest pause after failed calls by which the calls of all VMs together stay few.
-fn longest_pause<D: Dialect>(process: &Process<D>) -> Duration {
-    MOST_RETRY_EACH * process.peers.listed_count() as u32
+fn max_retry_interval<D: Dialect>(process: &Process<D>) -> Duration {
+    MAX_RETRY_INTERVAL_PER_VM * process.peers.listed_count() as u32
 }
 
 /// Lists this VM, again and again until the directory has taken it.
-pub async fn announce<D: Dialect, R: Directory>(process: Arc<Process<D>>, directory: R) {
+pub async fn register<D: Dialect, R: Directory>(process: Arc<Process<D>>, directory: R) {
     let mut pause = RETRY_INTERVAL;
     loop {
         process.metrics.called(Call::Write);
@@ -309,7 +320,7 @@
             format!("registration in the directory failed: {fault}"),
         );
         tokio::time::sleep(pause).await;
-        pause = (pause * 2).min((MOST_RETRY * 4).max(longest_pause(&process)));
+        pause = (pause * 2).min((MAX_RETRY_INTERVAL * 4).max(max_retry_interval(&process)));
     }
     process.listed.store(true, Ordering::Relaxed);
 }
