--- a/daemon/src/fleet/stop.rs
+++ b/daemon/src/fleet/stop.rs
@@ -12,14 +12,14 @@
 use crate::log;
 
 /// Kept from the time to stop in, so that the process has ended by itself before it is killed.
-const MARGIN: Duration = Duration::from_millis(400);
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
 
 /// Kept from the same time before that, for the last answers to be written.
-const LAST_ANSWERS: Duration = Duration::from_millis(200);
+const FLUSH_TIME: Duration = Duration::from_millis(200);
 
 /// How long after the signal new connections are still accepted: the platform asks once a second
 /// and sends connections until two of its questions went unanswered.
-const LINGER: Duration = Duration::from_millis(2_500);
+const ACCEPT_WINDOW: Duration = Duration::from_millis(2_500);
 
 /// Stops the process.
 pub async fn run<D: Dialect, R: Directory>(process: &Arc<Process<D>>, directory: &R) {
@@ -29,14 +29,14 @@
     let _ = process.stopped.set(began);
     process.stopping.cancel();
     withdraw::leave(process, directory).await;
-    tokio::time::sleep(LINGER.saturating_sub(process.now() - began)).await;
+    tokio::time::sleep(ACCEPT_WINDOW.saturating_sub(process.now() - began)).await;
     process.tasks.close();
-    let until = began + process.config.fleet.stop().saturating_sub(MARGIN);
-    let last_answers = until - LAST_ANSWERS;
-    if tokio::time::timeout_at(last_answers.into(), process.tasks.wait()).await.is_err() {
+    let deadline = began + process.config.fleet.stop().saturating_sub(EXIT_MARGIN);
+    let flush_deadline = deadline - FLUSH_TIME;
+    if tokio::time::timeout_at(flush_deadline.into(), process.tasks.wait()).await.is_err() {
         process.ending.cancel();
     }
-    let ended = tokio::time::timeout_at(until.into(), process.tasks.wait()).await;
+    let ended = tokio::time::timeout_at(deadline.into(), process.tasks.wait()).await;
     let left = process.tasks.len();
     let what = if ended.is_ok() { "all requests ended".to_owned() } else { format!("{left} left") };
     log::event(&process.log, Event::Stopped, what);
