--- a/daemon/src/fleet/watch.rs
+++ b/daemon/src/fleet/watch.rs
@@ -1,4 +1,4 @@
-//! Following the directory: settings, upstreams and VMs.
+//! Watches the directory for changes of settings, upstreams and VMs, and registers this VM there.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -20,72 +20,76 @@
 use crate::fleet::write_queue::Write;
 use crate::log;
 
-/// How long one watch waits for a change. It bounds the age of the settings: each answer confirms
-/// them, and keys that were taken away must end within seconds. Each answer is also priced.
+/// Time for which one watch waits for a change. It bounds the age of the settings, since each
+/// response confirms them and revoked keys must become invalid within seconds. A shorter time costs
+/// more: each response is charged for.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The pause between two watches, in which changes gather: it bounds the calls while many things
-/// change, and adds to the time in which a change is heard.
+/// Interval between two watches, during which changes accumulate. It bounds the calls while many
+/// entries change, and adds to the delay with which a change is received.
 const WATCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The same of a VM that only stands by: the first that watches tells all, and this one tells what that one
-/// does not, well within the time in which an upstream that leaves gets no more work.
+/// The same of a standby watcher. The first watcher announces the changes; this one announces those
+/// that the first misses, well within the time after which a leaving upstream gets no more
+/// requests.
 const STANDBY_WATCH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The pause after a call that failed; it doubles with each failure.
+/// Delay before the first retry of a failed call; it doubles with each failure.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The longest such pause: a directory that is back is to be noticed well within its bounds.
+/// Maximum delay between retries: a recovered directory has to be noticed well within its bounds.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How long after the directory's return an upstream whose listing lapsed may take to list itself
-/// again; from then on it is gone.
+/// Time after an outage of the directory within which an upstream whose entry expired may register
+/// again; after that it is removed.
 const RELIST_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How much longer than the VM before it in the order a VM relies on what it was told, once no peer
-/// says any more that the directory answers it: so the first few of them ask, and the others hear
-/// from these.
+/// Once no peer announces any more that the directory responds to it, each VM waits this much
+/// longer than the VM before it in the order until it calls the directory itself. So the first few
+/// VMs call it and the others receive the changes from them.
 const TAKEOVER_DELAY_PER_VM: Duration = Duration::from_millis(15);
 
-/// The longest such time, beside a beat. With the time after which a peer's word counts no more, and a call, it
-/// has to be well under the time within which an upstream that leaves gets no more work, 2 s and more.
+/// Upper bound of that delay, to which a heartbeat interval is added. Together with the time after
+/// which a peer's announcement expires, and a call, it has to stay well under the time within which
+/// a leaving upstream gets no more requests, 2 s or more.
 const MAX_TAKEOVER_DELAY: Duration = Duration::from_millis(300);
 
-/// What each VM before it adds to that, without a longest time: the VMs of a large fleet would else all ask in one
-/// moment. So at most a thousand calls a second are begun.
+/// Further delay for each VM before this one, without an upper bound. Otherwise all VMs of a large
+/// fleet would call at once; so at most a thousand calls a second are started.
 const UNCAPPED_TAKEOVER_DELAY_PER_VM: Duration = Duration::from_millis(1);
 
-/// How long a VM that has started waits for the listings once a peer is heard that has settings: the first VMs of a
-/// fleet of 1,000 that starts have read theirs after a second, and those that hear them another one later.
+/// Time for which a started VM waits for the listings once a peer with settings is up. In a fleet
+/// of 1,000 VMs that start together, the first have read the listings after a second, and those
+/// that receive them from these another second later.
 const FIRST_SYNC_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The longest pause after a failed call of a VM that need not watch: those that watch tell it as
-/// soon as the directory is back.
+/// Maximum delay between retries of a VM that need not watch: the watchers announce it as soon as
+/// the directory has recovered.
 const MAX_FOLLOWER_RETRY_INTERVAL: Duration = Duration::from_millis(2_000);
 
-/// What each VM of a large fleet adds to the longest pauses: together they make a hundred calls a second of a
-/// directory that does not answer.
+/// Added to the maximum delays for each VM of a large fleet, so that all VMs together make a
+/// hundred calls a second to a directory that does not respond.
 const MAX_RETRY_INTERVAL_PER_VM: Duration = Duration::from_millis(10);
 
-/// How often that pause doubles at most.
+/// Maximum number of times that the delay doubles.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// How often a VM that relies on its peers looks whether it still may.
+/// Interval at which a VM that relies on its peers checks whether it still can.
 const WATCHER_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// How long after its return from a copy the directory may still list what is older than what is known. By then
-/// who lives has written itself again, within two seconds, and the entries of who ended since have lapsed,
-/// after three liveness reports of 1.2 s.
+/// Time after a restore from an older copy during which the directory may list outdated entries. By
+/// its end running processes have registered again, which takes two seconds, and the entries of
+/// those that ended since the copy have expired, which takes three liveness reports of 1.2 s.
 const RESTORE_PERIOD: Duration = Duration::from_secs(5);
 
-/// The time that each VM adds to that in which all list themselves again, once the directory has come back
-/// from a copy: 150 calls a second, where 400 are free in the smallest installation.
+/// After a restore all VMs register again, at random times in a window that grows by this much for
+/// each VM. That makes 150 calls a second; the smallest installation has 400 to spare.
 const REGISTER_AGAIN_WINDOW_PER_VM: Duration = Duration::from_micros(6_667);
 
-/// The least such time.
+/// Minimum length of that window.
 const MIN_REGISTER_AGAIN_WINDOW: Duration = Duration::from_secs(2);
 
-/// Follows the directory until the process stops.
+/// Watches the directory until the process stops.
 pub async fn run<D: Dialect, R: Directory>(process: Arc<Process<D>>, directory: R) {
     let mut contact = Contact::default();
     join::find_peers(&process, &directory).await;
@@ -102,7 +106,7 @@
         let answer = match from {
             Some(at) => tokio::select! {
                 answer = directory.watch(at, WATCH_TIMEOUT) => answer,
-                // What it told before may have ended in that time.
+                // Entries received before may have expired during the suspension.
                 () = process.woke.notified() => {
                     contact.forget();
                     continue;
@@ -116,10 +120,14 @@
                 tokio::time::sleep(watch_interval(&process)).await;
             }
             Err(directory::Failure::Compacted) => {
-                log::event(&process.log, Event::DirectoryCompacted, "reading all anew");
+                log::event(
+                    &process.log,
+                    Event::DirectoryCompacted,
+                    "the requested changes are compacted; reading all listings",
+                );
                 contact.forget();
             }
-            // What it holds now is read anew; its new era is noted then.
+            // The full sync detects the new era.
             Err(directory::Failure::Restored) => contact.forget(),
             Err(directory::Failure::Unavailable(why)) => {
                 on_failure(&process, &mut contact, &why).await
@@ -128,17 +136,20 @@
     }
 }
 
-/// The pause between two watches of this VM.
+/// Interval between two watches of this VM: longer if another VM announces the changes too.
 fn watch_interval<D: Dialect>(process: &Process<D>) -> Duration {
     let announces = process.peers.told_by_others(process.now()).is_none();
     if announces || !is_large(process) { WATCH_INTERVAL } else { STANDBY_WATCH_INTERVAL }
 }
 
-/// Whether this VM asks the directory itself: one of the first that are heard, in the order in which they place, or
-/// one whose turn has come while no peer was heard that does.
+/// Whether this VM calls the directory itself: because it is one of the first VMs in the scheduler
+/// order that are up, or because its takeover delay has passed and still no peer that watches is
+/// up.
 ///
-/// A VM that hears nobody stands first as far as it knows. So whoever does not watch yet waits for its turn, by its
-/// place among all that are listed: else all of a large fleet would ask in one moment, once the first are late.
+/// For a VM that has received no heartbeat yet, it is itself the first in the order. So a VM that
+/// does not watch yet first waits for its takeover delay, which depends on its position among all
+/// listed VMs. Otherwise all VMs of a large fleet would call at once as soon as the first ones are
+/// late.
 async fn should_watch<D: Dialect>(process: &Process<D>) -> bool {
     if !is_large(process) || process.watching.load(Ordering::Relaxed) && is_watcher(process) {
         return true;
@@ -150,12 +161,13 @@
     !follows_peers(process)
 }
 
-/// Whether a peer was heard just now that the directory answers, and this VM need not ask it as well. One that has
-/// just started has not heard all of those before it, so its place among those that are heard says nothing yet.
+/// Whether a peer recently announced that the directory responds to it, so that this VM need not
+/// call it too. A VM that has just started has not received heartbeats of all VMs before it, so its
+/// position among those that are up is not reliable yet.
 fn follows_peers<D: Dialect>(process: &Process<D>) -> bool {
     let now = process.now();
-    // What it is yet to learn, who watches among it, comes from any peer that has heard of it; and those that watch
-    // answer a beat or two after it has learnt who they are.
+    // Any peer that has settings and listings can send them, and with them who watches; the
+    // watchers respond to this VM a heartbeat or two after it has learnt who they are.
     let sync_timeout = if process.at().is_none() {
         FIRST_SYNC_TIMEOUT
     } else {
@@ -170,22 +182,24 @@
     process.peers.watched(now) && !(is_watcher(process) && process.peers.settled(now))
 }
 
-/// Whether this VM is one of those that watch in a large fleet. One that stops takes over from none: where all do,
-/// each would be the first of those that stay.
+/// Whether this VM is one of the watchers of a large fleet. A stopping VM does not become one: if
+/// all VMs stop, each would see itself as the first of those that remain.
 fn is_watcher<D: Dialect>(process: &Process<D>) -> bool {
     let may_watch = !process.stopping.is_cancelled() || process.watching.load(Ordering::Relaxed);
     may_watch && process.peers.position(process.now()) < WATCHERS
 }
 
-/// Whether a few VMs watch the directory for all: also one that stops, and hears the others leave, is told.
+/// Whether a few VMs watch the directory for all. That also holds for a stopping VM that asked to
+/// be withdrawn and sees the others leave.
 fn is_large<D: Dialect>(process: &Process<D>) -> bool {
     process.peers.is_large() || process.withdrawals.is_delegated()
 }
 
-/// How long this VM relies on what it was told once no peer says any more that the directory answers it.
+/// How long this VM relies on what it received once no peer announces any more that the directory
+/// responds to it.
 fn takeover_delay<D: Dialect>(process: &Process<D>) -> Duration {
     let position = process.peers.position_listed() as u32;
-    // From some place on, those before this VM answer with their next beat.
+    // From some position on, the VMs before this one respond within their next heartbeat.
     let max = MAX_TAKEOVER_DELAY + process.peers.cadence().idle();
     (TAKEOVER_DELAY_PER_VM * position).min(max) + UNCAPPED_TAKEOVER_DELAY_PER_VM * position
 }
@@ -205,7 +219,7 @@
     let mut change_log = ChangeLog::default();
     let Changes { revision: at, changes } = changes;
     detect_restore(process, at, "the directory");
-    // Also where a peer told of it first.
+    // A peer may have announced the restore first.
     contact.note_restored(process.restored(RESTORE_PERIOD));
     let provenance = contact.provenance(from, now);
     if from.is_none() {
@@ -223,7 +237,12 @@
         .for_each(|change| changes::apply(process, change, provenance, &mut change_log));
     let expired = process.cluster.lock().unwrap().expire(RELIST_TIMEOUT, at, now);
     expired.iter().for_each(|id| {
-        changes::on_upstream_removed(process, id, "not listed again", &mut change_log)
+        changes::on_upstream_removed(
+            process,
+            id,
+            "not registered again after an outage or restore of the directory",
+            &mut change_log,
+        )
     });
     step.extend(expired.into_iter().map(|id| step::Change::UpstreamRemoved(id, at)));
     record_step(process, from, at, step);
@@ -238,7 +257,8 @@
     }
 }
 
-/// Notes what changed, as peers are told of it; after a whole read that is not known.
+/// Records the changes as a step to announce to peers. After a full sync the changes since the
+/// previous revision are not known, so the steps are cleared.
 fn record_step<D: Dialect>(
     process: &Process<D>,
     from: Option<Revision>,
@@ -255,8 +275,9 @@
     }
 }
 
-/// Notes the era of a revision. Answers whether the directory has come back from a copy since what is known
-/// of it: then this VM's own entry may be gone, which no other VM would write again.
+/// Compares the era of a revision with the era recorded here. Returns whether the directory was
+/// restored from an older copy since. If it was, this VM's own entry may be missing, and no other
+/// VM would write it, so this VM registers again.
 pub(super) fn detect_restore<D: Dialect>(
     process: &Arc<Process<D>>,
     at: Revision,
@@ -274,7 +295,7 @@
     true
 }
 
-/// Lists this VM again, at some moment of the time in which all do.
+/// Registers this VM again, at a random time in the window that all VMs share.
 async fn register_again<D: Dialect>(process: Arc<Process<D>>) {
     let window = (REGISTER_AGAIN_WINDOW_PER_VM * process.peers.listed_count() as u32)
         .max(MIN_REGISTER_AGAIN_WINDOW);
@@ -303,12 +324,12 @@
     }
 }
 
-/// The longest pause after failed calls by which the calls of all VMs together stay few.
+/// Maximum delay between retries with which the calls of all VMs together stay few.
 fn max_retry_interval<D: Dialect>(process: &Process<D>) -> Duration {
     MAX_RETRY_INTERVAL_PER_VM * process.peers.listed_count() as u32
 }
 
-/// Lists this VM, again and again until the directory has taken it.
+/// Registers this VM, with retries until the directory accepts it.
 pub async fn register<D: Dialect, R: Directory>(process: Arc<Process<D>>, directory: R) {
     let mut pause = RETRY_INTERVAL;
     loop {
