--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -1,4 +1,5 @@
-//! What a read, a watch or a peer brought of the directory, taken into what this VM believes.
+//! Applies changes of the directory, received by a read, a watch or from a peer, to the state of
+//! this VM.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::atomic::Ordering;
@@ -19,7 +20,7 @@
 use crate::fleet::write_queue::Write;
 use crate::log;
 
-/// The log lines of the changes in one listing.
+/// The log lines for one set of changes.
 #[derive(Debug, Default)]
 pub struct ChangeLog {
     lines: Vec<(Event, String)>,
@@ -30,7 +31,8 @@
         self.lines.push((event, what));
     }
 
-    /// Logs the changes that a listing of this revision brought; the names of many are in the dump.
+    /// Logs the changes received with this revision. If there are more lines than the rate limit of
+    /// the log admits, logs one line with their counts; the dump has the names.
     pub fn log<D: Dialect>(self, process: &Process<D>, revision: Revision, from: &str) {
         let now = process.now();
         let admitted = |_: &(Event, String)| process.listing_lines.admit(now).is_some();
@@ -55,30 +57,31 @@
     }
 }
 
-/// How far what the directory lists can be trusted.
+/// How reliable entries of the directory, and missing ones, are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Provenance {
-    /// It is current.
+    /// The directory is up to date.
     Current,
-    /// It was away of late: a listing that has ended may only have lapsed.
+    /// The directory was unavailable a short time ago: the entry of a running upstream may only
+    /// have expired.
     AfterOutage,
-    /// It has come back from a copy of itself: what it lists is older than what is known, and what it does
-    /// not list may only be missing there.
+    /// The directory was restored from an older copy: its entries are older than what is recorded
+    /// here, and missing entries may have been written since the copy.
     AfterRestore,
 }
 
 impl Provenance {
-    /// Whether an upstream whose listing has ended may still live.
+    /// Whether an upstream whose entry is gone may still be running.
     fn may_be_running(self) -> bool {
         self != Provenance::Current
     }
 }
 
-/// A change as peers are told of it; none where it is told in another way, or may not hold.
+/// The change as announced to peers; none if it is announced in another way or is not reliable.
 pub fn announced(change: &Change, provenance: Provenance) -> Option<step::Change> {
     Some(match change {
         Change::Upstream(listed) => step::Change::Upstream(listed.clone()),
-        // It may live; once it is taken for gone, that is told.
+        // It may be running; its removal is announced once it has not registered again in time.
         Change::UpstreamRemoved(..) if provenance.may_be_running() => return None,
         Change::UpstreamRemoved(id, revision) | Change::UpstreamUnreadable(id, revision, _) => {
             step::Change::UpstreamRemoved(id.clone(), *revision)
@@ -94,7 +97,8 @@
     })
 }
 
-/// After a whole read, what is not in it has ended.
+/// Removes the upstreams, and releases the quarantined requests, that a full sync does not list.
+/// Registers this VM again if its own entry is missing.
 pub fn remove_unlisted<D: Dialect>(
     process: &Process<D>,
     changes: &[Change],
@@ -117,15 +121,16 @@
         return;
     }
     let is_own = |change: &Change| matches!(change, Change::Member(member) if member.vm == process.member.vm);
-    // What a peer tells leaves out the VM that it tells.
+    // Listings received from a peer do not include this VM, so only a sync with the directory
+    // counts.
     if process.watching.load(Ordering::Relaxed) && !changes.iter().any(is_own) {
         register_again(process);
     }
     release_unlisted(process, changes, change_log);
 }
 
-/// After a whole read of the directory, a hall that is not in it is drained no more. A copy lacks what its
-/// operator writes again.
+/// Marks the halls that a full sync of the directory does not list as undrained. After a restore
+/// entries may be missing until the operator writes them again, so nothing is undrained then.
 pub fn undrain_unlisted<D: Dialect>(
     process: &Process<D>,
     changes: &[Change],
@@ -149,7 +154,7 @@
     }
 }
 
-/// Takes what a peer knows of halls.
+/// Merges the halls that a peer announced.
 pub fn merge_halls<D: Dialect>(process: &Process<D>, halls: &Halls, change_log: &mut ChangeLog) {
     let changed = process.cluster.lock().unwrap().merge_halls(halls);
     changed.iter().for_each(|hall| on_hall_change(process, hall, change_log));
@@ -169,8 +174,8 @@
     process.room.notify_one();
 }
 
-/// A copy of the directory lacks requests that were held since it was made: the VM that had the proof writes
-/// them again.
+/// Writes the quarantine entries again that the restored directory lacks. Each VM does so for its
+/// own entries, the ones it wrote after a solo crash.
 fn requarantine_missing<D: Dialect>(process: &Process<D>, changes: &[Change]) {
     let is_listed = |entry: &quarantine_entry::Entry| {
         changes
@@ -187,7 +192,8 @@
     process.cluster.lock().unwrap().is_released(entry.fingerprint)
 }
 
-/// A copy of the directory lists a request that was let go since it was made: one VM removes it again.
+/// Removes an entry again that the restored directory lists and that was released after the copy.
+/// Only the scheduler does so.
 fn remove_restored<D: Dialect>(process: &Process<D>, entry: &quarantine_entry::Entry) {
     if process.peers.scheduler(false, process.now()) == Some(Scheduler::Own) {
         process.directory_writes.push(Write::RemoveRestored(entry.fingerprint));
@@ -212,7 +218,7 @@
     unlisted.for_each(|fingerprint| release(process, fingerprint, change_log));
 }
 
-/// Takes one change.
+/// Applies one change.
 pub fn apply<D: Dialect>(
     process: &Process<D>,
     change: Change,
@@ -257,8 +263,9 @@
     }
 }
 
-/// This VM's own entry is gone though it runs: a withdrawal of the start before it may be carried out
-/// seconds after it was asked for. Unlisted, no peer hears it, and what it has under way counts nowhere.
+/// Registers this VM again. Its own entry may be gone although it runs, since the withdrawal of its
+/// previous incarnation may be applied seconds after it was requested. While it is not listed,
+/// peers ignore its heartbeats, and its in-flight attempts count nowhere.
 fn register_again<D: Dialect>(process: &Process<D>) {
     if process.listed.load(Ordering::Relaxed) && !process.stopping.is_cancelled() {
         process.directory_writes.push(Write::Register);
@@ -291,7 +298,8 @@
     }
     if restarted {
         process.pool.forget(&id);
-        change_log.add(Event::UpstreamRestarted, format!("{id}, by its entry"));
+        change_log
+            .add(Event::UpstreamRestarted, format!("{id}, new incarnation in its directory entry"));
     }
     let event = if leaving { Event::UpstreamLeaving } else { Event::UpstreamListed };
     change_log.add(event, what);
@@ -320,7 +328,7 @@
     }
 }
 
-/// An entry names nothing to use; logged once for each version of it.
+/// Logs an entry that cannot be decoded, once for each version of it.
 fn on_unreadable<D: Dialect>(process: &Process<D>, key: &str, revision: Revision, why: &str) {
     if process.unreadable.insert(key, revision, why) {
         process.metrics.unreadable.inc();
@@ -340,11 +348,11 @@
         return;
     }
     if process.cluster.lock().unwrap().remove(id, revision) {
-        on_upstream_removed(process, id, "its listing ended", change_log);
+        on_upstream_removed(process, id, "no longer listed in the directory", change_log);
     }
 }
 
-/// An upstream is gone.
+/// Closes the connections of a removed upstream and logs the removal.
 pub fn on_upstream_removed<D: Dialect>(
     process: &Process<D>,
     id: &id::Upstream,
