--- a/daemon/src/fleet/join.rs
+++ b/daemon/src/fleet/join.rs
@@ -1,8 +1,8 @@
-//! How a VM that starts finds its peers: it looks who is listed, and where that is a large fleet, it learns the
-//! settings and the listings from those that watch the directory.
+//! How a starting VM finds its peers: it reads which VMs are listed and, if the fleet is large,
+//! gets the settings and listings from the VMs that watch the directory.
 //!
-//! All that is listed grows with the fleet, and so does the number of VMs that start at once: were each to read
-//! all of it at the directory, the calls would grow with the square.
+//! The listings grow with the fleet, and so does the number of VMs that start at once. If each VM
+//! read all listings from the directory, the load would grow with the square of the fleet size.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,8 +17,8 @@
 use crate::fleet::process::Process;
 use crate::log;
 
-/// The pauses between looks that show nobody, not even this VM, which has listed itself: they were answered
-/// from before. A fleet that starts for the first time shows itself so.
+/// Delays between reads that return no VM, not even this one, although it has registered: such a
+/// read returned an older state. That is usual when a fleet starts for the first time.
 const READ_INTERVALS: [Duration; 4] = [
     Duration::from_millis(60),
     Duration::from_millis(600),
@@ -26,35 +26,38 @@
     Duration::from_millis(2_400),
 ];
 
-/// The pause after a look that failed; it doubles with each failure.
+/// Delay before the first retry of a failed read; it doubles with each failure.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The longest such pause: a directory that is back is to be noticed soon, and a look costs it little.
+/// Maximum delay between retries: a recovered directory has to be noticed soon, and these reads are
+/// cheap for it.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How long one of the first VMs in the order waits for others that live: some trips between halls.
+/// Time for which one of the first VMs in the order waits for peers that are up: a few round trips
+/// between halls.
 const WATCHER_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How long the others wait for these: they read the directory and answer within a beat.
+/// Time for which the other VMs wait for the first ones, which read the directory and respond
+/// within a heartbeat.
 const PEER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a VM waits for the first of those whose names are like its own: they look at all that are listed, and
-/// hear the first of these, before they can tell.
+/// Time for which a VM waits for the first VMs with the same name prefix. These read all listed
+/// VMs, and receive heartbeats from the first VMs of the fleet, before they can respond.
 const NEIGHBOUR_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The time that each VM before this one adds: where none of the first ones live, this many calls a second are
-/// made of it.
+/// Added for each VM before this one in the order: if none of the first VMs is up, this bounds the
+/// rate of calls to the directory.
 const TIMEOUT_PER_VM: Duration = Duration::from_millis(4);
 
-/// How often a VM that waits for its peers looks whether they were heard.
+/// Interval at which a waiting VM checks whether a peer is up.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Looks who is listed, and waits until peers are heard that know the rest, if there are many. What is still
-/// not known then, is read from the directory.
+/// Reads which VMs are listed and, if there are many, waits until a peer is up that has settings
+/// and listings. What is still missing after that is read from the directory.
 ///
-/// First it looks at those alone whose names are like its own. Were each VM of a large fleet that starts to
-/// look at all, what they read together would grow with the square of the fleet, and come too late for any of
-/// them: so only the first few of those that are alike do.
+/// The first read is limited to VMs with the same name prefix. If each VM of a large fleet that
+/// starts read all entries, the total would grow with the square of the fleet size, and the
+/// responses would come too late for all of them. So only the first few VMs of each prefix do.
 pub async fn find_peers<D: Dialect, R: Directory>(process: &Arc<Process<D>>, directory: &R) {
     for pause in READ_INTERVALS {
         let found = read_members(process, directory, name_prefix(process.member.vm.as_str())).await;
@@ -69,12 +72,13 @@
     wait_for_peers(process).await;
 }
 
-/// What the names of VMs begin with that are numbered along with this one.
+/// The name without its last character, which VMs that are numbered together share.
 pub fn name_prefix(vm: &str) -> &str {
     vm.char_indices().next_back().map_or("", |(last, _)| &vm[..last])
 }
 
-/// Looks at VMs that are listed, until the directory answers. Answers whether there are any.
+/// Reads the listed VMs whose names begin with the prefix, with retries until the directory
+/// responds. Returns whether there are any.
 async fn read_members<D: Dialect, R: Directory>(
     process: &Process<D>,
     directory: &R,
@@ -87,7 +91,7 @@
         match directory.members(prefix).await {
             Ok(changes) => {
                 if failures > 0 {
-                    let what = format!("after {failures} failed looks at who is listed");
+                    let what = format!("after {failures} failed reads of the listed VMs");
                     log::event(&process.log, Event::DirectoryUp, what);
                 }
                 let found = !changes.changes.is_empty();
@@ -96,14 +100,14 @@
             }
             Err(fault) => {
                 if failures == 0 {
-                    let what = format!("who is listed: {fault}");
+                    let what = format!("read of the listed VMs failed: {fault}");
                     log::event(&process.log, Event::DirectoryDown, what);
                 }
                 process.metrics.directory_failures.inc();
                 failures += 1;
             }
         }
-        // Those that failed together do not come back together.
+        // Jitter, so that VMs whose reads failed together do not retry together.
         tokio::time::sleep(pause.mul_f64(rand::random_range(0.5..1.0))).await;
         pause = (pause * 2).min(MAX_RETRY_INTERVAL);
     }
@@ -118,7 +122,7 @@
     change_log.log(process, process.at(), "a look at who is listed");
 }
 
-/// How long the VM at this place in the order waits until it reads the directory.
+/// How long the VM at this position in the order waits for peers before it reads the directory.
 pub fn peer_timeout(position: usize) -> Duration {
     if position < WATCHERS {
         WATCHER_TIMEOUT
@@ -127,7 +131,8 @@
     }
 }
 
-/// Waits until a peer is heard that knows the rest, each VM a little longer than the one before it in the order.
+/// Waits until a peer is up that has settings and listings; each VM waits a little longer than the
+/// one before it in the order.
 async fn wait_for_peers<D: Dialect>(process: &Process<D>) {
     let position = process.peers.position_listed();
     if !process.peers.is_large() {
@@ -135,20 +140,26 @@
     }
     let timeout = peer_timeout(position);
     if !poll_until(timeout, || process.peers.knows(process.now())).await {
-        let what = format!("place {position}, {} ms: reading the directory", timeout.as_millis());
+        let what = format!(
+            "no peer up within {} ms, position {position} in the order: reading the directory",
+            timeout.as_millis()
+        );
         log::event(&process.log, Event::PeersUnheard, what);
     }
 }
 
-/// Whether a VM that is not among the first of those that it knows hears from them in time.
+/// Whether this VM is not one of the first listed VMs, and a peer with settings and listings is up
+/// before the timeout.
 async fn learns_from_peers<D: Dialect>(process: &Process<D>, timeout: Duration) -> bool {
     let position = process.peers.position_listed();
     let timeout = timeout + TIMEOUT_PER_VM * position as u32;
     position >= WATCHERS && poll_until(timeout, || process.peers.knows(process.now())).await
 }
 
-/// Waits for this long at most until it is so, and answers whether it is. Looks are counted and not the clock: a VM
-/// that stood still finds what it was told meanwhile only once it goes on.
+/// Polls until the condition holds, at most for about this time, and returns whether it holds.
+/// Polls are counted instead of using the clock: a VM that was stalled processes the messages
+/// received meanwhile only after it resumes, when a time-out by the clock would already have
+/// passed.
 pub async fn poll_until(timeout: Duration, condition: impl Fn() -> bool) -> bool {
     let polls = timeout.as_millis() / POLL_INTERVAL.as_millis();
     for _ in 0..polls {
