--- a/daemon/src/fleet/write_queue.rs
+++ b/daemon/src/fleet/write_queue.rs
@@ -1,4 +1,5 @@
-//! What the directory is to be told beside a request's way.
+//! Queue of writes to the directory that are done in the background, apart from the handling of
+//! requests.
 
 use std::sync::Mutex;
 
@@ -6,23 +7,25 @@
 use foldlock_request::quarantine_entry;
 use tokio::sync::mpsc;
 
-/// Orders that wait while the directory is away. Each is a request that ended three upstreams or more.
+/// Maximum number of writes queued while the directory is unavailable. Each of them is for a
+/// request during which three or more upstreams crashed.
 const CAPACITY: usize = 256;
 
-/// What is to be written.
+/// A write to the directory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Write {
-    /// A request is held.
+    /// Lists a request as quarantined.
     Quarantine(quarantine_entry::Entry),
-    /// It is no longer.
+    /// Releases a request from quarantine.
     Release(Fingerprint),
-    /// The same, of an entry that came back with a copy of the directory and is not believed here.
+    /// Removes an entry that a restored directory lists although the request was released after the
+    /// copy.
     RemoveRestored(Fingerprint),
-    /// This VM lists itself again.
+    /// Registers this VM again.
     Register,
 }
 
-/// The orders that wait.
+/// The queued writes.
 #[derive(Debug)]
 pub struct Queue {
     sender: mpsc::Sender<Write>,
@@ -37,12 +40,14 @@
 }
 
 impl Queue {
-    /// The orders, for the one task that carries them out.
+    /// Takes the receiving end, for the one task that executes the writes. None if it was taken
+    /// before.
     pub fn take_receiver(&self) -> Option<mpsc::Receiver<Write>> {
         self.receiver.lock().unwrap().take()
     }
 
-    /// Gives an order. Where too many wait it is left: VMs tell each other of what is held anyway.
+    /// Queues a write. If the queue is full the write is dropped: VMs announce quarantined requests
+    /// to each other anyway.
     pub fn push(&self, write: Write) {
         let _ = self.sender.try_send(write);
     }
--- a/daemon/src/fleet/writer.rs
+++ b/daemon/src/fleet/writer.rs
@@ -1,6 +1,6 @@
-//! Writing to the directory beside a request's way: that this VM takes part, where its entry was taken away,
-//! and which requests are held, so all VMs hear of it, those that start later know it, and an operator sees
-//! it and can let a request go.
+//! Writes to the directory in the background: registers this VM again where its entry was removed,
+//! and lists quarantined requests, so that all VMs, also those started later, have them and an
+//! operator can see and release them.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -16,22 +16,25 @@
 use crate::fleet::write_queue::Write;
 use crate::log;
 
-/// Entries in the directory at most: some 300 KB in one listing, at 300 bytes each.
+/// Maximum number of quarantine entries in the directory. At 300 bytes each they take some 300 KB
+/// in one listing.
 const MAX_ENTRIES: usize = 1_024;
 
-/// The pause after a call that failed; it doubles with each failure.
+/// Delay before the first retry of a failed call; it doubles with each failure.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The longest such pause.
+/// Maximum delay between retries.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_millis(1_600);
 
-/// How often entries are looked through for those that are over.
+/// Interval between scans for expired entries.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(30);
 
-/// How long an entry stays after its request was held: it says how often that was needed.
+/// Time for which an entry is kept after its quarantine ended, as a record of how often the request
+/// crashed upstreams.
 const RETENTION: Duration = Duration::from_secs(3_600);
 
-/// Carries out orders, and ends entries that are over while this VM places, until the process stops.
+/// Executes queued writes and, while this VM is the scheduler, removes expired entries, until the
+/// process stops.
 pub async fn run<D: Dialect, R: Directory>(process: Arc<Process<D>>, directory: R) {
     let Some(mut writes) = process.directory_writes.take_receiver() else { return };
     while !process.stopping.is_cancelled() {
@@ -76,7 +79,7 @@
     }
 }
 
-/// Whether an order needs no writing any more.
+/// Whether a write is no longer needed.
 fn is_obsolete<D: Dialect>(process: &Process<D>, write: &Write) -> bool {
     let cluster = process.cluster.lock().unwrap();
     match write {
