--- a/daemon/src/fleet/withdraw.rs
+++ b/daemon/src/fleet/withdraw.rs
@@ -1,8 +1,8 @@
-//! VMs that stop, withdrawn from the directory for them, many with one call.
+//! Withdraws stopping VMs from the directory, many with one call.
 //!
-//! All of a fleet stop within a moment where it is taken down or moved: a call of each would be as many calls as there
-//! are VMs. So in a large fleet the first VM in the order writes for those that tell it. Who is not told
-//! in time that this was done, withdraws itself.
+//! When a fleet is shut down or moved, all its VMs stop at about the same time. If each withdrew
+//! itself, there would be as many calls as VMs. So in a large fleet the first VM in the order
+//! withdraws the others that ask for it. A VM that is not withdrawn in time withdraws itself.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,17 +15,18 @@
 use crate::fleet::process::Process;
 use crate::log;
 
-/// How long withdrawals gather: with a call and a beat, well under the time for which one that stops lives on.
+/// Time for which withdrawals are collected into a batch. With a call and a heartbeat it stays well
+/// under the time for which a stopping VM keeps running.
 const BATCH_INTERVAL: Duration = Duration::from_millis(300);
 
-/// How long a VM that stops waits for others to withdraw it: some gatherings, and under the time for which it
-/// still accepts connections.
+/// Time for which a stopping VM waits until another one has withdrawn it: a few batch intervals,
+/// and less than the time for which it still accepts connections.
 const DELEGATION_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// How long the directory may take; peers notice the silence of one that ends anyway.
+/// Time-out of a call. If it fails, peers detect the VM as down by its missing heartbeats.
 const WITHDRAW_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Withdraws others until the process ends.
+/// Withdraws other VMs until the process ends.
 pub async fn run<D: Dialect, R: Directory>(process: Arc<Process<D>>, directory: R) {
     loop {
         process.withdrawals.wait_pending().await;
@@ -40,7 +41,8 @@
     }
 }
 
-/// Tells all that this VM stops, and withdraws it, or lets another do that.
+/// Announces to all peers that this VM stops, and withdraws it or waits until another VM has done
+/// so.
 pub async fn leave<D: Dialect, R: Directory>(process: &Process<D>, directory: &R) {
     let delegated = process.peers.is_large() && !withdraws_others(process);
     process.withdrawals.set_delegated(delegated);
@@ -51,8 +53,9 @@
     }
 }
 
-/// Whether this VM is the one that withdraws others: the first of those that are heard and stay. Where all stop, each
-/// would be that once it has heard the others; so who asks to be withdrawn itself is not.
+/// Whether this VM withdraws others: it is the first of those that are up and not leaving. If all
+/// VMs stop, each would become the first as the others announce that they leave; so a VM that asked
+/// to be withdrawn is excluded.
 pub fn withdraws_others<D: Dialect>(process: &Process<D>) -> bool {
     !process.withdrawals.is_delegated() && process.peers.position(process.now()) == 0
 }
@@ -70,7 +73,7 @@
             log::event(
                 &process.log,
                 Event::WriteFailed,
-                format!("withdrawal of {vms:?}: no answer"),
+                format!("withdrawal of {vms:?}: no response from the directory"),
             );
         }
     }
--- a/daemon/src/fleet/withdrawals.rs
+++ b/daemon/src/fleet/withdrawals.rs
@@ -1,4 +1,4 @@
-//! The VMs that are to be withdrawn from the directory, and whether this one was.
+//! VMs to withdraw from the directory, and the withdrawal of this VM.
 
 use std::collections::BTreeSet;
 use std::sync::Mutex;
@@ -8,49 +8,51 @@
 use foldlock_request::directory::WITHDRAW_BATCH_SIZE;
 use tokio::sync::Notify;
 
-/// The VMs that are to be withdrawn, and whether this one was.
+/// The VMs that this one is to withdraw, and the state of its own withdrawal.
 #[derive(Debug, Default)]
 pub struct Withdrawals {
     pending: Mutex<BTreeSet<id::Vm>>,
     added: Notify,
     withdrawn: Notify,
-    /// Whether this VM stops and asks to be withdrawn.
+    /// Whether this VM is stopping and asks another VM to withdraw it.
     delegated: AtomicBool,
 }
 
 impl Withdrawals {
-    /// A VM leaves.
+    /// Adds a VM to withdraw.
     pub fn push(&self, vm: id::Vm) {
         self.pending.lock().unwrap().insert(vm);
         self.added.notify_one();
     }
 
-    /// Waits until one leaves.
+    /// Waits until a VM was added.
     pub async fn wait_pending(&self) {
         self.added.notified().await;
     }
 
-    /// This VM stops, and asks to be withdrawn or does it itself.
+    /// Records that this VM is stopping, and whether it asks another VM to withdraw it or does so
+    /// itself.
     pub fn set_delegated(&self, delegated: bool) {
         self.delegated.store(delegated, Ordering::Relaxed);
     }
 
-    /// Whether this VM stops and asks to be withdrawn: it was one of a large fleet then.
+    /// Whether this VM is stopping and asks another VM to withdraw it. It was part of a large fleet
+    /// when it began to stop.
     pub fn is_delegated(&self) -> bool {
         self.delegated.load(Ordering::Relaxed)
     }
 
-    /// This VM's own entry is gone.
+    /// Notifies that this VM's own entry was removed.
     pub fn on_withdrawn(&self) {
         self.withdrawn.notify_one();
     }
 
-    /// Waits until this VM's own entry is gone.
+    /// Waits until this VM's own entry was removed.
     pub async fn wait_withdrawn(&self) {
         self.withdrawn.notified().await;
     }
 
-    /// As many as go with one call.
+    /// Takes the VMs for the next call, at most [`WITHDRAW_BATCH_SIZE`].
     pub fn next_batch(&self) -> Vec<id::Vm> {
         let mut pending = self.pending.lock().unwrap();
         std::iter::from_fn(|| pending.pop_first()).take(WITHDRAW_BATCH_SIZE).collect()
