--- a/daemon/src/fleet/unreadable.rs
+++ b/daemon/src/fleet/unreadable.rs
@@ -1,4 +1,4 @@
-//! Entries of the directory that name nothing to use: which, since which version, and why.
+//! Directory entries that cannot be decoded, each with its revision and the reason.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -6,24 +6,24 @@
 use foldlock_request::revision::Revision;
 use serde::Serialize;
 
-/// Entries that are remembered; one more is logged each time that it is read.
+/// Maximum number of recorded entries. Further ones are logged each time they are read.
 const MAX_ENTRIES: usize = 256;
 
-/// An entry that names nothing to use.
+/// A directory entry that cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Entry {
-    /// The directory's revision of it.
+    /// The revision at which it was written.
     pub revision: Revision,
-    /// Why.
+    /// Why it cannot be decoded.
     pub why: String,
 }
 
-/// The entries, by their keys.
+/// The entries by key.
 #[derive(Debug, Default)]
 pub struct Entries(Mutex<BTreeMap<String, Entry>>);
 
 impl Entries {
-    /// Notes an entry. Answers whether this version of it is news.
+    /// Records an entry. Returns whether this version of it was not recorded yet.
     pub fn insert(&self, key: &str, revision: Revision, why: &str) -> bool {
         let mut entries = self.0.lock().unwrap();
         if entries.get(key).is_some_and(|known| known.revision == revision) {
@@ -35,12 +35,12 @@
         true
     }
 
-    /// An entry can be used again.
+    /// Removes an entry that can be decoded again.
     pub fn remove(&self, key: &str) {
         self.0.lock().unwrap().remove(key);
     }
 
-    /// All of them, for a dump.
+    /// All entries, for a dump.
     pub fn all(&self) -> BTreeMap<String, Entry> {
         self.0.lock().unwrap().clone()
     }
