--- a/daemon/src/fleet/stop.rs
+++ b/daemon/src/fleet/stop.rs
@@ -1,4 +1,5 @@
-//! A planned stop: not ready at once, requests are finished, connections are closed as they rest.
+//! Graceful shutdown: the VM reports not ready at once, finishes its requests and closes
+//! connections as they become idle.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,21 +12,21 @@
 use crate::fleet::withdraw;
 use crate::log;
 
-/// Kept from the time to stop in, so that the process has ended by itself before it is killed.
+/// Reserved at the end of the stop time, so that the process exits before it is killed.
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
 
-/// Kept from the same time before that, for the last answers to be written.
+/// Reserved before that to write the final responses.
 const FLUSH_TIME: Duration = Duration::from_millis(200);
 
-/// How long after the signal new connections are still accepted: the platform asks once a second
-/// and sends connections until two of its questions went unanswered.
+/// Time after the signal for which new connections are still accepted. The platform checks
+/// readiness once a second and routes connections here until two checks have gone unanswered.
 const ACCEPT_WINDOW: Duration = Duration::from_millis(2_500);
 
 /// Stops the process.
 pub async fn run<D: Dialect, R: Directory>(process: &Arc<Process<D>>, directory: &R) {
     let began = process.now();
-    log::event(&process.log, Event::Stopping, "not ready from now on");
-    // The first signal counts.
+    log::event(&process.log, Event::Stopping, "reporting not ready");
+    // The first signal counts; later ones do not change the time.
     let _ = process.stopped.set(began);
     process.stopping.cancel();
     withdraw::leave(process, directory).await;
@@ -38,6 +39,10 @@
     }
     let ended = tokio::time::timeout_at(deadline.into(), process.tasks.wait()).await;
     let left = process.tasks.len();
-    let what = if ended.is_ok() { "all requests ended".to_owned() } else { format!("{left} left") };
+    let what = if ended.is_ok() {
+        "all requests ended".to_owned()
+    } else {
+        format!("{left} connections or tasks left")
+    };
     log::event(&process.log, Event::Stopped, what);
 }
