--- a/daemon/tests/join.rs
+++ b/daemon/tests/join.rs
@@ -1,7 +1,8 @@
-//! A VM that starts and waits for its peers: how long, also where it stands still meanwhile.
+//! How long a starting VM waits for its peers, also if it is stalled meanwhile.
 //!
-//! Seen: on a busy machine a VM that had stood still for longer than it waits read the directory, though the word of
-//! its peers lay in its socket.
+//! Guards against a needless read of the directory: on a busy machine a VM that was stalled for
+//! longer than it waits read the directory, although heartbeats of its peers were in its socket
+//! buffer.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -10,7 +11,7 @@
 
 const TIMEOUT: Duration = Duration::from_millis(50);
 
-/// The thread does nothing else for twice as long as the VM waits.
+/// Blocks the thread for twice as long as the VM waits.
 fn stall() {
     let began = Instant::now();
     while began.elapsed() < TIMEOUT * 2 {}
@@ -37,5 +38,5 @@
         false
     };
     assert!(!join::poll_until(TIMEOUT, is_up).await);
-    assert_eq!(polls.get(), 6, "one more than pauses");
+    assert_eq!(polls.get(), 6, "one more than the number of sleeps");
 }
