--- a/daemon/src/fleet/unreadable.rs
+++ b/daemon/src/fleet/unreadable.rs
@@ -26,7 +26,7 @@
     /// Records an entry. Returns whether this version of it was not recorded yet.
     pub fn insert(&self, key: &str, revision: Revision, why: &str) -> bool {
         let mut entries = self.0.lock().unwrap();
-        if entries.get(key).is_some_and(|known| known.revision == revision) {
+        if entries.get(key).is_some_and(|entry| entry.revision == revision) {
             return false;
         }
         if entries.len() < MAX_ENTRIES || entries.contains_key(key) {
--- a/daemon/src/fleet/watch.rs
+++ b/daemon/src/fleet/watch.rs
@@ -283,13 +283,13 @@
     at: Revision,
     from: &str,
 ) -> bool {
-    let known = process.at();
-    if known.is_none() || at.era <= known.era {
+    let recorded = process.at();
+    if recorded.is_none() || at.era <= recorded.era {
         return false;
     }
     process.note_restored();
     process.metrics.restored.inc();
-    let what = format!("known to {known}, now at {at}, by {from}");
+    let what = format!("known to {recorded}, now at {at}, by {from}");
     log::event(&process.log, Event::DirectoryRestored, what);
     tokio::spawn(register_again(process.clone()));
     true
