--- a/daemon/src/fleet/writer.rs
+++ b/daemon/src/fleet/writer.rs
@@ -29,8 +29,8 @@
 /// Interval between scans for expired entries.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Time for which an entry is kept after its quarantine ended, as a record of how often the request
-/// crashed upstreams.
+/// Time for which an entry is kept after its quarantine ended: it records how often the request had
+/// to be quarantined.
 const RETENTION: Duration = Duration::from_secs(3_600);
 
 /// Executes queued writes and, while this VM is the scheduler, removes expired entries, until the
