--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -1,4 +1,5 @@
-//! What a read, a watch or a peer brought of the directory, taken into what this VM believes.
+//! Applies changes of the directory, received by a read, a watch or from a peer, to the state of
+//! this VM.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::atomic::Ordering;
@@ -7,18 +8,19 @@
 use foldlock_base::prelude::*;
 use foldlock_request::cluster::{Hall, Halls, Listed};
 use foldlock_request::dialect::Dialect;
-use foldlock_request::directory::{Change, QuarantineEntry};
+use foldlock_request::directory::Change;
 use foldlock_request::fingerprint::Fingerprint;
+use foldlock_request::quarantine_entry;
 use foldlock_request::revision::Revision;
 use foldlock_request::step;
 
 use crate::fleet::members;
 use crate::fleet::peers::Scheduler;
 use crate::fleet::process::Process;
-use crate::fleet::register::Order;
+use crate::fleet::write_queue::Write;
 use crate::log;
 
-/// The log lines of the changes in one listing.
+/// The log lines for one set of changes.
 #[derive(Debug, Default)]
 pub struct ChangeLog {
     lines: Vec<(Event, String)>,
@@ -29,7 +31,8 @@
         self.lines.push((event, what));
     }
 
-    /// Logs the changes that a listing of this revision brought; the names of many are in the dump.
+    /// Logs the changes received with this revision. If there are more lines than the rate limit of
+    /// the log admits, logs one line with their counts; the dump has the names.
     pub fn log<D: Dialect>(self, process: &Process<D>, revision: Revision, from: &str) {
         let now = process.now();
         let admitted = |_: &(Event, String)| process.listing_lines.admit(now).is_some();
@@ -54,31 +57,32 @@
     }
 }
 
-/// How far what the directory lists can be trusted.
+/// How reliable entries of the directory, and missing ones, are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Provenance {
-    /// It is current.
-    Sound,
-    /// It was away of late: a listing that has ended may only have lapsed.
-    Lapsed,
-    /// It has come back from a copy of itself: what it lists is older than what is known, and what it does
-    /// not list may only be missing there.
-    Copy,
+    /// The directory is up to date.
+    Current,
+    /// The directory was unavailable a short time ago: the entry of a running upstream may only
+    /// have expired.
+    AfterOutage,
+    /// The directory was restored from an older copy: its entries are older than what is recorded
+    /// here, and missing entries may have been written since the copy.
+    AfterRestore,
 }
 
 impl Provenance {
-    /// Whether an upstream whose listing has ended may still live.
-    fn may_live(self) -> bool {
-        self != Provenance::Sound
+    /// Whether an upstream whose entry is gone may still be running.
+    fn may_be_running(self) -> bool {
+        self != Provenance::Current
     }
 }
 
-/// A change as peers are told of it; none where it is told in another way, or may not hold.
-pub fn told(change: &Change, provenance: Provenance) -> Option<step::Change> {
+/// The change as announced to peers; none if it is announced in another way or is not reliable.
+pub fn announced(change: &Change, provenance: Provenance) -> Option<step::Change> {
     Some(match change {
         Change::Upstream(listed) => step::Change::Upstream(listed.clone()),
-        // It may live; once it is taken for gone, that is told.
-        Change::UpstreamRemoved(..) if provenance.may_live() => return None,
+        // It may be running; its removal is announced once it has not registered again in time.
+        Change::UpstreamRemoved(..) if provenance.may_be_running() => return None,
         Change::UpstreamRemoved(id, revision) | Change::UpstreamUnreadable(id, revision, _) => {
             step::Change::UpstreamRemoved(id.clone(), *revision)
         }
@@ -93,8 +97,9 @@
     })
 }
 
-/// After a whole read, what is not in it has ended.
-pub fn end_unlisted<D: Dialect>(
+/// Removes the upstreams, and releases the quarantined requests, that a full sync does not list.
+/// Registers this VM again if its own entry is missing.
+pub fn remove_unlisted<D: Dialect>(
     process: &Process<D>,
     changes: &[Change],
     revision: Revision,
@@ -108,31 +113,32 @@
             _ => None,
         })
         .collect();
-    let known: Vec<id::Upstream> =
+    let unlisted: Vec<id::Upstream> =
         process.cluster.lock().unwrap().ids().filter(|id| !listed.contains(id)).cloned().collect();
-    known.iter().for_each(|id| listing_ended(process, id, revision, provenance, change_log));
-    if provenance == Provenance::Copy {
-        hold_again(process, changes);
+    unlisted.iter().for_each(|id| unlist_upstream(process, id, revision, provenance, change_log));
+    if provenance == Provenance::AfterRestore {
+        requarantine_missing(process, changes);
         return;
     }
     let is_own = |change: &Change| matches!(change, Change::Member(member) if member.vm == process.member.vm);
-    // What a peer tells leaves out the VM that it tells.
+    // Listings received from a peer do not include this VM, so only a sync with the directory
+    // counts.
     if process.watching.load(Ordering::Relaxed) && !changes.iter().any(is_own) {
-        list_again(process);
+        register_again(process);
     }
     release_unlisted(process, changes, change_log);
 }
 
-/// After a whole read of the directory, a hall that is not in it is drained no more. A copy lacks what its
-/// operator writes again.
-pub fn take_back_unlisted<D: Dialect>(
+/// Marks the halls that a full sync of the directory does not list as undrained. After a restore
+/// entries may be missing until the operator writes them again, so nothing is undrained then.
+pub fn undrain_unlisted<D: Dialect>(
     process: &Process<D>,
     changes: &[Change],
     revision: Revision,
     provenance: Provenance,
     change_log: &mut ChangeLog,
 ) {
-    if provenance == Provenance::Copy {
+    if provenance == Provenance::AfterRestore {
         return;
     }
     let drained: Vec<&str> = changes
@@ -142,25 +148,25 @@
             _ => None,
         })
         .collect();
-    let taken_back = process.cluster.lock().unwrap().sync_halls(&drained, revision);
-    for name in taken_back {
-        hall_changed(process, &Hall { name, drained: false, revision }, change_log);
+    let undrained = process.cluster.lock().unwrap().sync_halls(&drained, revision);
+    for name in undrained {
+        on_hall_change(process, &Hall { name, drained: false, revision }, change_log);
     }
 }
 
-/// Takes what a peer knows of halls.
-pub fn halls_told<D: Dialect>(process: &Process<D>, halls: &Halls, change_log: &mut ChangeLog) {
+/// Merges the halls that a peer announced.
+pub fn merge_halls<D: Dialect>(process: &Process<D>, halls: &Halls, change_log: &mut ChangeLog) {
     let changed = process.cluster.lock().unwrap().merge_halls(halls);
-    changed.iter().for_each(|hall| hall_changed(process, hall, change_log));
+    changed.iter().for_each(|hall| on_hall_change(process, hall, change_log));
 }
 
-fn hall_noted<D: Dialect>(process: &Process<D>, hall: Hall, change_log: &mut ChangeLog) {
+fn update_hall<D: Dialect>(process: &Process<D>, hall: Hall, change_log: &mut ChangeLog) {
     if process.cluster.lock().unwrap().update_hall(hall.clone()) {
-        hall_changed(process, &hall, change_log);
+        on_hall_change(process, &hall, change_log);
     }
 }
 
-fn hall_changed<D: Dialect>(process: &Process<D>, hall: &Hall, change_log: &mut ChangeLog) {
+fn on_hall_change<D: Dialect>(process: &Process<D>, hall: &Hall, change_log: &mut ChangeLog) {
     let event = if hall.drained { Event::HallDrained } else { Event::HallTakenBack };
     change_log.add(event, format!("{}, by revision {}", hall.name, hall.revision));
     let drained = process.cluster.lock().unwrap().halls().drained().count();
@@ -168,10 +174,10 @@
     process.cluster_changed.notify_one();
 }
 
-/// A copy of the directory lacks requests that were held since it was made: the VM that had the proof writes
-/// them again.
-fn hold_again<D: Dialect>(process: &Process<D>, changes: &[Change]) {
-    let is_listed = |entry: &QuarantineEntry| {
+/// Writes the quarantine entries again that the restored directory lacks. Each VM does so for its
+/// own entries, the ones it wrote after a solo crash.
+fn requarantine_missing<D: Dialect>(process: &Process<D>, changes: &[Change]) {
+    let is_listed = |entry: &quarantine_entry::Entry| {
         changes
             .iter()
             .any(|change| matches!(change, Change::Quarantined(listed) if listed == entry))
@@ -179,17 +185,18 @@
     let cluster = process.cluster.lock().unwrap();
     let own =
         cluster.quarantined().filter(|entry| entry.vm == process.member.vm && !is_listed(entry));
-    own.for_each(|entry| process.register.order(Order::Hold(entry.clone())));
+    own.for_each(|entry| process.directory_writes.push(Write::Quarantine(entry.clone())));
 }
 
-fn is_released<D: Dialect>(process: &Process<D>, entry: &QuarantineEntry) -> bool {
+fn is_released<D: Dialect>(process: &Process<D>, entry: &quarantine_entry::Entry) -> bool {
     process.cluster.lock().unwrap().is_released(entry.fingerprint)
 }
 
-/// A copy of the directory lists a request that was let go since it was made: one VM removes it again.
-fn release_again<D: Dialect>(process: &Process<D>, entry: &QuarantineEntry) {
+/// Removes an entry again that the restored directory lists and that was released after the copy.
+/// Only the scheduler does so.
+fn remove_restored<D: Dialect>(process: &Process<D>, entry: &quarantine_entry::Entry) {
     if process.peers.scheduler(false, process.now()) == Some(Scheduler::Own) {
-        process.register.order(Order::Remove(entry.fingerprint));
+        process.directory_writes.push(Write::RemoveRestored(entry.fingerprint));
     }
 }
 
@@ -205,13 +212,13 @@
             _ => None,
         })
         .collect();
-    let known: Vec<Fingerprint> =
+    let quarantined: Vec<Fingerprint> =
         process.cluster.lock().unwrap().quarantined().map(|entry| entry.fingerprint).collect();
-    let gone = known.into_iter().filter(|fingerprint| !listed.contains(fingerprint));
-    gone.for_each(|fingerprint| released(process, fingerprint, change_log));
+    let unlisted = quarantined.into_iter().filter(|fingerprint| !listed.contains(fingerprint));
+    unlisted.for_each(|fingerprint| release(process, fingerprint, change_log));
 }
 
-/// Takes one change.
+/// Applies one change.
 pub fn apply<D: Dialect>(
     process: &Process<D>,
     change: Change,
@@ -220,13 +227,13 @@
 ) {
     match change {
         Change::Settings(settings) => process.apply_settings(*settings, "the directory"),
-        Change::Upstream(listed) => upstream_listed(process, listed, provenance, change_log),
+        Change::Upstream(listed) => list_upstream(process, listed, provenance, change_log),
         Change::UpstreamRemoved(id, revision) => {
-            listing_ended(process, &id, revision, provenance, change_log);
+            unlist_upstream(process, &id, revision, provenance, change_log);
         }
         Change::UpstreamUnreadable(id, revision, why) => {
-            unreadable(process, id.as_str(), revision, &why);
-            listing_ended(process, &id, revision, Provenance::Sound, change_log);
+            on_unreadable(process, id.as_str(), revision, &why);
+            unlist_upstream(process, &id, revision, Provenance::Current, change_log);
         }
         Change::Member(member) => {
             let what = format!("{} at {}", member.vm, member.address);
@@ -236,35 +243,36 @@
         }
         Change::MemberWithdrawn(vm) if vm == process.member.vm => {
             if process.stopping.is_cancelled() {
-                process.withdrawals.withdrawn();
+                process.withdrawals.on_withdrawn();
             }
-            list_again(process);
+            register_again(process);
         }
         Change::MemberWithdrawn(vm) => {
             members::withdrawn(process, &vm);
         }
-        Change::Hall(hall) => hall_noted(process, hall, change_log),
+        Change::Hall(hall) => update_hall(process, hall, change_log),
         Change::Quarantined(entry)
-            if provenance == Provenance::Copy && is_released(process, &entry) =>
+            if provenance == Provenance::AfterRestore && is_released(process, &entry) =>
         {
-            release_again(process, &entry);
+            remove_restored(process, &entry);
         }
-        Change::Quarantined(entry) => quarantined(process, entry, change_log),
-        Change::Released(fingerprint) => released(process, fingerprint, change_log),
-        Change::Unreadable { key, revision, why } => unreadable(process, &key, revision, &why),
+        Change::Quarantined(entry) => list_quarantined(process, entry, change_log),
+        Change::Released(fingerprint) => release(process, fingerprint, change_log),
+        Change::Unreadable { key, revision, why } => on_unreadable(process, &key, revision, &why),
         Change::SettingsUnreadable(why) => log::event(&process.log, Event::VersionRefused, why),
     }
 }
 
-/// This VM's own entry is gone though it runs: a withdrawal of the start before it may be carried out
-/// seconds after it was asked for. Unlisted, no peer hears it, and what it has under way counts nowhere.
-fn list_again<D: Dialect>(process: &Process<D>) {
+/// Registers this VM again. Its own entry may be gone although it runs, since the withdrawal of its
+/// previous incarnation may be applied seconds after it was requested. While it is not listed,
+/// peers ignore its heartbeats, and its in-flight attempts count nowhere.
+fn register_again<D: Dialect>(process: &Process<D>) {
     if process.registered.load(Ordering::Relaxed) && !process.stopping.is_cancelled() {
-        process.register.order(Order::Announce);
+        process.directory_writes.push(Write::Register);
     }
 }
 
-fn upstream_listed<D: Dialect>(
+fn list_upstream<D: Dialect>(
     process: &Process<D>,
     listed: Listed,
     provenance: Provenance,
@@ -275,22 +283,23 @@
     let what = format!("{} of {} at {}", listed.id, listed.service, listed.address);
     let id = listed.id.clone();
     let mut cluster = process.cluster.lock().unwrap();
-    let before = cluster.tag_of(&id);
-    let known = cluster.get(&id).is_some();
+    let previous_tag = cluster.tag_of(&id);
+    let was_listed = cluster.get(&id).is_some();
     let changed = match provenance {
-        Provenance::Sound | Provenance::Lapsed => cluster.list(listed),
-        Provenance::Copy => cluster.list_restored(listed),
+        Provenance::Current | Provenance::AfterOutage => cluster.list(listed),
+        Provenance::AfterRestore => cluster.list_restored(listed),
     };
     cluster.set_cold(&id, cold, process.now());
-    let restarted = known && cluster.tag_of(&id) != before;
+    let restarted = was_listed && cluster.tag_of(&id) != previous_tag;
     drop(cluster);
-    process.unreadable.forget(id.as_str());
+    process.unreadable.remove(id.as_str());
     if !changed {
         return;
     }
     if restarted {
         process.pool.forget(&id);
-        change_log.add(Event::UpstreamRestarted, format!("{id}, by its entry"));
+        change_log
+            .add(Event::UpstreamRestarted, format!("{id}, new incarnation in its directory entry"));
     }
     let event = if leaving { Event::UpstreamLeaving } else { Event::UpstreamListed };
     change_log.add(event, what);
@@ -300,9 +309,9 @@
     process.cluster_changed.notify_one();
 }
 
-fn quarantined<D: Dialect>(
+fn list_quarantined<D: Dialect>(
     process: &Process<D>,
-    entry: QuarantineEntry,
+    entry: quarantine_entry::Entry,
     change_log: &mut ChangeLog,
 ) {
     let what = format!("{entry:?}");
@@ -313,42 +322,38 @@
     }
 }
 
-fn released<D: Dialect>(
-    process: &Process<D>,
-    fingerprint: Fingerprint,
-    change_log: &mut ChangeLog,
-) {
+fn release<D: Dialect>(process: &Process<D>, fingerprint: Fingerprint, change_log: &mut ChangeLog) {
     if process.cluster.lock().unwrap().unlist_quarantined(fingerprint, process.now()) {
         change_log.add(Event::Released, fingerprint.to_string());
     }
 }
 
-/// An entry names nothing to use; logged once for each version of it.
-fn unreadable<D: Dialect>(process: &Process<D>, key: &str, revision: Revision, why: &str) {
-    if process.unreadable.note(key, revision, why) {
+/// Logs an entry that cannot be decoded, once for each version of it.
+fn on_unreadable<D: Dialect>(process: &Process<D>, key: &str, revision: Revision, why: &str) {
+    if process.unreadable.insert(key, revision, why) {
         process.metrics.unreadable_entries.inc();
         log::event(&process.log, Event::EntryUnreadable, format!("{key} at {revision}: {why}"));
     }
 }
 
-fn listing_ended<D: Dialect>(
+fn unlist_upstream<D: Dialect>(
     process: &Process<D>,
     id: &id::Upstream,
     revision: Revision,
     provenance: Provenance,
     change_log: &mut ChangeLog,
 ) {
-    if provenance.may_live() {
+    if provenance.may_be_running() {
         process.cluster.lock().unwrap().unlist(id, process.now());
         return;
     }
     if process.cluster.lock().unwrap().remove(id, revision) {
-        ended(process, id, "its listing ended", change_log);
+        on_upstream_removed(process, id, "no longer listed in the directory", change_log);
     }
 }
 
-/// An upstream is gone.
-pub fn ended<D: Dialect>(
+/// Closes the connections of a removed upstream and logs the removal.
+pub fn on_upstream_removed<D: Dialect>(
     process: &Process<D>,
     id: &id::Upstream,
     why: &str,
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -30,11 +30,11 @@
 use crate::fleet::packed::Kept;
 use crate::fleet::peers::Peers;
 use crate::fleet::questions::Questions;
-use crate::fleet::register::Register;
 use crate::fleet::unread::Unread;
-use crate::fleet::unreadable::Unreadable;
+use crate::fleet::unreadable;
 use crate::fleet::volume::{self, Volume};
 use crate::fleet::withdrawals::Withdrawals;
+use crate::fleet::write_queue;
 use crate::log;
 
 /// Time after the start in which requests wait for settings. VMs that start together have received
@@ -113,9 +113,9 @@
     /// Responses that their callers have not read completely.
     pub unread: Arc<Unread>,
     /// Directory entries that cannot be decoded.
-    pub unreadable: Unreadable,
+    pub unreadable: unreadable::Entries,
     /// Pending writes to the directory, such as entries of quarantined requests.
-    pub register: Register,
+    pub directory_writes: write_queue::Queue,
     /// Stopping VMs whose directory entries this VM withdraws for them.
     pub withdrawals: Withdrawals,
     /// The other VMs.
@@ -190,8 +190,8 @@
             steps: Mutex::default(),
             last_compared: Mutex::default(),
             unread: Unread::new(config.fleet.memory()),
-            unreadable: Unreadable::default(),
-            register: Register::default(),
+            unreadable: unreadable::Entries::default(),
+            directory_writes: write_queue::Queue::default(),
             withdrawals: Withdrawals::default(),
             revision: Mutex::default(),
             restored: Mutex::default(),
