--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -39,33 +39,33 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The largest whole answer, bytes.
-const MOST_ANSWER: usize = 16 << 20;
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
 /// The part of the objective after which a repeatable request with a whole answer is tried
 /// elsewhere.
-const SLOW_WHOLE: f64 = 0.6;
+const COMPLETE_TIMEOUT_SHARE: f64 = 0.6;
 
 /// Beyond the predicted time, how long an upstream may be silent before the first event of a
 /// stream that may go elsewhere, milliseconds.
-const SLOW_FIRST_MS: f64 = 400.0;
+const FIRST_EVENT_SLACK_MS: f64 = 400.0;
 
 /// How many times the predicted time a first event may take.
-const SLOW_FIRST: f64 = 2.5;
+const FIRST_EVENT_TIMEOUT_RATIO: f64 = 2.5;
 
 /// The least time for a first event, in objectives of its route. Beyond one objective the answer is
 /// late anyway, and a long prompt that goes elsewhere is read once more by several engines.
-const SLOW_OBJECTIVES: f64 = 2.0;
+const MIN_FIRST_EVENT_OBJECTIVES: f64 = 2.0;
 
 /// How an attempt ended, as far as it is waited for here.
 pub enum End<D: Dialect> {
     /// The whole answer.
-    Whole(Response<Body>),
+    Complete(Response<Body>),
     /// A stream whose first event is there.
-    Events(Box<Begun<D>>),
+    Streaming(Box<Begun<D>>),
     /// No byte was sent.
     Unsent(String),
     /// The memory that the placement counted on was taken; nothing was sent.
-    NoMemory(ReservationLost),
+    ReservationFailed(ReservationLost),
     /// The upstream said that it did not run the request.
     NotRun {
         /// What it said.
@@ -74,7 +74,7 @@
         at_fault: id::Upstream,
     },
     /// The upstream's own failure to a request that may be repeated.
-    Own(Box<Response<Body>>),
+    ServerError(Box<Response<Body>>),
     /// It may have run, and there is no answer.
     Broken(String),
     /// The time is over.
@@ -90,11 +90,11 @@
 ) -> End<D> {
     let upstream = grant.placement.flight.upstream.clone();
     let entered = job.process.enter(grant.number, grant.placement.flight.clone());
-    let limit = patience(job, &grant.placement, tries);
-    let sent = sent(job, grant, last_event, entered);
-    let until = job.deadline.min(job.process.now() + limit);
+    let timeout = response_timeout(job, &grant.placement, tries);
+    let sending = send(job, grant, last_event, entered);
+    let until = job.deadline.min(job.process.now() + timeout);
     let ended = tokio::select! {
-        ended = tokio::time::timeout_at(until.into(), sent) => ended,
+        ended = tokio::time::timeout_at(until.into(), sending) => ended,
         () = job.process.ending.cancelled() => {
             return End::Broken("this VM ends before the answer came".to_owned());
         }
@@ -107,13 +107,13 @@
         }
         Err(_) => {
             note(job, &upstream, Cause::Unresponsive);
-            End::Broken(format!("silent for {} ms", limit.as_millis()))
+            End::Broken(format!("silent for {} ms", timeout.as_millis()))
         }
     }
 }
 
 /// How long an attempt may go without its answer or first event before the request goes elsewhere.
-fn patience<D: Dialect>(job: &Job<D>, placement: &Placement, tries: &Tries) -> Duration {
+fn response_timeout<D: Dialect>(job: &Job<D>, placement: &Placement, tries: &Tries) -> Duration {
     if placement.flight.has_reservations() {
         return job.process.config.fleet.held_silence();
     }
@@ -122,15 +122,16 @@
         return job.left();
     }
     match job.route.shape {
-        Shape::Whole => job.route.objective.mul_f64(SLOW_WHOLE),
+        Shape::Whole => job.route.objective.mul_f64(COMPLETE_TIMEOUT_SHARE),
         Shape::Events { .. } => {
-            let ms = placement.predicted_ms * SLOW_FIRST + SLOW_FIRST_MS;
-            Duration::from_secs_f64(ms / 1e3).max(job.route.objective.mul_f64(SLOW_OBJECTIVES))
+            let ms = placement.predicted_ms * FIRST_EVENT_TIMEOUT_RATIO + FIRST_EVENT_SLACK_MS;
+            Duration::from_secs_f64(ms / 1e3)
+                .max(job.route.objective.mul_f64(MIN_FIRST_EVENT_OBJECTIVES))
         }
     }
 }
 
-async fn sent<D: Dialect>(
+async fn send<D: Dialect>(
     job: &Arc<Job<D>>,
     grant: Grant,
     last_event: Option<u64>,
@@ -141,12 +142,12 @@
     let start = notices::start(&job.process, &upstream);
     let hold = match Hold::take(job, &grant).await {
         Ok(hold) => hold,
-        Err(taken) => {
-            note(job, &taken.upstream, Cause::Overloaded);
-            return End::NoMemory(taken);
+        Err(lost) => {
+            note(job, &lost.upstream, Cause::Overloaded);
+            return End::ReservationFailed(lost);
         }
     };
-    let mut channel = match channel(job, &grant).await {
+    let mut channel = match connect(job, &grant).await {
         Ok(channel) => channel,
         Err(why) => {
             note(job, &upstream, Cause::Unresponsive);
@@ -157,12 +158,12 @@
         // That came to be while memory was set aside for this request, or its connection opened.
         return End::Unsent(format!("upstream {upstream} is excluded: {reason}"));
     }
-    let request = request(job, placement, &hold.helpers(&grant), last_event);
+    let request = build_request(job, placement, &hold.helpers(&grant), last_event);
     let sent = job.process.now();
     job.process.metrics.sent(Sent::Request, 1);
     job.process.metrics.sent(Sent::Part, placement.flight.helpers.len());
-    let answer = match channel.send(request).await {
-        Ok(answer) => answer,
+    let response = match channel.send(request).await {
+        Ok(response) => response,
         Err(Failure::Refused(why) | Failure::Unsent(why)) => return End::Unsent(why),
         Err(Failure::Broken(why)) => {
             note(job, &upstream, Cause::Malformed);
@@ -170,7 +171,7 @@
             return End::Broken(why);
         }
     };
-    let (mut head, body) = answer.into_parts();
+    let (mut head, body) = response.into_parts();
     let notice = D::notice(head.status, &head.headers);
     notices::heard(&job.process, &upstream, start, sent, notice);
     let rest = rest(&head.headers);
@@ -179,13 +180,13 @@
             rate_limits::observe(&job.process, start, None, sent);
         }
         Verdict::Ran => {}
-        verdict => return refused(job, &placement.flight, start, verdict, &head),
+        verdict => return on_unusable_response(job, &placement.flight, start, verdict, &head),
     }
     if head.status.is_success() && !D::is_unaltered(&head.headers) {
         note(job, &upstream, Cause::Malformed);
         return End::Broken(format!("response signature does not match upstream {upstream}"));
     }
-    let promised = declared(&head.headers);
+    let has_length = declared(&head.headers);
     strip(&mut head.headers);
     let source = Source {
         flight: placement.flight.clone(),
@@ -200,9 +201,9 @@
         cutter: Cutter::default(),
     };
     if head.status.is_success() && matches!(job.route.shape, Shape::Events { .. }) {
-        first(job, head, source).await
+        read_first_events(job, head, source).await
     } else {
-        whole(job, head, source, promised).await
+        read_complete(job, head, source, has_length).await
     }
 }
 
@@ -215,12 +216,12 @@
     if !rate_limits::unknown_to_scheduler(&job.process, placement).is_empty() {
         return Some((&flight.upstream, Exclusion::RateLimited));
     }
-    let helpers = flight.helpers.iter().map(|helping| &helping.upstream);
+    let helpers = flight.helpers.iter().map(|helper| &helper.upstream);
     let mut all = std::iter::once(&flight.upstream).chain(helpers);
     all.find_map(|upstream| Some((upstream, notices::exclusion(&job.process, upstream)?)))
 }
 
-fn refused<D: Dialect>(
+fn on_unusable_response<D: Dialect>(
     job: &Job<D>,
     flight: &Flight,
     start: Tag,
@@ -236,12 +237,12 @@
             End::NotRun { why, at_fault: upstream.clone() }
         }
         Verdict::NotRun => {
-            let culprit = D::faulty_upstream(&head.headers)
+            let named = D::faulty_upstream(&head.headers)
                 .and_then(|name| job.process.cluster.lock().unwrap().find(name));
-            let suspect = culprit.as_ref().unwrap_or(upstream);
-            note(job, suspect, Cause::Overloaded);
-            let why = format!("it refused with {status}; at fault is {suspect}");
-            End::NotRun { why, at_fault: flight.excluded_after(suspect).clone() }
+            let faulty = named.as_ref().unwrap_or(upstream);
+            note(job, faulty, Cause::Overloaded);
+            let why = format!("it refused with {status}; at fault is {faulty}");
+            End::NotRun { why, at_fault: flight.excluded_after(faulty).clone() }
         }
         Verdict::Ran | Verdict::Mismatched => {
             note(job, upstream, Cause::Malformed);
@@ -250,7 +251,7 @@
     }
 }
 
-async fn channel<D: Dialect>(job: &Job<D>, grant: &Grant) -> Result<Channel, String> {
+async fn connect<D: Dialect>(job: &Job<D>, grant: &Grant) -> Result<Channel, String> {
     let pool = &job.process.pool;
     let upstream = &grant.placement.flight.upstream;
     if let Some(channel) = pool.take(upstream, job.most_rest(), job.process.now()) {
@@ -263,7 +264,7 @@
     }
 }
 
-fn request<D: Dialect>(
+fn build_request<D: Dialect>(
     job: &Job<D>,
     placement: &Placement,
     helpers: &[Helper],
@@ -291,15 +292,15 @@
     request
 }
 
-async fn whole<D: Dialect>(
+async fn read_complete<D: Dialect>(
     job: &Arc<Job<D>>,
     head: http::response::Parts,
     source: Source<D>,
-    declared: bool,
+    has_length: bool,
 ) -> End<D> {
     let Source { flight, start, entered: _entered, hold: _hold, channel, rest, body, .. } = source;
     let upstream = flight.upstream.clone();
-    let collected = match Limited::new(body, MOST_ANSWER).collect().await {
+    let collected = match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
         Ok(collected) => collected.to_bytes(),
         Err(e) => {
             note(job, &upstream, Cause::Malformed);
@@ -308,23 +309,26 @@
         }
     };
     let now = job.process.now();
-    if declared && !rest.is_zero() {
+    if has_length && !rest.is_zero() {
         job.process.pool.keep(&upstream, channel, rest, now);
     }
     if head.status.is_server_error() {
         note(job, &upstream, Cause::ServerError);
         if job.repeatable() && head.status != StatusCode::GATEWAY_TIMEOUT {
-            return End::Own(Box::new(Response::from_parts(head, answer::whole(collected))));
+            return End::ServerError(Box::new(Response::from_parts(
+                head,
+                answer::whole(collected),
+            )));
         }
     } else {
         tell(job, &upstream, Outcome::Answered);
     }
-    let (unread, given_up) = job.process.unread.whole(&job.id, collected);
+    let (reader, given_up) = job.process.unread.whole(&job.id, collected);
     outcome::given_up(&job.process, given_up);
-    End::Whole(Response::from_parts(head, Body::Unread(unread)))
+    End::Complete(Response::from_parts(head, Body::Unread(reader)))
 }
 
-async fn first<D: Dialect>(
+async fn read_first_events<D: Dialect>(
     job: &Arc<Job<D>>,
     head: http::response::Parts,
     mut source: Source<D>,
@@ -332,11 +336,11 @@
     match source.next().await {
         Next::Parts(first) => {
             source.entered.began();
-            End::Events(Box::new(Begun { head, first, source }))
+            End::Streaming(Box::new(Begun { head, first, source }))
         }
         Next::End => {
             // A stream may have nothing left to tell, where the caller has its last event.
-            End::Events(Box::new(Begun { head, first: Vec::new(), source }))
+            End::Streaming(Box::new(Begun { head, first: Vec::new(), source }))
         }
         Next::Broken(why) => {
             note(job, &source.flight.upstream, Cause::Malformed);
--- a/daemon/src/fleet/events.rs
+++ b/daemon/src/fleet/events.rs
@@ -233,7 +233,7 @@
             _ = sink.closed() => return None,
         };
         why = match end {
-            End::Events(begun) => {
+            End::Streaming(begun) => {
                 job.record(Decision::Resumed { index: last, upstream: from });
                 return Some((begun.source, begun.first));
             }
@@ -242,7 +242,7 @@
                 tries.unsent += 1;
                 why
             }
-            End::NoMemory(ReservationLost { upstream, fault }) => {
+            End::ReservationFailed(ReservationLost { upstream, fault }) => {
                 tries.unsent += 1;
                 from = upstream;
                 fault.to_string()
@@ -252,11 +252,11 @@
                 from = at_fault;
                 why
             }
-            End::Own(answer) => {
+            End::ServerError(answer) => {
                 tries.ran += 1;
                 format!("it answered {}", answer.status())
             }
-            End::Whole(answer) => {
+            End::Complete(answer) => {
                 tries.ran += 1;
                 format!("it answered {}", answer.status())
             }
--- a/daemon/src/fleet/serve.rs
+++ b/daemon/src/fleet/serve.rs
@@ -116,11 +116,11 @@
     end: End<D>,
 ) -> Step {
     let (why, proof) = match end {
-        End::Whole(answer) => {
+        End::Complete(answer) => {
             finished(job, None);
             return Step::Done(Ok(answer));
         }
-        End::Events(begun) => {
+        End::Streaming(begun) => {
             return Step::Done(Ok(events::relay(job.clone(), *begun, std::mem::take(tries))));
         }
         End::Deadline => {
@@ -128,7 +128,7 @@
             let error = attempt.unknown().error(Kind::DeadlineExceeded, why, false);
             return Step::Done(Err(failed(job, error)));
         }
-        End::NoMemory(ReservationLost { upstream, fault }) => {
+        End::ReservationFailed(ReservationLost { upstream, fault }) => {
             let proof = attempt.refused(Refusal::not_connected());
             return no_memory(job, tries, upstream, proof, fault.to_string());
         }
@@ -141,7 +141,7 @@
             let proof = attempt.refused(Refusal::stated());
             return again(job, tries, at_fault, proof, why);
         }
-        End::Own(answer) => {
+        End::ServerError(answer) => {
             tries.ran += 1;
             let why = format!("it answered {}", answer.status());
             tries.own = Some(*answer);
