--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -15,7 +15,7 @@
 pub mod changes;
 pub mod config;
 pub mod contact;
-pub mod ending;
+pub mod crash;
 pub mod events;
 pub mod follow;
 pub mod fresh;
--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -21,7 +21,7 @@
 use hyper::{Request, Response, StatusCode, Uri};
 
 use crate::fleet::answer::{self, Body};
-use crate::fleet::ending;
+use crate::fleet::crash;
 use crate::fleet::grant_requests::Grant;
 use crate::fleet::heads::{declared, rest, strip};
 use crate::fleet::hold::{Hold, ReservationLost};
@@ -167,7 +167,7 @@
         Err(Failure::Refused(why) | Failure::Unsent(why)) => return End::Unsent(why),
         Err(Failure::Broken(why)) => {
             note(job, &upstream, Cause::Malformed);
-            ending::examine(job, &placement.flight, start).await;
+            crash::detect(job, &placement.flight, start).await;
             return End::Broken(why);
         }
     };
@@ -304,7 +304,7 @@
         Ok(collected) => collected.to_bytes(),
         Err(e) => {
             note(job, &upstream, Cause::Malformed);
-            ending::examine(job, &flight, start).await;
+            crash::detect(job, &flight, start).await;
             return End::Broken(format!("its answer broke off: {}", chain(&*e)));
         }
     };
@@ -344,7 +344,7 @@
         }
         Next::Broken(why) => {
             note(job, &source.flight.upstream, Cause::Malformed);
-            ending::examine(job, &source.flight, source.start).await;
+            crash::detect(job, &source.flight, source.start).await;
             End::Broken(why)
         }
     }
--- a/daemon/src/fleet/ending.rs
+++ b/daemon/src/fleet/crash.rs
@@ -20,68 +20,68 @@
 
 /// How long an upstream is asked whether it listens: a dead port says so within a way there and back, a
 /// few milliseconds. One that says nothing may be cut off, which is not the request's doing.
-const ASKED: Duration = Duration::from_millis(100);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// How long the connection by which a living upstream was asked is kept for the next request.
-const KEPT: Duration = Duration::from_secs(2);
+const PROBE_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The connection to the upstream of an attempt broke: finds out whether the upstream has ended, and notes
 /// it against the request if so. The attempt has to be in the cluster state still: so no second copy is placed
 /// before this one's end is known.
-pub async fn examine<D: Dialect>(job: &Job<D>, flight: &Flight, start: Tag) {
+pub async fn detect<D: Dialect>(job: &Job<D>, flight: &Flight, incarnation: Tag) {
     let upstream = &flight.upstream;
-    let known = {
+    let entry = {
         let cluster = job.process.cluster.lock().unwrap();
         // One that leaves ends by itself.
-        let known = cluster.get(upstream).filter(|u| u.is_open() && u.unlisted.is_none());
-        known.map(|known| (known.listed.address.clone(), known.tag))
+        let entry = cluster.get(upstream).filter(|u| u.is_open() && u.unlisted.is_none());
+        entry.map(|entry| (entry.listed.address.clone(), entry.tag))
     };
-    let Some((address, tag)) = known else { return };
-    if tag != start {
+    let Some((address, tag)) = entry else { return };
+    if tag != incarnation {
         // It has started again already.
-        ended(job, flight, start);
+        record(job, flight, incarnation);
         return;
     }
-    match Channel::open(&address, ASKED).await {
-        Err(Failure::Refused(_)) => ended(job, flight, start),
+    match Channel::open(&address, PROBE_TIMEOUT).await {
+        Err(Failure::Refused(_)) => record(job, flight, incarnation),
         // Silent or out of descriptors: it is not known whether it ended.
         Err(Failure::Unsent(_) | Failure::Broken(_)) => {}
         Ok(channel) => {
             job.process.metrics.connections.inc();
-            job.process.pool.keep(upstream, channel, KEPT, job.process.now());
+            job.process.pool.keep(upstream, channel, PROBE_IDLE_TIMEOUT, job.process.now());
         }
     }
 }
 
-fn ended<D: Dialect>(job: &Job<D>, flight: &Flight, start: Tag) {
+fn record<D: Dialect>(job: &Job<D>, flight: &Flight, incarnation: Tag) {
     let now = job.process.now();
     let upstream = flight.upstream.clone();
-    let alone = flight.isolated.is_some();
-    let ending = Crash { upstream: start, isolated: alone };
+    let isolated = flight.isolated.is_some();
+    let crash = Crash { upstream: incarnation, isolated };
     let mut cluster = job.process.cluster.lock().unwrap();
-    if cluster.tag_of(&upstream) == start {
+    if cluster.tag_of(&upstream) == incarnation {
         cluster.record_outcome(&upstream, Outcome::Failed(Cause::Unresponsive), now);
     }
-    let held = cluster.quarantine.record_crash(job.fingerprint, ending, now);
-    let known = cluster.quarantine.crash_count(job.fingerprint) as u32;
+    let status = cluster.quarantine.record_crash(job.fingerprint, crash, now);
+    let crashes = cluster.quarantine.crash_count(job.fingerprint) as u32;
     drop(cluster);
     tell::tell_scheduler(&job.process);
     job.process.pool.forget(&upstream);
     job.process.metrics.ended_under.inc();
-    job.record(Decision::Crashed { upstream, crashes: known, isolated: alone });
-    if let Some(held) = held {
-        hold(job, held);
+    job.record(Decision::Crashed { upstream, crashes, isolated });
+    if let Some(status) = status {
+        quarantine(job, status);
     }
     job.process.tell.notify_one();
     job.process.room.notify_one();
 }
 
 /// The request is held from now on: the directory is to tell all VMs, and those that start later.
-fn hold<D: Dialect>(job: &Job<D>, status: Status) {
-    let Status { solo_crashes: proofs, remaining, crashes } = status;
-    let held_ms = remaining.as_millis() as u64;
+fn quarantine<D: Dialect>(job: &Job<D>, status: Status) {
+    let Status { solo_crashes, remaining, crashes } = status;
+    let quarantine_ms = remaining.as_millis() as u64;
     job.process.metrics.held.inc();
-    job.record(Decision::Quarantined { quarantine_ms: held_ms, solo_crashes: proofs });
+    job.record(Decision::Quarantined { quarantine_ms, solo_crashes });
     job.process.register.order(Order::Hold(QuarantineEntry {
         fingerprint: job.fingerprint,
         organisation: job.organisation.as_ref().map_or_else(String::new, |o| o.name.clone()),
@@ -90,13 +90,13 @@
         request: job.id.clone(),
         vm: job.process.member.vm.clone(),
         ended: crashes as u32,
-        proofs,
-        until_ms: job.process.clock.wall_millis() + held_ms,
+        proofs: solo_crashes,
+        until_ms: job.process.clock.wall_millis() + quarantine_ms,
     }));
 }
 
 /// The request was answered whole: it is not the cause of what ended under it.
-pub fn answered<D: Dialect>(job: &Arc<Job<D>>) {
+pub fn record_completion<D: Dialect>(job: &Arc<Job<D>>) {
     let fingerprint = job.fingerprint;
     let mut cluster = job.process.cluster.lock().unwrap();
     if !cluster.quarantine.record_completion(fingerprint, job.process.now()) {
--- a/daemon/src/fleet/outcome.rs
+++ b/daemon/src/fleet/outcome.rs
@@ -9,7 +9,7 @@
 use foldlock_request::dialect::Dialect;
 use foldlock_request::suspicion::{Failure, Outcome};
 
-use crate::fleet::ending;
+use crate::fleet::crash;
 use crate::fleet::job::Job;
 use crate::fleet::process::Process;
 use crate::fleet::unread::GivenUp;
@@ -56,7 +56,7 @@
 
 /// Records that a request has its whole answer.
 pub fn finished<D: Dialect>(job: &Arc<Job<D>>, streamed: Option<Streamed>) {
-    ending::answered(job);
+    crash::record_completion(job);
     let first = streamed.map_or_else(|| job.held(), |s| s.first);
     job.process.metrics.answered(&job.service, job.terms.prompt.0, first);
     job.record(Decision::Finished {
--- a/daemon/src/fleet/source.rs
+++ b/daemon/src/fleet/source.rs
@@ -12,7 +12,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-use crate::fleet::ending;
+use crate::fleet::crash;
 use crate::fleet::hold::Hold;
 use crate::fleet::job::Job;
 use crate::fleet::outcome::{note, tell};
@@ -97,7 +97,7 @@
         let failure = if silent { Failure::Unresponsive } else { Failure::Malformed };
         note(job, &self.flight.upstream, failure);
         if !silent {
-            ending::examine(job, &self.flight, self.start).await;
+            crash::detect(job, &self.flight, self.start).await;
         }
     }
 }
