--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -28,7 +28,7 @@
 use crate::fleet::job::Job;
 use crate::fleet::metrics::Sent;
 use crate::fleet::notices::{self, Exclusion};
-use crate::fleet::outcome::{self, note, tell};
+use crate::fleet::outcome::{self, record_failure};
 use crate::fleet::process::Entered;
 use crate::fleet::rate_limits;
 use crate::fleet::source::{Begun, Next, Source};
@@ -102,11 +102,11 @@
     match ended {
         Ok(end) => end,
         Err(_) if job.left().is_zero() => {
-            note(job, &upstream, Cause::ServerError);
+            record_failure(job, &upstream, Cause::ServerError);
             End::Deadline
         }
         Err(_) => {
-            note(job, &upstream, Cause::Unresponsive);
+            record_failure(job, &upstream, Cause::Unresponsive);
             End::Broken(format!("silent for {} ms", timeout.as_millis()))
         }
     }
@@ -143,14 +143,14 @@
     let hold = match Hold::take(job, &grant).await {
         Ok(hold) => hold,
         Err(lost) => {
-            note(job, &lost.upstream, Cause::Overloaded);
+            record_failure(job, &lost.upstream, Cause::Overloaded);
             return End::ReservationFailed(lost);
         }
     };
     let mut channel = match connect(job, &grant).await {
         Ok(channel) => channel,
         Err(why) => {
-            note(job, &upstream, Cause::Unresponsive);
+            record_failure(job, &upstream, Cause::Unresponsive);
             return End::Unsent(why);
         }
     };
@@ -166,7 +166,7 @@
         Ok(response) => response,
         Err(Failure::Refused(why) | Failure::Unsent(why)) => return End::Unsent(why),
         Err(Failure::Broken(why)) => {
-            note(job, &upstream, Cause::Malformed);
+            record_failure(job, &upstream, Cause::Malformed);
             crash::detect(job, &placement.flight, start).await;
             return End::Broken(why);
         }
@@ -183,7 +183,7 @@
         verdict => return on_unusable_response(job, &placement.flight, start, verdict, &head),
     }
     if head.status.is_success() && !D::is_unaltered(&head.headers) {
-        note(job, &upstream, Cause::Malformed);
+        record_failure(job, &upstream, Cause::Malformed);
         return End::Broken(format!("response signature does not match upstream {upstream}"));
     }
     let has_length = declared(&head.headers);
@@ -240,12 +240,12 @@
             let named = D::faulty_upstream(&head.headers)
                 .and_then(|name| job.process.cluster.lock().unwrap().find(name));
             let faulty = named.as_ref().unwrap_or(upstream);
-            note(job, faulty, Cause::Overloaded);
+            record_failure(job, faulty, Cause::Overloaded);
             let why = format!("it refused with {status}; at fault is {faulty}");
             End::NotRun { why, at_fault: flight.excluded_after(faulty).clone() }
         }
         Verdict::Ran | Verdict::Mismatched => {
-            note(job, upstream, Cause::Malformed);
+            record_failure(job, upstream, Cause::Malformed);
             End::Broken(format!("its answer ({status}) belongs to another request"))
         }
     }
@@ -303,7 +303,7 @@
     let collected = match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
         Ok(collected) => collected.to_bytes(),
         Err(e) => {
-            note(job, &upstream, Cause::Malformed);
+            record_failure(job, &upstream, Cause::Malformed);
             crash::detect(job, &flight, start).await;
             return End::Broken(format!("its answer broke off: {}", chain(&*e)));
         }
@@ -313,7 +313,7 @@
         job.process.pool.keep(&upstream, channel, rest, now);
     }
     if head.status.is_server_error() {
-        note(job, &upstream, Cause::ServerError);
+        record_failure(job, &upstream, Cause::ServerError);
         if job.repeatable() && head.status != StatusCode::GATEWAY_TIMEOUT {
             return End::ServerError(Box::new(Response::from_parts(
                 head,
@@ -321,10 +321,10 @@
             )));
         }
     } else {
-        tell(job, &upstream, Outcome::Answered);
+        outcome::record(job, &upstream, Outcome::Answered);
     }
     let (reader, given_up) = job.process.unread.whole(&job.id, collected);
-    outcome::given_up(&job.process, given_up);
+    outcome::record_aborted(&job.process, given_up);
     End::Complete(Response::from_parts(head, Body::Unread(reader)))
 }
 
@@ -343,7 +343,7 @@
             End::Streaming(Box::new(Begun { head, first: Vec::new(), source }))
         }
         Next::Broken(why) => {
-            note(job, &source.flight.upstream, Cause::Malformed);
+            record_failure(job, &source.flight.upstream, Cause::Malformed);
             crash::detect(job, &source.flight, source.start).await;
             End::Broken(why)
         }
--- a/daemon/src/fleet/events.rs
+++ b/daemon/src/fleet/events.rs
@@ -17,7 +17,7 @@
 use crate::fleet::gate;
 use crate::fleet::hold::ReservationLost;
 use crate::fleet::job::Job;
-use crate::fleet::outcome::{self, Streamed};
+use crate::fleet::outcome::{self, Stats};
 use crate::fleet::source::{Begun, Next, Source};
 use crate::fleet::tries::{self, Failure, Tries};
 use crate::fleet::unread::{Closed, Writer};
@@ -98,7 +98,7 @@
     sink: Writer,
 ) {
     let mut passed = Passed { last: job.terms.last_event, ..Passed::default() };
-    let first_token = job.held();
+    let first_event = job.held();
     let engine = job.process.now().saturating_duration_since(source.sent);
     job.process.metrics.predicted(source.predicted_ms, engine);
     let mut parts = first;
@@ -109,9 +109,9 @@
             Ended::Whole => {
                 sink.end();
                 source.finish(&job);
-                let (events, pause) = (passed.count, passed.pause);
-                let streamed = Streamed { first: first_token, engine, events, pause };
-                outcome::finished(&job, Some(streamed));
+                let (events, longest_pause) = (passed.count, passed.pause);
+                let stats = Stats { first_event, engine, events, longest_pause };
+                outcome::record_completion(&job, Some(stats));
                 return;
             }
             Ended::Closed(Closed::Gone) => {
@@ -167,7 +167,7 @@
         passed.note(job.process.now());
         if !bytes.is_empty() {
             match tokio::time::timeout_at(job.deadline.into(), sink.push(bytes)).await {
-                Ok(Ok(given_up)) => outcome::given_up(&job.process, given_up),
+                Ok(Ok(given_up)) => outcome::record_aborted(&job.process, given_up),
                 Ok(Err(closed)) => return Ended::Closed(closed),
                 Err(_) => return Ended::Deadline,
             }
--- a/daemon/src/fleet/outcome.rs
+++ b/daemon/src/fleet/outcome.rs
@@ -16,21 +16,21 @@
 use crate::log;
 
 /// Notes that an attempt failed, for this VM and the one that places.
-pub fn note<D: Dialect>(job: &Job<D>, upstream: &id::Upstream, failure: Failure) {
-    tell(job, upstream, Outcome::Failed(failure));
+pub fn record_failure<D: Dialect>(job: &Job<D>, upstream: &id::Upstream, failure: Failure) {
+    record(job, upstream, Outcome::Failed(failure));
     if failure == Failure::Unresponsive {
         job.process.pool.forget(upstream);
     }
 }
 
 /// Notes how an attempt ended, for this VM and the one that places.
-pub fn tell<D: Dialect>(job: &Job<D>, upstream: &id::Upstream, outcome: Outcome) {
+pub fn record<D: Dialect>(job: &Job<D>, upstream: &id::Upstream, outcome: Outcome) {
     job.process.cluster.lock().unwrap().record_outcome(upstream, outcome, job.process.now());
     job.process.tell.notify_one();
 }
 
 /// Records how a request failed.
-pub fn failed<D: Dialect>(job: &Job<D>, error: Error) -> Error {
+pub fn record_error<D: Dialect>(job: &Job<D>, error: Error) -> Error {
     let why = error.message().to_owned();
     let retry_after_ms = error.retry().map(|d| d.as_millis() as u64);
     job.record(if error.ran() == Ran::No {
@@ -43,32 +43,32 @@
 
 /// What became of a stream that was passed on whole.
 #[derive(Debug, Clone, Copy)]
-pub struct Streamed {
+pub struct Stats {
     /// From arrival to the first event.
-    pub first: Duration,
+    pub first_event: Duration,
     /// From sending to the first event.
     pub engine: Duration,
     /// The events.
     pub events: u64,
     /// The longest pause between two of them.
-    pub pause: Duration,
+    pub longest_pause: Duration,
 }
 
 /// Records that a request has its whole answer.
-pub fn finished<D: Dialect>(job: &Arc<Job<D>>, streamed: Option<Streamed>) {
+pub fn record_completion<D: Dialect>(job: &Arc<Job<D>>, stats: Option<Stats>) {
     crash::record_completion(job);
-    let first = streamed.map_or_else(|| job.held(), |s| s.first);
+    let first = stats.map_or_else(|| job.held(), |s| s.first_event);
     job.process.metrics.answered(&job.service, job.terms.prompt.0, first);
     job.record(Decision::Finished {
         first_token_ms: millis(first),
-        engine_ms: millis(streamed.map_or(first, |s| s.engine)),
-        tokens: streamed.map_or(0, |s| s.events),
-        pause_ms: streamed.map(|s| millis(s.pause)),
+        engine_ms: millis(stats.map_or(first, |s| s.engine)),
+        tokens: stats.map_or(0, |s| s.events),
+        pause_ms: stats.map(|s| millis(s.longest_pause)),
     });
 }
 
 /// Notes answers that were given up, since their callers read too slowly for the memory of this VM.
-pub fn given_up<D: Dialect>(process: &Process<D>, answers: Vec<GivenUp>) {
+pub fn record_aborted<D: Dialect>(process: &Process<D>, answers: Vec<GivenUp>) {
     for GivenUp { request, bytes } in answers {
         process.metrics.given_up.inc();
         if process.trouble_lines.admit(process.now()).is_some() {
--- a/daemon/src/fleet/serve.rs
+++ b/daemon/src/fleet/serve.rs
@@ -20,7 +20,7 @@
 use crate::fleet::gate;
 use crate::fleet::hold::ReservationLost;
 use crate::fleet::job::Job;
-use crate::fleet::outcome::{failed, finished};
+use crate::fleet::outcome::{record_completion, record_error};
 use crate::fleet::process::Process;
 use crate::fleet::tries::{Failure, REFUSED_MORE, Tries, may_repeat};
 
@@ -98,7 +98,7 @@
         return Ok(answer);
     }
     let why = format!("not sent again: {rejection}");
-    Err(failed(
+    Err(record_error(
         job,
         match proof {
             Proof::NotRun(unsent) => gate::refusal(job, rejection, unsent),
@@ -117,7 +117,7 @@
 ) -> Step {
     let (why, proof) = match end {
         End::Complete(answer) => {
-            finished(job, None);
+            record_completion(job, None);
             return Step::Done(Ok(answer));
         }
         End::Streaming(begun) => {
@@ -126,7 +126,7 @@
         End::Deadline => {
             let why = format!("{upstream} had not answered in time");
             let error = attempt.unknown().error(Kind::DeadlineExceeded, why, false);
-            return Step::Done(Err(failed(job, error)));
+            return Step::Done(Err(record_error(job, error)));
         }
         End::ReservationFailed(ReservationLost { upstream, fault }) => {
             let proof = attempt.refused(Refusal::not_connected());
@@ -197,7 +197,7 @@
     let error = proof.error(kind, format!("{upstream}: {why}"), false);
     let error =
         if not_run { error.retry_after(Cause::Full.retry_after(job.left())) } else { error };
-    Step::Done(Err(failed(job, error)))
+    Step::Done(Err(record_error(job, error)))
 }
 
 /// How long a request waits that all upstreams refused which it was sent to, while its answer can still
--- a/daemon/src/fleet/source.rs
+++ b/daemon/src/fleet/source.rs
@@ -15,7 +15,7 @@
 use crate::fleet::crash;
 use crate::fleet::hold::Hold;
 use crate::fleet::job::Job;
-use crate::fleet::outcome::{note, tell};
+use crate::fleet::outcome;
 use crate::fleet::process::Entered;
 
 /// A stream that has begun.
@@ -86,7 +86,7 @@
     pub fn finish(self, job: &Job<D>) {
         let now = job.process.now();
         let upstream = &self.flight.upstream;
-        tell(job, upstream, Outcome::Answered);
+        outcome::record(job, upstream, Outcome::Answered);
         if !self.rest.is_zero() {
             job.process.pool.keep(upstream, self.channel, self.rest, now);
         }
@@ -95,7 +95,7 @@
     /// The stream broke off.
     pub async fn broke(self, job: &Job<D>, silent: bool) {
         let failure = if silent { Failure::Unresponsive } else { Failure::Malformed };
-        note(job, &self.flight.upstream, failure);
+        outcome::record_failure(job, &self.flight.upstream, failure);
         if !silent {
             crash::detect(job, &self.flight, self.start).await;
         }
