--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -139,7 +139,7 @@
 ) -> End<D> {
     let placement = &grant.placement;
     let upstream = placement.flight.upstream.clone();
-    let start = notices::start(&job.process, &upstream);
+    let incarnation = notices::incarnation(&job.process, &upstream);
     let hold = match Hold::take(job, &grant).await {
         Ok(hold) => hold,
         Err(lost) => {
@@ -167,20 +167,22 @@
         Err(Failure::Refused(why) | Failure::Unsent(why)) => return End::Unsent(why),
         Err(Failure::Broken(why)) => {
             record_failure(job, &upstream, Cause::Malformed);
-            crash::detect(job, &placement.flight, start).await;
+            crash::detect(job, &placement.flight, incarnation).await;
             return End::Broken(why);
         }
     };
     let (mut head, body) = response.into_parts();
     let notice = D::notice(head.status, &head.headers);
-    notices::heard(&job.process, &upstream, start, sent, notice);
+    notices::apply(&job.process, &upstream, incarnation, sent, notice);
     let rest = rest(&head.headers);
     match D::verdict(&job.terms.request_id, head.status, &head.headers) {
         Verdict::Ran if notice.rate_limit == RateLimit::Unlimited => {
-            rate_limits::observe(&job.process, start, None, sent);
+            rate_limits::observe(&job.process, incarnation, None, sent);
         }
         Verdict::Ran => {}
-        verdict => return on_unusable_response(job, &placement.flight, start, verdict, &head),
+        verdict => {
+            return on_unusable_response(job, &placement.flight, incarnation, verdict, &head);
+        }
     }
     if head.status.is_success() && !D::is_unaltered(&head.headers) {
         record_failure(job, &upstream, Cause::Malformed);
@@ -190,7 +192,7 @@
     strip(&mut head.headers);
     let source = Source {
         flight: placement.flight.clone(),
-        start,
+        start: incarnation,
         sent,
         predicted_ms: placement.predicted_ms,
         entered,
@@ -224,7 +226,7 @@
 fn on_unusable_response<D: Dialect>(
     job: &Job<D>,
     flight: &Flight,
-    start: Tag,
+    incarnation: Tag,
     verdict: Verdict,
     head: &http::response::Parts,
 ) -> End<D> {
@@ -232,7 +234,7 @@
     let upstream = &flight.upstream;
     match verdict {
         Verdict::WrongInstance => {
-            notices::leaves(&job.process, start, &job.process.member.vm);
+            notices::mark_leaving(&job.process, incarnation, &job.process.member.vm);
             let why = "another instance has its address".to_owned();
             End::NotRun { why, at_fault: upstream.clone() }
         }
@@ -298,13 +300,22 @@
     source: Source<D>,
     has_length: bool,
 ) -> End<D> {
-    let Source { flight, start, entered: _entered, hold: _hold, channel, rest, body, .. } = source;
+    let Source {
+        flight,
+        start: incarnation,
+        entered: _entered,
+        hold: _hold,
+        channel,
+        rest,
+        body,
+        ..
+    } = source;
     let upstream = flight.upstream.clone();
     let collected = match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
         Ok(collected) => collected.to_bytes(),
         Err(e) => {
             record_failure(job, &upstream, Cause::Malformed);
-            crash::detect(job, &flight, start).await;
+            crash::detect(job, &flight, incarnation).await;
             return End::Broken(format!("its answer broke off: {}", chain(&*e)));
         }
     };
--- a/daemon/src/fleet/beats.rs
+++ b/daemon/src/fleet/beats.rs
@@ -162,7 +162,7 @@
         reports::renewed(process, upstream, *born, &state.vm);
     }
     for start in &state.leaving_upstreams {
-        notices::leaves(process, *start, &state.vm);
+        notices::mark_leaving(process, *start, &state.vm);
     }
     for limit in &state.rate_limits {
         rate_limits::merge(process, *limit, &state.vm);
--- a/daemon/src/fleet/gate.rs
+++ b/daemon/src/fleet/gate.rs
@@ -117,7 +117,9 @@
 /// other VMs may not have been asked for a rest. A stream that has begun has only this VM to go on with it.
 /// Answers whether it waited.
 async fn rested<D: Dialect>(job: &Job<D>, begun: bool) -> Result<bool, Rejection> {
-    let Some(left) = notices::all_rest(&job.process, &job.service.name) else { return Ok(false) };
+    let Some(left) = notices::shortest_backoff(&job.process, &job.service.name) else {
+        return Ok(false);
+    };
     let in_time = job.held() + left < job.route.objective && !job.process.closing();
     let held = begun && left < MAX_BACKOFF_BEGUN;
     if !(in_time || held) {
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -120,10 +120,10 @@
     flight: &Flight,
 ) -> Result<(String, Vec<String>), Ended> {
     let address = |id: &id::Upstream| match notices::exclusion(process, id) {
-        Some(Exclusion::Closed | Exclusion::Drained) => {
-            Err(Ended::Gone(notices::start(process, id)))
+        Some(Exclusion::Leaving | Exclusion::Drained) => {
+            Err(Ended::Gone(notices::incarnation(process, id)))
         }
-        Some(Exclusion::Resting { .. }) => Err(Ended::Resting),
+        Some(Exclusion::Backoff { .. }) => Err(Ended::Resting),
         Some(Exclusion::RateLimited) => Err(Ended::Superseded),
         None => {
             let cluster = process.cluster.lock().unwrap();
@@ -289,7 +289,7 @@
     /// the scheduler need not know who was told to leave whom alone.
     fn without_resting(&self) -> Requirements {
         let mut requirements = self.requirements.clone();
-        requirements.excluded.extend(notices::resting(self.process));
+        requirements.excluded.extend(notices::active_backoffs(self.process));
         requirements
     }
 
--- a/daemon/src/fleet/hold.rs
+++ b/daemon/src/fleet/hold.rs
@@ -55,7 +55,7 @@
             return Ok(hold);
         }
         let started = job.process.now();
-        let start = |r: &Reservation| notices::start(&job.process, &r.upstream);
+        let start = |r: &Reservation| notices::incarnation(&job.process, &r.upstream);
         let starts: Vec<Tag> = reservations.iter().map(start).collect();
         let memory = &job.process.memory;
         let time = job.process.config.fleet.hold();
@@ -65,7 +65,7 @@
         for ((reservation, start), Annotated { notice, value: answer }) in
             reservations.iter().zip(starts).zip(answers)
         {
-            notices::heard(&job.process, &reservation.upstream, start, sent, notice);
+            notices::apply(&job.process, &reservation.upstream, start, sent, notice);
             // What was set aside is given back as `hold` is dropped.
             let upstream = reservation.upstream.clone();
             answer.map_err(|fault| ReservationLost { upstream, fault })?;
@@ -144,11 +144,11 @@
     reservation: &Reservation,
 ) -> Result<(), memory::Failure> {
     let time = process.config.fleet.hold();
-    let start = notices::start(process, &reservation.upstream);
+    let start = notices::incarnation(process, &reservation.upstream);
     note_order(process, reservation);
     let sent = process.now();
     let Annotated { notice, value: answer } = process.memory.reserve(reservation, time).await;
-    notices::heard(process, &reservation.upstream, start, sent, notice);
+    notices::apply(process, &reservation.upstream, start, sent, notice);
     answer
 }
 
@@ -165,11 +165,11 @@
 async fn release<D: Dialect>(process: &Process<D>, reservation: &Reservation) {
     let mut last = None;
     for _ in 0..MAX_RELEASES {
-        let start = notices::start(process, &reservation.upstream);
+        let start = notices::incarnation(process, &reservation.upstream);
         note_order(process, reservation);
         let sent = process.now();
         let Annotated { notice, value: answer } = process.memory.release(reservation).await;
-        notices::heard(process, &reservation.upstream, start, sent, notice);
+        notices::apply(process, &reservation.upstream, start, sent, notice);
         match answer {
             Ok(()) => return,
             Err(fault) => last = Some(fault),
--- a/daemon/src/fleet/notices.rs
+++ b/daemon/src/fleet/notices.rs
@@ -16,15 +16,15 @@
 use crate::log;
 
 /// The start of an upstream that something is sent to now: what the answer says concerns this one alone.
-pub fn start<D: Dialect>(process: &Process<D>, upstream: &id::Upstream) -> Tag {
+pub fn incarnation<D: Dialect>(process: &Process<D>, upstream: &id::Upstream) -> Tag {
     process.cluster.lock().unwrap().tag_of(upstream)
 }
 
 /// Applies what an upstream said of itself in an answer to a message sent at `sent`.
-pub fn heard<D: Dialect>(
+pub fn apply<D: Dialect>(
     process: &Process<D>,
     upstream: &id::Upstream,
-    start: Tag,
+    incarnation: Tag,
     sent: Instant,
     notice: Notice,
 ) {
@@ -33,13 +33,13 @@
     }
     process.metrics.notices.inc();
     if notice.leaving {
-        leaves(process, start, &process.member.vm);
+        mark_leaving(process, incarnation, &process.member.vm);
     }
-    if let Some(rest) = notice.backoff {
-        rests(process, upstream, start, rest);
+    if let Some(duration) = notice.backoff {
+        begin_backoff(process, upstream, incarnation, duration);
     }
     match notice.rate_limit {
-        RateLimit::Limited(rate) => rate_limits::observe(process, start, Some(rate), sent),
+        RateLimit::Limited(rate) => rate_limits::observe(process, incarnation, Some(rate), sent),
         RateLimit::Unreadable if process.trouble_lines.admit(process.now()).is_some() => {
             log::event(&process.log, Event::UpstreamLimited, format!("{upstream} {notice}"));
         }
@@ -52,21 +52,26 @@
 ///
 /// Until the directory tells the same, this is all that keeps a fleet from an upstream that ends: with the
 /// directory away for 12 s, six VMs sent it 36 requests after its first word, by the upstream's own count.
-pub fn leaves<D: Dialect>(process: &Process<D>, start: Tag, heard_by: &id::Vm) {
+pub fn mark_leaving<D: Dialect>(process: &Process<D>, incarnation: Tag, received_by: &id::Vm) {
     // Unknown here, or known to leave.
-    let Some(upstream) = process.cluster.lock().unwrap().mark_leaving(start) else { return };
+    let Some(upstream) = process.cluster.lock().unwrap().mark_leaving(incarnation) else { return };
     process.pool.forget(&upstream);
-    let what = format!("{upstream}, by its answer to {heard_by}");
+    let what = format!("{upstream}, by its answer to {received_by}");
     log::event(&process.log, Event::UpstreamLeaving, what);
     process.tell_all();
     process.room.notify_one();
 }
 
 /// An upstream asks this VM for a rest.
-fn rests<D: Dialect>(process: &Process<D>, upstream: &id::Upstream, start: Tag, rest: Duration) {
-    let news = process.backoffs.lock().unwrap().begin(start, rest, process.moment());
-    if news && process.trouble_lines.admit(process.now()).is_some() {
-        let what = format!("{upstream} for {} ms", rest.as_millis());
+fn begin_backoff<D: Dialect>(
+    process: &Process<D>,
+    upstream: &id::Upstream,
+    incarnation: Tag,
+    duration: Duration,
+) {
+    let is_new = process.backoffs.lock().unwrap().begin(incarnation, duration, process.moment());
+    if is_new && process.trouble_lines.admit(process.now()).is_some() {
+        let what = format!("{upstream} for {} ms", duration.as_millis());
         log::event(&process.log, Event::UpstreamRests, what);
     }
 }
@@ -75,28 +80,28 @@
 pub fn exclusion<D: Dialect>(process: &Process<D>, upstream: &id::Upstream) -> Option<Exclusion> {
     let cluster = process.cluster.lock().unwrap();
     match cluster.get(upstream) {
-        Some(known) if known.is_leaving() => return Some(Exclusion::Closed),
+        Some(known) if known.is_leaving() => return Some(Exclusion::Leaving),
         Some(known) if known.drained => return Some(Exclusion::Drained),
         Some(_) => {}
-        None => return Some(Exclusion::Closed),
+        None => return Some(Exclusion::Leaving),
     }
-    let start = cluster.tag_of(upstream);
+    let incarnation = cluster.tag_of(upstream);
     drop(cluster);
-    let left = process.backoffs.lock().unwrap().remaining(start, process.moment());
-    left.map(|left| Exclusion::Resting { left })
+    let remaining = process.backoffs.lock().unwrap().remaining(incarnation, process.moment());
+    remaining.map(|remaining| Exclusion::Backoff { remaining })
 }
 
 /// What keeps new work from an upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exclusion {
     /// It leaves, or is gone.
-    Closed,
+    Leaving,
     /// An operator has drained its data hall.
     Drained,
     /// It asked this VM for a rest.
-    Resting {
+    Backoff {
         /// What is left of it.
-        left: Duration,
+        remaining: Duration,
     },
     /// Its rate limit has changed since the placement was granted.
     RateLimited,
@@ -105,10 +110,10 @@
 impl fmt::Display for Exclusion {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Exclusion::Closed => f.write_str("it leaves or is gone"),
+            Exclusion::Leaving => f.write_str("it leaves or is gone"),
             Exclusion::Drained => f.write_str("its data hall is drained"),
-            Exclusion::Resting { left } => {
-                write!(f, "it rests for {} ms more", left.as_millis())
+            Exclusion::Backoff { remaining } => {
+                write!(f, "it rests for {} ms more", remaining.as_millis())
             }
             Exclusion::RateLimited => f.write_str("its rate limit has changed"),
         }
@@ -116,12 +121,12 @@
 }
 
 /// The upstreams that rest for this VM.
-pub fn resting<D: Dialect>(process: &Process<D>) -> Vec<Tag> {
+pub fn active_backoffs<D: Dialect>(process: &Process<D>) -> Vec<Tag> {
     process.backoffs.lock().unwrap().active(process.moment())
 }
 
 /// How long it is until the first of a service's upstreams may be sent work, where all of them rest.
-pub fn all_rest<D: Dialect>(process: &Process<D>, service: &str) -> Option<Duration> {
+pub fn shortest_backoff<D: Dialect>(process: &Process<D>, service: &str) -> Option<Duration> {
     let moment = process.moment();
     let cluster = process.cluster.lock().unwrap();
     let backoffs = process.backoffs.lock().unwrap();
--- a/daemon/src/fleet/reports.rs
+++ b/daemon/src/fleet/reports.rs
@@ -78,7 +78,7 @@
 }
 
 async fn ask<D: Dialect>(process: Arc<Process<D>>, listed: Listed) {
-    if let Some(Exclusion::Resting { .. } | Exclusion::Drained) =
+    if let Some(Exclusion::Backoff { .. } | Exclusion::Drained) =
         notices::exclusion(&process, &listed.id)
     {
         // It is to get nothing of this VM, a question how it fares included.
@@ -88,11 +88,11 @@
         return;
     }
     let at = process.now();
-    let start = notices::start(&process, &listed.id);
+    let incarnation = notices::incarnation(&process, &listed.id);
     process.metrics.reports.inc();
     let Annotated { notice, value: answer } =
         process.reports.report(&listed.id, &listed.address).await;
-    notices::heard(&process, &listed.id, start, at, notice);
+    notices::apply(&process, &listed.id, incarnation, at, notice);
     if let Err(ReportError::Unreadable(why)) = &answer {
         if process.trouble_lines.admit(process.now()).is_some() {
             log::event(&process.log, Event::ReportUnreadable, format!("{}: {why}", listed.id));
