--- a/daemon/src/fleet/beats.rs
+++ b/daemon/src/fleet/beats.rs
@@ -128,7 +128,7 @@
         Ok(Message::GrantRequest(asked)) => scheduler::asked(process, &asked, from),
         Ok(Message::Cancelled(number)) => scheduler::cancelled(process, number, from),
         Ok(Message::GrantReply(answered)) => grant_requests::answered(process, answered, from),
-        Ok(Message::Poll(upstream)) => reports::polled(process, upstream),
+        Ok(Message::Poll(upstream)) => reports::on_poll(process, upstream),
         Ok(Message::RateLimits(limits)) => {
             if let Some(peer) = process.peers.at(from) {
                 rate_limits::on_announcement(process, &limits, &peer.vm, from);
@@ -159,7 +159,7 @@
     hear_steps(process, state);
     catch_up::start(process, directory);
     for Restart { upstream, born } in &state.restarts {
-        reports::renewed(process, upstream, *born, &state.vm);
+        reports::on_restart(process, upstream, *born, &state.vm);
     }
     for start in &state.leaving_upstreams {
         notices::mark_leaving(process, *start, &state.vm);
--- a/daemon/src/fleet/reports.rs
+++ b/daemon/src/fleet/reports.rs
@@ -22,15 +22,15 @@
 
 /// How often each engine is asked: a slow or silent one holds up most prompts that several engines
 /// read, and these come several times a second.
-const EVERY: Duration = Duration::from_millis(600);
+const POLL_INTERVAL: Duration = Duration::from_millis(600);
 
 /// A change of pace that is logged.
-const NEWS: f64 = 0.1;
+const MIN_LOGGED_CHANGE: f64 = 0.1;
 
 /// Has the engines asked while this VM places, until the process stops.
 pub async fn run<D: Dialect>(process: Arc<Process<D>>) {
     while !process.stopping.is_cancelled() {
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         if process.peers.scheduler(false, process.now()) == Some(Scheduler::Own) {
             poll(&process);
         }
@@ -50,21 +50,21 @@
                 tell::send(process, &message, vm.address);
             }
             _ => {
-                tokio::spawn(ask(process.clone(), listed));
+                tokio::spawn(fetch(process.clone(), listed));
             }
         }
     }
 }
 
 /// The scheduler wants the report of an engine.
-pub fn polled<D: Dialect>(process: &Arc<Process<D>>, upstream: Tag) {
+pub fn on_poll<D: Dialect>(process: &Arc<Process<D>>, upstream: Tag) {
     let cluster = process.cluster.lock().unwrap();
     // An upstream that is not known here is asked by another VM next time, or has ended.
     let Some(listed) = cluster.by_tag(upstream).map(|upstream| upstream.listed.clone()) else {
         return;
     };
     drop(cluster);
-    tokio::spawn(ask(process.clone(), listed));
+    tokio::spawn(fetch(process.clone(), listed));
 }
 
 fn engines<D: Dialect>(process: &Process<D>) -> Vec<Listed> {
@@ -77,7 +77,7 @@
     cluster.listings().filter(is_engine).filter(|l| !is_limited(l)).cloned().collect()
 }
 
-async fn ask<D: Dialect>(process: Arc<Process<D>>, listed: Listed) {
+async fn fetch<D: Dialect>(process: Arc<Process<D>>, listed: Listed) {
     if let Some(Exclusion::Backoff { .. } | Exclusion::Drained) =
         notices::exclusion(&process, &listed.id)
     {
@@ -90,32 +90,32 @@
     let at = process.now();
     let incarnation = notices::incarnation(&process, &listed.id);
     process.metrics.reports.inc();
-    let Annotated { notice, value: answer } =
+    let Annotated { notice, value: result } =
         process.reports.report(&listed.id, &listed.address).await;
     notices::apply(&process, &listed.id, incarnation, at, notice);
-    if let Err(ReportError::Unreadable(why)) = &answer {
+    if let Err(ReportError::Unreadable(why)) = &result {
         if process.trouble_lines.admit(process.now()).is_some() {
             log::event(&process.log, Event::ReportUnreadable, format!("{}: {why}", listed.id));
         }
         return;
     }
-    let born = answer.as_ref().ok().and_then(|report| report.born);
+    let born = result.as_ref().ok().and_then(|report| report.born);
     if let Some(born) = born {
-        renewed(&process, &listed.id, born, &process.member.vm);
+        on_restart(&process, &listed.id, born, &process.member.vm);
         let cluster = process.cluster.lock().unwrap();
         if cluster.get(&listed.id).is_some_and(|known| known.listed.born > Some(born)) {
             // An answer of the start before, which came late.
             return;
         }
     }
-    let observed = Observed { report: answer.as_ref().ok().copied(), at };
+    let observed = Observed { report: result.as_ref().ok().copied(), at };
     let before = process.cluster.lock().unwrap().record_report(&listed.id, observed);
-    log_change(&process, &listed.id, before, &answer);
+    log_change(&process, &listed.id, before, &result);
     process.tell.notify_one();
 }
 
 /// An upstream said itself, to this VM or to a peer, that it has started at this moment.
-pub fn renewed<D: Dialect>(
+pub fn on_restart<D: Dialect>(
     process: &Process<D>,
     upstream: &id::Upstream,
     born: u64,
@@ -136,22 +136,22 @@
     process: &Process<D>,
     id: &id::Upstream,
     before: Option<Observed>,
-    answer: &Result<Report, ReportError>,
+    result: &Result<Report, ReportError>,
 ) {
-    let known = before.map(|observed| observed.report);
-    match answer {
-        Err(ReportError::Unresponsive(why)) if known != Some(None) => {
+    let previous = before.map(|observed| observed.report);
+    match result {
+        Err(ReportError::Unresponsive(why)) if previous != Some(None) => {
             log::event(&process.log, Event::UpstreamSilent, format!("{id}: {why}"));
         }
         Err(_) => {}
         Ok(report) => {
-            if known == Some(None) {
+            if previous == Some(None) {
                 log::event(&process.log, Event::UpstreamBack, id);
             }
-            let pace = known.flatten().map_or(1.0, |report| report.slowdown);
-            if (report.slowdown - pace).abs() > NEWS {
+            let slowdown = previous.flatten().map_or(1.0, |report| report.slowdown);
+            if (report.slowdown - slowdown).abs() > MIN_LOGGED_CHANGE {
                 let what =
-                    format!("{id}: {:.2} times its figures, {pace:.2} before", report.slowdown);
+                    format!("{id}: {:.2} times its figures, {slowdown:.2} before", report.slowdown);
                 log::event(&process.log, Event::UpstreamPace, what);
             }
         }
