--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -31,7 +31,7 @@
 use crate::fleet::outcome::{self, record_failure};
 use crate::fleet::process::Entered;
 use crate::fleet::rate_limits;
-use crate::fleet::source::{Begun, Next, Source};
+use crate::fleet::stream::{Item, Started, Stream};
 use crate::fleet::tries::Tries;
 
 /// How long a new connection may take: it comes up in a few ms, and an upstream that is dark says
@@ -61,7 +61,7 @@
     /// The whole answer.
     Complete(Response<Body>),
     /// A stream whose first event is there.
-    Streaming(Box<Begun<D>>),
+    Streaming(Box<Started<D>>),
     /// No byte was sent.
     Unsent(String),
     /// The memory that the placement counted on was taken; nothing was sent.
@@ -140,8 +140,8 @@
     let placement = &grant.placement;
     let upstream = placement.flight.upstream.clone();
     let incarnation = notices::incarnation(&job.process, &upstream);
-    let hold = match Hold::take(job, &grant).await {
-        Ok(hold) => hold,
+    let reservations = match Hold::take(job, &grant).await {
+        Ok(reservations) => reservations,
         Err(lost) => {
             record_failure(job, &lost.upstream, Cause::Overloaded);
             return End::ReservationFailed(lost);
@@ -158,7 +158,7 @@
         // That came to be while memory was set aside for this request, or its connection opened.
         return End::Unsent(format!("upstream {upstream} is excluded: {reason}"));
     }
-    let request = build_request(job, placement, &hold.helpers(&grant), last_event);
+    let request = build_request(job, placement, &reservations.helpers(&grant), last_event);
     let sent = job.process.now();
     job.process.metrics.sent(Sent::Request, 1);
     job.process.metrics.sent(Sent::Part, placement.flight.helpers.len());
@@ -174,7 +174,7 @@
     let (mut head, body) = response.into_parts();
     let notice = D::notice(head.status, &head.headers);
     notices::apply(&job.process, &upstream, incarnation, sent, notice);
-    let rest = rest(&head.headers);
+    let idle_timeout = rest(&head.headers);
     match D::verdict(&job.terms.request_id, head.status, &head.headers) {
         Verdict::Ran if notice.rate_limit == RateLimit::Unlimited => {
             rate_limits::observe(&job.process, incarnation, None, sent);
@@ -190,22 +190,22 @@
     }
     let has_length = declared(&head.headers);
     strip(&mut head.headers);
-    let source = Source {
+    let stream = Stream {
         flight: placement.flight.clone(),
-        start: incarnation,
+        incarnation,
         sent,
         predicted_ms: placement.predicted_ms,
         entered,
-        hold,
+        reservations,
         channel,
-        rest,
+        idle_timeout,
         body,
         cutter: Cutter::default(),
     };
     if head.status.is_success() && matches!(job.route.shape, Shape::Events { .. }) {
-        read_first_events(job, head, source).await
+        read_first_events(job, head, stream).await
     } else {
-        read_complete(job, head, source, has_length).await
+        read_complete(job, head, stream, has_length).await
     }
 }
 
@@ -297,19 +297,19 @@
 async fn read_complete<D: Dialect>(
     job: &Arc<Job<D>>,
     head: http::response::Parts,
-    source: Source<D>,
+    stream: Stream<D>,
     has_length: bool,
 ) -> End<D> {
-    let Source {
+    let Stream {
         flight,
-        start: incarnation,
+        incarnation,
         entered: _entered,
-        hold: _hold,
+        reservations: _reservations,
         channel,
-        rest,
+        idle_timeout,
         body,
         ..
-    } = source;
+    } = stream;
     let upstream = flight.upstream.clone();
     let collected = match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
         Ok(collected) => collected.to_bytes(),
@@ -320,8 +320,8 @@
         }
     };
     let now = job.process.now();
-    if has_length && !rest.is_zero() {
-        job.process.pool.keep(&upstream, channel, rest, now);
+    if has_length && !idle_timeout.is_zero() {
+        job.process.pool.keep(&upstream, channel, idle_timeout, now);
     }
     if head.status.is_server_error() {
         record_failure(job, &upstream, Cause::ServerError);
@@ -342,20 +342,20 @@
 async fn read_first_events<D: Dialect>(
     job: &Arc<Job<D>>,
     head: http::response::Parts,
-    mut source: Source<D>,
+    mut stream: Stream<D>,
 ) -> End<D> {
-    match source.next().await {
-        Next::Parts(first) => {
-            source.entered.began();
-            End::Streaming(Box::new(Begun { head, first, source }))
+    match stream.next().await {
+        Item::Events(first) => {
+            stream.entered.began();
+            End::Streaming(Box::new(Started { head, first, stream }))
         }
-        Next::End => {
+        Item::End => {
             // A stream may have nothing left to tell, where the caller has its last event.
-            End::Streaming(Box::new(Begun { head, first: Vec::new(), source }))
+            End::Streaming(Box::new(Started { head, first: Vec::new(), stream }))
         }
-        Next::Broken(why) => {
-            record_failure(job, &source.flight.upstream, Cause::Malformed);
-            crash::detect(job, &source.flight, source.start).await;
+        Item::Broken(why) => {
+            record_failure(job, &stream.flight.upstream, Cause::Malformed);
+            crash::detect(job, &stream.flight, stream.incarnation).await;
             End::Broken(why)
         }
     }
--- a/daemon/src/fleet/events.rs
+++ b/daemon/src/fleet/events.rs
@@ -18,7 +18,7 @@
 use crate::fleet::hold::ReservationLost;
 use crate::fleet::job::Job;
 use crate::fleet::outcome::{self, Stats};
-use crate::fleet::source::{Begun, Next, Source};
+use crate::fleet::stream::{Item, Started, Stream};
 use crate::fleet::tries::{self, Failure, Tries};
 use crate::fleet::unread::{Closed, Writer};
 
@@ -73,12 +73,12 @@
 }
 
 /// Answers with a stream that has begun, and passes on the rest of it.
-pub fn relay<D: Dialect>(job: Arc<Job<D>>, begun: Begun<D>, tries: Tries) -> Response<Body> {
-    let Begun { mut head, first, source } = begun;
+pub fn relay<D: Dialect>(job: Arc<Job<D>>, started: Started<D>, tries: Tries) -> Response<Body> {
+    let Started { mut head, first, stream } = started;
     head.headers.remove(header::CONTENT_LENGTH);
     let (sink, unread) = job.process.unread.begin(&job.id);
     let tracker = job.process.tasks.clone();
-    tracker.spawn(pass_on(job, source, first, tries, sink));
+    tracker.spawn(pass_on(job, stream, first, tries, sink));
     Response::from_parts(head, Body::Unread(unread))
 }
 
@@ -92,23 +92,23 @@
 
 async fn pass_on<D: Dialect>(
     job: Arc<Job<D>>,
-    mut source: Source<D>,
+    mut stream: Stream<D>,
     first: Vec<Part>,
     mut tries: Tries,
     sink: Writer,
 ) {
     let mut passed = Passed { last: job.terms.last_event, ..Passed::default() };
     let first_event = job.held();
-    let engine = job.process.now().saturating_duration_since(source.sent);
-    job.process.metrics.predicted(source.predicted_ms, engine);
+    let engine = job.process.now().saturating_duration_since(stream.sent);
+    job.process.metrics.predicted(stream.predicted_ms, engine);
     let mut parts = first;
     loop {
-        let ended = pump(&job, &mut source, parts, &mut passed, &sink).await;
-        let upstream = source.flight.upstream.clone();
+        let ended = pump(&job, &mut stream, parts, &mut passed, &sink).await;
+        let upstream = stream.flight.upstream.clone();
         let (why, silent) = match ended {
             Ended::Whole => {
                 sink.end();
-                source.finish(&job);
+                stream.complete(&job);
                 let (events, longest_pause) = (passed.count, passed.pause);
                 let stats = Stats { first_event, engine, events, longest_pause };
                 outcome::record_completion(&job, Some(stats));
@@ -129,7 +129,7 @@
             }
             Ended::Broken { why, silent } => (why, silent),
         };
-        source.broke(&job, silent).await;
+        stream.fail(&job, silent).await;
         tries.ran += 1;
         tries.avoid.push(upstream.clone());
         let resumed = resume(&job, &mut tries, &passed, upstream, &why, &sink).await;
@@ -137,7 +137,7 @@
             failed(&job, Kind::UpstreamFailed, why);
             return;
         };
-        (source, parts) = (next, events);
+        (stream, parts) = (next, events);
     }
 }
 
@@ -149,12 +149,12 @@
 /// Passes on the events of one upstream.
 async fn pump<D: Dialect>(
     job: &Job<D>,
-    source: &mut Source<D>,
+    stream: &mut Stream<D>,
     first: Vec<Part>,
     passed: &mut Passed,
     sink: &Writer,
 ) -> Ended {
-    let silence = silence(job, source);
+    let silence = silence(job, stream);
     let mut parts = first;
     loop {
         let bytes = match passed.take(&parts) {
@@ -175,13 +175,13 @@
         let heard = job.process.now();
         let until = (heard + silence).min(job.deadline);
         let next = tokio::select! {
-            next = tokio::time::timeout_at(until.into(), source.next()) => next,
+            next = tokio::time::timeout_at(until.into(), stream.next()) => next,
             closed = sink.closed() => return Ended::Closed(closed),
         };
         parts = match next {
-            Ok(Next::Parts(parts)) => parts,
-            Ok(Next::End) => return Ended::Whole,
-            Ok(Next::Broken(why)) => return Ended::Broken { why, silent: false },
+            Ok(Item::Events(parts)) => parts,
+            Ok(Item::End) => return Ended::Whole,
+            Ok(Item::Broken(why)) => return Ended::Broken { why, silent: false },
             Err(_) if job.left().is_zero() => return Ended::Deadline,
             Err(_) => return silent(job, heard),
         };
@@ -194,12 +194,12 @@
 }
 
 /// How long an upstream may be silent within a stream.
-fn silence<D: Dialect>(job: &Job<D>, source: &Source<D>) -> Duration {
+fn silence<D: Dialect>(job: &Job<D>, stream: &Stream<D>) -> Duration {
     let silence = match (job.pause(), job.route.repeat) {
         (Some(pause), Repeat::Resume) => (pause * SILENT_PAUSES).max(LEAST_SILENCE),
         _ => job.left(),
     };
-    if source.hold.is_empty() {
+    if stream.reservations.is_empty() {
         silence
     } else {
         silence.min(job.process.config.fleet.held_silence())
@@ -214,7 +214,7 @@
     mut from: id::Upstream,
     why: &str,
     sink: &Writer,
-) -> Option<(Source<D>, Vec<Part>)> {
+) -> Option<(Stream<D>, Vec<Part>)> {
     let mut why = why.to_owned();
     let last = passed.last?;
     loop {
@@ -233,9 +233,9 @@
             _ = sink.closed() => return None,
         };
         why = match end {
-            End::Streaming(begun) => {
+            End::Streaming(started) => {
                 job.record(Decision::Resumed { index: last, upstream: from });
-                return Some((begun.source, begun.first));
+                return Some((started.stream, started.first));
             }
             End::Deadline => return None,
             End::Unsent(why) => {
--- a/daemon/src/fleet/serve.rs
+++ b/daemon/src/fleet/serve.rs
@@ -120,8 +120,8 @@
             record_completion(job, None);
             return Step::Done(Ok(answer));
         }
-        End::Streaming(begun) => {
-            return Step::Done(Ok(events::relay(job.clone(), *begun, std::mem::take(tries))));
+        End::Streaming(started) => {
+            return Step::Done(Ok(events::relay(job.clone(), *started, std::mem::take(tries))));
         }
         End::Deadline => {
             let why = format!("{upstream} had not answered in time");
