--- a/daemon/src/fleet/events.rs
+++ b/daemon/src/fleet/events.rs
@@ -5,7 +5,7 @@
 
 use bytes::{Bytes, BytesMut};
 use foldlock_base::prelude::*;
-use foldlock_connection::sse::Event as Part;
+use foldlock_connection::sse;
 use foldlock_request::decision::Decision;
 use foldlock_request::dialect::Dialect;
 use foldlock_version::routes::Repeat;
@@ -23,18 +23,18 @@
 use crate::fleet::unread::{Closed, Writer};
 
 /// How many of the route's pauses an upstream may be silent before its stream goes on elsewhere.
-const SILENT_PAUSES: u32 = 3;
+const SILENCE_TIMEOUT_PAUSES: u32 = 3;
 
 /// The least such silence: a pass with a long read beside takes up to half a second.
-const LEAST_SILENCE: Duration = Duration::from_millis(1_000);
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// The events that were passed on.
 #[derive(Debug, Default)]
-struct Passed {
-    last: Option<u64>,
+struct Progress {
+    last_id: Option<u64>,
     count: u64,
-    at: Option<Instant>,
-    pause: Duration,
+    last_at: Option<Instant>,
+    longest_pause: Duration,
 }
 
 /// An event is not the one that comes next.
@@ -44,19 +44,19 @@
     got: u64,
 }
 
-impl Passed {
+impl Progress {
     /// Notes the time at which events came.
-    fn note(&mut self, now: Instant) {
-        if let Some(at) = self.at.replace(now) {
-            self.pause = self.pause.max(now.saturating_duration_since(at));
+    fn record_time(&mut self, now: Instant) {
+        if let Some(at) = self.last_at.replace(now) {
+            self.longest_pause = self.longest_pause.max(now.saturating_duration_since(at));
         }
     }
 
     /// The bytes that are new to the caller.
-    fn take(&mut self, parts: &[Part]) -> Result<Bytes, Gap> {
-        let mut fresh = BytesMut::new();
-        for part in parts {
-            if let (Some(last), Some(id)) = (self.last, part.id) {
+    fn new_bytes(&mut self, events: &[sse::Event]) -> Result<Bytes, Gap> {
+        let mut new = BytesMut::new();
+        for event in events {
+            if let (Some(last), Some(id)) = (self.last_id, event.id) {
                 if id <= last {
                     continue;
                 }
@@ -64,11 +64,11 @@
                     return Err(Gap { expected: last + 1, got: id });
                 }
             }
-            self.last = part.id.or(self.last);
+            self.last_id = event.id.or(self.last_id);
             self.count += 1;
-            fresh.extend_from_slice(&part.bytes);
+            new.extend_from_slice(&event.bytes);
         }
-        Ok(fresh.freeze())
+        Ok(new.freeze())
     }
 }
 
@@ -76,72 +76,80 @@
 pub fn relay<D: Dialect>(job: Arc<Job<D>>, started: Started<D>, tries: Tries) -> Response<Body> {
     let Started { mut head, first, stream } = started;
     head.headers.remove(header::CONTENT_LENGTH);
-    let (sink, unread) = job.process.unread.begin(&job.id);
+    let (writer, reader) = job.process.unread.begin(&job.id);
     let tracker = job.process.tasks.clone();
-    tracker.spawn(pass_on(job, stream, first, tries, sink));
-    Response::from_parts(head, Body::Unread(unread))
+    tracker.spawn(relay_all(job, stream, first, tries, writer));
+    Response::from_parts(head, Body::Unread(reader))
 }
 
 /// How a part of a stream, that of one upstream, ended.
-enum Ended {
-    Whole,
+enum RelayEnd {
+    Complete,
     Closed(Closed),
     Deadline,
-    Broken { why: String, silent: bool },
+    Broken { why: String, unresponsive: bool },
 }
 
-async fn pass_on<D: Dialect>(
+async fn relay_all<D: Dialect>(
     job: Arc<Job<D>>,
     mut stream: Stream<D>,
-    first: Vec<Part>,
+    first: Vec<sse::Event>,
     mut tries: Tries,
-    sink: Writer,
+    writer: Writer,
 ) {
-    let mut passed = Passed { last: job.terms.last_event, ..Passed::default() };
+    let mut progress = Progress { last_id: job.terms.last_event, ..Progress::default() };
     let first_event = job.held();
     let engine = job.process.now().saturating_duration_since(stream.sent);
     job.process.metrics.predicted(stream.predicted_ms, engine);
-    let mut parts = first;
+    let mut events = first;
     loop {
-        let ended = pump(&job, &mut stream, parts, &mut passed, &sink).await;
+        let end = pump(&job, &mut stream, events, &mut progress, &writer).await;
         let upstream = stream.flight.upstream.clone();
-        let (why, silent) = match ended {
-            Ended::Whole => {
-                sink.end();
+        let (why, unresponsive) = match end {
+            RelayEnd::Complete => {
+                writer.end();
                 stream.complete(&job);
-                let (events, longest_pause) = (passed.count, passed.pause);
-                let stats = Stats { first_event, engine, events, longest_pause };
+                let stats = Stats {
+                    first_event,
+                    engine,
+                    events: progress.count,
+                    longest_pause: progress.longest_pause,
+                };
                 outcome::record_completion(&job, Some(stats));
                 return;
             }
-            Ended::Closed(Closed::Gone) => {
-                failed(&job, Kind::UpstreamFailed, "the caller went away".to_owned());
+            RelayEnd::Closed(Closed::Gone) => {
+                record_failed(&job, Kind::UpstreamFailed, "the caller went away".to_owned());
                 return;
             }
-            Ended::Closed(Closed::GivenUp) => {
+            RelayEnd::Closed(Closed::GivenUp) => {
                 let why = "the caller reads too slowly for the memory of this VM";
-                failed(&job, Kind::UpstreamFailed, why.to_owned());
+                record_failed(&job, Kind::UpstreamFailed, why.to_owned());
                 return;
             }
-            Ended::Deadline => {
-                failed(&job, Kind::DeadlineExceeded, "the stream outlasted its time".to_owned());
+            RelayEnd::Deadline => {
+                record_failed(
+                    &job,
+                    Kind::DeadlineExceeded,
+                    "the stream outlasted its time".to_owned(),
+                );
                 return;
             }
-            Ended::Broken { why, silent } => (why, silent),
+            RelayEnd::Broken { why, unresponsive } => (why, unresponsive),
         };
-        stream.fail(&job, silent).await;
+        stream.fail(&job, unresponsive).await;
         tries.ran += 1;
         tries.avoid.push(upstream.clone());
-        let resumed = resume(&job, &mut tries, &passed, upstream, &why, &sink).await;
-        let Some((next, events)) = resumed else {
-            failed(&job, Kind::UpstreamFailed, why);
+        let resumed = resume(&job, &mut tries, &progress, upstream, &why, &writer).await;
+        let Some((next, first)) = resumed else {
+            record_failed(&job, Kind::UpstreamFailed, why);
             return;
         };
-        (stream, parts) = (next, events);
+        (stream, events) = (next, first);
     }
 }
 
-fn failed<D: Dialect>(job: &Job<D>, kind: Kind, why: String) {
+fn record_failed<D: Dialect>(job: &Job<D>, kind: Kind, why: String) {
     job.process.metrics.error(kind);
     job.record(Decision::Failed { kind, ran: Ran::Yes, why });
 }
@@ -150,59 +158,59 @@
 async fn pump<D: Dialect>(
     job: &Job<D>,
     stream: &mut Stream<D>,
-    first: Vec<Part>,
-    passed: &mut Passed,
-    sink: &Writer,
-) -> Ended {
-    let silence = silence(job, stream);
-    let mut parts = first;
+    first: Vec<sse::Event>,
+    progress: &mut Progress,
+    writer: &Writer,
+) -> RelayEnd {
+    let timeout = silence_timeout(job, stream);
+    let mut events = first;
     loop {
-        let bytes = match passed.take(&parts) {
+        let bytes = match progress.new_bytes(&events) {
             Ok(bytes) => bytes,
             Err(Gap { expected, got }) => {
                 let why = format!("event {got} came in place of {expected}");
-                return Ended::Broken { why, silent: false };
+                return RelayEnd::Broken { why, unresponsive: false };
             }
         };
-        passed.note(job.process.now());
+        progress.record_time(job.process.now());
         if !bytes.is_empty() {
-            match tokio::time::timeout_at(job.deadline.into(), sink.push(bytes)).await {
+            match tokio::time::timeout_at(job.deadline.into(), writer.push(bytes)).await {
                 Ok(Ok(given_up)) => outcome::record_aborted(&job.process, given_up),
-                Ok(Err(closed)) => return Ended::Closed(closed),
-                Err(_) => return Ended::Deadline,
+                Ok(Err(closed)) => return RelayEnd::Closed(closed),
+                Err(_) => return RelayEnd::Deadline,
             }
         }
-        let heard = job.process.now();
-        let until = (heard + silence).min(job.deadline);
+        let last_received = job.process.now();
+        let until = (last_received + timeout).min(job.deadline);
         let next = tokio::select! {
             next = tokio::time::timeout_at(until.into(), stream.next()) => next,
-            closed = sink.closed() => return Ended::Closed(closed),
+            closed = writer.closed() => return RelayEnd::Closed(closed),
         };
-        parts = match next {
-            Ok(Item::Events(parts)) => parts,
-            Ok(Item::End) => return Ended::Whole,
-            Ok(Item::Broken(why)) => return Ended::Broken { why, silent: false },
-            Err(_) if job.left().is_zero() => return Ended::Deadline,
-            Err(_) => return silent(job, heard),
+        events = match next {
+            Ok(Item::Events(events)) => events,
+            Ok(Item::End) => return RelayEnd::Complete,
+            Ok(Item::Broken(why)) => return RelayEnd::Broken { why, unresponsive: false },
+            Err(_) if job.left().is_zero() => return RelayEnd::Deadline,
+            Err(_) => return timed_out(job, last_received),
         };
     }
 }
 
-fn silent<D: Dialect>(job: &Job<D>, heard: Instant) -> Ended {
-    let ms = job.process.now().saturating_duration_since(heard).as_millis();
-    Ended::Broken { why: format!("silent for {ms} ms"), silent: true }
+fn timed_out<D: Dialect>(job: &Job<D>, last_received: Instant) -> RelayEnd {
+    let ms = job.process.now().saturating_duration_since(last_received).as_millis();
+    RelayEnd::Broken { why: format!("silent for {ms} ms"), unresponsive: true }
 }
 
 /// How long an upstream may be silent within a stream.
-fn silence<D: Dialect>(job: &Job<D>, stream: &Stream<D>) -> Duration {
-    let silence = match (job.pause(), job.route.repeat) {
-        (Some(pause), Repeat::Resume) => (pause * SILENT_PAUSES).max(LEAST_SILENCE),
+fn silence_timeout<D: Dialect>(job: &Job<D>, stream: &Stream<D>) -> Duration {
+    let timeout = match (job.pause(), job.route.repeat) {
+        (Some(pause), Repeat::Resume) => (pause * SILENCE_TIMEOUT_PAUSES).max(MIN_SILENCE_TIMEOUT),
         _ => job.left(),
     };
     if stream.reservations.is_empty() {
-        silence
+        timeout
     } else {
-        silence.min(job.process.config.fleet.held_silence())
+        timeout.min(job.process.config.fleet.held_silence())
     }
 }
 
@@ -210,13 +218,13 @@
 async fn resume<D: Dialect>(
     job: &Arc<Job<D>>,
     tries: &mut Tries,
-    passed: &Passed,
+    progress: &Progress,
     mut from: id::Upstream,
     why: &str,
-    sink: &Writer,
-) -> Option<(Stream<D>, Vec<Part>)> {
+    writer: &Writer,
+) -> Option<(Stream<D>, Vec<sse::Event>)> {
     let mut why = why.to_owned();
-    let last = passed.last?;
+    let last = progress.last_id?;
     loop {
         if job.route.repeat != Repeat::Resume || !tries::may_repeat(job, tries, false) {
             return None;
@@ -224,13 +232,13 @@
         tries.failure = Some(Failure { upstream: from, why });
         let grant = tokio::select! {
             grant = gate::place(job, tries, true) => grant.ok()?,
-            _ = sink.closed() => return None,
+            _ = writer.closed() => return None,
         };
         job.process.metrics.resumed.inc();
         from = grant.placement.flight.upstream.clone();
         let end = tokio::select! {
             end = attempt::run(job, grant, Some(last), tries) => end,
-            _ = sink.closed() => return None,
+            _ = writer.closed() => return None,
         };
         why = match end {
             End::Streaming(started) => {
