--- a/daemon/src/fleet/answer.rs
+++ b/daemon/src/fleet/answer.rs
@@ -13,30 +13,32 @@
 use serde_json::json;
 use tokio::sync::mpsc;
 
-use crate::fleet::unread::{Cut, Reader};
+use crate::fleet::unread::{Reader, Truncated};
 
 /// The body of an answer.
 pub enum Body {
     /// All of it.
     Whole(Option<Bytes>),
     /// Lines for an operator, as they come.
-    Lines(mpsc::Receiver<Result<Bytes, Cut>>),
+    Lines(mpsc::Receiver<Result<Bytes, Truncated>>),
     /// What an upstream sends, as far as it is not read yet.
-    Unread(Reader),
+    Buffered(Reader),
 }
 
 impl hyper::body::Body for Body {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = Truncated;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         match self.get_mut() {
             Body::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
-            Body::Lines(parts) => parts.poll_recv(context).map(|p| p.map(|r| r.map(Frame::data))),
-            Body::Unread(parts) => parts.poll_next(context).map(|p| p.map(|r| r.map(Frame::data))),
+            Body::Lines(lines) => lines.poll_recv(context).map(|p| p.map(|r| r.map(Frame::data))),
+            Body::Buffered(reader) => {
+                reader.poll_next(context).map(|p| p.map(|r| r.map(Frame::data)))
+            }
         }
     }
 
@@ -46,8 +48,8 @@
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
             Body::Lines(_) => SizeHint::default(),
-            Body::Unread(parts) => {
-                parts.length().map_or_else(SizeHint::default, SizeHint::with_exact)
+            Body::Buffered(reader) => {
+                reader.length().map_or_else(SizeHint::default, SizeHint::with_exact)
             }
         }
     }
--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -334,9 +334,9 @@
     } else {
         outcome::record(job, &upstream, Outcome::Answered);
     }
-    let (reader, given_up) = job.process.unread.whole(&job.id, collected);
-    outcome::record_aborted(&job.process, given_up);
-    End::Complete(Response::from_parts(head, Body::Unread(reader)))
+    let (reader, aborted) = job.process.unread.complete(&job.id, collected);
+    outcome::record_aborted(&job.process, aborted);
+    End::Complete(Response::from_parts(head, Body::Buffered(reader)))
 }
 
 async fn read_first_events<D: Dialect>(
--- a/daemon/src/fleet/events.rs
+++ b/daemon/src/fleet/events.rs
@@ -76,10 +76,10 @@
 pub fn relay<D: Dialect>(job: Arc<Job<D>>, started: Started<D>, tries: Tries) -> Response<Body> {
     let Started { mut head, first, stream } = started;
     head.headers.remove(header::CONTENT_LENGTH);
-    let (writer, reader) = job.process.unread.begin(&job.id);
+    let (writer, reader) = job.process.unread.open(&job.id);
     let tracker = job.process.tasks.clone();
     tracker.spawn(relay_all(job, stream, first, tries, writer));
-    Response::from_parts(head, Body::Unread(reader))
+    Response::from_parts(head, Body::Buffered(reader))
 }
 
 /// How a part of a stream, that of one upstream, ended.
@@ -118,11 +118,11 @@
                 outcome::record_completion(&job, Some(stats));
                 return;
             }
-            RelayEnd::Closed(Closed::Gone) => {
+            RelayEnd::Closed(Closed::Disconnected) => {
                 record_failed(&job, Kind::UpstreamFailed, "the caller went away".to_owned());
                 return;
             }
-            RelayEnd::Closed(Closed::GivenUp) => {
+            RelayEnd::Closed(Closed::Aborted) => {
                 let why = "the caller reads too slowly for the memory of this VM";
                 record_failed(&job, Kind::UpstreamFailed, why.to_owned());
                 return;
@@ -175,7 +175,7 @@
         progress.record_time(job.process.now());
         if !bytes.is_empty() {
             match tokio::time::timeout_at(job.deadline.into(), writer.push(bytes)).await {
-                Ok(Ok(given_up)) => outcome::record_aborted(&job.process, given_up),
+                Ok(Ok(aborted)) => outcome::record_aborted(&job.process, aborted),
                 Ok(Err(closed)) => return RelayEnd::Closed(closed),
                 Err(_) => return RelayEnd::Deadline,
             }
--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -26,7 +26,7 @@
 use crate::fleet::answer::{self, Body};
 use crate::fleet::process::Process;
 use crate::fleet::register::Order;
-use crate::fleet::unread::Cut;
+use crate::fleet::unread::Truncated;
 use crate::log;
 
 /// The path under which peers read the settings.
@@ -266,7 +266,10 @@
     Response::new(Body::Lines(receiver))
 }
 
-async fn feed(mut decisions: broadcast::Receiver<Item>, lines: mpsc::Sender<Result<Bytes, Cut>>) {
+async fn feed(
+    mut decisions: broadcast::Receiver<Item>,
+    lines: mpsc::Sender<Result<Bytes, Truncated>>,
+) {
     loop {
         let line = tokio::select! {
             line = decisions.recv() => line,
--- a/daemon/src/fleet/outcome.rs
+++ b/daemon/src/fleet/outcome.rs
@@ -12,7 +12,7 @@
 use crate::fleet::crash;
 use crate::fleet::job::Job;
 use crate::fleet::process::Process;
-use crate::fleet::unread::GivenUp;
+use crate::fleet::unread::Aborted;
 use crate::log;
 
 /// Notes that an attempt failed, for this VM and the one that places.
@@ -68,12 +68,12 @@
 }
 
 /// Notes answers that were given up, since their callers read too slowly for the memory of this VM.
-pub fn record_aborted<D: Dialect>(process: &Process<D>, answers: Vec<GivenUp>) {
-    for GivenUp { request, bytes } in answers {
+pub fn record_aborted<D: Dialect>(process: &Process<D>, aborted: Vec<Aborted>) {
+    for Aborted { request, bytes } in aborted {
         process.metrics.given_up.inc();
         if process.trouble_lines.admit(process.now()).is_some() {
-            let all = process.unread.bytes();
-            let what = format!("{request}: {bytes} bytes unread, {all} of the others");
+            let others = process.unread.bytes();
+            let what = format!("{request}: {bytes} bytes unread, {others} of the others");
             log::event(&process.log, Event::AnswerGivenUp, what);
         }
     }
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -31,7 +31,7 @@
 use crate::fleet::peers::Peers;
 use crate::fleet::questions::Questions;
 use crate::fleet::register::Register;
-use crate::fleet::unread::Unread;
+use crate::fleet::unread;
 use crate::fleet::unreadable::Unreadable;
 use crate::fleet::volume::{self, Volume};
 use crate::fleet::withdrawals::Withdrawals;
@@ -110,7 +110,7 @@
     /// The listings, by their revision and digest, that were compared with a peer's as a whole.
     pub compared: Mutex<Option<(Revision, u64)>>,
     /// Answers that their callers have not read to the end.
-    pub unread: Arc<Unread>,
+    pub unread: Arc<unread::Buffers>,
     /// Entries of the directory that name nothing to use.
     pub unreadable: Unreadable,
     /// What the directory is to be told of requests that are held.
@@ -187,7 +187,7 @@
             packed_listing: Kept::default(),
             steps: Mutex::default(),
             compared: Mutex::default(),
-            unread: Unread::new(config.fleet.memory()),
+            unread: unread::Buffers::new(config.fleet.memory()),
             unreadable: Unreadable::default(),
             register: Register::default(),
             withdrawals: Withdrawals::default(),
--- a/daemon/src/fleet/unread.rs
+++ b/daemon/src/fleet/unread.rs
@@ -15,43 +15,43 @@
 use tokio::sync::Notify;
 
 /// The part of a VM's memory that such answers may take: connections, settings and the cluster state take the rest.
-const PART: f64 = 0.25;
+const MEMORY_SHARE: f64 = 0.25;
 
 /// Answers that may each take their share before one has to be given up.
-const SHARES: usize = 64;
+const MIN_FULL_BUFFERS: usize = 64;
 
 /// The least share of an answer, bytes: what comes in one read.
-const LEAST_SHARE: usize = 64 << 10;
+const MIN_FULL_BYTES: usize = 64 << 10;
 
 /// Such answers that a dump names, those that take most.
-const NAMED: usize = 10;
+const MAX_DUMPED: usize = 10;
 
 /// The answers of a VM that are under way.
 #[derive(Debug)]
-pub struct Unread {
+pub struct Buffers {
     /// Bytes that all may take.
-    most: usize,
+    max_bytes: usize,
     /// Bytes from which on an upstream waits for the caller.
-    share: usize,
-    all: Mutex<All>,
+    full_bytes: usize,
+    inner: Mutex<Inner>,
 }
 
 #[derive(Debug, Default)]
-struct All {
+struct Inner {
     next: u64,
     bytes: usize,
-    answers: BTreeMap<u64, Answer>,
+    buffers: BTreeMap<u64, Buffer>,
 }
 
 #[derive(Debug)]
-struct Answer {
+struct Buffer {
     request: id::Request,
     parts: VecDeque<Bytes>,
     bytes: usize,
     state: State,
     reader: Option<Waker>,
     /// Told when something was read, and when nobody will read any more.
-    moved: Arc<Notify>,
+    changed: Arc<Notify>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -59,16 +59,16 @@
     /// More may come.
     Open,
     /// All of it is here.
-    Whole,
+    Complete,
     /// It breaks off after what is here.
-    Broken,
+    Truncated,
     /// It took too much.
-    GivenUp,
+    Aborted,
 }
 
 /// An answer that was given up.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct GivenUp {
+pub struct Aborted {
     /// The request that it answers.
     pub request: id::Request,
     /// What its caller had not read, bytes.
@@ -79,132 +79,132 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Closed {
     /// The caller went away.
-    Gone,
+    Disconnected,
     /// It was given up.
-    GivenUp,
+    Aborted,
 }
 
 /// Whether a part was added.
-enum Added {
+enum Push {
     /// It was, and these had to be given up.
-    Yes(Vec<GivenUp>),
+    Added(Vec<Aborted>),
     /// There is no room before the caller has read more.
     Full,
 }
 
-impl Unread {
+impl Buffers {
     /// No answers yet, on a VM with so many bytes of memory.
-    pub fn new(memory: usize) -> Arc<Unread> {
-        let most = (memory as f64 * PART) as usize;
-        let share = (most / SHARES).max(LEAST_SHARE);
-        Arc::new(Unread { most, share, all: Mutex::default() })
+    pub fn new(memory: usize) -> Arc<Buffers> {
+        let max_bytes = (memory as f64 * MEMORY_SHARE) as usize;
+        let full_bytes = (max_bytes / MIN_FULL_BUFFERS).max(MIN_FULL_BYTES);
+        Arc::new(Buffers { max_bytes, full_bytes, inner: Mutex::default() })
     }
 
     /// Begins the answer to a request.
-    pub fn begin(self: &Arc<Unread>, request: &id::Request) -> (Writer, Reader) {
-        let moved = Arc::new(Notify::new());
-        let answer = Answer {
+    pub fn open(self: &Arc<Buffers>, request: &id::Request) -> (Writer, Reader) {
+        let changed = Arc::new(Notify::new());
+        let buffer = Buffer {
             request: request.clone(),
             parts: VecDeque::new(),
             bytes: 0,
             state: State::Open,
             reader: None,
-            moved: moved.clone(),
+            changed: changed.clone(),
         };
-        let mut all = self.all.lock().unwrap();
-        let number = all.next;
-        all.next += 1;
-        all.answers.insert(number, answer);
-        let reader = Reader { unread: self.clone(), number, length: None };
-        (Writer { unread: self.clone(), number, moved }, reader)
+        let mut inner = self.inner.lock().unwrap();
+        let number = inner.next;
+        inner.next += 1;
+        inner.buffers.insert(number, buffer);
+        let reader = Reader { buffers: self.clone(), number, length: None };
+        (Writer { buffers: self.clone(), number, changed }, reader)
     }
 
     /// A whole answer, and those that had to be given up for it.
-    pub fn whole(
-        self: &Arc<Unread>,
+    pub fn complete(
+        self: &Arc<Buffers>,
         request: &id::Request,
         bytes: Bytes,
-    ) -> (Reader, Vec<GivenUp>) {
-        let (writer, mut reader) = self.begin(request);
+    ) -> (Reader, Vec<Aborted>) {
+        let (writer, mut reader) = self.open(request);
         reader.length = Some(bytes.len() as u64);
-        let given_up = match self.add(writer.number, &bytes) {
-            Ok(Added::Yes(given_up)) => given_up,
-            Ok(Added::Full) | Err(_) => Vec::new(),
+        let aborted = match self.add(writer.number, &bytes) {
+            Ok(Push::Added(aborted)) => aborted,
+            Ok(Push::Full) | Err(_) => Vec::new(),
         };
         writer.end();
-        (reader, given_up)
+        (reader, aborted)
     }
 
     /// What all of them take, bytes.
     pub fn bytes(&self) -> usize {
-        self.all.lock().unwrap().bytes
+        self.inner.lock().unwrap().bytes
     }
 
     /// What they take and which take most, for a dump.
     pub fn dump(&self) -> serde_json::Value {
-        let all = self.all.lock().unwrap();
-        let mut answers: Vec<&Answer> = all.answers.values().filter(|a| a.bytes > 0).collect();
-        answers.sort_by_key(|answer| std::cmp::Reverse(answer.bytes));
-        let named = answers.iter().take(NAMED);
-        let named: Vec<_> =
-            named.map(|a| json!({"request": a.request, "bytes": a.bytes})).collect();
-        json!({"bytes": all.bytes, "most": self.most, "answers": answers.len(), "largest": named})
+        let inner = self.inner.lock().unwrap();
+        let mut buffers: Vec<&Buffer> = inner.buffers.values().filter(|b| b.bytes > 0).collect();
+        buffers.sort_by_key(|buffer| std::cmp::Reverse(buffer.bytes));
+        let largest = buffers.iter().take(MAX_DUMPED);
+        let largest: Vec<_> =
+            largest.map(|b| json!({"request": b.request, "bytes": b.bytes})).collect();
+        json!({"bytes": inner.bytes, "most": self.max_bytes, "answers": buffers.len(), "largest": largest})
     }
 
-    fn add(&self, number: u64, bytes: &Bytes) -> Result<Added, Closed> {
-        let mut all = self.all.lock().unwrap();
-        let answer = all.answers.get_mut(&number).ok_or(Closed::Gone)?;
-        if answer.state == State::GivenUp {
-            return Err(Closed::GivenUp);
+    fn add(&self, number: u64, bytes: &Bytes) -> Result<Push, Closed> {
+        let mut inner = self.inner.lock().unwrap();
+        let buffer = inner.buffers.get_mut(&number).ok_or(Closed::Disconnected)?;
+        if buffer.state == State::Aborted {
+            return Err(Closed::Aborted);
         }
-        if answer.bytes >= self.share {
-            return Ok(Added::Full);
+        if buffer.bytes >= self.full_bytes {
+            return Ok(Push::Full);
         }
-        answer.bytes += bytes.len();
-        answer.parts.push_back(bytes.clone());
-        answer.wake();
-        all.bytes += bytes.len();
-        Ok(Added::Yes(all.give_up(self.most)))
+        buffer.bytes += bytes.len();
+        buffer.parts.push_back(bytes.clone());
+        buffer.wake_reader();
+        inner.bytes += bytes.len();
+        Ok(Push::Added(inner.abort_largest(self.max_bytes)))
     }
 
     fn closed(&self, number: u64) -> Option<Closed> {
-        match self.all.lock().unwrap().answers.get(&number) {
-            None => Some(Closed::Gone),
-            Some(answer) => (answer.state == State::GivenUp).then_some(Closed::GivenUp),
+        match self.inner.lock().unwrap().buffers.get(&number) {
+            None => Some(Closed::Disconnected),
+            Some(buffer) => (buffer.state == State::Aborted).then_some(Closed::Aborted),
         }
     }
 
-    fn end(&self, number: u64, state: State) {
-        let mut all = self.all.lock().unwrap();
-        let open = all.answers.get_mut(&number).filter(|answer| answer.state == State::Open);
-        if let Some(answer) = open {
-            answer.state = state;
-            answer.wake();
+    fn finish(&self, number: u64, state: State) {
+        let mut inner = self.inner.lock().unwrap();
+        let open = inner.buffers.get_mut(&number).filter(|buffer| buffer.state == State::Open);
+        if let Some(buffer) = open {
+            buffer.state = state;
+            buffer.wake_reader();
         }
     }
 }
 
-impl All {
+impl Inner {
     /// Gives up the largest until all take no more than `most` bytes.
-    fn give_up(&mut self, most: usize) -> Vec<GivenUp> {
-        let mut given_up = Vec::new();
-        while self.bytes > most
-            && let Some(largest) = self.answers.values_mut().max_by_key(|answer| answer.bytes)
+    fn abort_largest(&mut self, max_bytes: usize) -> Vec<Aborted> {
+        let mut aborted = Vec::new();
+        while self.bytes > max_bytes
+            && let Some(largest) = self.buffers.values_mut().max_by_key(|buffer| buffer.bytes)
         {
             let bytes = std::mem::take(&mut largest.bytes);
             largest.parts = VecDeque::new();
-            largest.state = State::GivenUp;
-            largest.wake();
-            largest.moved.notify_one();
-            given_up.push(GivenUp { request: largest.request.clone(), bytes });
+            largest.state = State::Aborted;
+            largest.wake_reader();
+            largest.changed.notify_one();
+            aborted.push(Aborted { request: largest.request.clone(), bytes });
             self.bytes -= bytes;
         }
-        given_up
+        aborted
     }
 }
 
-impl Answer {
-    fn wake(&mut self) {
+impl Buffer {
+    fn wake_reader(&mut self) {
         if let Some(reader) = self.reader.take() {
             reader.wake();
         }
@@ -214,31 +214,31 @@
 /// The stream to the caller ends without its end: hyper closes the connection, so that the answer
 /// cannot be taken for complete.
 #[derive(Debug)]
-pub struct Cut;
+pub struct Truncated;
 
-impl fmt::Display for Cut {
+impl fmt::Display for Truncated {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the answer was broken off")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for Truncated {}
 
 /// Where an answer is written.
 #[derive(Debug)]
 pub struct Writer {
-    unread: Arc<Unread>,
+    buffers: Arc<Buffers>,
     number: u64,
-    moved: Arc<Notify>,
+    changed: Arc<Notify>,
 }
 
 impl Writer {
     /// Adds bytes, once there is room for them. Answers which answers had to be given up.
-    pub async fn push(&self, bytes: Bytes) -> Result<Vec<GivenUp>, Closed> {
+    pub async fn push(&self, bytes: Bytes) -> Result<Vec<Aborted>, Closed> {
         loop {
-            match self.unread.add(self.number, &bytes)? {
-                Added::Yes(given_up) => return Ok(given_up),
-                Added::Full => self.moved.notified().await,
+            match self.buffers.add(self.number, &bytes)? {
+                Push::Added(aborted) => return Ok(aborted),
+                Push::Full => self.changed.notified().await,
             }
         }
     }
@@ -246,29 +246,29 @@
     /// Waits until nobody will read any more.
     pub async fn closed(&self) -> Closed {
         loop {
-            if let Some(closed) = self.unread.closed(self.number) {
+            if let Some(closed) = self.buffers.closed(self.number) {
                 return closed;
             }
-            self.moved.notified().await;
+            self.changed.notified().await;
         }
     }
 
     /// The answer is whole. One that is dropped without this breaks off where it is.
     pub fn end(self) {
-        self.unread.end(self.number, State::Whole);
+        self.buffers.finish(self.number, State::Complete);
     }
 }
 
 impl Drop for Writer {
     fn drop(&mut self) {
-        self.unread.end(self.number, State::Broken);
+        self.buffers.finish(self.number, State::Truncated);
     }
 }
 
 /// Where an answer is read.
 #[derive(Debug)]
 pub struct Reader {
-    unread: Arc<Unread>,
+    buffers: Arc<Buffers>,
     number: u64,
     /// Its length, where it is known, bytes.
     length: Option<u64>,
@@ -281,32 +281,35 @@
     }
 
     /// The next bytes; none at the end.
-    pub fn poll_next(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Bytes, Cut>>> {
-        let mut all = self.unread.all.lock().unwrap();
-        let Some(answer) = all.answers.get_mut(&self.number) else { return Poll::Ready(None) };
-        if let Some(part) = answer.parts.pop_front() {
-            answer.bytes -= part.len();
-            answer.moved.notify_one();
-            all.bytes -= part.len();
+    pub fn poll_next(
+        &mut self,
+        context: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, Truncated>>> {
+        let mut inner = self.buffers.inner.lock().unwrap();
+        let Some(buffer) = inner.buffers.get_mut(&self.number) else { return Poll::Ready(None) };
+        if let Some(part) = buffer.parts.pop_front() {
+            buffer.bytes -= part.len();
+            buffer.changed.notify_one();
+            inner.bytes -= part.len();
             return Poll::Ready(Some(Ok(part)));
         }
-        match answer.state {
+        match buffer.state {
             State::Open => {
-                answer.reader = Some(context.waker().clone());
+                buffer.reader = Some(context.waker().clone());
                 Poll::Pending
             }
-            State::Whole => Poll::Ready(None),
-            State::Broken | State::GivenUp => Poll::Ready(Some(Err(Cut))),
+            State::Complete => Poll::Ready(None),
+            State::Truncated | State::Aborted => Poll::Ready(Some(Err(Truncated))),
         }
     }
 }
 
 impl Drop for Reader {
     fn drop(&mut self) {
-        let mut all = self.unread.all.lock().unwrap();
-        if let Some(answer) = all.answers.remove(&self.number) {
-            all.bytes -= answer.bytes;
-            answer.moved.notify_one();
+        let mut inner = self.buffers.inner.lock().unwrap();
+        if let Some(buffer) = inner.buffers.remove(&self.number) {
+            inner.bytes -= buffer.bytes;
+            buffer.changed.notify_one();
         }
     }
 }
--- a/daemon/tests/unread.rs
+++ b/daemon/tests/unread.rs
@@ -5,19 +5,19 @@
 
 use bytes::Bytes;
 use foldlock_base::id;
-use foldlockd::fleet::unread::{Closed, GivenUp, Reader, Unread, Writer};
+use foldlockd::fleet::unread::{Aborted, Buffers, Closed, Reader, Writer};
 use proptest::prelude::*;
 
 /// The memory of the smallest VMs, bytes.
 const MEMORY: usize = 112_000_000;
 
 /// The part of it that answers may take.
-const MOST: usize = MEMORY / 4;
+const MAX_BYTES: usize = MEMORY / 4;
 
 const CALLERS: usize = 500;
 
 /// What comes in one read, bytes.
-const READ: usize = 64 << 10;
+const READ_BYTES: usize = 64 << 10;
 
 fn request(number: usize) -> id::Request {
     format!("r{number}").parse().unwrap()
@@ -28,7 +28,7 @@
 }
 
 /// Adds a part if there is room for it now.
-fn push(writer: &Writer, length: usize) -> Option<Result<Vec<GivenUp>, Closed>> {
+fn push(writer: &Writer, length: usize) -> Option<Result<Vec<Aborted>, Closed>> {
     let mut pushed = std::pin::pin!(writer.push(part(length)));
     match pushed.as_mut().poll(&mut Context::from_waker(Waker::noop())) {
         Poll::Ready(pushed) => Some(pushed),
@@ -43,57 +43,57 @@
 
 #[test]
 fn callers_that_read_nothing_take_no_more_than_their_part() {
-    let unread = Unread::new(MEMORY);
+    let buffers = Buffers::new(MEMORY);
     let answers: Vec<(Writer, Reader)> =
-        (0..CALLERS).map(|number| unread.begin(&request(number))).collect();
-    let mut given_up = Vec::new();
+        (0..CALLERS).map(|number| buffers.open(&request(number))).collect();
+    let mut aborted = Vec::new();
     for _ in 0..100 {
         for (writer, _) in &answers {
-            if let Some(Ok(more)) = push(writer, READ) {
-                given_up.extend(more);
+            if let Some(Ok(more)) = push(writer, READ_BYTES) {
+                aborted.extend(more);
             }
-            assert!(unread.bytes() <= MOST);
+            assert!(buffers.bytes() <= MAX_BYTES);
         }
     }
-    assert!(!given_up.is_empty() && given_up.len() < CALLERS);
+    assert!(!aborted.is_empty() && aborted.len() < CALLERS);
 }
 
 /// Who reads is not given up for those who do not.
 #[test]
 fn the_largest_answers_are_given_up() {
-    let unread = Unread::new(MEMORY);
-    let (reading, mut reader) = unread.begin(&request(0));
+    let buffers = Buffers::new(MEMORY);
+    let (reading, mut reader) = buffers.open(&request(0));
     let idle: Vec<(Writer, Reader)> =
-        (1..CALLERS).map(|number| unread.begin(&request(number))).collect();
-    let mut given_up = Vec::new();
+        (1..CALLERS).map(|number| buffers.open(&request(number))).collect();
+    let mut aborted = Vec::new();
     for _ in 0..100 {
         for (writer, _) in &idle {
-            given_up.extend(push(writer, READ).and_then(Result::ok).unwrap_or_default());
+            aborted.extend(push(writer, READ_BYTES).and_then(Result::ok).unwrap_or_default());
         }
-        assert!(matches!(push(&reading, READ), Some(Ok(_))));
-        assert_eq!(read(&mut reader), Poll::Ready(Some(Ok(READ))));
+        assert!(matches!(push(&reading, READ_BYTES), Some(Ok(_))));
+        assert_eq!(read(&mut reader), Poll::Ready(Some(Ok(READ_BYTES))));
     }
-    assert!(!given_up.is_empty());
-    assert!(given_up.iter().all(|answer| answer.request != request(0)));
-    assert!(given_up.iter().all(|answer| answer.bytes >= READ));
+    assert!(!aborted.is_empty());
+    assert!(aborted.iter().all(|answer| answer.request != request(0)));
+    assert!(aborted.iter().all(|answer| answer.bytes >= READ_BYTES));
     reading.end();
     assert_eq!(read(&mut reader), Poll::Ready(None));
 }
 
 #[test]
 fn an_answer_that_is_given_up_breaks_off_and_ends_its_attempt() {
-    let unread = Unread::new(0);
-    let (writer, mut reader) = unread.begin(&request(1));
-    let given_up = push(&writer, 10).unwrap().unwrap();
-    assert_eq!(given_up, [GivenUp { request: request(1), bytes: 10 }]);
-    assert_eq!(push(&writer, 10), Some(Err(Closed::GivenUp)));
+    let buffers = Buffers::new(0);
+    let (writer, mut reader) = buffers.open(&request(1));
+    let aborted = push(&writer, 10).unwrap().unwrap();
+    assert_eq!(aborted, [Aborted { request: request(1), bytes: 10 }]);
+    assert_eq!(push(&writer, 10), Some(Err(Closed::Aborted)));
     assert_eq!(read(&mut reader), Poll::Ready(Some(Err(()))));
 }
 
 #[test]
 fn an_answer_without_its_end_breaks_off_after_what_is_there() {
-    let unread = Unread::new(MEMORY);
-    let (writer, mut reader) = unread.begin(&request(1));
+    let buffers = Buffers::new(MEMORY);
+    let (writer, mut reader) = buffers.open(&request(1));
     push(&writer, 10).unwrap().unwrap();
     drop(writer);
     assert_eq!(read(&mut reader), Poll::Ready(Some(Ok(10))));
@@ -102,29 +102,29 @@
 
 #[test]
 fn an_upstream_waits_once_its_answer_has_its_share() {
-    let unread = Unread::new(MEMORY);
-    let (writer, mut reader) = unread.begin(&request(1));
-    while push(&writer, READ).is_some() {}
-    assert!(unread.bytes() < MOST);
-    assert_eq!(read(&mut reader), Poll::Ready(Some(Ok(READ))));
-    assert!(push(&writer, READ).is_some());
+    let buffers = Buffers::new(MEMORY);
+    let (writer, mut reader) = buffers.open(&request(1));
+    while push(&writer, READ_BYTES).is_some() {}
+    assert!(buffers.bytes() < MAX_BYTES);
+    assert_eq!(read(&mut reader), Poll::Ready(Some(Ok(READ_BYTES))));
+    assert!(push(&writer, READ_BYTES).is_some());
 }
 
 #[test]
 fn a_caller_that_leaves_takes_its_answer_with_it() {
-    let unread = Unread::new(MEMORY);
-    let (writer, reader) = unread.begin(&request(1));
+    let buffers = Buffers::new(MEMORY);
+    let (writer, reader) = buffers.open(&request(1));
     push(&writer, 10).unwrap().unwrap();
     drop(reader);
-    assert_eq!(unread.bytes(), 0);
-    assert_eq!(push(&writer, 10), Some(Err(Closed::Gone)));
+    assert_eq!(buffers.bytes(), 0);
+    assert_eq!(push(&writer, 10), Some(Err(Closed::Disconnected)));
 }
 
 #[test]
 fn a_whole_answer_tells_its_length_and_is_delivered_at_once() {
-    let unread = Unread::new(MEMORY);
-    let (mut reader, given_up) = unread.whole(&request(1), part(10));
-    assert_eq!((reader.length(), given_up), (Some(10), Vec::new()));
+    let buffers = Buffers::new(MEMORY);
+    let (mut reader, aborted) = buffers.complete(&request(1), part(10));
+    assert_eq!((reader.length(), aborted), (Some(10), Vec::new()));
     assert_eq!(read(&mut reader), Poll::Ready(Some(Ok(10))));
     assert_eq!(read(&mut reader), Poll::Ready(None));
 }
@@ -158,53 +158,53 @@
     writer: Option<Writer>,
     reader: Reader,
     parts: Vec<usize>,
-    given_up: bool,
-    whole: bool,
+    aborted: bool,
+    complete: bool,
 }
 
 proptest! {
     /// Parts come in their order, an end only after all of them, and what is taken is what is there.
     #[test]
     fn whatever_happens_parts_are_counted_and_kept_in_order(steps in steps()) {
-        let unread = Unread::new(400_000);
+        let buffers = Buffers::new(400_000);
         let mut answers: BTreeMap<usize, Model> = BTreeMap::new();
         for step in steps {
             match step {
                 Step::Begin(number) => {
-                    let (writer, reader) = unread.begin(&request(number));
+                    let (writer, reader) = buffers.open(&request(number));
                     let writer = Some(writer);
                     let model =
-                        Model { writer, reader, parts: Vec::new(), given_up: false, whole: false };
+                        Model { writer, reader, parts: Vec::new(), aborted: false, complete: false };
                     answers.insert(number, model);
                 }
                 Step::Push(number, length) => {
                     let Some(model) = answers.get_mut(&number) else { continue };
                     let Some(writer) = &model.writer else { continue };
                     match push(writer, length) {
-                        Some(Ok(given_up)) => {
+                        Some(Ok(aborted)) => {
                             model.parts.push(length);
-                            for lost in given_up {
+                            for lost in aborted {
                                 let lost = answers
                                     .iter_mut()
                                     .find(|(number, _)| request(**number) == lost.request);
                                 let (_, lost) = lost.unwrap();
                                 lost.parts.clear();
-                                lost.given_up = true;
+                                lost.aborted = true;
                             }
                         }
                         Some(Err(closed)) => {
-                            prop_assert!(model.given_up && closed == Closed::GivenUp);
+                            prop_assert!(model.aborted && closed == Closed::Aborted);
                         }
-                        None => prop_assert!(!model.given_up && !model.parts.is_empty()),
+                        None => prop_assert!(!model.aborted && !model.parts.is_empty()),
                     }
                 }
                 Step::Read(number) => {
                     let Some(model) = answers.get_mut(&number) else { continue };
                     let expected = if !model.parts.is_empty() {
                         Poll::Ready(Some(Ok(model.parts.remove(0))))
-                    } else if model.given_up {
+                    } else if model.aborted {
                         Poll::Ready(Some(Err(())))
-                    } else if model.whole {
+                    } else if model.complete {
                         Poll::Ready(None)
                     } else if model.writer.is_none() {
                         Poll::Ready(Some(Err(())))
@@ -217,7 +217,7 @@
                     let Some(model) = answers.get_mut(&number) else { continue };
                     if let Some(writer) = model.writer.take() {
                         writer.end();
-                        model.whole = true;
+                        model.complete = true;
                     }
                 }
                 Step::Break(number) => {
@@ -230,7 +230,7 @@
                 }
             }
             let kept: usize = answers.values().flat_map(|model| &model.parts).sum();
-            prop_assert_eq!(unread.bytes(), kept);
+            prop_assert_eq!(buffers.bytes(), kept);
             prop_assert!(kept <= 100_000);
         }
     }
