--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -26,6 +26,7 @@
 
 use crate::fleet::config::Config;
 use crate::fleet::fresh::Fresh;
+use crate::fleet::log_throttle::{self, Throttle};
 use crate::fleet::metrics::Metrics;
 use crate::fleet::packed::Kept;
 use crate::fleet::peers::Peers;
@@ -33,7 +34,6 @@
 use crate::fleet::register::Register;
 use crate::fleet::unread;
 use crate::fleet::unreadable::Unreadable;
-use crate::fleet::volume::{self, Volume};
 use crate::fleet::withdrawals::Withdrawals;
 use crate::log;
 
@@ -66,11 +66,11 @@
     /// The log.
     pub log: Logger,
     /// The bound on lines of decisions that went well.
-    pub routine_lines: Volume,
+    pub routine_lines: Throttle,
     /// The bound on lines of refusals, failures and repeats.
-    pub trouble_lines: Volume,
+    pub trouble_lines: Throttle,
     /// The bound on single lines of what the directory lists.
-    pub listing_lines: Volume,
+    pub listing_lines: Throttle,
     /// The metrics.
     pub metrics: Metrics,
     /// The records of requests.
@@ -166,9 +166,9 @@
             woke: Notify::new(),
             clock,
             log,
-            routine_lines: Volume::new(volume::ROUTINE, clock.now()),
-            trouble_lines: Volume::new(volume::TROUBLE, clock.now()),
-            listing_lines: Volume::new(volume::LISTING, clock.now()),
+            routine_lines: Throttle::new(log_throttle::ROUTINE_PER_S, clock.now()),
+            trouble_lines: Throttle::new(log_throttle::PROBLEM_PER_S, clock.now()),
+            listing_lines: Throttle::new(log_throttle::LISTING_PER_S, clock.now()),
             metrics: Metrics::default(),
             ring: Ring::new(RECORDS),
             fresh: Fresh::new(config.fleet.settings_age()),
--- a/daemon/src/fleet/record.rs
+++ b/daemon/src/fleet/record.rs
@@ -11,16 +11,16 @@
 impl<D: Dialect> Job<D> {
     /// Records a decision, and logs it with its inputs as far as the volume allows.
     pub fn record(&self, decision: Decision) {
-        let step = decision::Entry { at_ms: millis(self.held()), decision };
-        let level = step.decision.event().level();
-        let volume = if level.is_at_least(Level::Info) {
+        let entry = decision::Entry { at_ms: millis(self.held()), decision };
+        let level = entry.decision.event().level();
+        let throttle = if level.is_at_least(Level::Info) {
             &self.process.trouble_lines
         } else {
             &self.process.routine_lines
         };
-        if let Some(left_out) = volume.admit(self.process.now()) {
-            log::decision(&self.process.log, &self.id, &self.route.name, &step, left_out);
+        if let Some(suppressed) = throttle.admit(self.process.now()) {
+            log::decision(&self.process.log, &self.id, &self.route.name, &entry, suppressed);
         }
-        self.entry.add(step);
+        self.entry.add(entry);
     }
 }
--- a/daemon/tests/volume.rs
+++ b/daemon/tests/volume.rs
@@ -4,20 +4,20 @@
 
 use foldlock_base::clock::{Clock, Manual};
 use foldlockd::fleet::fresh::Fresh;
-use foldlockd::fleet::volume::Volume;
+use foldlockd::fleet::log_throttle::Throttle;
 use proptest::prelude::*;
 
 #[test]
 fn what_is_left_out_is_counted() {
     let now = Instant::now();
-    let volume = Volume::new(2, now);
+    let throttle = Throttle::new(2, now);
     let after = |ms| now + Duration::from_millis(ms);
-    assert_eq!(volume.admit(after(0)), Some(0));
-    assert_eq!(volume.admit(after(1)), Some(0));
-    assert_eq!(volume.admit(after(2)), None);
-    assert_eq!(volume.admit(after(999)), None);
-    assert_eq!(volume.admit(after(1_000)), Some(2));
-    assert_eq!(volume.admit(after(1_001)), Some(0));
+    assert_eq!(throttle.admit(after(0)), Some(0));
+    assert_eq!(throttle.admit(after(1)), Some(0));
+    assert_eq!(throttle.admit(after(2)), None);
+    assert_eq!(throttle.admit(after(999)), None);
+    assert_eq!(throttle.admit(after(1_000)), Some(2));
+    assert_eq!(throttle.admit(after(1_001)), Some(0));
 }
 
 #[test]
@@ -56,11 +56,11 @@
     #[test]
     fn no_second_has_more_than_twice_the_bound(gaps in prop::collection::vec(0u64..300, 1..300)) {
         let start = Instant::now();
-        let volume = Volume::new(5, start);
+        let throttle = Throttle::new(5, start);
         let (mut at, mut written) = (start, Vec::new());
         for gap in gaps {
             at += Duration::from_millis(gap);
-            if volume.admit(at).is_some() {
+            if throttle.admit(at).is_some() {
                 written.push(at);
             }
         }
