--- a/daemon/tests/unread.rs
+++ b/daemon/tests/unread.rs
@@ -11,7 +11,7 @@
 /// The memory of the smallest VMs, bytes.
 const MEMORY: usize = 112_000_000;
 
-/// The part of it that answers may take.
+/// The part of it that models may take.
 const MAX_BYTES: usize = MEMORY / 4;
 
 const CALLERS: usize = 500;
@@ -42,13 +42,13 @@
 }
 
 #[test]
-fn callers_that_read_nothing_take_no_more_than_their_part() {
+fn callers_that_read_nothing_do_not_exceed_the_memory_bound() {
     let buffers = Buffers::new(MEMORY);
-    let answers: Vec<(Writer, Reader)> =
+    let responses: Vec<(Writer, Reader)> =
         (0..CALLERS).map(|number| buffers.open(&request(number))).collect();
     let mut aborted = Vec::new();
     for _ in 0..100 {
-        for (writer, _) in &answers {
+        for (writer, _) in &responses {
             if let Some(Ok(more)) = push(writer, READ_BYTES) {
                 aborted.extend(more);
             }
@@ -60,7 +60,7 @@
 
 /// Who reads is not given up for those who do not.
 #[test]
-fn the_largest_answers_are_given_up() {
+fn the_largest_responses_are_aborted() {
     let buffers = Buffers::new(MEMORY);
     let (reading, mut reader) = buffers.open(&request(0));
     let idle: Vec<(Writer, Reader)> =
@@ -74,14 +74,14 @@
         assert_eq!(read(&mut reader), Poll::Ready(Some(Ok(READ_BYTES))));
     }
     assert!(!aborted.is_empty());
-    assert!(aborted.iter().all(|answer| answer.request != request(0)));
-    assert!(aborted.iter().all(|answer| answer.bytes >= READ_BYTES));
+    assert!(aborted.iter().all(|response| response.request != request(0)));
+    assert!(aborted.iter().all(|response| response.bytes >= READ_BYTES));
     reading.end();
     assert_eq!(read(&mut reader), Poll::Ready(None));
 }
 
 #[test]
-fn an_answer_that_is_given_up_breaks_off_and_ends_its_attempt() {
+fn an_aborted_response_is_truncated_and_closes_its_writer() {
     let buffers = Buffers::new(0);
     let (writer, mut reader) = buffers.open(&request(1));
     let aborted = push(&writer, 10).unwrap().unwrap();
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn an_answer_without_its_end_breaks_off_after_what_is_there() {
+fn a_response_without_its_end_is_truncated_after_the_buffered_bytes() {
     let buffers = Buffers::new(MEMORY);
     let (writer, mut reader) = buffers.open(&request(1));
     push(&writer, 10).unwrap().unwrap();
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn an_upstream_waits_once_its_answer_has_its_share() {
+fn a_writer_waits_while_its_buffer_is_full() {
     let buffers = Buffers::new(MEMORY);
     let (writer, mut reader) = buffers.open(&request(1));
     while push(&writer, READ_BYTES).is_some() {}
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_caller_that_leaves_takes_its_answer_with_it() {
+fn a_disconnected_caller_frees_its_buffer() {
     let buffers = Buffers::new(MEMORY);
     let (writer, reader) = buffers.open(&request(1));
     push(&writer, 10).unwrap().unwrap();
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_whole_answer_tells_its_length_and_is_delivered_at_once() {
+fn a_complete_response_has_its_length_and_is_available_at_once() {
     let buffers = Buffers::new(MEMORY);
     let (mut reader, aborted) = buffers.complete(&request(1), part(10));
     assert_eq!((reader.length(), aborted), (Some(10), Vec::new()));
@@ -129,28 +129,28 @@
     assert_eq!(read(&mut reader), Poll::Ready(None));
 }
 
-/// What may happen to one of a few answers.
+/// What may happen to one of a few models.
 #[derive(Debug, Clone)]
-enum Step {
-    Begin(usize),
+enum Operation {
+    Open(usize),
     Push(usize, usize),
     Read(usize),
     End(usize),
-    Break(usize),
-    Leave(usize),
+    Drop(usize),
+    Disconnect(usize),
 }
 
-fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let answer = || 0..6_usize;
-    let step = prop_oneof![
-        2 => answer().prop_map(Step::Begin),
-        8 => (answer(), 1..40_000_usize).prop_map(|(answer, length)| Step::Push(answer, length)),
-        4 => answer().prop_map(Step::Read),
-        1 => answer().prop_map(Step::End),
-        1 => answer().prop_map(Step::Break),
-        1 => answer().prop_map(Step::Leave),
+fn operations() -> impl Strategy<Value = Vec<Operation>> {
+    let index = || 0..6_usize;
+    let operation = prop_oneof![
+        2 => index().prop_map(Operation::Open),
+        8 => (index(), 1..40_000_usize).prop_map(|(index, length)| Operation::Push(index, length)),
+        4 => index().prop_map(Operation::Read),
+        1 => index().prop_map(Operation::End),
+        1 => index().prop_map(Operation::Drop),
+        1 => index().prop_map(Operation::Disconnect),
     ];
-    prop::collection::vec(step, 0..200)
+    prop::collection::vec(operation, 0..200)
 }
 
 /// One answer as it should be.
@@ -165,26 +165,26 @@
 proptest! {
     /// Parts come in their order, an end only after all of them, and what is taken is what is there.
     #[test]
-    fn whatever_happens_parts_are_counted_and_kept_in_order(steps in steps()) {
+    fn bytes_are_counted_and_in_order_after_any_operations(operations in operations()) {
         let buffers = Buffers::new(400_000);
-        let mut answers: BTreeMap<usize, Model> = BTreeMap::new();
-        for step in steps {
-            match step {
-                Step::Begin(number) => {
+        let mut models: BTreeMap<usize, Model> = BTreeMap::new();
+        for operation in operations {
+            match operation {
+                Operation::Open(number) => {
                     let (writer, reader) = buffers.open(&request(number));
                     let writer = Some(writer);
                     let model =
                         Model { writer, reader, parts: Vec::new(), aborted: false, complete: false };
-                    answers.insert(number, model);
+                    models.insert(number, model);
                 }
-                Step::Push(number, length) => {
-                    let Some(model) = answers.get_mut(&number) else { continue };
+                Operation::Push(number, length) => {
+                    let Some(model) = models.get_mut(&number) else { continue };
                     let Some(writer) = &model.writer else { continue };
                     match push(writer, length) {
                         Some(Ok(aborted)) => {
                             model.parts.push(length);
                             for lost in aborted {
-                                let lost = answers
+                                let lost = models
                                     .iter_mut()
                                     .find(|(number, _)| request(**number) == lost.request);
                                 let (_, lost) = lost.unwrap();
@@ -198,8 +198,8 @@
                         None => prop_assert!(!model.aborted && !model.parts.is_empty()),
                     }
                 }
-                Step::Read(number) => {
-                    let Some(model) = answers.get_mut(&number) else { continue };
+                Operation::Read(number) => {
+                    let Some(model) = models.get_mut(&number) else { continue };
                     let expected = if !model.parts.is_empty() {
                         Poll::Ready(Some(Ok(model.parts.remove(0))))
                     } else if model.aborted {
@@ -213,23 +213,23 @@
                     };
                     prop_assert_eq!(read(&mut model.reader), expected);
                 }
-                Step::End(number) => {
-                    let Some(model) = answers.get_mut(&number) else { continue };
+                Operation::End(number) => {
+                    let Some(model) = models.get_mut(&number) else { continue };
                     if let Some(writer) = model.writer.take() {
                         writer.end();
                         model.complete = true;
                     }
                 }
-                Step::Break(number) => {
-                    if let Some(model) = answers.get_mut(&number) {
+                Operation::Drop(number) => {
+                    if let Some(model) = models.get_mut(&number) {
                         model.writer = None;
                     }
                 }
-                Step::Leave(number) => {
-                    answers.remove(&number);
+                Operation::Disconnect(number) => {
+                    models.remove(&number);
                 }
             }
-            let kept: usize = answers.values().flat_map(|model| &model.parts).sum();
+            let kept: usize = models.values().flat_map(|model| &model.parts).sum();
             prop_assert_eq!(buffers.bytes(), kept);
             prop_assert!(kept <= 100_000);
         }
--- a/daemon/tests/volume.rs
+++ b/daemon/tests/volume.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn what_is_left_out_is_counted() {
+fn suppressed_lines_are_counted() {
     let now = Instant::now();
     let throttle = Throttle::new(2, now);
     let after = |ms| now + Duration::from_millis(ms);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn settings_hold_until_the_bound_less_a_margin() {
+fn settings_are_fresh_until_shortly_before_their_maximum_age() {
     let now = Manual::default().moment();
     let fresh = Fresh::new(Some(Duration::from_secs(5)));
     let after = |ms| now.after(Duration::from_millis(ms));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn without_a_bound_settings_of_any_age_hold() {
+fn without_a_maximum_age_settings_are_always_fresh() {
     let fresh = Fresh::new(None);
     let now = Manual::default().moment();
     assert!(fresh.holds(now) && fresh.welcomes(now));
@@ -40,7 +40,7 @@
 
 /// A key may be taken away while the machine is suspended.
 #[test]
-fn settings_grow_old_while_the_machine_is_suspended() {
+fn settings_age_while_the_machine_is_suspended() {
     let clock = Manual::default();
     let fresh = Fresh::new(Some(Duration::from_secs(5)));
     fresh.confirm(clock.moment());
@@ -54,7 +54,7 @@
 
 proptest! {
     #[test]
-    fn no_second_has_more_than_twice_the_bound(gaps in prop::collection::vec(0u64..300, 1..300)) {
+    fn any_second_has_at_most_twice_the_limit(gaps in prop::collection::vec(0u64..300, 1..300)) {
         let start = Instant::now();
         let throttle = Throttle::new(5, start);
         let (mut at, mut written) = (start, Vec::new());
@@ -65,14 +65,15 @@
             }
         }
         for first in &written {
-            let second = |at: &&Instant| **at >= *first && **at - *first < Duration::from_secs(1);
-            prop_assert!(written.iter().filter(second).count() <= 10);
+            let within_a_second =
+                |at: &&Instant| **at >= *first && **at - *first < Duration::from_secs(1);
+            prop_assert!(written.iter().filter(within_a_second).count() <= 10);
         }
     }
 
     /// Confirmations may come in any order: the latest moment counts.
     #[test]
-    fn an_old_confirmation_takes_nothing_back(times in prop::collection::vec(0u64..10_000, 1..20)) {
+    fn the_latest_confirmation_counts(times in prop::collection::vec(0u64..10_000, 1..20)) {
         let start = Manual::default().moment();
         let fresh = Fresh::new(Some(Duration::from_secs(5)));
         let at = |ms: u64| start.after(Duration::from_millis(ms));
@@ -84,13 +85,15 @@
 
 proptest! {
     #[test]
-    fn a_text_comes_out_as_it_went_in(text in prop::collection::vec(any::<u8>(), 0..2_000)) {
+    fn compressed_text_is_restored(text in prop::collection::vec(any::<u8>(), 0..2_000)) {
         let packed = foldlockd::fleet::packed::pack(&text);
         prop_assert_eq!(&foldlockd::fleet::packed::unpack(&packed).unwrap()[..], &text[..]);
     }
 
     #[test]
-    fn any_bytes_are_unpacked_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn any_bytes_are_decompressed_without_a_panic(
+        bytes in prop::collection::vec(any::<u8>(), 0..200),
+    ) {
         let _ = foldlockd::fleet::packed::unpack(&bytes);
     }
 }
