--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one upstream: sent, and read as far as it tells how the attempt ends.
+//! One attempt at one upstream: sends the request and reads the response, or its first events if it is a stream.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,54 +34,54 @@
 use crate::fleet::stream::{Item, Started, Stream};
 use crate::fleet::tries::Tries;
 
-/// How long a new connection may take: it comes up in a few ms, and an upstream that is dark says
-/// nothing.
+/// Timeout of a new connection. It is established within a few milliseconds, and an unreachable
+/// upstream does not respond at all.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The largest whole answer, bytes.
+/// Maximum size of a complete response, bytes.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// The part of the objective after which a repeatable request with a whole answer is tried
-/// elsewhere.
+/// Share of the objective after which a retryable request for a complete response is sent to another
+/// upstream.
 const COMPLETE_TIMEOUT_SHARE: f64 = 0.6;
 
-/// Beyond the predicted time, how long an upstream may be silent before the first event of a
-/// stream that may go elsewhere, milliseconds.
+/// Added to the timeout of the first event of a stream that may be sent to another upstream,
+/// milliseconds.
 const FIRST_EVENT_SLACK_MS: f64 = 400.0;
 
-/// How many times the predicted time a first event may take.
+/// Timeout of a first event as a ratio of its predicted time.
 const FIRST_EVENT_TIMEOUT_RATIO: f64 = 2.5;
 
-/// The least time for a first event, in objectives of its route. Beyond one objective the answer is
-/// late anyway, and a long prompt that goes elsewhere is read once more by several engines.
+/// Minimum timeout of a first event, in objectives of its route. Beyond one objective the response is
+/// late anyway, and the prefill of a long prompt would be repeated by several engines.
 const MIN_FIRST_EVENT_OBJECTIVES: f64 = 2.0;
 
-/// How an attempt ended, as far as it is waited for here.
+/// How an attempt ended; for a stream, how it began.
 pub enum End<D: Dialect> {
-    /// The whole answer.
+    /// The complete response was received.
     Complete(Response<Body>),
-    /// A stream whose first event is there.
+    /// The first events of a stream were received.
     Streaming(Box<Started<D>>),
     /// No byte was sent.
     Unsent(String),
-    /// The memory that the placement counted on was taken; nothing was sent.
+    /// Engine memory for the placement could not be reserved; the request was not sent.
     ReservationFailed(ReservationLost),
-    /// The upstream said that it did not run the request.
+    /// The upstream reported that it did not run the request.
     NotRun {
-        /// What it said.
+        /// The reported reason.
         why: String,
-        /// The one that is to be avoided: the upstream itself, or the helper that it named.
+        /// The upstream to exclude: the one that responded, or the helper that it named.
         at_fault: id::Upstream,
     },
-    /// The upstream's own failure to a request that may be repeated.
+    /// The upstream responded with a server error, and the request may be retried.
     ServerError(Box<Response<Body>>),
-    /// It may have run, and there is no answer.
+    /// The request may have run, and there is no valid or complete response.
     Broken(String),
-    /// The time is over.
+    /// The deadline of the request passed.
     Deadline,
 }
 
-/// Sends the request to a placement.
+/// Sends the request to its placement and waits for the response or its first events.
 pub async fn run<D: Dialect>(
     job: &Arc<Job<D>>,
     grant: Grant,
@@ -96,7 +96,7 @@
     let ended = tokio::select! {
         ended = tokio::time::timeout_at(until.into(), sending) => ended,
         () = job.process.ending.cancelled() => {
-            return End::Broken("this VM ends before the answer came".to_owned());
+            return End::Broken("VM shut down before the response was received".to_owned());
         }
     };
     match ended {
@@ -107,12 +107,12 @@
         }
         Err(_) => {
             record_failure(job, &upstream, Cause::Unresponsive);
-            End::Broken(format!("silent for {} ms", timeout.as_millis()))
+            End::Broken(format!("no response within {} ms", timeout.as_millis()))
         }
     }
 }
 
-/// How long an attempt may go without its answer or first event before the request goes elsewhere.
+/// Time to wait for the response or its first event before the request is sent to another upstream.
 fn response_timeout<D: Dialect>(job: &Job<D>, placement: &Placement, tries: &Tries) -> Duration {
     if placement.flight.has_reservations() {
         return job.process.config.fleet.held_silence();
@@ -155,7 +155,7 @@
         }
     };
     if let Some((upstream, reason)) = excluded(job, placement) {
-        // That came to be while memory was set aside for this request, or its connection opened.
+        // It may have been excluded while memory was reserved or the connection was opened.
         return End::Unsent(format!("upstream {upstream} is excluded: {reason}"));
     }
     let request = build_request(job, placement, &reservations.helpers(&grant), last_event);
@@ -209,7 +209,7 @@
     }
 }
 
-/// The first upstream of a placement that must not be sent anything.
+/// Returns the first upstream of a placement that must not be sent requests, with the reason.
 fn excluded<'a, D: Dialect>(
     job: &Job<D>,
     placement: &'a Placement,
@@ -235,7 +235,7 @@
     match verdict {
         Verdict::WrongInstance => {
             notices::mark_leaving(&job.process, incarnation, &job.process.member.vm);
-            let why = "another instance has its address".to_owned();
+            let why = "another instance listens at its address".to_owned();
             End::NotRun { why, at_fault: upstream.clone() }
         }
         Verdict::NotRun => {
@@ -243,12 +243,12 @@
                 .and_then(|name| job.process.cluster.lock().unwrap().find(name));
             let faulty = named.as_ref().unwrap_or(upstream);
             record_failure(job, faulty, Cause::Overloaded);
-            let why = format!("it refused with {status}; at fault is {faulty}");
+            let why = format!("refused with status {status}, caused by {faulty}");
             End::NotRun { why, at_fault: flight.excluded_after(faulty).clone() }
         }
         Verdict::Ran | Verdict::Mismatched => {
             record_failure(job, upstream, Cause::Malformed);
-            End::Broken(format!("its answer ({status}) belongs to another request"))
+            End::Broken(format!("response with status {status} belongs to another request"))
         }
     }
 }
@@ -316,7 +316,7 @@
         Err(e) => {
             record_failure(job, &upstream, Cause::Malformed);
             crash::detect(job, &flight, incarnation).await;
-            return End::Broken(format!("its answer broke off: {}", chain(&*e)));
+            return End::Broken(format!("response truncated: {}", chain(&*e)));
         }
     };
     let now = job.process.now();
@@ -350,7 +350,7 @@
             End::Streaming(Box::new(Started { head, first, stream }))
         }
         Item::End => {
-            // A stream may have nothing left to tell, where the caller has its last event.
+            // A resumed stream has no events left if the caller already has the last one.
             End::Streaming(Box::new(Started { head, first: Vec::new(), stream }))
         }
         Item::Broken(why) => {
