--- a/daemon/src/fleet/answer.rs
+++ b/daemon/src/fleet/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! HTTP responses to callers and operators.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -15,13 +15,13 @@
 
 use crate::fleet::unread::{Reader, Truncated};
 
-/// The body of an answer.
+/// The body of a response.
 pub enum Body {
-    /// All of it.
+    /// The complete body.
     Whole(Option<Bytes>),
-    /// Lines for an operator, as they come.
+    /// Lines for an operator, sent as they are produced.
     Lines(mpsc::Receiver<Result<Bytes, Truncated>>),
-    /// What an upstream sends, as far as it is not read yet.
+    /// The buffered response of an upstream.
     Buffered(Reader),
 }
 
@@ -59,12 +59,12 @@
     }
 }
 
-/// A whole body.
+/// Returns a complete body.
 pub fn whole(bytes: Bytes) -> Body {
     Body::Whole((!bytes.is_empty()).then_some(bytes))
 }
 
-/// A text for operators.
+/// Returns a response with a text or JSON body of this content type.
 pub fn text(status: StatusCode, kind: &'static str, text: impl Into<Bytes>) -> Response<Body> {
     let mut answer = Response::new(whole(text.into()));
     *answer.status_mut() = status;
@@ -72,7 +72,7 @@
     answer
 }
 
-/// An error of foldlock's own.
+/// Returns an error of foldlock itself as JSON, with a `retry-after` header if the caller may retry.
 pub fn error(error: &Error, request: &id::Request) -> Response<Body> {
     let retry = error.retry();
     let body = json!({"error": {
@@ -90,7 +90,7 @@
     answer
 }
 
-/// Seconds with their fraction, rounded up to a hundredth.
+/// Formats seconds with two decimals, rounded up.
 fn seconds(after: Duration) -> HeaderValue {
     let hundredths = (after.as_secs_f64() * 100.0).ceil() / 100.0;
     HeaderValue::try_from(format!("{hundredths:.2}")).expect("digits fit a header")
