--- a/daemon/src/fleet/stream.rs
+++ b/daemon/src/fleet/stream.rs
@@ -1,4 +1,4 @@
-//! A stream at an upstream, read event by event.
+//! Reads a stream of an upstream event by event.
 
 use std::time::{Duration, Instant};
 
@@ -18,21 +18,21 @@
 use crate::fleet::outcome;
 use crate::fleet::process::Entered;
 
-/// A stream that has begun.
+/// A stream whose first events were received.
 pub struct Started<D: Dialect> {
-    /// The head of the answer.
+    /// The head of the response.
     pub head: http::response::Parts,
-    /// The events to pass on first.
+    /// The first events, not yet sent to the caller.
     pub first: Vec<Event>,
-    /// The rest.
+    /// The rest of the stream.
     pub stream: Stream<D>,
 }
 
 /// A stream at an upstream.
 pub struct Stream<D: Dialect> {
-    /// The attempt: where it runs, and beside what.
+    /// The attempt.
     pub flight: Flight,
-    /// The start of the upstream that it was sent to.
+    /// The incarnation of the upstream that the request was sent to.
     pub incarnation: Tag,
     /// When the request was sent.
     pub sent: Instant,
@@ -41,30 +41,31 @@
     pub(super) entered: Entered<D>,
     pub(super) reservations: Hold<D>,
     pub(super) channel: Channel,
+    /// How long the connection may be idle afterwards; zero if it cannot be reused.
     pub(super) idle_timeout: Duration,
     pub(super) body: Incoming,
     pub(super) cutter: Cutter,
 }
 
-/// What comes next in a stream.
+/// The next item of a stream.
 pub enum Item {
-    /// Whole events.
+    /// Complete events.
     Events(Vec<Event>),
-    /// The stream has its end.
+    /// The end of a complete stream.
     End,
-    /// It broke off.
+    /// The stream was truncated or is malformed; the reason.
     Broken(String),
 }
 
 impl<D: Dialect> Stream<D> {
-    /// The next events, as soon as there are some.
+    /// Waits for the next events.
     pub async fn next(&mut self) -> Item {
         loop {
             let frame = match self.body.frame().await {
                 Some(Ok(frame)) => frame,
                 Some(Err(e)) => return Item::Broken(chain(&e)),
                 None if self.cutter.rest() == 0 => return Item::End,
-                None => return Item::Broken("it ended inside an event".to_owned()),
+                None => return Item::Broken("stream ended inside an event".to_owned()),
             };
             let Ok(bytes) = frame.into_data() else { continue };
             self.cutter.push(&bytes);
@@ -73,7 +74,7 @@
                 match self.cutter.cut() {
                     Ok(Some(event)) => events.push(event),
                     Ok(None) => break,
-                    Err(_) => return Item::Broken("an event is too long".to_owned()),
+                    Err(_) => return Item::Broken("event exceeds the maximum length".to_owned()),
                 }
             }
             if !events.is_empty() {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// The stream has been read to its end: its connection may serve again.
+    /// Records that the stream was read to its end and returns its connection to the pool.
     pub fn complete(self, job: &Job<D>) {
         let now = job.process.now();
         let upstream = &self.flight.upstream;
@@ -92,7 +93,8 @@
         }
     }
 
-    /// The stream broke off.
+    /// Records that the stream failed: its upstream sent nothing in time, or the stream was truncated. In the latter
+    /// case it is checked whether the upstream crashed.
     pub async fn fail(self, job: &Job<D>, unresponsive: bool) {
         let failure = if unresponsive { Failure::Unresponsive } else { Failure::Malformed };
         outcome::record_failure(job, &self.flight.upstream, failure);
