--- a/daemon/src/fleet/events.rs
+++ b/daemon/src/fleet/events.rs
@@ -1,4 +1,4 @@
-//! Streams, passed on event by event, and gone on with at another upstream where one breaks off.
+//! Relays streams event by event, and resumes them at another upstream after a failure.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -22,13 +22,13 @@
 use crate::fleet::tries::{self, Failure, Tries};
 use crate::fleet::unread::{Closed, Writer};
 
-/// How many of the route's pauses an upstream may be silent before its stream goes on elsewhere.
+/// Number of pauses of the route without an event after which a stream is resumed at another upstream.
 const SILENCE_TIMEOUT_PAUSES: u32 = 3;
 
-/// The least such silence: a pass with a long read beside takes up to half a second.
+/// Minimum of that timeout: a pass that shares its engine with a long prefill takes up to half a second.
 const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The events that were passed on.
+/// The events relayed so far.
 #[derive(Debug, Default)]
 struct Progress {
     last_id: Option<u64>,
@@ -37,7 +37,7 @@
     longest_pause: Duration,
 }
 
-/// An event is not the one that comes next.
+/// An event is missing.
 #[derive(Debug)]
 struct Gap {
     expected: u64,
@@ -45,14 +45,14 @@
 }
 
 impl Progress {
-    /// Notes the time at which events came.
+    /// Records the time at which events were received.
     fn record_time(&mut self, now: Instant) {
         if let Some(at) = self.last_at.replace(now) {
             self.longest_pause = self.longest_pause.max(now.saturating_duration_since(at));
         }
     }
 
-    /// The bytes that are new to the caller.
+    /// Returns the bytes of events that the caller does not have yet.
     fn new_bytes(&mut self, events: &[sse::Event]) -> Result<Bytes, Gap> {
         let mut new = BytesMut::new();
         for event in events {
@@ -72,7 +72,7 @@
     }
 }
 
-/// Answers with a stream that has begun, and passes on the rest of it.
+/// Responds with a stream that has started, and relays the rest of it in a task.
 pub fn relay<D: Dialect>(job: Arc<Job<D>>, started: Started<D>, tries: Tries) -> Response<Body> {
     let Started { mut head, first, stream } = started;
     head.headers.remove(header::CONTENT_LENGTH);
@@ -82,7 +82,7 @@
     Response::from_parts(head, Body::Buffered(reader))
 }
 
-/// How a part of a stream, that of one upstream, ended.
+/// How the part of a stream that one upstream sent ended.
 enum RelayEnd {
     Complete,
     Closed(Closed),
@@ -119,11 +119,11 @@
                 return;
             }
             RelayEnd::Closed(Closed::Disconnected) => {
-                record_failed(&job, Kind::UpstreamFailed, "the caller went away".to_owned());
+                record_failed(&job, Kind::UpstreamFailed, "caller disconnected".to_owned());
                 return;
             }
             RelayEnd::Closed(Closed::Aborted) => {
-                let why = "the caller reads too slowly for the memory of this VM";
+                let why = "caller reads too slowly, response aborted to free memory of this VM";
                 record_failed(&job, Kind::UpstreamFailed, why.to_owned());
                 return;
             }
@@ -131,7 +131,7 @@
                 record_failed(
                     &job,
                     Kind::DeadlineExceeded,
-                    "the stream outlasted its time".to_owned(),
+                    "stream exceeded the request deadline".to_owned(),
                 );
                 return;
             }
@@ -154,7 +154,7 @@
     job.record(Decision::Failed { kind, ran: Ran::Yes, why });
 }
 
-/// Passes on the events of one upstream.
+/// Relays the events of one upstream.
 async fn pump<D: Dialect>(
     job: &Job<D>,
     stream: &mut Stream<D>,
@@ -168,7 +168,7 @@
         let bytes = match progress.new_bytes(&events) {
             Ok(bytes) => bytes,
             Err(Gap { expected, got }) => {
-                let why = format!("event {got} came in place of {expected}");
+                let why = format!("received event {got}, expected {expected}");
                 return RelayEnd::Broken { why, unresponsive: false };
             }
         };
@@ -198,10 +198,10 @@
 
 fn timed_out<D: Dialect>(job: &Job<D>, last_received: Instant) -> RelayEnd {
     let ms = job.process.now().saturating_duration_since(last_received).as_millis();
-    RelayEnd::Broken { why: format!("silent for {ms} ms"), unresponsive: true }
+    RelayEnd::Broken { why: format!("no event for {ms} ms"), unresponsive: true }
 }
 
-/// How long an upstream may be silent within a stream.
+/// Time without an event after which the upstream of a stream counts as unresponsive.
 fn silence_timeout<D: Dialect>(job: &Job<D>, stream: &Stream<D>) -> Duration {
     let timeout = match (job.pause(), job.route.repeat) {
         (Some(pause), Repeat::Resume) => (pause * SILENCE_TIMEOUT_PAUSES).max(MIN_SILENCE_TIMEOUT),
@@ -214,7 +214,7 @@
     }
 }
 
-/// Goes on at another upstream after the last event that was passed on.
+/// Resumes the stream at another upstream after the last relayed event. Returns none if it cannot be resumed.
 async fn resume<D: Dialect>(
     job: &Arc<Job<D>>,
     tries: &mut Tries,
@@ -262,11 +262,11 @@
             }
             End::ServerError(answer) => {
                 tries.ran += 1;
-                format!("it answered {}", answer.status())
+                format!("responded with status {}", answer.status())
             }
             End::Complete(answer) => {
                 tries.ran += 1;
-                format!("it answered {}", answer.status())
+                format!("responded with status {}", answer.status())
             }
             End::Broken(why) => {
                 tries.ran += 1;
