--- a/daemon/src/fleet/crash.rs
+++ b/daemon/src/fleet/crash.rs
@@ -1,5 +1,4 @@
-//! Whether an upstream ended under a request, found out when its connection breaks, and what follows
-//! for the request.
+//! Detects whether an upstream crashed during a request, and quarantines requests that caused crashes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,33 +17,34 @@
 use crate::fleet::register::Order;
 use crate::fleet::tell;
 
-/// How long an upstream is asked whether it listens: a dead port says so within a way there and back, a
-/// few milliseconds. One that says nothing may be cut off, which is not the request's doing.
+/// Timeout of the connection attempt that checks whether an upstream still listens. A closed port refuses within one
+/// round trip, a few milliseconds. An upstream that does not respond may be partitioned, which the request did not
+/// cause.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// How long the connection by which a living upstream was asked is kept for the next request.
+/// How long the connection of a successful check is kept for another request.
 const PROBE_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The connection to the upstream of an attempt broke: finds out whether the upstream has ended, and notes
-/// it against the request if so. The attempt has to be in the cluster state still: so no second copy is placed
-/// before this one's end is known.
+/// Checks, after the connection of an attempt broke, whether its upstream crashed, and records the crash for the
+/// request. The attempt must still be in the cluster state, so that no second copy of an isolated request is placed
+/// before the result is known.
 pub async fn detect<D: Dialect>(job: &Job<D>, flight: &Flight, incarnation: Tag) {
     let upstream = &flight.upstream;
     let entry = {
         let cluster = job.process.cluster.lock().unwrap();
-        // One that leaves ends by itself.
+        // An upstream that is leaving or no longer listed exits without a crash.
         let entry = cluster.get(upstream).filter(|u| u.is_open() && u.unlisted.is_none());
         entry.map(|entry| (entry.listed.address.clone(), entry.tag))
     };
     let Some((address, tag)) = entry else { return };
     if tag != incarnation {
-        // It has started again already.
+        // It has restarted already.
         record(job, flight, incarnation);
         return;
     }
     match Channel::open(&address, PROBE_TIMEOUT).await {
         Err(Failure::Refused(_)) => record(job, flight, incarnation),
-        // Silent or out of descriptors: it is not known whether it ended.
+        // No response, or no free file descriptor here: it is unknown whether it crashed.
         Err(Failure::Unsent(_) | Failure::Broken(_)) => {}
         Ok(channel) => {
             job.process.metrics.connections.inc();
@@ -76,7 +76,7 @@
     job.process.room.notify_one();
 }
 
-/// The request is held from now on: the directory is to tell all VMs, and those that start later.
+/// Quarantines the request. The entry in the directory reaches all VMs, also those that start later.
 fn quarantine<D: Dialect>(job: &Job<D>, status: Status) {
     let Status { solo_crashes, remaining, crashes } = status;
     let quarantine_ms = remaining.as_millis() as u64;
@@ -95,7 +95,8 @@
     }));
 }
 
-/// The request was answered whole: it is not the cause of what ended under it.
+/// Records that the request completed, so it did not cause the crashes during it: clears them and releases its
+/// quarantine.
 pub fn record_completion<D: Dialect>(job: &Arc<Job<D>>) {
     let fingerprint = job.fingerprint;
     let mut cluster = job.process.cluster.lock().unwrap();
