--- a/daemon/src/fleet/outcome.rs
+++ b/daemon/src/fleet/outcome.rs
@@ -1,4 +1,4 @@
-//! How attempts and requests end, noted for whom it concerns.
+//! Records how attempts and requests end, in the cluster state, the metrics, the decision record and the log.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,8 @@
 use crate::fleet::unread::Aborted;
 use crate::log;
 
-/// Notes that an attempt failed, for this VM and the one that places.
+/// Records that an attempt failed, and announces it to the scheduler. Connections to an unresponsive upstream are
+/// dropped.
 pub fn record_failure<D: Dialect>(job: &Job<D>, upstream: &id::Upstream, failure: Failure) {
     record(job, upstream, Outcome::Failed(failure));
     if failure == Failure::Unresponsive {
@@ -23,13 +24,13 @@
     }
 }
 
-/// Notes how an attempt ended, for this VM and the one that places.
+/// Records how an attempt ended, and announces it to the scheduler.
 pub fn record<D: Dialect>(job: &Job<D>, upstream: &id::Upstream, outcome: Outcome) {
     job.process.cluster.lock().unwrap().record_outcome(upstream, outcome, job.process.now());
     job.process.tell.notify_one();
 }
 
-/// Records how a request failed.
+/// Records that a request was rejected or failed. Returns the error.
 pub fn record_error<D: Dialect>(job: &Job<D>, error: Error) -> Error {
     let why = error.message().to_owned();
     let retry_after_ms = error.retry().map(|d| d.as_millis() as u64);
@@ -41,20 +42,20 @@
     error
 }
 
-/// What became of a stream that was passed on whole.
+/// Measurements of a completely relayed stream.
 #[derive(Debug, Clone, Copy)]
 pub struct Stats {
-    /// From arrival to the first event.
+    /// Time from arrival to the first event.
     pub first_event: Duration,
-    /// From sending to the first event.
+    /// Time from sending to the first event.
     pub engine: Duration,
-    /// The events.
+    /// Number of events.
     pub events: u64,
-    /// The longest pause between two of them.
+    /// The longest pause between two events.
     pub longest_pause: Duration,
 }
 
-/// Records that a request has its whole answer.
+/// Records that a request completed.
 pub fn record_completion<D: Dialect>(job: &Arc<Job<D>>, stats: Option<Stats>) {
     crash::record_completion(job);
     let first = stats.map_or_else(|| job.held(), |s| s.first_event);
@@ -67,13 +68,15 @@
     });
 }
 
-/// Notes answers that were given up, since their callers read too slowly for the memory of this VM.
+/// Records responses that were aborted because their callers read too slowly for the memory of this VM.
 pub fn record_aborted<D: Dialect>(process: &Process<D>, aborted: Vec<Aborted>) {
     for Aborted { request, bytes } in aborted {
         process.metrics.given_up.inc();
         if process.trouble_lines.admit(process.now()).is_some() {
             let others = process.unread.bytes();
-            let what = format!("{request}: {bytes} bytes unread, {others} of the others");
+            let what = format!(
+                "{request}: {bytes} bytes unread, {others} bytes unread of other responses"
+            );
             log::event(&process.log, Event::AnswerGivenUp, what);
         }
     }
