--- a/daemon/src/fleet/unread.rs
+++ b/daemon/src/fleet/unread.rs
@@ -1,8 +1,8 @@
-//! Answers that their callers have not read to the end.
+//! Buffers for response bytes that callers have not read yet, with a bound on their total size.
 //!
-//! A caller that reads slowly must hold up neither the upstream, whose memory its request takes, nor other callers. So
-//! what an upstream sends is read on into memory: each answer up to a share, and where all together take more
-//! than the VM has for them, the one that takes most is given up.
+//! A slow caller must not delay the upstream, whose memory its request occupies, nor other callers. So responses are
+//! read into memory: each one until its buffer is full. If all buffers together exceed the bound of the VM, the
+//! response with the largest buffer is aborted.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -14,24 +14,24 @@
 use serde_json::json;
 use tokio::sync::Notify;
 
-/// The part of a VM's memory that such answers may take: connections, settings and the cluster state take the rest.
+/// Share of the VM's memory for these buffers. Connections, settings and the cluster state need the rest.
 const MEMORY_SHARE: f64 = 0.25;
 
-/// Answers that may each take their share before one has to be given up.
+/// Number of full buffers that fit into the bound, unless [`MIN_FULL_BYTES`] is larger than its share.
 const MIN_FULL_BUFFERS: usize = 64;
 
-/// The least share of an answer, bytes: what comes in one read.
+/// Minimum size from which a buffer counts as full, bytes: the size of one read.
 const MIN_FULL_BYTES: usize = 64 << 10;
 
-/// Such answers that a dump names, those that take most.
+/// Maximum number of buffers in a dump, the largest ones.
 const MAX_DUMPED: usize = 10;
 
-/// The answers of a VM that are under way.
+/// The buffers of all responses of a VM.
 #[derive(Debug)]
 pub struct Buffers {
-    /// Bytes that all may take.
+    /// Bound on the total size, bytes.
     max_bytes: usize,
-    /// Bytes from which on an upstream waits for the caller.
+    /// Size from which a buffer is full and its upstream waits for the caller, bytes.
     full_bytes: usize,
     inner: Mutex<Inner>,
 }
@@ -50,57 +50,57 @@
     bytes: usize,
     state: State,
     reader: Option<Waker>,
-    /// Told when something was read, and when nobody will read any more.
+    /// Notified when bytes were read, and when the response is aborted or its reader is dropped.
     changed: Arc<Notify>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// More may come.
+    /// More bytes may be added.
     Open,
-    /// All of it is here.
+    /// The response is complete.
     Complete,
-    /// It breaks off after what is here.
+    /// The response was truncated after the buffered bytes.
     Truncated,
-    /// It took too much.
+    /// The response was aborted to free memory.
     Aborted,
 }
 
-/// An answer that was given up.
+/// A response that was aborted to free memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Aborted {
-    /// The request that it answers.
+    /// The request of the response.
     pub request: id::Request,
-    /// What its caller had not read, bytes.
+    /// Bytes that its caller had not read.
     pub bytes: usize,
 }
 
-/// Why nothing more can be added to an answer.
+/// Why no more bytes can be added to a buffer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Closed {
-    /// The caller went away.
+    /// The caller disconnected.
     Disconnected,
-    /// It was given up.
+    /// The response was aborted to free memory.
     Aborted,
 }
 
-/// Whether a part was added.
+/// The result of adding bytes to a buffer.
 enum Push {
-    /// It was, and these had to be given up.
+    /// They were added, and these responses were aborted to free memory.
     Added(Vec<Aborted>),
-    /// There is no room before the caller has read more.
+    /// The buffer is full until its caller reads more.
     Full,
 }
 
 impl Buffers {
-    /// No answers yet, on a VM with so many bytes of memory.
+    /// Creates the buffers of a VM with this much memory, bytes.
     pub fn new(memory: usize) -> Arc<Buffers> {
         let max_bytes = (memory as f64 * MEMORY_SHARE) as usize;
         let full_bytes = (max_bytes / MIN_FULL_BUFFERS).max(MIN_FULL_BYTES);
         Arc::new(Buffers { max_bytes, full_bytes, inner: Mutex::default() })
     }
 
-    /// Begins the answer to a request.
+    /// Opens the buffer for the response to a request.
     pub fn open(self: &Arc<Buffers>, request: &id::Request) -> (Writer, Reader) {
         let changed = Arc::new(Notify::new());
         let buffer = Buffer {
@@ -119,7 +119,7 @@
         (Writer { buffers: self.clone(), number, changed }, reader)
     }
 
-    /// A whole answer, and those that had to be given up for it.
+    /// Buffers a complete response. Returns the responses that were aborted to free memory for it.
     pub fn complete(
         self: &Arc<Buffers>,
         request: &id::Request,
@@ -135,12 +135,12 @@
         (reader, aborted)
     }
 
-    /// What all of them take, bytes.
+    /// Returns the total size of all buffers, bytes.
     pub fn bytes(&self) -> usize {
         self.inner.lock().unwrap().bytes
     }
 
-    /// What they take and which take most, for a dump.
+    /// Returns the total size and the largest buffers, for a dump.
     pub fn dump(&self) -> serde_json::Value {
         let inner = self.inner.lock().unwrap();
         let mut buffers: Vec<&Buffer> = inner.buffers.values().filter(|b| b.bytes > 0).collect();
@@ -185,7 +185,7 @@
 }
 
 impl Inner {
-    /// Gives up the largest until all take no more than `most` bytes.
+    /// Aborts the responses with the largest buffers until the total size is at most `max_bytes`.
     fn abort_largest(&mut self, max_bytes: usize) -> Vec<Aborted> {
         let mut aborted = Vec::new();
         while self.bytes > max_bytes
@@ -211,20 +211,20 @@
     }
 }
 
-/// The stream to the caller ends without its end: hyper closes the connection, so that the answer
+/// The response to the caller is truncated: hyper closes the connection without the last chunk, so that the response
 /// cannot be taken for complete.
 #[derive(Debug)]
 pub struct Truncated;
 
 impl fmt::Display for Truncated {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the answer was broken off")
+        f.write_str("response truncated")
     }
 }
 
 impl std::error::Error for Truncated {}
 
-/// Where an answer is written.
+/// The writing end of a buffer.
 #[derive(Debug)]
 pub struct Writer {
     buffers: Arc<Buffers>,
@@ -233,7 +233,7 @@
 }
 
 impl Writer {
-    /// Adds bytes, once there is room for them. Answers which answers had to be given up.
+    /// Adds bytes, waiting while the buffer is full. Returns the responses that were aborted to free memory.
     pub async fn push(&self, bytes: Bytes) -> Result<Vec<Aborted>, Closed> {
         loop {
             match self.buffers.add(self.number, &bytes)? {
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Waits until nobody will read any more.
+    /// Waits until the caller disconnects or the response is aborted.
     pub async fn closed(&self) -> Closed {
         loop {
             if let Some(closed) = self.buffers.closed(self.number) {
@@ -253,7 +253,7 @@
         }
     }
 
-    /// The answer is whole. One that is dropped without this breaks off where it is.
+    /// Marks the response as complete. A writer that is dropped without this call truncates it.
     pub fn end(self) {
         self.buffers.finish(self.number, State::Complete);
     }
@@ -265,22 +265,22 @@
     }
 }
 
-/// Where an answer is read.
+/// The reading end of a buffer.
 #[derive(Debug)]
 pub struct Reader {
     buffers: Arc<Buffers>,
     number: u64,
-    /// Its length, where it is known, bytes.
+    /// Length of the response, bytes; none if it was not known from the beginning.
     length: Option<u64>,
 }
 
 impl Reader {
-    /// Its length, where it was known from the beginning, bytes.
+    /// Returns the length of the response, bytes; none if it was not known from the beginning.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// The next bytes; none at the end.
+    /// Returns the next bytes; none at the end.
     pub fn poll_next(
         &mut self,
         context: &mut Context<'_>,
