--- a/daemon/src/fleet/record.rs
+++ b/daemon/src/fleet/record.rs
@@ -1,4 +1,4 @@
-//! Records and log lines of what is decided for a request.
+//! Records and logs the decisions on a request.
 
 use foldlock_base::clock::millis;
 use foldlock_request::decision::{self, Decision};
@@ -9,7 +9,7 @@
 use crate::log;
 
 impl<D: Dialect> Job<D> {
-    /// Records a decision, and logs it with its inputs as far as the volume allows.
+    /// Records a decision, and logs it with its inputs unless the log is throttled.
     pub fn record(&self, decision: Decision) {
         let entry = decision::Entry { at_ms: millis(self.held()), decision };
         let level = entry.decision.event().level();
