--- a/daemon/src/fleet/log_throttle.rs
+++ b/daemon/src/fleet/log_throttle.rs
@@ -1,23 +1,24 @@
-//! The bound on log lines of decisions: so many a second, and a count of what was left out.
+//! A throttle of log lines: a maximum number per second, and a count of the suppressed ones.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Lines a second for decisions that went well: 50 requests a second with all their decisions, six
-/// times what a VM of the users' sites serves. Each costs some 10 microseconds.
+/// Maximum lines per second for routine decisions: all decisions of 50 requests per second, six times the load of a VM
+/// at the users' sites. Each line costs some 10 microseconds.
 pub const ROUTINE_PER_S: u32 = 200;
 
-/// Lines a second for refusals, failures and repeats, which are wanted whole for longer.
+/// Maximum lines per second for rejections, failures and retries, which should still be logged completely at loads at
+/// which routine lines are suppressed.
 pub const PROBLEM_PER_S: u32 = 400;
 
-/// Changes of the listings that are logged one by one in a second. More than that come with a start, or of
-/// many that start at once: then each batch is one line, since a line for each peer and upstream at each VM
-/// grows with the square of the fleet.
+/// Maximum changes of the listings per second that are logged one by one. More of them occur when this VM or many
+/// others start. Then each batch is one line, since lines for each peer and upstream at each VM would grow with the
+/// square of the fleet size.
 pub const LISTING_PER_S: u32 = 8;
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A bound on lines.
+/// A throttle of log lines.
 #[derive(Debug)]
 pub struct Throttle {
     max_per_s: u32,
@@ -32,12 +33,12 @@
 }
 
 impl Throttle {
-    /// At most so many lines in each second from `now` on.
+    /// Creates a throttle that admits at most this many lines in each second, counted from `now`.
     pub fn new(max_per_s: u32, now: Instant) -> Throttle {
         Throttle { max_per_s, counts: Mutex::new(Counts { since: now, written: 0, suppressed: 0 }) }
     }
 
-    /// Whether a line may be written; if so, how many were left out since the last one.
+    /// Admits a line, and returns how many were suppressed since the last admitted one; none if this line is suppressed.
     pub fn admit(&self, now: Instant) -> Option<u64> {
         let mut counts = self.counts.lock().unwrap();
         if now.saturating_duration_since(counts.since) >= SECOND {
