--- a/daemon/src/fleet/reports.rs
+++ b/daemon/src/fleet/reports.rs
@@ -1,5 +1,5 @@
-//! Reports of engines: the scheduler has each engine asked by one of those that it hears, so that
-//! it knows of a slow or silent engine soon and no VM asks many.
+//! Polls the reports of engines. The scheduler distributes the polls over the VMs that are up, so that slow and
+//! unresponsive engines are detected early and no VM polls many engines.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,14 +20,14 @@
 use crate::fleet::{rate_limits, tell};
 use crate::log;
 
-/// How often each engine is asked: a slow or silent one holds up most prompts that several engines
-/// read, and these come several times a second.
+/// Interval between polls of each engine. A slow or unresponsive engine delays most prompts that are split over several
+/// engines, and these arrive several times a second.
 const POLL_INTERVAL: Duration = Duration::from_millis(600);
 
-/// A change of pace that is logged.
+/// Minimum change of the slowdown that is logged.
 const MIN_LOGGED_CHANGE: f64 = 0.1;
 
-/// Has the engines asked while this VM places, until the process stops.
+/// Polls the engines while this VM is the scheduler, until the process stops.
 pub async fn run<D: Dialect>(process: Arc<Process<D>>) {
     while !process.stopping.is_cancelled() {
         tokio::time::sleep(POLL_INTERVAL).await;
@@ -37,8 +37,8 @@
     }
 }
 
-/// Divides the engines among the VMs that are heard, each by a hash, so that the same VM asks the
-/// same engine on its connection.
+/// Distributes the engines over the VMs that are up by rendezvous hashing, so that each engine is polled by the same VM,
+/// on an open connection.
 fn poll<D: Dialect>(process: &Arc<Process<D>>) {
     let mut vms = process.peers.heard(process.now());
     vms.push(process.member.clone());
@@ -56,10 +56,10 @@
     }
 }
 
-/// The scheduler wants the report of an engine.
+/// Handles a message of the scheduler that requests the report of an engine.
 pub fn on_poll<D: Dialect>(process: &Arc<Process<D>>, upstream: Tag) {
     let cluster = process.cluster.lock().unwrap();
-    // An upstream that is not known here is asked by another VM next time, or has ended.
+    // An upstream that is not listed here is polled by another VM next time, or was removed.
     let Some(listed) = cluster.by_tag(upstream).map(|upstream| upstream.listed.clone()) else {
         return;
     };
@@ -72,7 +72,7 @@
     let is_engine =
         |l: &&Listed| settings.table.service(&l.service).is_some_and(|s| s.engine.is_some());
     let cluster = process.cluster.lock().unwrap();
-    // Reports may count against the rate limit.
+    // Polls may count towards the rate limit.
     let is_limited = |l: &&Listed| cluster.get(&l.id).is_some_and(|engine| engine.is_limited());
     cluster.listings().filter(is_engine).filter(|l| !is_limited(l)).cloned().collect()
 }
@@ -81,7 +81,7 @@
     if let Some(Exclusion::Backoff { .. } | Exclusion::Drained) =
         notices::exclusion(&process, &listed.id)
     {
-        // It is to get nothing of this VM, a question how it fares included.
+        // It must receive nothing from this VM, polls included.
         return;
     }
     if rate_limits::is_limited(&process, &listed.id) {
@@ -104,7 +104,7 @@
         on_restart(&process, &listed.id, born, &process.member.vm);
         let cluster = process.cluster.lock().unwrap();
         if cluster.get(&listed.id).is_some_and(|known| known.listed.born > Some(born)) {
-            // An answer of the start before, which came late.
+            // A late report of an earlier incarnation.
             return;
         }
     }
@@ -114,7 +114,8 @@
     process.tell.notify_one();
 }
 
-/// An upstream said itself, to this VM or to a peer, that it has started at this moment.
+/// Handles a start time that an upstream reported to this VM or to a peer. If it is a new incarnation, drops the
+/// connections to the old one and announces the restart.
 pub fn on_restart<D: Dialect>(
     process: &Process<D>,
     upstream: &id::Upstream,
@@ -125,13 +126,13 @@
         return;
     }
     process.pool.forget(upstream);
-    let what = format!("{upstream} at {born}, heard by {from}");
+    let what = format!("{upstream} at {born}, reported by {from}");
     log::event(&process.log, Event::UpstreamRestarted, what);
     process.tell_all();
     process.room.notify_one();
 }
 
-/// Logs what is news in an answer: silence, an answer after it, another pace.
+/// Logs what changed with a report: the engine became unresponsive, responds again, or its slowdown changed.
 fn log_change<D: Dialect>(
     process: &Process<D>,
     id: &id::Upstream,
@@ -151,7 +152,7 @@
             let slowdown = previous.flatten().map_or(1.0, |report| report.slowdown);
             if (report.slowdown - slowdown).abs() > MIN_LOGGED_CHANGE {
                 let what =
-                    format!("{id}: {:.2} times its figures, {slowdown:.2} before", report.slowdown);
+                    format!("{id}: slowdown {:.2}, previously {slowdown:.2}", report.slowdown);
                 log::event(&process.log, Event::UpstreamPace, what);
             }
         }
