--- a/daemon/src/fleet/notices.rs
+++ b/daemon/src/fleet/notices.rs
@@ -1,7 +1,7 @@
-//! What upstreams say of themselves in their answers, taken into what this VM believes.
+//! Applies the notices that upstreams send in response headers: leaving, backoff and rate limit.
 //!
-//! The head of every answer is read for it, whatever was asked: the directory may be away just when an
-//! upstream leaves, and no directory tells who is to rest.
+//! The headers of all responses are evaluated, also of those to reports and orders: the directory may be down when an
+//! upstream begins to leave, and backoffs are not in the directory at all.
 
 use std::fmt;
 use std::time::{Duration, Instant};
@@ -15,12 +15,13 @@
 use crate::fleet::rate_limits;
 use crate::log;
 
-/// The start of an upstream that something is sent to now: what the answer says concerns this one alone.
+/// Returns the current incarnation of an upstream. To be called before a message is sent: the notice in its response
+/// applies to this incarnation only.
 pub fn incarnation<D: Dialect>(process: &Process<D>, upstream: &id::Upstream) -> Tag {
     process.cluster.lock().unwrap().tag_of(upstream)
 }
 
-/// Applies what an upstream said of itself in an answer to a message sent at `sent`.
+/// Applies the notice in an upstream's response to a message sent at `sent`.
 pub fn apply<D: Dialect>(
     process: &Process<D>,
     upstream: &id::Upstream,
@@ -47,22 +48,22 @@
     }
 }
 
-/// A start of an upstream leaves, by an answer to this VM or to a peer: all VMs are told at once, and none
-/// sends it new work from then on.
+/// Marks an incarnation of an upstream as leaving, as it stated in a response to this VM or to a peer, and announces
+/// that to all VMs at once, so that none sends it new requests.
 ///
-/// Until the directory tells the same, this is all that keeps a fleet from an upstream that ends: with the
-/// directory away for 12 s, six VMs sent it 36 requests after its first word, by the upstream's own count.
+/// Until the directory lists it as leaving, only this keeps requests away from it. Without it, while the directory was
+/// down for 12 s, six VMs sent 36 requests to an upstream after its first such response, as counted by the upstream.
 pub fn mark_leaving<D: Dialect>(process: &Process<D>, incarnation: Tag, received_by: &id::Vm) {
-    // Unknown here, or known to leave.
+    // Not listed here, or already marked.
     let Some(upstream) = process.cluster.lock().unwrap().mark_leaving(incarnation) else { return };
     process.pool.forget(&upstream);
-    let what = format!("{upstream}, by its answer to {received_by}");
+    let what = format!("{upstream}, as stated in a response to {received_by}");
     log::event(&process.log, Event::UpstreamLeaving, what);
     process.tell_all();
     process.room.notify_one();
 }
 
-/// An upstream asks this VM for a rest.
+/// Starts a backoff that an upstream requests from this VM.
 fn begin_backoff<D: Dialect>(
     process: &Process<D>,
     upstream: &id::Upstream,
@@ -76,7 +77,7 @@
     }
 }
 
-/// Why this VM may send an upstream nothing new, by what that said itself.
+/// Returns why this VM must not send new requests to an upstream; none if it may.
 pub fn exclusion<D: Dialect>(process: &Process<D>, upstream: &id::Upstream) -> Option<Exclusion> {
     let cluster = process.cluster.lock().unwrap();
     match cluster.get(upstream) {
@@ -91,16 +92,16 @@
     remaining.map(|remaining| Exclusion::Backoff { remaining })
 }
 
-/// What keeps new work from an upstream.
+/// Why an upstream must not be sent new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exclusion {
-    /// It leaves, or is gone.
+    /// It is leaving or no longer listed.
     Leaving,
-    /// An operator has drained its data hall.
+    /// An operator drained its data hall.
     Drained,
-    /// It asked this VM for a rest.
+    /// It requested a backoff from this VM.
     Backoff {
-        /// What is left of it.
+        /// Remaining time of the backoff.
         remaining: Duration,
     },
     /// Its rate limit has changed since the placement was granted.
@@ -110,22 +111,22 @@
 impl fmt::Display for Exclusion {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Exclusion::Leaving => f.write_str("it leaves or is gone"),
+            Exclusion::Leaving => f.write_str("it is leaving or no longer listed"),
             Exclusion::Drained => f.write_str("its data hall is drained"),
             Exclusion::Backoff { remaining } => {
-                write!(f, "it rests for {} ms more", remaining.as_millis())
+                write!(f, "its backoff lasts {} ms more", remaining.as_millis())
             }
             Exclusion::RateLimited => f.write_str("its rate limit has changed"),
         }
     }
 }
 
-/// The upstreams that rest for this VM.
+/// Returns the incarnations of upstreams with an active backoff for this VM.
 pub fn active_backoffs<D: Dialect>(process: &Process<D>) -> Vec<Tag> {
     process.backoffs.lock().unwrap().active(process.moment())
 }
 
-/// How long it is until the first of a service's upstreams may be sent work, where all of them rest.
+/// Returns the shortest remaining backoff if all open upstreams of a service have one; none otherwise.
 pub fn shortest_backoff<D: Dialect>(process: &Process<D>, service: &str) -> Option<Duration> {
     let moment = process.moment();
     let cluster = process.cluster.lock().unwrap();
