--- a/daemon/tests/unread.rs
+++ b/daemon/tests/unread.rs
@@ -1,4 +1,4 @@
-//! What a VM keeps for callers that read slowly: 500 of them before a VM of 112 MB, and any order of what may happen.
+//! Response buffers for slow callers: 500 callers of a VM with 112 MB, and arbitrary sequences of operations.
 
 use std::collections::BTreeMap;
 use std::task::{Context, Poll, Waker};
@@ -11,12 +11,12 @@
 /// The memory of the smallest VMs, bytes.
 const MEMORY: usize = 112_000_000;
 
-/// The part of it that models may take.
+/// The bound on the total size of the buffers.
 const MAX_BYTES: usize = MEMORY / 4;
 
 const CALLERS: usize = 500;
 
-/// What comes in one read, bytes.
+/// Size of one read, bytes.
 const READ_BYTES: usize = 64 << 10;
 
 fn request(number: usize) -> id::Request {
@@ -27,7 +27,7 @@
     Bytes::from(vec![0; length])
 }
 
-/// Adds a part if there is room for it now.
+/// Adds bytes unless the buffer is full.
 fn push(writer: &Writer, length: usize) -> Option<Result<Vec<Aborted>, Closed>> {
     let mut pushed = std::pin::pin!(writer.push(part(length)));
     match pushed.as_mut().poll(&mut Context::from_waker(Waker::noop())) {
@@ -58,7 +58,7 @@
     assert!(!aborted.is_empty() && aborted.len() < CALLERS);
 }
 
-/// Who reads is not given up for those who do not.
+/// A caller that reads is not affected by those that do not.
 #[test]
 fn the_largest_responses_are_aborted() {
     let buffers = Buffers::new(MEMORY);
@@ -129,7 +129,7 @@
     assert_eq!(read(&mut reader), Poll::Ready(None));
 }
 
-/// What may happen to one of a few models.
+/// An operation on one of a few responses.
 #[derive(Debug, Clone)]
 enum Operation {
     Open(usize),
@@ -153,7 +153,7 @@
     prop::collection::vec(operation, 0..200)
 }
 
-/// One answer as it should be.
+/// The expected state of one response.
 struct Model {
     writer: Option<Writer>,
     reader: Reader,
@@ -163,7 +163,7 @@
 }
 
 proptest! {
-    /// Parts come in their order, an end only after all of them, and what is taken is what is there.
+    /// Bytes are read in order and the end after all of them; the reported size is that of the buffered bytes.
     #[test]
     fn bytes_are_counted_and_in_order_after_any_operations(operations in operations()) {
         let buffers = Buffers::new(400_000);
--- a/daemon/tests/volume.rs
+++ b/daemon/tests/volume.rs
@@ -1,4 +1,4 @@
-//! The bound on log lines, and the freshness of settings: both by the clock that is passed in.
+//! The log throttle, the freshness of settings, both with a clock that is passed in, and the compression of texts.
 
 use std::time::{Duration, Instant};
 
@@ -38,7 +38,7 @@
     assert!(fresh.holds(now) && fresh.welcomes(now));
 }
 
-/// A key may be taken away while the machine is suspended.
+/// A key may be revoked while the machine is suspended.
 #[test]
 fn settings_age_while_the_machine_is_suspended() {
     let clock = Manual::default();
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Confirmations may come in any order: the latest moment counts.
+    /// Confirmations may be received in any order: the latest moment counts.
     #[test]
     fn the_latest_confirmation_counts(times in prop::collection::vec(0u64..10_000, 1..20)) {
         let start = Manual::default().moment();
