--- a/daemon/src/fleet/answer.rs
+++ b/daemon/src/fleet/answer.rs
@@ -66,10 +66,10 @@
 
 /// Returns a response with a text or JSON body of this content type.
 pub fn text(status: StatusCode, kind: &'static str, text: impl Into<Bytes>) -> Response<Body> {
-    let mut answer = Response::new(whole(text.into()));
-    *answer.status_mut() = status;
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
-    answer
+    let mut response = Response::new(whole(text.into()));
+    *response.status_mut() = status;
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+    response
 }
 
 /// Returns an error of foldlock itself as JSON, with a `retry-after` header if the caller may retry.
@@ -83,11 +83,11 @@
         "request": request.as_str(),
     }});
     let status = StatusCode::from_u16(error.kind().status()).expect("the table has valid statuses");
-    let mut answer = text(status, "application/json", body.to_string());
+    let mut response = text(status, "application/json", body.to_string());
     if let Some(after) = retry {
-        answer.headers_mut().insert(RETRY_AFTER, seconds(after));
+        response.headers_mut().insert(RETRY_AFTER, seconds(after));
     }
-    answer
+    response
 }
 
 /// Formats seconds with two decimals, rounded up.
