--- a/daemon/src/fleet/log_throttle.rs
+++ b/daemon/src/fleet/log_throttle.rs
@@ -38,7 +38,7 @@
         Throttle { max_per_s, counts: Mutex::new(Counts { since: now, written: 0, suppressed: 0 }) }
     }
 
-    /// Admits a line, and returns how many were suppressed since the last admitted one; none if this line is suppressed.
+    /// Admits a line and returns how many were suppressed since the last one; none if this line is suppressed.
     pub fn admit(&self, now: Instant) -> Option<u64> {
         let mut counts = self.counts.lock().unwrap();
         if now.saturating_duration_since(counts.since) >= SECOND {
--- a/daemon/src/fleet/reports.rs
+++ b/daemon/src/fleet/reports.rs
@@ -37,8 +37,8 @@
     }
 }
 
-/// Distributes the engines over the VMs that are up by rendezvous hashing, so that each engine is polled by the same VM,
-/// on an open connection.
+/// Distributes the engines over the VMs that are up by rendezvous hashing, so that the same VM polls an engine each
+/// time, on an open connection.
 fn poll<D: Dialect>(process: &Arc<Process<D>>) {
     let mut vms = process.peers.heard(process.now());
     vms.push(process.member.clone());
