--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one upstream: sent, and read as far as it tells how the attempt ends.
+//! One attempt at one upstream: sends the request and reads the response, or its first events if it is a stream.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,67 +21,67 @@
 use hyper::{Request, Response, StatusCode, Uri};
 
 use crate::fleet::answer::{self, Body};
-use crate::fleet::ending;
+use crate::fleet::crash;
 use crate::fleet::grant_requests::Grant;
 use crate::fleet::heads::{declared, rest, strip};
 use crate::fleet::hold::{Hold, ReservationLost};
 use crate::fleet::job::Job;
 use crate::fleet::metrics::Sent;
 use crate::fleet::notices::{self, Exclusion};
-use crate::fleet::outcome::{self, note, tell};
+use crate::fleet::outcome::{self, record_failure};
 use crate::fleet::process::Guard;
 use crate::fleet::rate_limits;
-use crate::fleet::source::{Begun, Next, Source};
+use crate::fleet::stream::{Item, Started, Stream};
 use crate::fleet::tries::Tries;
 
-/// How long a new connection may take: it comes up in a few ms, and an upstream that is dark says
-/// nothing.
+/// Timeout of a new connection. It is established within a few milliseconds, and an unreachable
+/// upstream does not respond at all.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The largest whole answer, bytes.
-const MOST_ANSWER: usize = 16 << 20;
+/// Maximum size of a complete response, bytes.
+const MAX_RESPONSE_BYTES: usize = 16 << 20;
 
-/// The part of the objective after which a repeatable request with a whole answer is tried
-/// elsewhere.
-const SLOW_WHOLE: f64 = 0.6;
+/// Share of the objective after which a retryable request for a complete response is sent to another
+/// upstream.
+const COMPLETE_TIMEOUT_SHARE: f64 = 0.6;
 
-/// Beyond the predicted time, how long an upstream may be silent before the first event of a
-/// stream that may go elsewhere, milliseconds.
-const SLOW_FIRST_MS: f64 = 400.0;
+/// Added to the timeout of the first event of a stream that may be sent to another upstream,
+/// milliseconds.
+const FIRST_EVENT_SLACK_MS: f64 = 400.0;
 
-/// How many times the predicted time a first event may take.
-const SLOW_FIRST: f64 = 2.5;
+/// Timeout of a first event as a ratio of its predicted time.
+const FIRST_EVENT_TIMEOUT_RATIO: f64 = 2.5;
 
-/// The least time for a first event, in objectives of its route. Beyond one objective the answer is
-/// late anyway, and a long prompt that goes elsewhere is read once more by several engines.
-const SLOW_OBJECTIVES: f64 = 2.0;
+/// Minimum timeout of a first event, in objectives of its route. Beyond one objective the response is
+/// late anyway, and the prefill of a long prompt would be repeated by several engines.
+const MIN_FIRST_EVENT_OBJECTIVES: f64 = 2.0;
 
-/// How an attempt ended, as far as it is waited for here.
+/// How an attempt ended; for a stream, how it began.
 pub enum End<D: Dialect> {
-    /// The whole answer.
-    Whole(Response<Body>),
-    /// A stream whose first event is there.
-    Events(Box<Begun<D>>),
+    /// The complete response was received.
+    Complete(Response<Body>),
+    /// The first events of a stream were received.
+    Streaming(Box<Started<D>>),
     /// No byte was sent.
     Unsent(String),
-    /// The memory that the placement counted on was taken; nothing was sent.
-    NoMemory(ReservationLost),
-    /// The upstream said that it did not run the request.
+    /// Engine memory for the placement could not be reserved; the request was not sent.
+    ReservationFailed(ReservationLost),
+    /// The upstream reported that it did not run the request.
     NotRun {
-        /// What it said.
+        /// The reported reason.
         why: String,
-        /// The one that is to be avoided: the upstream itself, or the helper that it named.
+        /// The upstream to exclude: the one that responded, or the helper that it named.
         at_fault: id::Upstream,
     },
-    /// The upstream's own failure to a request that may be repeated.
-    Own(Box<Response<Body>>),
-    /// It may have run, and there is no answer.
+    /// The upstream responded with a server error, and the request may be retried.
+    ServerError(Box<Response<Body>>),
+    /// The request may have run, and there is no valid or complete response.
     Broken(String),
-    /// The time is over.
+    /// The deadline of the request passed.
     Deadline,
 }
 
-/// Sends the request to a placement.
+/// Sends the request to its placement and waits for the response or its first events.
 pub async fn run<D: Dialect>(
     job: &Arc<Job<D>>,
     grant: Grant,
@@ -90,30 +90,30 @@
 ) -> End<D> {
     let upstream = grant.placement.flight.upstream.clone();
     let entered = job.process.begin_attempt(grant.number, grant.placement.flight.clone());
-    let limit = patience(job, &grant.placement, tries);
-    let sent = sent(job, grant, last_event, entered);
-    let until = job.deadline.min(job.process.now() + limit);
+    let timeout = response_timeout(job, &grant.placement, tries);
+    let sending = send(job, grant, last_event, entered);
+    let until = job.deadline.min(job.process.now() + timeout);
     let ended = tokio::select! {
-        ended = tokio::time::timeout_at(until.into(), sent) => ended,
+        ended = tokio::time::timeout_at(until.into(), sending) => ended,
         () = job.process.aborting.cancelled() => {
-            return End::Broken("this VM ends before the answer came".to_owned());
+            return End::Broken("VM shut down before the response was received".to_owned());
         }
     };
     match ended {
         Ok(end) => end,
         Err(_) if job.left().is_zero() => {
-            note(job, &upstream, Cause::ServerError);
+            record_failure(job, &upstream, Cause::ServerError);
             End::Deadline
         }
         Err(_) => {
-            note(job, &upstream, Cause::Unresponsive);
-            End::Broken(format!("silent for {} ms", limit.as_millis()))
+            record_failure(job, &upstream, Cause::Unresponsive);
+            End::Broken(format!("no response within {} ms", timeout.as_millis()))
         }
     }
 }
 
-/// How long an attempt may go without its answer or first event before the request goes elsewhere.
-fn patience<D: Dialect>(job: &Job<D>, placement: &Placement, tries: &Tries) -> Duration {
+/// Time to wait for the response or its first event before the request is sent to another upstream.
+fn response_timeout<D: Dialect>(job: &Job<D>, placement: &Placement, tries: &Tries) -> Duration {
     if placement.flight.has_reservations() {
         return job.process.config.fleet.reserved_silence_timeout();
     }
@@ -122,15 +122,16 @@
         return job.left();
     }
     match job.route.shape {
-        Shape::Whole => job.route.objective.mul_f64(SLOW_WHOLE),
+        Shape::Whole => job.route.objective.mul_f64(COMPLETE_TIMEOUT_SHARE),
         Shape::Events { .. } => {
-            let ms = placement.predicted_ms * SLOW_FIRST + SLOW_FIRST_MS;
-            Duration::from_secs_f64(ms / 1e3).max(job.route.objective.mul_f64(SLOW_OBJECTIVES))
+            let ms = placement.predicted_ms * FIRST_EVENT_TIMEOUT_RATIO + FIRST_EVENT_SLACK_MS;
+            Duration::from_secs_f64(ms / 1e3)
+                .max(job.route.objective.mul_f64(MIN_FIRST_EVENT_OBJECTIVES))
         }
     }
 }
 
-async fn sent<D: Dialect>(
+async fn send<D: Dialect>(
     job: &Arc<Job<D>>,
     grant: Grant,
     last_event: Option<u64>,
@@ -138,75 +139,77 @@
 ) -> End<D> {
     let placement = &grant.placement;
     let upstream = placement.flight.upstream.clone();
-    let start = notices::start(&job.process, &upstream);
-    let hold = match Hold::take(job, &grant).await {
-        Ok(hold) => hold,
-        Err(taken) => {
-            note(job, &taken.upstream, Cause::Overloaded);
-            return End::NoMemory(taken);
+    let incarnation = notices::incarnation(&job.process, &upstream);
+    let reservations = match Hold::take(job, &grant).await {
+        Ok(reservations) => reservations,
+        Err(lost) => {
+            record_failure(job, &lost.upstream, Cause::Overloaded);
+            return End::ReservationFailed(lost);
         }
     };
-    let mut channel = match channel(job, &grant).await {
+    let mut channel = match connect(job, &grant).await {
         Ok(channel) => channel,
         Err(why) => {
-            note(job, &upstream, Cause::Unresponsive);
+            record_failure(job, &upstream, Cause::Unresponsive);
             return End::Unsent(why);
         }
     };
     if let Some((upstream, reason)) = excluded(job, placement) {
-        // That came to be while memory was set aside for this request, or its connection opened.
+        // It may have been excluded while memory was reserved or the connection was opened.
         return End::Unsent(format!("upstream {upstream} is excluded: {reason}"));
     }
-    let request = request(job, placement, &hold.helpers(&grant), last_event);
+    let request = build_request(job, placement, &reservations.helpers(&grant), last_event);
     let sent = job.process.now();
     job.process.metrics.count_upstream_messages(Sent::Request, 1);
     job.process.metrics.count_upstream_messages(Sent::Part, placement.flight.helpers.len());
-    let answer = match channel.send(request).await {
-        Ok(answer) => answer,
+    let response = match channel.send(request).await {
+        Ok(response) => response,
         Err(Failure::Refused(why) | Failure::Unsent(why)) => return End::Unsent(why),
         Err(Failure::Broken(why)) => {
-            note(job, &upstream, Cause::Malformed);
-            ending::examine(job, &placement.flight, start).await;
+            record_failure(job, &upstream, Cause::Malformed);
+            crash::detect(job, &placement.flight, incarnation).await;
             return End::Broken(why);
         }
     };
-    let (mut head, body) = answer.into_parts();
+    let (mut head, body) = response.into_parts();
     let notice = D::notice(head.status, &head.headers);
-    notices::heard(&job.process, &upstream, start, sent, notice);
-    let rest = rest(&head.headers);
+    notices::apply(&job.process, &upstream, incarnation, sent, notice);
+    let idle_timeout = rest(&head.headers);
     match D::verdict(&job.terms.request_id, head.status, &head.headers) {
         Verdict::Ran if notice.rate_limit == RateLimit::Unlimited => {
-            rate_limits::observe(&job.process, start, None, sent);
+            rate_limits::observe(&job.process, incarnation, None, sent);
         }
         Verdict::Ran => {}
-        verdict => return refused(job, &placement.flight, start, verdict, &head),
+        verdict => {
+            return on_unusable_response(job, &placement.flight, incarnation, verdict, &head);
+        }
     }
     if head.status.is_success() && !D::is_unaltered(&head.headers) {
-        note(job, &upstream, Cause::Malformed);
+        record_failure(job, &upstream, Cause::Malformed);
         return End::Broken(format!("response signature does not match upstream {upstream}"));
     }
-    let promised = declared(&head.headers);
+    let has_length = declared(&head.headers);
     strip(&mut head.headers);
-    let source = Source {
+    let stream = Stream {
         flight: placement.flight.clone(),
-        start,
+        incarnation,
         sent,
         predicted_ms: placement.predicted_ms,
         entered,
-        hold,
+        reservations,
         channel,
-        rest,
+        idle_timeout,
         body,
         cutter: Cutter::default(),
     };
     if head.status.is_success() && matches!(job.route.shape, Shape::Events { .. }) {
-        first(job, head, source).await
+        read_first_events(job, head, stream).await
     } else {
-        whole(job, head, source, promised).await
+        read_complete(job, head, stream, has_length).await
     }
 }
 
-/// The first upstream of a placement that must not be sent anything.
+/// Returns the first upstream of a placement that must not be sent requests, with the reason.
 fn excluded<'a, D: Dialect>(
     job: &Job<D>,
     placement: &'a Placement,
@@ -215,15 +218,15 @@
     if !rate_limits::unknown_to_scheduler(&job.process, placement).is_empty() {
         return Some((&flight.upstream, Exclusion::RateLimited));
     }
-    let helpers = flight.helpers.iter().map(|helping| &helping.upstream);
+    let helpers = flight.helpers.iter().map(|helper| &helper.upstream);
     let mut all = std::iter::once(&flight.upstream).chain(helpers);
     all.find_map(|upstream| Some((upstream, notices::exclusion(&job.process, upstream)?)))
 }
 
-fn refused<D: Dialect>(
+fn on_unusable_response<D: Dialect>(
     job: &Job<D>,
     flight: &Flight,
-    start: Tag,
+    incarnation: Tag,
     verdict: Verdict,
     head: &http::response::Parts,
 ) -> End<D> {
@@ -231,26 +234,26 @@
     let upstream = &flight.upstream;
     match verdict {
         Verdict::WrongInstance => {
-            notices::leaves(&job.process, start, &job.process.member.vm);
-            let why = "another instance has its address".to_owned();
+            notices::mark_leaving(&job.process, incarnation, &job.process.member.vm);
+            let why = "another instance listens at its address".to_owned();
             End::NotRun { why, at_fault: upstream.clone() }
         }
         Verdict::NotRun => {
-            let culprit = D::faulty_upstream(&head.headers)
+            let named = D::faulty_upstream(&head.headers)
                 .and_then(|name| job.process.cluster.lock().unwrap().find(name));
-            let suspect = culprit.as_ref().unwrap_or(upstream);
-            note(job, suspect, Cause::Overloaded);
-            let why = format!("it refused with {status}; at fault is {suspect}");
-            End::NotRun { why, at_fault: flight.excluded_after(suspect).clone() }
+            let faulty = named.as_ref().unwrap_or(upstream);
+            record_failure(job, faulty, Cause::Overloaded);
+            let why = format!("refused with status {status}, caused by {faulty}");
+            End::NotRun { why, at_fault: flight.excluded_after(faulty).clone() }
         }
         Verdict::Ran | Verdict::Mismatched => {
-            note(job, upstream, Cause::Malformed);
-            End::Broken(format!("its answer ({status}) belongs to another request"))
+            record_failure(job, upstream, Cause::Malformed);
+            End::Broken(format!("response with status {status} belongs to another request"))
         }
     }
 }
 
-async fn channel<D: Dialect>(job: &Job<D>, grant: &Grant) -> Result<Channel, String> {
+async fn connect<D: Dialect>(job: &Job<D>, grant: &Grant) -> Result<Channel, String> {
     let pool = &job.process.pool;
     let upstream = &grant.placement.flight.upstream;
     if let Some(channel) = pool.take(upstream, job.most_rest(), job.process.now()) {
@@ -263,7 +266,7 @@
     }
 }
 
-fn request<D: Dialect>(
+fn build_request<D: Dialect>(
     job: &Job<D>,
     placement: &Placement,
     helpers: &[Helper],
@@ -291,56 +294,68 @@
     request
 }
 
-async fn whole<D: Dialect>(
+async fn read_complete<D: Dialect>(
     job: &Arc<Job<D>>,
     head: http::response::Parts,
-    source: Source<D>,
-    declared: bool,
+    stream: Stream<D>,
+    has_length: bool,
 ) -> End<D> {
-    let Source { flight, start, entered: _entered, hold: _hold, channel, rest, body, .. } = source;
+    let Stream {
+        flight,
+        incarnation,
+        entered: _entered,
+        reservations: _reservations,
+        channel,
+        idle_timeout,
+        body,
+        ..
+    } = stream;
     let upstream = flight.upstream.clone();
-    let collected = match Limited::new(body, MOST_ANSWER).collect().await {
+    let collected = match Limited::new(body, MAX_RESPONSE_BYTES).collect().await {
         Ok(collected) => collected.to_bytes(),
         Err(e) => {
-            note(job, &upstream, Cause::Malformed);
-            ending::examine(job, &flight, start).await;
-            return End::Broken(format!("its answer broke off: {}", chain(&*e)));
+            record_failure(job, &upstream, Cause::Malformed);
+            crash::detect(job, &flight, incarnation).await;
+            return End::Broken(format!("response truncated: {}", chain(&*e)));
         }
     };
     let now = job.process.now();
-    if declared && !rest.is_zero() {
-        job.process.pool.keep(&upstream, channel, rest, now);
+    if has_length && !idle_timeout.is_zero() {
+        job.process.pool.keep(&upstream, channel, idle_timeout, now);
     }
     if head.status.is_server_error() {
-        note(job, &upstream, Cause::ServerError);
+        record_failure(job, &upstream, Cause::ServerError);
         if job.repeatable() && head.status != StatusCode::GATEWAY_TIMEOUT {
-            return End::Own(Box::new(Response::from_parts(head, answer::whole(collected))));
+            return End::ServerError(Box::new(Response::from_parts(
+                head,
+                answer::whole(collected),
+            )));
         }
     } else {
-        tell(job, &upstream, Outcome::Answered);
+        outcome::record(job, &upstream, Outcome::Answered);
     }
-    let (unread, given_up) = job.process.unread.whole(&job.id, collected);
-    outcome::given_up(&job.process, given_up);
-    End::Whole(Response::from_parts(head, Body::Unread(unread)))
+    let (reader, aborted) = job.process.unread.complete(&job.id, collected);
+    outcome::record_aborted(&job.process, aborted);
+    End::Complete(Response::from_parts(head, Body::Buffered(reader)))
 }
 
-async fn first<D: Dialect>(
+async fn read_first_events<D: Dialect>(
     job: &Arc<Job<D>>,
     head: http::response::Parts,
-    mut source: Source<D>,
+    mut stream: Stream<D>,
 ) -> End<D> {
-    match source.next().await {
-        Next::Parts(first) => {
-            source.entered.record_first_event();
-            End::Events(Box::new(Begun { head, first, source }))
+    match stream.next().await {
+        Item::Events(first) => {
+            stream.entered.record_first_event();
+            End::Streaming(Box::new(Started { head, first, stream }))
         }
-        Next::End => {
-            // A stream may have nothing left to tell, where the caller has its last event.
-            End::Events(Box::new(Begun { head, first: Vec::new(), source }))
+        Item::End => {
+            // A resumed stream has no events left if the caller already has the last one.
+            End::Streaming(Box::new(Started { head, first: Vec::new(), stream }))
         }
-        Next::Broken(why) => {
-            note(job, &source.flight.upstream, Cause::Malformed);
-            ending::examine(job, &source.flight, source.start).await;
+        Item::Broken(why) => {
+            record_failure(job, &stream.flight.upstream, Cause::Malformed);
+            crash::detect(job, &stream.flight, stream.incarnation).await;
             End::Broken(why)
         }
     }
--- /dev/null
+++ b/daemon/src/fleet/crash.rs
@@ -0,0 +1,114 @@
+//! Detects whether an upstream crashed during a request, and quarantines requests that caused crashes.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use foldlock_base::prelude::*;
+use foldlock_connection::channel::{Channel, Failure};
+use foldlock_request::decision::Decision;
+use foldlock_request::dialect::Dialect;
+use foldlock_request::flight::Flight;
+use foldlock_request::quarantine::{Crash, Status};
+use foldlock_request::quarantine_entry;
+use foldlock_request::suspicion::{Failure as Cause, Outcome};
+use foldlock_request::tag::Tag;
+
+use crate::fleet::job::Job;
+use crate::fleet::tell;
+use crate::fleet::write_queue::Write;
+
+/// Timeout of the connection attempt that checks whether an upstream still listens. A closed port refuses within one
+/// round trip, a few milliseconds. An upstream that does not respond may be partitioned, which the request did not
+/// cause.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
+
+/// How long the connection of a successful check is kept for another request.
+const PROBE_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Checks, after the connection of an attempt broke, whether its upstream crashed, and records the crash for the
+/// request. The attempt must still be in the cluster state, so that no second copy of an isolated request is placed
+/// before the result is known.
+pub async fn detect<D: Dialect>(job: &Job<D>, flight: &Flight, incarnation: Tag) {
+    let upstream = &flight.upstream;
+    let entry = {
+        let cluster = job.process.cluster.lock().unwrap();
+        // An upstream that is leaving or no longer listed exits without a crash.
+        let entry = cluster.get(upstream).filter(|u| u.is_open() && u.unlisted.is_none());
+        entry.map(|entry| (entry.listed.address.clone(), entry.tag))
+    };
+    let Some((address, tag)) = entry else { return };
+    if tag != incarnation {
+        // It has restarted already.
+        record(job, flight, incarnation);
+        return;
+    }
+    match Channel::open(&address, PROBE_TIMEOUT).await {
+        Err(Failure::Refused(_)) => record(job, flight, incarnation),
+        // No response, or no free file descriptor here: it is unknown whether it crashed.
+        Err(Failure::Unsent(_) | Failure::Broken(_)) => {}
+        Ok(channel) => {
+            job.process.metrics.connections.inc();
+            job.process.pool.keep(upstream, channel, PROBE_IDLE_TIMEOUT, job.process.now());
+        }
+    }
+}
+
+fn record<D: Dialect>(job: &Job<D>, flight: &Flight, incarnation: Tag) {
+    let now = job.process.now();
+    let upstream = flight.upstream.clone();
+    let isolated = flight.isolated.is_some();
+    let crash = Crash { upstream: incarnation, isolated };
+    let mut cluster = job.process.cluster.lock().unwrap();
+    if cluster.tag_of(&upstream) == incarnation {
+        cluster.record_outcome(&upstream, Outcome::Failed(Cause::Unresponsive), now);
+    }
+    let status = cluster.quarantine.record_crash(job.fingerprint, crash, now);
+    let crashes = cluster.quarantine.crash_count(job.fingerprint) as u32;
+    drop(cluster);
+    tell::tell_scheduler(&job.process);
+    job.process.pool.forget(&upstream);
+    job.process.metrics.crashes.inc();
+    job.record(Decision::Crashed { upstream, crashes, isolated });
+    if let Some(status) = status {
+        quarantine(job, status);
+    }
+    job.process.announce.notify_one();
+    job.process.cluster_changed.notify_one();
+}
+
+/// Quarantines the request. The entry in the directory reaches all VMs, also those that start later.
+fn quarantine<D: Dialect>(job: &Job<D>, status: Status) {
+    let Status { solo_crashes, remaining, crashes } = status;
+    let quarantine_ms = remaining.as_millis() as u64;
+    job.process.metrics.quarantined.inc();
+    job.record(Decision::Quarantined { quarantine_ms, solo_crashes });
+    job.process.directory_writes.push(Write::Quarantine(quarantine_entry::Entry {
+        fingerprint: job.fingerprint,
+        organisation: job.organisation.as_ref().map_or_else(String::new, |o| o.name.clone()),
+        path: job.head.uri.path().to_owned(),
+        service: job.service.name.clone(),
+        request: job.id.clone(),
+        vm: job.process.member.vm.clone(),
+        ended: crashes as u32,
+        proofs: solo_crashes,
+        until_ms: job.process.clock.wall_millis() + quarantine_ms,
+    }));
+}
+
+/// Records that the request completed, so it did not cause the crashes during it: clears them and releases its
+/// quarantine.
+pub fn record_completion<D: Dialect>(job: &Arc<Job<D>>) {
+    let fingerprint = job.fingerprint;
+    let mut cluster = job.process.cluster.lock().unwrap();
+    if !cluster.quarantine.record_completion(fingerprint, job.process.now()) {
+        return;
+    }
+    let listed = cluster.quarantined().any(|entry| entry.fingerprint == fingerprint);
+    drop(cluster);
+    job.record(Decision::Cleared);
+    if listed {
+        job.process.directory_writes.push(Write::Release(fingerprint));
+    }
+    job.process.announce.notify_one();
+    job.process.cluster_changed.notify_one();
+}
--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -25,7 +25,7 @@
 
 use crate::fleet::answer::{self, Body};
 use crate::fleet::process::Process;
-use crate::fleet::unread::Cut;
+use crate::fleet::unread::Truncated;
 use crate::fleet::write_queue::Write;
 use crate::log;
 
@@ -285,7 +285,7 @@
 
 async fn forward_decisions(
     mut decisions: broadcast::Receiver<Item>,
-    lines: mpsc::Sender<Result<Bytes, Cut>>,
+    lines: mpsc::Sender<Result<Bytes, Truncated>>,
 ) {
     loop {
         let line = tokio::select! {
--- a/daemon/src/fleet/outcome.rs
+++ b/daemon/src/fleet/outcome.rs
@@ -1,4 +1,4 @@
-//! How attempts and requests end, noted for whom it concerns.
+//! Records how attempts and requests end, in the cluster state, the metrics, the decision record and the log.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,28 +9,29 @@
 use foldlock_request::dialect::Dialect;
 use foldlock_request::suspicion::{Failure, Outcome};
 
-use crate::fleet::ending;
+use crate::fleet::crash;
 use crate::fleet::job::Job;
 use crate::fleet::process::Process;
-use crate::fleet::unread::GivenUp;
+use crate::fleet::unread::Aborted;
 use crate::log;
 
-/// Notes that an attempt failed, for this VM and the one that places.
-pub fn note<D: Dialect>(job: &Job<D>, upstream: &id::Upstream, failure: Failure) {
-    tell(job, upstream, Outcome::Failed(failure));
+/// Records that an attempt failed, and announces it to the scheduler. Connections to an unresponsive upstream are
+/// dropped.
+pub fn record_failure<D: Dialect>(job: &Job<D>, upstream: &id::Upstream, failure: Failure) {
+    record(job, upstream, Outcome::Failed(failure));
     if failure == Failure::Unresponsive {
         job.process.pool.forget(upstream);
     }
 }
 
-/// Notes how an attempt ended, for this VM and the one that places.
-pub fn tell<D: Dialect>(job: &Job<D>, upstream: &id::Upstream, outcome: Outcome) {
+/// Records how an attempt ended, and announces it to the scheduler.
+pub fn record<D: Dialect>(job: &Job<D>, upstream: &id::Upstream, outcome: Outcome) {
     job.process.cluster.lock().unwrap().record_outcome(upstream, outcome, job.process.now());
     job.process.announce.notify_one();
 }
 
-/// Records how a request failed.
-pub fn failed<D: Dialect>(job: &Job<D>, error: Error) -> Error {
+/// Records that a request was rejected or failed. Returns the error.
+pub fn record_error<D: Dialect>(job: &Job<D>, error: Error) -> Error {
     let why = error.message().to_owned();
     let retry_after_ms = error.retry().map(|d| d.as_millis() as u64);
     job.record(if error.ran() == Ran::No {
@@ -41,39 +42,41 @@
     error
 }
 
-/// What became of a stream that was passed on whole.
+/// Measurements of a completely relayed stream.
 #[derive(Debug, Clone, Copy)]
-pub struct Streamed {
-    /// From arrival to the first event.
-    pub first: Duration,
-    /// From sending to the first event.
+pub struct Stats {
+    /// Time from arrival to the first event.
+    pub first_event: Duration,
+    /// Time from sending to the first event.
     pub engine: Duration,
-    /// The events.
+    /// Number of events.
     pub events: u64,
-    /// The longest pause between two of them.
-    pub pause: Duration,
+    /// The longest pause between two events.
+    pub longest_pause: Duration,
 }
 
-/// Records that a request has its whole answer.
-pub fn finished<D: Dialect>(job: &Arc<Job<D>>, streamed: Option<Streamed>) {
-    ending::answered(job);
-    let first = streamed.map_or_else(|| job.held(), |s| s.first);
+/// Records that a request completed.
+pub fn record_completion<D: Dialect>(job: &Arc<Job<D>>, stats: Option<Stats>) {
+    crash::record_completion(job);
+    let first = stats.map_or_else(|| job.held(), |s| s.first_event);
     job.process.metrics.observe_response(&job.service, job.terms.prompt.0, first);
     job.record(Decision::Finished {
         first_token_ms: millis(first),
-        engine_ms: millis(streamed.map_or(first, |s| s.engine)),
-        tokens: streamed.map_or(0, |s| s.events),
-        pause_ms: streamed.map(|s| millis(s.pause)),
+        engine_ms: millis(stats.map_or(first, |s| s.engine)),
+        tokens: stats.map_or(0, |s| s.events),
+        pause_ms: stats.map(|s| millis(s.longest_pause)),
     });
 }
 
-/// Notes answers that were given up, since their callers read too slowly for the memory of this VM.
-pub fn given_up<D: Dialect>(process: &Process<D>, answers: Vec<GivenUp>) {
-    for GivenUp { request, bytes } in answers {
+/// Records responses that were aborted because their callers read too slowly for the memory of this VM.
+pub fn record_aborted<D: Dialect>(process: &Process<D>, aborted: Vec<Aborted>) {
+    for Aborted { request, bytes } in aborted {
         process.metrics.aborted_responses.inc();
         if process.trouble_lines.admit(process.now()).is_some() {
-            let all = process.unread.bytes();
-            let what = format!("{request}: {bytes} bytes unread, {all} of the others");
+            let others = process.unread.bytes();
+            let what = format!(
+                "{request}: {bytes} bytes unread, {others} bytes unread of other responses"
+            );
             log::event(&process.log, Event::AnswerGivenUp, what);
         }
     }
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -26,13 +26,13 @@
 
 use crate::fleet::config::Config;
 use crate::fleet::fresh::Fresh;
+use crate::fleet::log_throttle::{self, Throttle};
 use crate::fleet::metrics::Metrics;
 use crate::fleet::packed::Kept;
 use crate::fleet::peers::Peers;
 use crate::fleet::questions::Questions;
-use crate::fleet::unread::Unread;
+use crate::fleet::unread;
 use crate::fleet::unreadable;
-use crate::fleet::volume::{self, Volume};
 use crate::fleet::withdrawals::Withdrawals;
 use crate::fleet::write_queue;
 use crate::log;
@@ -67,11 +67,11 @@
     /// The log.
     pub log: Logger,
     /// Rate limit for log lines of successful decisions.
-    pub routine_lines: Volume,
+    pub routine_lines: Throttle,
     /// Rate limit for log lines of rejections, failures and retries.
-    pub trouble_lines: Volume,
+    pub trouble_lines: Throttle,
     /// Rate limit for log lines of single changes in the directory.
-    pub listing_lines: Volume,
+    pub listing_lines: Throttle,
     /// The metrics.
     pub metrics: Metrics,
     /// The newest request records.
@@ -111,7 +111,7 @@
     /// Revision and digest of the listings that were last compared with a peer's full listings.
     pub last_compared: Mutex<Option<(Revision, u64)>>,
     /// Responses that their callers have not read completely.
-    pub unread: Arc<Unread>,
+    pub unread: Arc<unread::Buffers>,
     /// Directory entries that cannot be decoded.
     pub unreadable: unreadable::Entries,
     /// Pending writes to the directory, such as entries of quarantined requests.
@@ -168,9 +168,9 @@
             after_suspension: Notify::new(),
             clock,
             log,
-            routine_lines: Volume::new(volume::ROUTINE, clock.now()),
-            trouble_lines: Volume::new(volume::TROUBLE, clock.now()),
-            listing_lines: Volume::new(volume::LISTING, clock.now()),
+            routine_lines: Throttle::new(log_throttle::ROUTINE_PER_S, clock.now()),
+            trouble_lines: Throttle::new(log_throttle::PROBLEM_PER_S, clock.now()),
+            listing_lines: Throttle::new(log_throttle::LISTING_PER_S, clock.now()),
             metrics: Metrics::default(),
             ring: Ring::new(MAX_RECORDS),
             freshness: Fresh::new(config.fleet.max_settings_age()),
@@ -189,7 +189,7 @@
             compressed_listing: Kept::default(),
             steps: Mutex::default(),
             last_compared: Mutex::default(),
-            unread: Unread::new(config.fleet.memory()),
+            unread: unread::Buffers::new(config.fleet.memory()),
             unreadable: unreadable::Entries::default(),
             directory_writes: write_queue::Queue::default(),
             withdrawals: Withdrawals::default(),
