--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -21,7 +21,7 @@
 pub mod fresh;
 pub mod gate;
 pub mod grant_requests;
-pub mod heads;
+pub mod headers;
 pub mod hold;
 pub mod job;
 pub mod join;
--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -23,7 +23,7 @@
 use crate::fleet::answer::{self, Body};
 use crate::fleet::ending;
 use crate::fleet::grant_requests::Grant;
-use crate::fleet::heads::{declared, rest, strip};
+use crate::fleet::headers::{has_body_length, idle_timeout, strip_hop_by_hop};
 use crate::fleet::hold::{Hold, ReservationLost};
 use crate::fleet::job::Job;
 use crate::fleet::metrics::Sent;
@@ -173,7 +173,7 @@
     let (mut head, body) = answer.into_parts();
     let notice = D::notice(head.status, &head.headers);
     notices::heard(&job.process, &upstream, start, sent, notice);
-    let rest = rest(&head.headers);
+    let rest = idle_timeout(&head.headers);
     match D::verdict(&job.terms.request_id, head.status, &head.headers) {
         Verdict::Ran if notice.rate_limit == RateLimit::Unlimited => {
             rate_limits::observe(&job.process, start, None, sent);
@@ -185,8 +185,8 @@
         note(job, &upstream, Cause::Malformed);
         return End::Broken(format!("response signature does not match upstream {upstream}"));
     }
-    let promised = declared(&head.headers);
-    strip(&mut head.headers);
+    let promised = has_body_length(&head.headers);
+    strip_hop_by_hop(&mut head.headers);
     let source = Source {
         flight: placement.flight.clone(),
         start,
@@ -270,7 +270,7 @@
     last_event: Option<u64>,
 ) -> Request<Full<Bytes>> {
     let mut headers = job.head.headers.clone();
-    strip(&mut headers);
+    strip_hop_by_hop(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
     D::rewrite_headers(
