--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -24,13 +24,13 @@
 use crate::fleet::ending;
 use crate::fleet::grant_requests::Grant;
 use crate::fleet::headers::{has_body_length, idle_timeout, strip_hop_by_hop};
-use crate::fleet::hold::{Hold, ReservationLost};
 use crate::fleet::job::Job;
 use crate::fleet::metrics::Sent;
 use crate::fleet::notices::{self, Exclusion};
 use crate::fleet::outcome::{self, note, tell};
 use crate::fleet::process::Entered;
 use crate::fleet::rate_limits;
+use crate::fleet::reservations::{self, Reservations};
 use crate::fleet::source::{Begun, Next, Source};
 use crate::fleet::tries::Tries;
 
@@ -65,7 +65,7 @@
     /// No byte was sent.
     Unsent(String),
     /// The memory that the placement counted on was taken; nothing was sent.
-    NoMemory(ReservationLost),
+    NoMemory(reservations::Failure),
     /// The upstream said that it did not run the request.
     NotRun {
         /// What it said.
@@ -139,8 +139,8 @@
     let placement = &grant.placement;
     let upstream = placement.flight.upstream.clone();
     let start = notices::start(&job.process, &upstream);
-    let hold = match Hold::take(job, &grant).await {
-        Ok(hold) => hold,
+    let reservations = match Reservations::reserve(job, &grant).await {
+        Ok(reservations) => reservations,
         Err(taken) => {
             note(job, &taken.upstream, Cause::Overloaded);
             return End::NoMemory(taken);
@@ -157,7 +157,7 @@
         // That came to be while memory was set aside for this request, or its connection opened.
         return End::Unsent(format!("upstream {upstream} is excluded: {reason}"));
     }
-    let request = request(job, placement, &hold.helpers(&grant), last_event);
+    let request = request(job, placement, &reservations.helpers(&grant), last_event);
     let sent = job.process.now();
     job.process.metrics.sent(Sent::Request, 1);
     job.process.metrics.sent(Sent::Part, placement.flight.helpers.len());
@@ -193,7 +193,7 @@
         sent,
         predicted_ms: placement.predicted_ms,
         entered,
-        hold,
+        hold: reservations,
         channel,
         rest,
         body,
--- a/daemon/src/fleet/events.rs
+++ b/daemon/src/fleet/events.rs
@@ -15,9 +15,9 @@
 use crate::fleet::answer::Body;
 use crate::fleet::attempt::{self, End};
 use crate::fleet::gate;
-use crate::fleet::hold::ReservationLost;
 use crate::fleet::job::Job;
 use crate::fleet::outcome::{self, Streamed};
+use crate::fleet::reservations;
 use crate::fleet::source::{Begun, Next, Source};
 use crate::fleet::tries::{self, Failure, Tries};
 use crate::fleet::unread::{Closed, Writer};
@@ -242,10 +242,10 @@
                 tries.unsent += 1;
                 why
             }
-            End::NoMemory(ReservationLost { upstream, fault }) => {
+            End::NoMemory(reservations::Failure { upstream, cause }) => {
                 tries.unsent += 1;
                 from = upstream;
-                fault.to_string()
+                cause.to_string()
             }
             End::NotRun { why, at_fault } => {
                 tries.refused += 1;
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -345,8 +345,8 @@
         Number { incarnation: self.member.incarnation, number }
     }
 
-    /// A name for memory that is set aside, never used again.
-    pub fn ticket(&self) -> String {
+    /// A unique id for a reservation of engine memory, never reused.
+    pub fn reservation_id(&self) -> String {
         self.request_id().to_string()
     }
 
--- a/daemon/src/fleet/hold.rs
+++ b/daemon/src/fleet/reservations.rs
@@ -28,53 +28,53 @@
 const MAX_RELEASES: u32 = 6;
 
 /// Memory that an upstream did not set aside.
-pub struct ReservationLost {
+pub struct Failure {
     /// The upstream.
     pub upstream: id::Upstream,
     /// Why.
-    pub fault: memory::Failure,
+    pub cause: memory::Failure,
 }
 
 /// The memory of one attempt. It is given back when this is dropped.
-pub struct Hold<D: Dialect> {
+pub struct Reservations<D: Dialect> {
     process: Arc<Process<D>>,
     reservations: Arc<Vec<Reservation>>,
     renewal: Option<tokio::task::JoinHandle<()>>,
 }
 
-impl<D: Dialect> Hold<D> {
+impl<D: Dialect> Reservations<D> {
     /// Sets aside the memory that a placement counts on at its helpers.
-    pub async fn take(job: &Arc<Job<D>>, grant: &Grant) -> Result<Hold<D>, ReservationLost> {
+    pub async fn reserve(job: &Arc<Job<D>>, grant: &Grant) -> Result<Reservations<D>, Failure> {
         let reservations = Arc::new(reservations(job, grant));
-        let mut hold = Hold {
+        let mut reserved = Reservations {
             process: job.process.clone(),
             reservations: reservations.clone(),
             renewal: None,
         };
         if reservations.is_empty() {
-            return Ok(hold);
+            return Ok(reserved);
         }
         let started = job.process.now();
-        let start = |r: &Reservation| notices::start(&job.process, &r.upstream);
-        let starts: Vec<Tag> = reservations.iter().map(start).collect();
+        let incarnation = |r: &Reservation| notices::start(&job.process, &r.upstream);
+        let incarnations: Vec<Tag> = reservations.iter().map(incarnation).collect();
         let memory = &job.process.memory;
-        let time = job.process.config.fleet.hold();
-        reservations.iter().for_each(|reservation| note_order(&job.process, reservation));
+        let ttl = job.process.config.fleet.hold();
+        reservations.iter().for_each(|reservation| count_order(&job.process, reservation));
         let sent = job.process.now();
-        let answers = join_all(reservations.iter().map(|r| memory.reserve(r, time))).await;
-        for ((reservation, start), Annotated { notice, value: answer }) in
-            reservations.iter().zip(starts).zip(answers)
+        let results = join_all(reservations.iter().map(|r| memory.reserve(r, ttl))).await;
+        for ((reservation, incarnation), Annotated { notice, value: result }) in
+            reservations.iter().zip(incarnations).zip(results)
         {
-            notices::heard(&job.process, &reservation.upstream, start, sent, notice);
-            // What was set aside is given back as `hold` is dropped.
+            notices::heard(&job.process, &reservation.upstream, incarnation, sent, notice);
+            // What was set aside is given back as `reserved` is dropped.
             let upstream = reservation.upstream.clone();
-            answer.map_err(|fault| ReservationLost { upstream, fault })?;
+            result.map_err(|cause| Failure { upstream, cause })?;
         }
         let engines = reservations.iter().map(|r| r.upstream.clone()).collect();
         let waited_ms = millis(job.process.now().saturating_duration_since(started));
         job.record(Decision::Reserved { engines, waited_ms });
-        hold.renewal = Some(tokio::spawn(renew(job.process.clone(), reservations)));
-        Ok(hold)
+        reserved.renewal = Some(tokio::spawn(renew(job.process.clone(), reservations)));
+        Ok(reserved)
     }
 
     /// Whether nothing is held.
@@ -84,21 +84,21 @@
 
     /// The helpers of a placement with their tickets.
     pub fn helpers(&self, grant: &Grant) -> Vec<Helper> {
-        let ticket = |upstream: &id::Upstream| {
+        let reservation_id = |upstream: &id::Upstream| {
             let reservation = self.reservations.iter().find(|r| r.upstream == *upstream)?;
             Some(reservation.reservation_id.clone())
         };
         let helpers = grant.placement.flight.helpers.iter().zip(&grant.helpers);
         helpers
-            .map(|(helping, address)| Helper {
+            .map(|(helper, address)| Helper {
                 address: address.clone(),
-                reservation_id: ticket(&helping.upstream),
+                reservation_id: reservation_id(&helper.upstream),
             })
             .collect()
     }
 }
 
-impl<D: Dialect> Drop for Hold<D> {
+impl<D: Dialect> Drop for Reservations<D> {
     fn drop(&mut self) {
         if let Some(renewal) = self.renewal.take() {
             renewal.abort();
@@ -112,14 +112,15 @@
 
 fn reservations<D: Dialect>(job: &Job<D>, grant: &Grant) -> Vec<Reservation> {
     let helpers = grant.placement.flight.helpers.iter().zip(&grant.helpers);
-    let held = helpers.filter(|(helping, _)| helping.reserved > 0);
-    held.map(|(helping, address)| Reservation {
-        upstream: helping.upstream.clone(),
-        address: address.clone(),
-        reservation_id: job.process.ticket(),
-        tokens: Tokens(helping.reserved),
-    })
-    .collect()
+    let reserving = helpers.filter(|(helper, _)| helper.reserved > 0);
+    reserving
+        .map(|(helper, address)| Reservation {
+            upstream: helper.upstream.clone(),
+            address: address.clone(),
+            reservation_id: job.process.reservation_id(),
+            tokens: Tokens(helper.reserved),
+        })
+        .collect()
 }
 
 async fn renew<D: Dialect>(process: Arc<Process<D>>, reservations: Arc<Vec<Reservation>>) {
@@ -130,8 +131,8 @@
 }
 
 async fn renew_one<D: Dialect>(process: &Process<D>, reservation: &Reservation) {
-    if let Err(fault) = reserve(process, reservation).await {
-        let what = format!("{} at {}: {fault}", reservation.reservation_id, reservation.upstream);
+    if let Err(failure) = reserve(process, reservation).await {
+        let what = format!("{} at {}: {failure}", reservation.reservation_id, reservation.upstream);
         log::event(&process.log, Event::RenewalFailed, what);
         tokio::time::sleep(RETRY_INTERVAL).await;
         // The last try within the hold; without it the engine cuts the request, which is seen.
@@ -143,17 +144,17 @@
     process: &Process<D>,
     reservation: &Reservation,
 ) -> Result<(), memory::Failure> {
-    let time = process.config.fleet.hold();
-    let start = notices::start(process, &reservation.upstream);
-    note_order(process, reservation);
+    let ttl = process.config.fleet.hold();
+    let incarnation = notices::start(process, &reservation.upstream);
+    count_order(process, reservation);
     let sent = process.now();
-    let Annotated { notice, value: answer } = process.memory.reserve(reservation, time).await;
-    notices::heard(process, &reservation.upstream, start, sent, notice);
-    answer
+    let Annotated { notice, value: result } = process.memory.reserve(reservation, ttl).await;
+    notices::heard(process, &reservation.upstream, incarnation, sent, notice);
+    result
 }
 
 /// Counts an order that is about to be sent.
-fn note_order<D: Dialect>(process: &Process<D>, reservation: &Reservation) {
+fn count_order<D: Dialect>(process: &Process<D>, reservation: &Reservation) {
     process.metrics.sent(Sent::Order, 1);
     process.cluster.lock().unwrap().record_unscheduled(&reservation.upstream, process.now());
 }
@@ -165,18 +166,18 @@
 async fn release<D: Dialect>(process: &Process<D>, reservation: &Reservation) {
     let mut last = None;
     for _ in 0..MAX_RELEASES {
-        let start = notices::start(process, &reservation.upstream);
-        note_order(process, reservation);
+        let incarnation = notices::start(process, &reservation.upstream);
+        count_order(process, reservation);
         let sent = process.now();
-        let Annotated { notice, value: answer } = process.memory.release(reservation).await;
-        notices::heard(process, &reservation.upstream, start, sent, notice);
-        match answer {
+        let Annotated { notice, value: result } = process.memory.release(reservation).await;
+        notices::heard(process, &reservation.upstream, incarnation, sent, notice);
+        match result {
             Ok(()) => return,
-            Err(fault) => last = Some(fault),
+            Err(failure) => last = Some(failure),
         }
         tokio::time::sleep(RETRY_INTERVAL).await;
     }
-    let why = last.map_or_else(String::new, |fault| fault.to_string());
+    let why = last.map_or_else(String::new, |failure| failure.to_string());
     let what = format!("{} at {}: {why}", reservation.reservation_id, reservation.upstream);
     log::event(&process.log, Event::ReleaseFailed, what);
 }
--- a/daemon/src/fleet/serve.rs
+++ b/daemon/src/fleet/serve.rs
@@ -18,10 +18,10 @@
 use crate::fleet::attempt::{self, End};
 use crate::fleet::events;
 use crate::fleet::gate;
-use crate::fleet::hold::ReservationLost;
 use crate::fleet::job::Job;
 use crate::fleet::outcome::{failed, finished};
 use crate::fleet::process::Process;
+use crate::fleet::reservations;
 use crate::fleet::tries::{Failure, REFUSED_MORE, Tries, may_repeat};
 
 /// The pause after memory that was counted on turned out to be taken: by then the peers have told
@@ -128,9 +128,9 @@
             let error = attempt.unknown().error(Kind::DeadlineExceeded, why, false);
             return Step::Done(Err(failed(job, error)));
         }
-        End::NoMemory(ReservationLost { upstream, fault }) => {
+        End::NoMemory(reservations::Failure { upstream, cause }) => {
             let proof = attempt.refused(Refusal::not_connected());
-            return no_memory(job, tries, upstream, proof, fault.to_string());
+            return no_memory(job, tries, upstream, proof, cause.to_string());
         }
         End::Unsent(why) => {
             tries.unsent += 1;
--- a/daemon/src/fleet/source.rs
+++ b/daemon/src/fleet/source.rs
@@ -13,10 +13,10 @@
 use hyper::body::Incoming;
 
 use crate::fleet::ending;
-use crate::fleet::hold::Hold;
 use crate::fleet::job::Job;
 use crate::fleet::outcome::{note, tell};
 use crate::fleet::process::Entered;
+use crate::fleet::reservations::Reservations;
 
 /// A stream that has begun.
 pub struct Begun<D: Dialect> {
@@ -39,7 +39,7 @@
     /// The predicted time to the first event, milliseconds.
     pub predicted_ms: f64,
     pub(super) entered: Entered<D>,
-    pub(super) hold: Hold<D>,
+    pub(super) hold: Reservations<D>,
     pub(super) channel: Channel,
     pub(super) rest: Duration,
     pub(super) body: Incoming,
