--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -72,13 +72,13 @@
     let answer = decode(&process.cluster.lock().unwrap(), answered.reply);
     // A placement at an upstream that is not known here is of no use: another VM is asked.
     if let Some(answer) = answer {
-        process.questions.deliver(number, answer);
+        process.pending_grants.deliver(number, answer);
     }
 }
 
 /// Logs that another VM than before is asked.
 fn note<D: Dialect>(process: &Process<D>, scheduler: Option<&Scheduler>) {
-    if process.questions.asked(scheduler) {
+    if process.pending_grants.set_scheduler(scheduler) {
         let what = scheduler.map_or_else(|| "none is heard".to_owned(), Scheduler::to_string);
         log::event(&process.log, Event::SchedulerChanged, what);
     }
@@ -238,7 +238,7 @@
         until: Until,
     ) -> Open<'a, D> {
         let number = process.cluster.lock().unwrap().next_number();
-        let answers = process.questions.open(number);
+        let answers = process.pending_grants.add(number);
         Open { process, service, requirements, until, number, answers, asked: None }
     }
 
@@ -371,7 +371,7 @@
 
 impl<D: Dialect> Drop for Open<'_, D> {
     fn drop(&mut self) {
-        self.process.questions.close(self.number);
+        self.process.pending_grants.remove(self.number);
         match self.asked.take() {
             Some(Scheduler::Own) => scheduler::cancel_own(self.process, self.number),
             Some(Scheduler::Peer(_, address)) => {
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -29,7 +29,7 @@
 use crate::fleet::metrics::Metrics;
 use crate::fleet::packed::Kept;
 use crate::fleet::peers::Peers;
-use crate::fleet::questions::Questions;
+use crate::fleet::pending_grants;
 use crate::fleet::register::Register;
 use crate::fleet::unread::Unread;
 use crate::fleet::unreadable::Unreadable;
@@ -86,7 +86,7 @@
     /// The scheduler that holds this VM's share of the fleet's retry budget.
     pub affiliation: Mutex<Affiliation>,
     /// The requests of this VM that ask for a placement.
-    pub questions: Questions,
+    pub pending_grants: pending_grants::Table,
     /// Told when something in the cluster state ends or begins, so that what waits may have a placement.
     pub room: Notify,
     /// Told when peers are to hear of it.
@@ -175,7 +175,7 @@
             cluster: Mutex::default(),
             scheduler: Mutex::new(Scheduler::new(config.fleet.budget())),
             affiliation: Mutex::default(),
-            questions: Questions::default(),
+            pending_grants: pending_grants::Table::default(),
             room: Notify::new(),
             tell: Notify::new(),
             tell_all: AtomicBool::new(false),
--- a/daemon/src/fleet/scheduler.rs
+++ b/daemon/src/fleet/scheduler.rs
@@ -46,7 +46,7 @@
     let (now, is_client) = (process.now(), affiliation::contact_own(process));
     let answer =
         schedule(process, key, Tag::of(&service.name), requirements.clone(), is_client, now);
-    process.questions.deliver(number, answer);
+    process.pending_grants.deliver(number, answer);
 }
 
 fn schedule<D: Dialect>(
@@ -137,7 +137,7 @@
     drop((scheduler, cluster));
     for (Key { holder, incarnation, number }, answer) in answers {
         match holder {
-            Holder::Own => process.questions.deliver(number, answer),
+            Holder::Own => process.pending_grants.deliver(number, answer),
             Holder::Peer(vm) => tell(process, &vm, Number { incarnation, number }, answer),
         }
     }
