--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -31,8 +31,8 @@
 use crate::fleet::process::Entered;
 use crate::fleet::rate_limits;
 use crate::fleet::reservations::{self, Reservations};
+use crate::fleet::retry::History;
 use crate::fleet::source::{Begun, Next, Source};
-use crate::fleet::tries::Tries;
 
 /// How long a new connection may take: it comes up in a few ms, and an upstream that is dark says
 /// nothing.
@@ -86,11 +86,11 @@
     job: &Arc<Job<D>>,
     grant: Grant,
     last_event: Option<u64>,
-    tries: &Tries,
+    history: &History,
 ) -> End<D> {
     let upstream = grant.placement.flight.upstream.clone();
     let entered = job.process.enter(grant.number, grant.placement.flight.clone());
-    let limit = patience(job, &grant.placement, tries);
+    let limit = patience(job, &grant.placement, history);
     let sent = sent(job, grant, last_event, entered);
     let until = job.deadline.min(job.process.now() + limit);
     let ended = tokio::select! {
@@ -113,11 +113,11 @@
 }
 
 /// How long an attempt may go without its answer or first event before the request goes elsewhere.
-fn patience<D: Dialect>(job: &Job<D>, placement: &Placement, tries: &Tries) -> Duration {
+fn patience<D: Dialect>(job: &Job<D>, placement: &Placement, history: &History) -> Duration {
     if placement.flight.has_reservations() {
         return job.process.config.fleet.held_silence();
     }
-    let last = tries.ran + 1 >= job.route.attempts || placement.candidates < 2;
+    let last = history.ran + 1 >= job.route.attempts || placement.candidates < 2;
     if last || !job.repeatable() {
         return job.left();
     }
--- a/daemon/src/fleet/events.rs
+++ b/daemon/src/fleet/events.rs
@@ -18,8 +18,8 @@
 use crate::fleet::job::Job;
 use crate::fleet::outcome::{self, Streamed};
 use crate::fleet::reservations;
+use crate::fleet::retry::{self, Failure, History};
 use crate::fleet::source::{Begun, Next, Source};
-use crate::fleet::tries::{self, Failure, Tries};
 use crate::fleet::unread::{Closed, Writer};
 
 /// How many of the route's pauses an upstream may be silent before its stream goes on elsewhere.
@@ -73,12 +73,12 @@
 }
 
 /// Answers with a stream that has begun, and passes on the rest of it.
-pub fn relay<D: Dialect>(job: Arc<Job<D>>, begun: Begun<D>, tries: Tries) -> Response<Body> {
+pub fn relay<D: Dialect>(job: Arc<Job<D>>, begun: Begun<D>, history: History) -> Response<Body> {
     let Begun { mut head, first, source } = begun;
     head.headers.remove(header::CONTENT_LENGTH);
     let (sink, unread) = job.process.unread.begin(&job.id);
     let tracker = job.process.tasks.clone();
-    tracker.spawn(pass_on(job, source, first, tries, sink));
+    tracker.spawn(pass_on(job, source, first, history, sink));
     Response::from_parts(head, Body::Unread(unread))
 }
 
@@ -94,7 +94,7 @@
     job: Arc<Job<D>>,
     mut source: Source<D>,
     first: Vec<Part>,
-    mut tries: Tries,
+    mut history: History,
     sink: Writer,
 ) {
     let mut passed = Passed { last: job.terms.last_event, ..Passed::default() };
@@ -130,9 +130,9 @@
             Ended::Broken { why, silent } => (why, silent),
         };
         source.broke(&job, silent).await;
-        tries.ran += 1;
-        tries.avoid.push(upstream.clone());
-        let resumed = resume(&job, &mut tries, &passed, upstream, &why, &sink).await;
+        history.ran += 1;
+        history.excluded.push(upstream.clone());
+        let resumed = resume(&job, &mut history, &passed, upstream, &why, &sink).await;
         let Some((next, events)) = resumed else {
             failed(&job, Kind::UpstreamFailed, why);
             return;
@@ -209,7 +209,7 @@
 /// Goes on at another upstream after the last event that was passed on.
 async fn resume<D: Dialect>(
     job: &Arc<Job<D>>,
-    tries: &mut Tries,
+    history: &mut History,
     passed: &Passed,
     mut from: id::Upstream,
     why: &str,
@@ -218,18 +218,18 @@
     let mut why = why.to_owned();
     let last = passed.last?;
     loop {
-        if job.route.repeat != Repeat::Resume || !tries::may_repeat(job, tries, false) {
+        if job.route.repeat != Repeat::Resume || !retry::may_retry(job, history, false) {
             return None;
         }
-        tries.failure = Some(Failure { upstream: from, why });
+        history.failure = Some(Failure { upstream: from, why });
         let grant = tokio::select! {
-            grant = gate::place(job, tries, true) => grant.ok()?,
+            grant = gate::place(job, history, true) => grant.ok()?,
             _ = sink.closed() => return None,
         };
         job.process.metrics.resumed.inc();
         from = grant.placement.flight.upstream.clone();
         let end = tokio::select! {
-            end = attempt::run(job, grant, Some(last), tries) => end,
+            end = attempt::run(job, grant, Some(last), history) => end,
             _ = sink.closed() => return None,
         };
         why = match end {
@@ -239,32 +239,32 @@
             }
             End::Deadline => return None,
             End::Unsent(why) => {
-                tries.unsent += 1;
+                history.unsent += 1;
                 why
             }
             End::NoMemory(reservations::Failure { upstream, cause }) => {
-                tries.unsent += 1;
+                history.unsent += 1;
                 from = upstream;
                 cause.to_string()
             }
             End::NotRun { why, at_fault } => {
-                tries.refused += 1;
+                history.refused += 1;
                 from = at_fault;
                 why
             }
             End::Own(answer) => {
-                tries.ran += 1;
+                history.ran += 1;
                 format!("it answered {}", answer.status())
             }
             End::Whole(answer) => {
-                tries.ran += 1;
+                history.ran += 1;
                 format!("it answered {}", answer.status())
             }
             End::Broken(why) => {
-                tries.ran += 1;
+                history.ran += 1;
                 why
             }
         };
-        tries.avoid.push(from.clone());
+        history.excluded.push(from.clone());
     }
 }
--- a/daemon/src/fleet/gate.rs
+++ b/daemon/src/fleet/gate.rs
@@ -18,7 +18,7 @@
 use crate::fleet::job::Job;
 use crate::fleet::metrics::{ByLimited, Limited};
 use crate::fleet::notices;
-use crate::fleet::tries::Tries;
+use crate::fleet::retry::History;
 
 /// How often a request looks again for a service without any open upstream.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
@@ -59,15 +59,15 @@
 /// `begun` says that a part of its answer was delivered.
 pub async fn place<D: Dialect>(
     job: &Job<D>,
-    tries: &mut Tries,
+    history: &mut History,
     begun: bool,
 ) -> Result<Grant, Rejection> {
-    find(job, tries, begun).await.inspect_err(|rejection| tries.unplaced(job, rejection))
+    find(job, history, begun).await.inspect_err(|rejection| history.on_rejected(job, rejection))
 }
 
 async fn find<D: Dialect>(
     job: &Job<D>,
-    tries: &mut Tries,
+    history: &mut History,
     begun: bool,
 ) -> Result<Grant, Rejection> {
     let started = job.process.now();
@@ -80,7 +80,7 @@
         return Err(held);
     }
     let closed = started + MAX_WAIT_CLOSED;
-    let mut requirements = job.requirements(&tries.avoid, tries.charge());
+    let mut requirements = job.requirements(&history.excluded, history.charge());
     let limit = match read_ms(job, &requirements) {
         Some((engine, read_ms)) => {
             let held = (job.deadline - job.arrived).mul_f64(MAX_QUEUE_SHARE_LONG);
@@ -100,7 +100,7 @@
         }
         match grant_requests::place(&job.process, &job.service, requirements.clone(), until).await {
             Ok(grant) => {
-                tries.placed(job);
+                history.on_granted(job);
                 placed(job, &grant, started);
                 return Ok(grant);
             }
--- a/daemon/src/fleet/tries.rs
+++ b/daemon/src/fleet/retry.rs
@@ -11,11 +11,11 @@
 use crate::fleet::job::Job;
 
 /// Attempts beyond the route's own that may be made at once while none is known to have run.
-pub const REFUSED_MORE: u32 = 2;
+pub const MAX_EXTRA_ATTEMPTS: u32 = 2;
 
 /// Connections that may fail before a request is given up: enough to pass over the upstreams of a
 /// hall that has just been cut off.
-const MOST_UNSENT: u32 = 6;
+const MAX_UNSENT: u32 = 6;
 
 /// A failed attempt.
 pub struct Failure {
@@ -27,11 +27,11 @@
 
 /// How often a request was sent, and how that ended.
 #[derive(Default)]
-pub struct Tries {
+pub struct History {
     /// The last failure that was an upstream's own answer.
-    pub own: Option<Response<Body>>,
+    pub upstream_response: Option<Response<Body>>,
     /// Upstreams that failed it.
-    pub avoid: Vec<id::Upstream>,
+    pub excluded: Vec<id::Upstream>,
     /// The failure after which it is to be sent again.
     pub failure: Option<Failure>,
     /// Attempts of which no byte was sent.
@@ -41,18 +41,18 @@
     /// Attempts that may have run.
     pub ran: u32,
     /// Whether it has had a placement.
-    begun: bool,
+    has_placement: bool,
     /// Repeats that the fleet's retry budget has granted.
-    granted: u32,
+    charged_retries: u32,
 }
 
-impl Tries {
+impl History {
     /// What the next attempt is to the fleet's retry budget. A repeat that reached no upstream leaves its
     /// token to the next.
     pub fn charge(&self) -> Charge {
-        if self.ran + self.refused > self.granted {
+        if self.ran + self.refused > self.charged_retries {
             Charge::Withdraw
-        } else if self.begun {
+        } else if self.has_placement {
             Charge::Free
         } else {
             Charge::Deposit
@@ -60,12 +60,12 @@
     }
 
     /// The next attempt has its placement.
-    pub fn placed<D: Dialect>(&mut self, job: &Job<D>) {
+    pub fn on_granted<D: Dialect>(&mut self, job: &Job<D>) {
         if self.charge() == Charge::Withdraw {
-            self.granted += 1;
+            self.charged_retries += 1;
             job.process.metrics.repeat_decided(true);
         }
-        self.begun = true;
+        self.has_placement = true;
         if let Some(Failure { upstream, why }) = self.failure.take() {
             job.process.metrics.retries.inc();
             job.record(Decision::Retried { upstream, why });
@@ -73,7 +73,7 @@
     }
 
     /// There is no placement for the next attempt.
-    pub fn unplaced<D: Dialect>(&mut self, job: &Job<D>, rejection: &Rejection) {
+    pub fn on_rejected<D: Dialect>(&mut self, job: &Job<D>, rejection: &Rejection) {
         let budget = match rejection {
             Rejection::OverBudget(exhausted) => {
                 job.process.metrics.repeat_decided(false);
@@ -89,11 +89,11 @@
 }
 
 /// Whether a request may be sent again, if the fleet's retry budget allows it.
-pub fn may_repeat<D: Dialect>(job: &Job<D>, tries: &Tries, not_run: bool) -> bool {
+pub fn may_retry<D: Dialect>(job: &Job<D>, history: &History, not_run: bool) -> bool {
     (not_run || job.repeatable())
-        && tries.unsent <= MOST_UNSENT
-        && tries.ran < job.route.attempts
-        && tries.ran + tries.refused < job.route.attempts + REFUSED_MORE
+        && history.unsent <= MAX_UNSENT
+        && history.ran < job.route.attempts
+        && history.ran + history.refused < job.route.attempts + MAX_EXTRA_ATTEMPTS
         && !job.left().is_zero()
         && !job.process.ending.is_cancelled()
 }
--- a/daemon/src/fleet/serve.rs
+++ b/daemon/src/fleet/serve.rs
@@ -22,7 +22,7 @@
 use crate::fleet::outcome::{failed, finished};
 use crate::fleet::process::Process;
 use crate::fleet::reservations;
-use crate::fleet::tries::{Failure, REFUSED_MORE, Tries, may_repeat};
+use crate::fleet::retry::{Failure, History, MAX_EXTRA_ATTEMPTS, may_retry};
 
 /// The pause after memory that was counted on turned out to be taken: by then the peers have told
 /// what they placed.
@@ -67,16 +67,16 @@
 async fn run<D: Dialect>(job: Job<D>) -> Result<Response<Body>, Error> {
     let job = Arc::new(job);
     let mut proof = Proof::NotRun(Unsent::arrived());
-    let mut tries = Tries::default();
+    let mut history = History::default();
     loop {
-        let grant = match gate::place(&job, &mut tries, false).await {
+        let grant = match gate::place(&job, &mut history, false).await {
             Ok(grant) => grant,
-            Err(rejection) => return no_place(&job, tries, proof, rejection),
+            Err(rejection) => return no_place(&job, history, proof, rejection),
         };
         let upstream = grant.placement.flight.upstream.clone();
         let attempt = proof.send();
-        let end = attempt::run(&job, grant, job.terms.last_event, &tries).await;
-        proof = match settle(&job, &mut tries, upstream, attempt, end) {
+        let end = attempt::run(&job, grant, job.terms.last_event, &history).await;
+        proof = match settle(&job, &mut history, upstream, attempt, end) {
             Step::Done(answer) => return answer,
             Step::Again(proof) => proof,
             Step::Pause(proof, pause) => {
@@ -90,11 +90,11 @@
 /// The answer to a request for which there is no placement: an upstream's own failure if there was one.
 fn no_place<D: Dialect>(
     job: &Job<D>,
-    tries: Tries,
+    history: History,
     proof: Proof,
     rejection: Rejection,
 ) -> Result<Response<Body>, Error> {
-    if let Some(answer) = tries.own {
+    if let Some(answer) = history.upstream_response {
         return Ok(answer);
     }
     let why = format!("not sent again: {rejection}");
@@ -110,7 +110,7 @@
 /// Decides what follows the end of an attempt.
 fn settle<D: Dialect>(
     job: &Arc<Job<D>>,
-    tries: &mut Tries,
+    history: &mut History,
     upstream: id::Upstream,
     attempt: Attempt,
     end: End<D>,
@@ -121,7 +121,7 @@
             return Step::Done(Ok(answer));
         }
         End::Events(begun) => {
-            return Step::Done(Ok(events::relay(job.clone(), *begun, std::mem::take(tries))));
+            return Step::Done(Ok(events::relay(job.clone(), *begun, std::mem::take(history))));
         }
         End::Deadline => {
             let why = format!("{upstream} had not answered in time");
@@ -130,67 +130,67 @@
         }
         End::NoMemory(reservations::Failure { upstream, cause }) => {
             let proof = attempt.refused(Refusal::not_connected());
-            return no_memory(job, tries, upstream, proof, cause.to_string());
+            return no_memory(job, history, upstream, proof, cause.to_string());
         }
         End::Unsent(why) => {
-            tries.unsent += 1;
+            history.unsent += 1;
             (why, attempt.refused(Refusal::not_connected()))
         }
         End::NotRun { why, at_fault } => {
-            tries.refused += 1;
+            history.refused += 1;
             let proof = attempt.refused(Refusal::stated());
-            return again(job, tries, at_fault, proof, why);
+            return again(job, history, at_fault, proof, why);
         }
         End::Own(answer) => {
-            tries.ran += 1;
+            history.ran += 1;
             let why = format!("it answered {}", answer.status());
-            tries.own = Some(*answer);
+            history.upstream_response = Some(*answer);
             (why, attempt.unknown())
         }
         End::Broken(why) => {
-            tries.ran += 1;
+            history.ran += 1;
             (why, attempt.unknown())
         }
     };
-    again(job, tries, upstream, proof, why)
+    again(job, history, upstream, proof, why)
 }
 
 /// Memory that was counted on was taken: the request looks for another placement while it may wait.
 fn no_memory<D: Dialect>(
     job: &Job<D>,
-    tries: &mut Tries,
+    history: &mut History,
     upstream: id::Upstream,
     proof: Proof,
     why: String,
 ) -> Step {
     if job.held() >= gate::patience(job) {
-        return Step::Done(no_place(job, std::mem::take(tries), proof, Rejection::Full));
+        return Step::Done(no_place(job, std::mem::take(history), proof, Rejection::Full));
     }
-    tries.avoid.push(upstream.clone());
-    tries.failure = Some(Failure { upstream, why });
+    history.excluded.push(upstream.clone());
+    history.failure = Some(Failure { upstream, why });
     Step::Pause(proof, MEMORY_PAUSE)
 }
 
 /// Sends a failed request again if that is allowed, or gives the final answer.
 fn again<D: Dialect>(
     job: &Job<D>,
-    tries: &mut Tries,
+    history: &mut History,
     upstream: id::Upstream,
     proof: Proof,
     why: String,
 ) -> Step {
-    tries.avoid.push(upstream.clone());
+    history.excluded.push(upstream.clone());
     let not_run = matches!(proof, Proof::NotRun(_));
-    if may_repeat(job, tries, not_run) {
-        tries.failure = Some(Failure { upstream, why });
+    if may_retry(job, history, not_run) {
+        history.failure = Some(Failure { upstream, why });
         return Step::Again(proof);
     }
-    if not_run && let Some(pause) = pause(job, tries) {
-        tries.failure = Some(Failure { upstream, why });
-        tries.avoid.clear();
+    if not_run && let Some(pause) = pause(job, history) {
+        history.failure = Some(Failure { upstream, why });
+        history.excluded.clear();
         return Step::Pause(proof, pause);
     }
-    if let Some(answer) = tries.own.take() {
+    if let Some(answer) = history.upstream_response.take() {
         return Step::Done(Ok(answer));
     }
     let kind = if not_run { Kind::NoUpstream } else { Kind::UpstreamFailed };
@@ -202,10 +202,10 @@
 
 /// How long a request waits that all upstreams refused which it was sent to, while its answer can still
 /// be in time: that a few tries failed does not say that there is no room.
-fn pause<D: Dialect>(job: &Job<D>, tries: &Tries) -> Option<Duration> {
-    let more = tries.refused.checked_sub(job.route.attempts + REFUSED_MORE)?;
+fn pause<D: Dialect>(job: &Job<D>, history: &History) -> Option<Duration> {
+    let more = history.refused.checked_sub(job.route.attempts + MAX_EXTRA_ATTEMPTS)?;
     let pause = REFUSED_PAUSE * 2_u32.checked_pow(more)?;
-    let waits = tries.ran == 0
+    let waits = history.ran == 0
         && job.held() + pause < job.route.objective.mul_f64(REFUSED_HELD)
         && !job.process.closing();
     waits.then_some(pause)
