--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -3,7 +3,7 @@
 //!
 //! What talks to the platform comes in through two traits: [`Dialect`] for heads and [`Directory`]
 //! for what the platform keeps. A request's walk goes one way: [`callers`], [`serve`], [`admit`],
-//! [`gate`] (placement), [`attempt`], then [`events`] or a whole answer.
+//! [`queue`] (placement), [`attempt`], then [`events`] or a whole answer.
 
 pub mod admit;
 pub mod affiliation;
@@ -19,7 +19,6 @@
 pub mod events;
 pub mod follow;
 pub mod fresh;
-pub mod gate;
 pub mod grant_requests;
 pub mod headers;
 pub mod job;
@@ -34,6 +33,7 @@
 pub mod peers;
 pub mod pending_grants;
 pub mod process;
+pub mod queue;
 pub mod rate_limits;
 pub mod record;
 pub mod register;
--- a/daemon/src/fleet/events.rs
+++ b/daemon/src/fleet/events.rs
@@ -14,9 +14,9 @@
 
 use crate::fleet::answer::Body;
 use crate::fleet::attempt::{self, End};
-use crate::fleet::gate;
 use crate::fleet::job::Job;
 use crate::fleet::outcome::{self, Streamed};
+use crate::fleet::queue;
 use crate::fleet::reservations;
 use crate::fleet::retry::{self, Failure, History};
 use crate::fleet::source::{Begun, Next, Source};
@@ -223,7 +223,7 @@
         }
         history.failure = Some(Failure { upstream: from, why });
         let grant = tokio::select! {
-            grant = gate::place(job, history, true) => grant.ok()?,
+            grant = queue::wait_for_grant(job, history, true) => grant.ok()?,
             _ = sink.closed() => return None,
         };
         job.process.metrics.resumed.inc();
--- a/daemon/src/fleet/gate.rs
+++ b/daemon/src/fleet/queue.rs
@@ -24,23 +24,23 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Grants slower than this count as queueing; faster ones are network latency to the scheduler.
-const LEAST_QUEUED: Duration = Duration::from_millis(30);
+const MIN_QUEUE_TIME: Duration = Duration::from_millis(30);
 
 /// Share of the deadline a request may queue for before it is rejected, so that its caller can still
 /// retry.
 const MAX_QUEUE_SHARE: f64 = 0.4;
 
 /// The longest wait for a service without any open upstream.
-const MAX_WAIT_CLOSED: Duration = Duration::from_millis(500);
+const MAX_WAIT_NO_UPSTREAM: Duration = Duration::from_millis(500);
 
 /// Longest backoff of all upstreams that a stream which has begun waits for: its caller leaves after 2 s.
-const MAX_BACKOFF_BEGUN: Duration = Duration::from_millis(1_500);
+const MAX_BACKOFF_RESUMING: Duration = Duration::from_millis(1_500);
 
 /// The engines among which a long prompt is usually divided, where 18 serve short ones as well.
-const USUAL_PARTS: f64 = 10.0;
+const EXPECTED_PREFILL_PARTS: f64 = 10.0;
 
 /// The writers of the engine that answers a long prompt.
-const USUAL_WRITERS: u32 = 4;
+const EXPECTED_DECODING: u32 = 4;
 
 /// Share of the deadline a long prompt may queue for before it is rejected.
 const MAX_QUEUE_SHARE_LONG: f64 = 0.7;
@@ -49,62 +49,66 @@
 const PREFILL_SLOWDOWN: f64 = 1.5;
 
 /// How long a request waits for a placement at most.
-pub fn patience<D: Dialect>(job: &Job<D>) -> Duration {
+pub fn timeout<D: Dialect>(job: &Job<D>) -> Duration {
     (job.deadline - job.arrived).mul_f64(MAX_QUEUE_SHARE)
 }
 
 /// Finds a placement, or says why there is none. The request has not been sent, or each attempt so far
 /// is known not to have run, or it may be repeated; the caller of this function knows which.
 ///
-/// `begun` says that a part of its answer was delivered.
-pub async fn place<D: Dialect>(
+/// `stream_begun` says that a part of its answer was delivered.
+pub async fn wait_for_grant<D: Dialect>(
     job: &Job<D>,
     history: &mut History,
-    begun: bool,
+    stream_begun: bool,
 ) -> Result<Grant, Rejection> {
-    find(job, history, begun).await.inspect_err(|rejection| history.on_rejected(job, rejection))
+    request_until_granted(job, history, stream_begun)
+        .await
+        .inspect_err(|rejection| history.on_rejected(job, rejection))
 }
 
-async fn find<D: Dialect>(
+async fn request_until_granted<D: Dialect>(
     job: &Job<D>,
     history: &mut History,
-    begun: bool,
+    stream_begun: bool,
 ) -> Result<Grant, Rejection> {
     let started = job.process.now();
-    let known = placement::requires_isolation(
+    let isolation = placement::requires_isolation(
         &job.process.cluster.lock().unwrap(),
         job.fingerprint,
         started,
     );
-    if let Err(held @ Rejection::Quarantined { .. }) = known {
-        return Err(held);
+    if let Err(quarantined @ Rejection::Quarantined { .. }) = isolation {
+        return Err(quarantined);
     }
-    let closed = started + MAX_WAIT_CLOSED;
+    let no_upstream_until = started + MAX_WAIT_NO_UPSTREAM;
     let mut requirements = job.requirements(&history.excluded, history.charge());
-    let limit = match read_ms(job, &requirements) {
-        Some((engine, read_ms)) => {
-            let held = (job.deadline - job.arrived).mul_f64(MAX_QUEUE_SHARE_LONG);
+    let expires_at = match prefill_ms(job, &requirements) {
+        Some((engine, prefill_ms)) => {
+            let max_queue_time = (job.deadline - job.arrived).mul_f64(MAX_QUEUE_SHARE_LONG);
             requirements.queue_timeout = requirements
                 .queue_timeout
-                .saturating_sub(last_start(job, engine, read_ms))
-                .min(held);
+                .saturating_sub(service_time(job, engine, prefill_ms))
+                .min(max_queue_time);
             job.arrived + requirements.queue_timeout
         }
-        None => started + patience(job),
+        None => started + timeout(job),
     };
-    let until = Until { limit, begun };
+    let until = Until { limit: expires_at, begun: stream_begun };
     loop {
-        if rested(job, begun).await? {
+        if wait_for_backoff(job, stream_begun).await? {
             // Those that refused it have had their rest.
             requirements.excluded.clear();
         }
         match grant_requests::place(&job.process, &job.service, requirements.clone(), until).await {
             Ok(grant) => {
                 history.on_granted(job);
-                placed(job, &grant, started);
+                record_grant(job, &grant, started);
                 return Ok(grant);
             }
-            Err(Rejection::NoUpstream) if job.process.now() < closed && !job.process.closing() => {
+            Err(Rejection::NoUpstream)
+                if job.process.now() < no_upstream_until && !job.process.closing() =>
+            {
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
             Err(rejection) => return Err(rejection),
@@ -116,20 +120,22 @@
 /// still be in time then. Else the request cannot be served here in time, which its caller is told at once:
 /// other VMs may not have been asked for a rest. A stream that has begun has only this VM to go on with it.
 /// Answers whether it waited.
-async fn rested<D: Dialect>(job: &Job<D>, begun: bool) -> Result<bool, Rejection> {
-    let Some(left) = notices::all_rest(&job.process, &job.service.name) else { return Ok(false) };
-    let in_time = job.held() + left < job.route.objective && !job.process.closing();
-    let held = begun && left < MAX_BACKOFF_BEGUN;
-    if !(in_time || held) {
-        return Err(Rejection::Backoff { left_ms: left.as_millis() as u64 });
+async fn wait_for_backoff<D: Dialect>(job: &Job<D>, stream_begun: bool) -> Result<bool, Rejection> {
+    let Some(remaining) = notices::all_rest(&job.process, &job.service.name) else {
+        return Ok(false);
+    };
+    let in_time = job.held() + remaining < job.route.objective && !job.process.closing();
+    let resumable = stream_begun && remaining < MAX_BACKOFF_RESUMING;
+    if !(in_time || resumable) {
+        return Err(Rejection::Backoff { left_ms: remaining.as_millis() as u64 });
     }
-    tokio::time::sleep(left).await;
-    job.record(Decision::Waited { cause: Cause::Backoff, waited_ms: millis(left) });
+    tokio::time::sleep(remaining).await;
+    job.record(Decision::Waited { cause: Cause::Backoff, waited_ms: millis(remaining) });
     Ok(true)
 }
 
 /// Milliseconds of reading on one engine, if this is a long prompt.
-fn read_ms<'a, D: Dialect>(
+fn prefill_ms<'a, D: Dialect>(
     job: &'a Job<D>,
     requirements: &Requirements,
 ) -> Option<(&'a Engine, f64)> {
@@ -139,41 +145,43 @@
 
 /// The time that a long prompt needs from its placement to the end of its answer, if that is no longer than usual. A
 /// caller's guess is often far too long, and a prompt that was refused for it finds engines free.
-fn last_start<D: Dialect>(job: &Job<D>, engine: &Engine, read_ms: f64) -> Duration {
+fn service_time<D: Dialect>(job: &Job<D>, engine: &Engine, prefill_ms: f64) -> Duration {
     let expected = job.terms.expected_answer.unwrap_or(engine.usual_answer);
     let answer = expected.min(engine.usual_answer);
     let passes = answer.0 as f64 / f64::from(engine.stride.max(1));
-    let pass_ms = forecast::pass_ms(engine, USUAL_WRITERS, engine.memory.0 / 2);
-    Duration::from_secs_f64((read_ms / USUAL_PARTS + passes * pass_ms * PREFILL_SLOWDOWN) / 1e3)
+    let pass_ms = forecast::pass_ms(engine, EXPECTED_DECODING, engine.memory.0 / 2);
+    Duration::from_secs_f64(
+        (prefill_ms / EXPECTED_PREFILL_PARTS + passes * pass_ms * PREFILL_SLOWDOWN) / 1e3,
+    )
 }
 
-fn placed<D: Dialect>(job: &Job<D>, grant: &Grant, started: Instant) {
-    let asked = job.process.now().saturating_duration_since(started);
-    if asked >= LEAST_QUEUED {
-        job.record(Decision::Waited { cause: Cause::Engines, waited_ms: millis(asked) });
+fn record_grant<D: Dialect>(job: &Job<D>, grant: &Grant, started: Instant) {
+    let queued = job.process.now().saturating_duration_since(started);
+    if queued >= MIN_QUEUE_TIME {
+        job.record(Decision::Waited { cause: Cause::Engines, waited_ms: millis(queued) });
     }
     let placement = &grant.placement;
     if placement.limited > 0 {
-        let elsewhere = ByLimited { limited: Limited::Elsewhere };
-        job.process.metrics.rate_limited.get_or_create(&elsewhere).inc();
+        let label = ByLimited { limited: Limited::Elsewhere };
+        job.process.metrics.rate_limited.get_or_create(&label).inc();
     }
-    let named = std::iter::once((&placement.flight.upstream, &placement.load))
+    let loaded = std::iter::once((&placement.flight.upstream, &placement.load))
         .chain(placement.busiest_helpers.iter().map(|(id, load)| (id, load)));
-    let seen = named.map(|(id, load)| seen(id, load, placement.predicted_ms)).collect();
+    let candidates = loaded.map(|(id, load)| snapshot(id, load, placement.predicted_ms)).collect();
     job.record(Decision::Routed {
         upstream: placement.flight.upstream.clone(),
         route: None,
         predicted_ms: placement.predicted_ms,
         engines: placement.flight.helpers.len() as u32 + 1,
         part_ms: f64::from(placement.flight.part_ms),
-        candidates: seen,
+        candidates,
         by: grant.by.clone(),
         limited: placement.limited as u32,
-        placement_ms: millis(asked),
+        placement_ms: millis(queued),
     });
 }
 
-fn seen(id: &id::Upstream, load: &Load, predicted_ms: f64) -> Snapshot {
+fn snapshot(id: &id::Upstream, load: &Load, predicted_ms: f64) -> Snapshot {
     Snapshot {
         upstream: id.clone(),
         predicted_ms,
@@ -186,20 +194,20 @@
 }
 
 /// The refusal of a request that has not run.
-pub fn refusal<D: Dialect>(job: &Job<D>, rejection: Rejection, proof: Unsent) -> Error {
+pub fn rejection_error<D: Dialect>(job: &Job<D>, rejection: Rejection, proof: Unsent) -> Error {
     if job.process.closing() {
         let why = "this VM is about to end, and there was no place in time";
         let after = retry_after::Cause::Stopping.retry_after(job.left());
         return Error::unsent(Kind::Draining, why, proof).retry_after(after);
     }
     let kind = match rejection {
-        Rejection::Quarantined { left_ms } => return quarantined(left_ms, proof),
-        Rejection::Backoff { left_ms } => return resting(job, left_ms, proof),
-        Rejection::RateLimited { after_ms } => return rate_limited(job, after_ms, proof),
+        Rejection::Quarantined { left_ms } => return quarantine_error(left_ms, proof),
+        Rejection::Backoff { left_ms } => return backoff_error(job, left_ms, proof),
+        Rejection::RateLimited { after_ms } => return rate_limit_error(job, after_ms, proof),
         Rejection::NoUpstream | Rejection::Drained | Rejection::OverBudget(_) => Kind::NoUpstream,
         Rejection::Full | Rejection::TooLarge => Kind::Overloaded,
     };
-    let long = read_ms(job, &job.requirements(&[], Charge::Free)).is_some();
+    let long = prefill_ms(job, &job.requirements(&[], Charge::Free)).is_some();
     let cause =
         if long { retry_after::Cause::FullForLongPrompts } else { retry_after::Cause::Full };
     let after = cause.retry_after(job.left());
@@ -207,28 +215,28 @@
 }
 
 /// The caller comes back when the first rest is over, or sooner to another VM.
-fn resting<D: Dialect>(job: &Job<D>, left_ms: u64, proof: Unsent) -> Error {
-    let left = Duration::from_millis(left_ms).max(POLL_INTERVAL);
+fn backoff_error<D: Dialect>(job: &Job<D>, left_ms: u64, proof: Unsent) -> Error {
+    let remaining = Duration::from_millis(left_ms).max(POLL_INTERVAL);
     let service = &job.service.name;
     let why = format!("{service}: all upstreams asked {} for a rest", job.process.member.vm);
-    let after = left.min(retry_after::Cause::Full.retry_after(job.left()));
+    let after = remaining.min(retry_after::Cause::Full.retry_after(job.left()));
     let why = format!("{why}, the first for {left_ms} ms more");
     Error::unsent(Kind::Overloaded, why, proof).retry_after(after)
 }
 
 /// Retry-After is the next free turn.
-fn rate_limited<D: Dialect>(job: &Job<D>, after_ms: u64, proof: Unsent) -> Error {
+fn rate_limit_error<D: Dialect>(job: &Job<D>, after_ms: u64, proof: Unsent) -> Error {
     job.process.metrics.rate_limited.get_or_create(&ByLimited { limited: Limited::Rejected }).inc();
     let why = format!("{}: all upstreams are at the rate limits that they name", job.service.name);
     Error::unsent(Kind::Overloaded, why, proof).retry_after(Duration::from_millis(after_ms))
 }
 
-fn quarantined(left_ms: u64, proof: Unsent) -> Error {
-    let left = Duration::from_millis(left_ms);
+fn quarantine_error(left_ms: u64, proof: Unsent) -> Error {
+    let remaining = Duration::from_millis(left_ms);
     let why = format!(
         "upstreams ended under this request, the last of them while it ran alone: it is sent to none for \
          {:.1} s",
-        left.as_secs_f64()
+        remaining.as_secs_f64()
     );
-    Error::unsent(Kind::Quarantined, why, proof).retry_after(left)
+    Error::unsent(Kind::Quarantined, why, proof).retry_after(remaining)
 }
--- a/daemon/src/fleet/serve.rs
+++ b/daemon/src/fleet/serve.rs
@@ -17,10 +17,10 @@
 use crate::fleet::answer::{self, Body};
 use crate::fleet::attempt::{self, End};
 use crate::fleet::events;
-use crate::fleet::gate;
 use crate::fleet::job::Job;
 use crate::fleet::outcome::{failed, finished};
 use crate::fleet::process::Process;
+use crate::fleet::queue;
 use crate::fleet::reservations;
 use crate::fleet::retry::{Failure, History, MAX_EXTRA_ATTEMPTS, may_retry};
 
@@ -69,7 +69,7 @@
     let mut proof = Proof::NotRun(Unsent::arrived());
     let mut history = History::default();
     loop {
-        let grant = match gate::place(&job, &mut history, false).await {
+        let grant = match queue::wait_for_grant(&job, &mut history, false).await {
             Ok(grant) => grant,
             Err(rejection) => return no_place(&job, history, proof, rejection),
         };
@@ -101,7 +101,7 @@
     Err(failed(
         job,
         match proof {
-            Proof::NotRun(unsent) => gate::refusal(job, rejection, unsent),
+            Proof::NotRun(unsent) => queue::rejection_error(job, rejection, unsent),
             sent => sent.error(Kind::UpstreamFailed, why, false),
         },
     ))
@@ -163,7 +163,7 @@
     proof: Proof,
     why: String,
 ) -> Step {
-    if job.held() >= gate::patience(job) {
+    if job.held() >= queue::timeout(job) {
         return Step::Done(no_place(job, std::mem::take(history), proof, Rejection::Full));
     }
     history.excluded.push(upstream.clone());
