--- a/daemon/src/fleet/beats.rs
+++ b/daemon/src/fleet/beats.rs
@@ -127,7 +127,7 @@
         Ok(Message::Heartbeat(beat)) => hear_beat(process, &beat, directory),
         Ok(Message::GrantRequest(asked)) => scheduler::asked(process, &asked, from),
         Ok(Message::Cancelled(number)) => scheduler::cancelled(process, number, from),
-        Ok(Message::GrantReply(answered)) => grant_requests::answered(process, answered, from),
+        Ok(Message::GrantReply(reply)) => grant_requests::on_reply(process, reply, from),
         Ok(Message::Poll(upstream)) => reports::polled(process, upstream),
         Ok(Message::RateLimits(limits)) => {
             if let Some(peer) = process.peers.at(from) {
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -27,10 +27,10 @@
 
 /// How long an answer may take before the same is asked again: the way there and back takes 3 ms
 /// between halls, the rest is for a VM that is busy.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(25);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(25);
 
 /// Questions without an answer after which the next VM is asked.
-const MAX_UNANSWERED: u32 = 2;
+const MAX_UNANSWERED_REQUESTS: u32 = 2;
 
 /// How often a request that waits asks again, so that it is seen when the scheduler is gone.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(150);
@@ -54,222 +54,232 @@
 }
 
 /// A peer has answered.
-pub fn answered<D: Dialect>(process: &Process<D>, answered: GrantReply, from: SocketAddr) {
-    let Number { incarnation, number } = answered.request;
+pub fn on_reply<D: Dialect>(process: &Process<D>, received: GrantReply, from: SocketAddr) {
+    let Number { incarnation, number } = received.request;
     if incarnation != process.member.incarnation {
         return;
     }
     let Some(peer) = process.peers.at(from) else { return };
     process.peers.answered(&peer.vm);
-    if let message::Reply::Granted(placed) = &answered.reply {
-        process.peers.granted(&peer.vm, placed.number);
+    if let message::Reply::Granted(grant) = &received.reply {
+        process.peers.granted(&peer.vm, grant.number);
     }
-    if let message::Reply::Granted(placed) = &answered.reply
-        && let Some(limit) = placed.limit
+    if let message::Reply::Granted(grant) = &received.reply
+        && let Some(limit) = grant.limit
     {
-        rate_limits::merge(process, Entry { upstream: placed.upstream, limit }, &peer.vm);
+        rate_limits::merge(process, Entry { upstream: grant.upstream, limit }, &peer.vm);
     }
-    let answer = decode(&process.cluster.lock().unwrap(), answered.reply);
+    let reply = decode(&process.cluster.lock().unwrap(), received.reply);
     // A placement at an upstream that is not known here is of no use: another VM is asked.
-    if let Some(answer) = answer {
-        process.pending_grants.deliver(number, answer);
+    if let Some(reply) = reply {
+        process.pending_grants.deliver(number, reply);
     }
 }
 
 /// Logs that another VM than before is asked.
-fn note<D: Dialect>(process: &Process<D>, scheduler: Option<&Scheduler>) {
+fn log_scheduler_change<D: Dialect>(process: &Process<D>, scheduler: Option<&Scheduler>) {
     if process.pending_grants.set_scheduler(scheduler) {
         let what = scheduler.map_or_else(|| "none is heard".to_owned(), Scheduler::to_string);
         log::event(&process.log, Event::SchedulerChanged, what);
     }
 }
 
-fn decode(cluster: &Cluster, answer: message::Reply) -> Option<Reply> {
-    let placed = match answer {
-        message::Reply::Granted(placed) => placed,
+fn decode(cluster: &Cluster, reply: message::Reply) -> Option<Reply> {
+    let grant = match reply {
+        message::Reply::Granted(grant) => grant,
         message::Reply::Queued => return Some(Reply::Queued),
         message::Reply::Rejected(rejection) => return Some(Reply::Rejected(rejection)),
     };
     let id = |tag: Tag| cluster.by_tag(tag).map(|upstream| upstream.listed.id.clone());
-    let helping = |(tag, held): &(Tag, u64)| Some(Helper { upstream: id(*tag)?, reserved: *held });
-    let slowest =
-        placed.busiest_helpers.into_iter().filter_map(|(tag, load)| Some((id(tag)?, load)));
+    let helper =
+        |(tag, reserved): &(Tag, u64)| Some(Helper { upstream: id(*tag)?, reserved: *reserved });
+    let busiest_helpers =
+        grant.busiest_helpers.into_iter().filter_map(|(tag, load)| Some((id(tag)?, load)));
     let placement = Placement {
         flight: Flight {
-            upstream: id(placed.upstream)?,
-            helpers: placed.helpers.iter().map(helping).collect::<Option<_>>()?,
-            part_ms: placed.part_ms,
-            memory: placed.memory,
-            pause_ms: placed.pause_ms,
+            upstream: id(grant.upstream)?,
+            helpers: grant.helpers.iter().map(helper).collect::<Option<_>>()?,
+            part_ms: grant.part_ms,
+            memory: grant.memory,
+            pause_ms: grant.pause_ms,
             decoding: false,
-            isolated: placed.isolated,
+            isolated: grant.isolated,
         },
-        predicted_ms: placed.predicted_ms,
-        load: placed.load,
-        busiest_helpers: slowest.collect(),
-        candidates: placed.candidates,
-        limited: placed.limited,
-        limit: placed.limit,
+        predicted_ms: grant.predicted_ms,
+        load: grant.load,
+        busiest_helpers: busiest_helpers.collect(),
+        candidates: grant.candidates,
+        limited: grant.limited,
+        limit: grant.limit,
     };
-    Some(Reply::Granted(Box::new(placement), placed.number))
+    Some(Reply::Granted(Box::new(placement), grant.number))
 }
 
 /// Where the upstream of a flight and its helpers listen, or the first of them that may be sent nothing.
 fn addresses<D: Dialect>(
     process: &Process<D>,
     flight: &Flight,
-) -> Result<(String, Vec<String>), Ended> {
+) -> Result<(String, Vec<String>), Outcome> {
     let address = |id: &id::Upstream| match notices::exclusion(process, id) {
         Some(Exclusion::Closed | Exclusion::Drained) => {
-            Err(Ended::Gone(notices::start(process, id)))
+            Err(Outcome::Unavailable(notices::start(process, id)))
         }
-        Some(Exclusion::Resting { .. }) => Err(Ended::Resting),
-        Some(Exclusion::RateLimited) => Err(Ended::Superseded),
+        Some(Exclusion::Resting { .. }) => Err(Outcome::Backoff),
+        Some(Exclusion::RateLimited) => Err(Outcome::RateLimited),
         None => {
             let cluster = process.cluster.lock().unwrap();
-            let known = cluster.get(id).map(|upstream| upstream.listed.address.clone());
-            known.ok_or_else(|| Ended::Gone(cluster.tag_of(id)))
+            let address = cluster.get(id).map(|upstream| upstream.listed.address.clone());
+            address.ok_or_else(|| Outcome::Unavailable(cluster.tag_of(id)))
         }
     };
-    let helpers = flight.helpers.iter().map(|helping| address(&helping.upstream));
+    let helpers = flight.helpers.iter().map(|helper| address(&helper.upstream));
     Ok((address(&flight.upstream)?, helpers.collect::<Result<_, _>>()?))
 }
 
 /// How long a request asks for a placement.
 #[derive(Debug, Clone, Copy)]
-pub struct Until {
+pub struct Expiry {
     /// At most until then.
-    pub limit: Instant,
+    pub at: Instant,
     /// Whether its answer has begun. Then nobody else can give it: it asks on while its VM stops, where a
     /// new one is sent to another VM.
-    pub begun: bool,
+    pub stream_begun: bool,
 }
 
-impl Until {
+impl Expiry {
     fn is_over<D: Dialect>(self, process: &Process<D>) -> bool {
-        process.now() >= self.limit || !self.begun && process.closing()
+        process.now() >= self.at || !self.stream_begun && process.closing()
     }
 }
 
 /// Asks for a placement until then.
-pub async fn place<D: Dialect>(
+pub async fn request<D: Dialect>(
     process: &Arc<Process<D>>,
     service: &Arc<Service>,
     mut requirements: Requirements,
-    until: Until,
+    expiry: Expiry,
 ) -> Result<Grant, Rejection> {
     loop {
-        let mut open = Open::new(process, service, &requirements, until);
+        let mut pending = Pending::new(process, service, &requirements, expiry);
         let scheduler = process.peers.scheduler(process.stopping.is_cancelled(), process.now());
-        note(process, scheduler.as_ref());
-        let ended = match scheduler {
-            Some(scheduler) => open.ask(scheduler).await,
-            None => open.alone().await,
+        log_scheduler_change(process, scheduler.as_ref());
+        let outcome = match scheduler {
+            Some(scheduler) => pending.request_from(scheduler).await,
+            None => pending.place_locally().await,
         };
-        drop(open);
-        match ended {
-            Ended::Placed(grant) => return Ok(*grant),
-            Ended::Rejected(rejection) => {
-                note_held(process, requirements.fingerprint, rejection);
+        drop(pending);
+        match outcome {
+            Outcome::Granted(grant) => return Ok(*grant),
+            Outcome::Rejected(rejection) => {
+                record_quarantine(process, requirements.fingerprint, rejection);
                 return Err(rejection);
             }
-            Ended::Silent(vm) => {
+            Outcome::NoReply(vm) => {
                 log::event(&process.log, Event::SchedulerSilent, &vm);
                 process.peers.missed(&vm, process.now());
             }
-            Ended::Gone(upstream) => {
+            Outcome::Unavailable(upstream) => {
                 requirements.excluded.push(upstream);
                 requirements.charge = Charge::Free;
             }
             // The next request names it, or the scheduler has received the limit by then.
-            Ended::Resting | Ended::Superseded => requirements.charge = Charge::Free,
-            Ended::Later => {}
+            Outcome::Backoff | Outcome::RateLimited => requirements.charge = Charge::Free,
+            Outcome::Queued => {}
         }
         // It may count already where it was asked for.
         if requirements.charge == Charge::Deposit {
             requirements.charge = Charge::Free;
         }
-        if until.is_over(process) {
+        if expiry.is_over(process) {
             return Err(Rejection::Full);
         }
     }
 }
 
 /// A request that is held elsewhere is refused here from now on without asking.
-fn note_held<D: Dialect>(process: &Process<D>, fingerprint: Fingerprint, rejection: Rejection) {
+fn record_quarantine<D: Dialect>(
+    process: &Process<D>,
+    fingerprint: Fingerprint,
+    rejection: Rejection,
+) {
     if let Rejection::Quarantined { left_ms } = rejection {
-        let left = Duration::from_millis(left_ms);
-        process.cluster.lock().unwrap().quarantine.merge_entry(fingerprint, 1, left, process.now());
+        let remaining = Duration::from_millis(left_ms);
+        process.cluster.lock().unwrap().quarantine.merge_entry(
+            fingerprint,
+            1,
+            remaining,
+            process.now(),
+        );
     }
 }
 
 /// How it ended to ask one VM.
-enum Ended {
-    Placed(Box<Grant>),
+enum Outcome {
+    Granted(Box<Grant>),
     Rejected(Rejection),
     /// The VM does not answer.
-    Silent(id::Vm),
+    NoReply(id::Vm),
     /// The placement is at an upstream that takes no more work, which the VM does not know yet.
-    Gone(Tag),
+    Unavailable(Tag),
     /// The placement is at an upstream that has asked this VM for a rest since the question was sent.
-    Resting,
+    Backoff,
     /// The scheduler did not know the latest rate limit of the upstream.
-    Superseded,
+    RateLimited,
     /// There is no placement yet.
-    Later,
+    Queued,
 }
 
 /// A request that asks one VM, which hears of it when it asks no more.
-struct Open<'a, D: Dialect> {
+struct Pending<'a, D: Dialect> {
     process: &'a Arc<Process<D>>,
     service: &'a Service,
     requirements: &'a Requirements,
-    until: Until,
+    expiry: Expiry,
     number: u64,
-    answers: mpsc::UnboundedReceiver<Reply>,
-    asked: Option<Scheduler>,
+    replies: mpsc::UnboundedReceiver<Reply>,
+    scheduler: Option<Scheduler>,
 }
 
-impl<'a, D: Dialect> Open<'a, D> {
+impl<'a, D: Dialect> Pending<'a, D> {
     fn new(
         process: &'a Arc<Process<D>>,
         service: &'a Service,
         requirements: &'a Requirements,
-        until: Until,
-    ) -> Open<'a, D> {
+        expiry: Expiry,
+    ) -> Pending<'a, D> {
         let number = process.cluster.lock().unwrap().next_number();
-        let answers = process.pending_grants.add(number);
-        Open { process, service, requirements, until, number, answers, asked: None }
+        let replies = process.pending_grants.add(number);
+        Pending { process, service, requirements, expiry, number, replies, scheduler: None }
     }
 
     /// Asks a VM until it has placed the request, or does not answer.
-    async fn ask(&mut self, scheduler: Scheduler) -> Ended {
-        self.asked = Some(scheduler.clone());
-        let mut unanswered = 0;
+    async fn request_from(&mut self, scheduler: Scheduler) -> Outcome {
+        self.scheduler = Some(scheduler.clone());
+        let mut timeouts = 0;
         loop {
             self.send(&scheduler);
-            match self.answer(ANSWER_TIMEOUT).await {
-                None => unanswered += 1,
+            match self.next_reply(REPLY_TIMEOUT).await {
+                None => timeouts += 1,
                 Some(Reply::Queued) => {
-                    unanswered = 0;
-                    if let Some(answer) = self.place_in(RENEWAL_INTERVAL).await {
-                        return self.ended(answer);
+                    timeouts = 0;
+                    if let Some(reply) = self.placement_within(RENEWAL_INTERVAL).await {
+                        return self.outcome(reply);
                     }
                 }
-                Some(answer) => return self.ended(answer),
+                Some(reply) => return self.outcome(reply),
             }
             match &scheduler {
-                Scheduler::Peer(vm, _) if unanswered == MAX_UNANSWERED => {
-                    return Ended::Silent(vm.clone());
+                Scheduler::Peer(vm, _) if timeouts == MAX_UNANSWERED_REQUESTS => {
+                    return Outcome::NoReply(vm.clone());
                 }
-                _ if self.is_over() => return Ended::Later,
+                _ if self.is_over() => return Outcome::Queued,
                 _ => {}
             }
         }
     }
 
     fn send(&self, scheduler: &Scheduler) {
-        let requirements = self.without_resting();
+        let requirements = self.excluding_backoffs();
         match scheduler {
             Scheduler::Own => {
                 scheduler::own(self.process, self.number, self.service, &requirements)
@@ -278,56 +288,56 @@
                 let service = Tag::of(&self.service.name);
                 let is_client = affiliation::contact_peer(self.process, vm);
                 let now = self.process.now();
-                let asked =
-                    GrantRequest::new(self.request(), service, &requirements, is_client, now);
-                tell::send(self.process, &Message::GrantRequest(asked), *address);
+                let request =
+                    GrantRequest::new(self.number(), service, &requirements, is_client, now);
+                tell::send(self.process, &Message::GrantRequest(request), *address);
             }
         }
     }
 
     /// What is asked for, the upstreams left out that rest for this VM. They go with the question, so that
     /// the scheduler need not know who was told to leave whom alone.
-    fn without_resting(&self) -> Requirements {
+    fn excluding_backoffs(&self) -> Requirements {
         let mut requirements = self.requirements.clone();
         requirements.excluded.extend(notices::resting(self.process));
         requirements
     }
 
-    fn request(&self) -> Number {
+    fn number(&self) -> Number {
         self.process.numbered(self.number)
     }
 
     fn is_over(&self) -> bool {
-        self.until.is_over(self.process)
+        self.expiry.is_over(self.process)
     }
 
     /// The next answer, if it comes within `time`.
-    async fn answer(&mut self, time: Duration) -> Option<Reply> {
-        let until = (self.process.now() + time).min(self.until.limit);
-        tokio::time::timeout_at(until.into(), self.answers.recv()).await.ok().flatten()
+    async fn next_reply(&mut self, time: Duration) -> Option<Reply> {
+        let deadline = (self.process.now() + time).min(self.expiry.at);
+        tokio::time::timeout_at(deadline.into(), self.replies.recv()).await.ok().flatten()
     }
 
     /// The placement, if there is one within `time`.
-    async fn place_in(&mut self, time: Duration) -> Option<Reply> {
-        let until = self.process.now() + time;
+    async fn placement_within(&mut self, time: Duration) -> Option<Reply> {
+        let deadline = self.process.now() + time;
         loop {
-            let left = until.saturating_duration_since(self.process.now());
-            match self.answer(left).await {
+            let remaining = deadline.saturating_duration_since(self.process.now());
+            match self.next_reply(remaining).await {
                 Some(Reply::Queued) => {}
-                answer => return answer,
+                reply => return reply,
             }
         }
     }
 
-    fn ended(&mut self, answer: Reply) -> Ended {
-        match answer {
+    fn outcome(&mut self, reply: Reply) -> Outcome {
+        match reply {
             Reply::Granted(placement, _) => {
-                let by = match self.asked.take() {
+                let by = match self.scheduler.take() {
                     Some(Scheduler::Peer(vm, address)) => {
                         let limits = rate_limits::unknown_to_scheduler(self.process, &placement);
                         if !limits.is_empty() {
                             rate_limits::send(self.process, limits, address);
-                            return Ended::Superseded;
+                            return Outcome::RateLimited;
                         }
                         vm
                     }
@@ -335,47 +345,47 @@
                 };
                 self.grant(*placement, Some(by))
             }
-            Reply::Rejected(rejection) => Ended::Rejected(rejection),
-            Reply::Queued => Ended::Later,
+            Reply::Rejected(rejection) => Outcome::Rejected(rejection),
+            Reply::Queued => Outcome::Queued,
         }
     }
 
     /// Places the request by what is known here.
-    async fn alone(&self) -> Ended {
+    async fn place_locally(&self) -> Outcome {
         let offset = rand::random_range(0..u16::MAX).into();
         let schedulers = self.process.peers.running_count();
-        let requirements = Requirements { offset, schedulers, ..self.without_resting() };
+        let requirements = Requirements { offset, schedulers, ..self.excluding_backoffs() };
         let now = self.process.now();
-        let placed = scheduler::place_alone(self.process, self.service, &requirements, now);
-        match placed {
+        let placement = scheduler::place_alone(self.process, self.service, &requirements, now);
+        match placement {
             Ok(placement) => self.grant(placement, None),
             Err(Rejection::Full) => {
                 tokio::time::sleep(POLL_INTERVAL).await;
-                Ended::Later
+                Outcome::Queued
             }
-            Err(rejection) => Ended::Rejected(rejection),
+            Err(rejection) => Outcome::Rejected(rejection),
         }
     }
 
     /// A placement, unless one of its upstreams takes no more work by what is known here.
-    fn grant(&self, placement: Placement, by: Option<id::Vm>) -> Ended {
+    fn grant(&self, placement: Placement, by: Option<id::Vm>) -> Outcome {
         match addresses(self.process, &placement.flight) {
             Ok((address, helpers)) => {
                 let number = self.number;
-                Ended::Placed(Box::new(Grant { placement, address, helpers, number, by }))
+                Outcome::Granted(Box::new(Grant { placement, address, helpers, number, by }))
             }
-            Err(ended) => ended,
+            Err(outcome) => outcome,
         }
     }
 }
 
-impl<D: Dialect> Drop for Open<'_, D> {
+impl<D: Dialect> Drop for Pending<'_, D> {
     fn drop(&mut self) {
         self.process.pending_grants.remove(self.number);
-        match self.asked.take() {
+        match self.scheduler.take() {
             Some(Scheduler::Own) => scheduler::cancel_own(self.process, self.number),
             Some(Scheduler::Peer(_, address)) => {
-                let message = Message::Cancelled(self.request());
+                let message = Message::Cancelled(self.number());
                 tell::send(self.process, &message, address);
             }
             None => {}
--- a/daemon/src/fleet/queue.rs
+++ b/daemon/src/fleet/queue.rs
@@ -14,7 +14,7 @@
 use foldlock_request::retry_after;
 use foldlock_version::routes::Engine;
 
-use crate::fleet::grant_requests::{self, Grant, Until};
+use crate::fleet::grant_requests::{self, Expiry, Grant};
 use crate::fleet::job::Job;
 use crate::fleet::metrics::{ByLimited, Limited};
 use crate::fleet::notices;
@@ -94,13 +94,15 @@
         }
         None => started + timeout(job),
     };
-    let until = Until { limit: expires_at, begun: stream_begun };
+    let expiry = Expiry { at: expires_at, stream_begun };
     loop {
         if wait_for_backoff(job, stream_begun).await? {
             // Those that refused it have had their rest.
             requirements.excluded.clear();
         }
-        match grant_requests::place(&job.process, &job.service, requirements.clone(), until).await {
+        match grant_requests::request(&job.process, &job.service, requirements.clone(), expiry)
+            .await
+        {
             Ok(grant) => {
                 history.on_granted(job);
                 record_grant(job, &grant, started);
