--- a/daemon/src/fleet/beats.rs
+++ b/daemon/src/fleet/beats.rs
@@ -125,8 +125,8 @@
 ) {
     match message::decode(bytes) {
         Ok(Message::Heartbeat(beat)) => hear_beat(process, &beat, directory),
-        Ok(Message::GrantRequest(asked)) => scheduler::asked(process, &asked, from),
-        Ok(Message::Cancelled(number)) => scheduler::cancelled(process, number, from),
+        Ok(Message::GrantRequest(request)) => scheduler::on_grant_request(process, &request, from),
+        Ok(Message::Cancelled(number)) => scheduler::on_cancel(process, number, from),
         Ok(Message::GrantReply(reply)) => grant_requests::on_reply(process, reply, from),
         Ok(Message::Poll(upstream)) => reports::polled(process, upstream),
         Ok(Message::RateLimits(limits)) => {
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -282,7 +282,7 @@
         let requirements = self.excluding_backoffs();
         match scheduler {
             Scheduler::Own => {
-                scheduler::own(self.process, self.number, self.service, &requirements)
+                scheduler::request_own(self.process, self.number, self.service, &requirements)
             }
             Scheduler::Peer(vm, address) => {
                 let service = Tag::of(&self.service.name);
@@ -356,7 +356,7 @@
         let schedulers = self.process.peers.running_count();
         let requirements = Requirements { offset, schedulers, ..self.excluding_backoffs() };
         let now = self.process.now();
-        let placement = scheduler::place_alone(self.process, self.service, &requirements, now);
+        let placement = scheduler::place_locally(self.process, self.service, &requirements, now);
         match placement {
             Ok(placement) => self.grant(placement, None),
             Err(Rejection::Full) => {
--- a/daemon/src/fleet/scheduler.rs
+++ b/daemon/src/fleet/scheduler.rs
@@ -26,17 +26,21 @@
 const IDLE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A peer asks for a placement.
-pub fn asked<D: Dialect>(process: &Process<D>, asked: &GrantRequest, from: SocketAddr) {
+pub fn on_grant_request<D: Dialect>(
+    process: &Process<D>,
+    received: &GrantRequest,
+    from: SocketAddr,
+) {
     let Some(peer) = process.peers.at(from) else { return };
     let now = process.now();
-    let requirements = asked.requirements(peer.hall, now);
-    let key = key(Holder::Peer(peer.vm), asked.request);
-    let answer = schedule(process, key, asked.service, requirements, asked.is_client, now);
-    answered(process, asked.request, from, answer);
+    let requirements = received.requirements(peer.hall, now);
+    let key = key(Holder::Peer(peer.vm), received.request);
+    let reply = schedule(process, key, received.service, requirements, received.is_client, now);
+    send_reply(process, received.request, from, reply);
 }
 
 /// A request of this VM asks for a placement.
-pub fn own<D: Dialect>(
+pub fn request_own<D: Dialect>(
     process: &Process<D>,
     number: u64,
     service: &Service,
@@ -44,9 +48,9 @@
 ) {
     let key = key(Holder::Own, process.numbered(number));
     let (now, is_client) = (process.now(), affiliation::contact_own(process));
-    let answer =
+    let reply =
         schedule(process, key, Tag::of(&service.name), requirements.clone(), is_client, now);
-    process.pending_grants.deliver(number, answer);
+    process.pending_grants.deliver(number, reply);
 }
 
 fn schedule<D: Dialect>(
@@ -62,16 +66,16 @@
     let mut scheduler = process.scheduler.lock().unwrap();
     let mut cluster = process.cluster.lock().unwrap();
     scheduler.budget.record_contact(&key.holder, is_client, vms, now);
-    let answer = scheduler.request(&mut cluster, &settings.table, key, service, requirements, now);
-    if matches!(answer, Reply::Queued) {
+    let reply = scheduler.request(&mut cluster, &settings.table, key, service, requirements, now);
+    if matches!(reply, Reply::Queued) {
         process.room.notify_one();
     }
-    answer
+    reply
 }
 
 /// Places a request of this VM by what it knows itself, where no scheduler answers. What it spends is
 /// its own part of the fleet's retry budget.
-pub fn place_alone<D: Dialect>(
+pub fn place_locally<D: Dialect>(
     process: &Process<D>,
     service: &Service,
     requirements: &Requirements,
@@ -96,7 +100,7 @@
 }
 
 /// A peer asks no more.
-pub fn cancelled<D: Dialect>(process: &Process<D>, request: Number, from: SocketAddr) {
+pub fn on_cancel<D: Dialect>(process: &Process<D>, request: Number, from: SocketAddr) {
     if let Some(peer) = process.peers.at(from) {
         cancel(process, &key(Holder::Peer(peer.vm), request));
     }
@@ -121,43 +125,44 @@
 pub async fn run<D: Dialect>(process: Arc<Process<D>>) {
     loop {
         let idle = process.scheduler.lock().unwrap().is_idle();
-        let room = process.room.notified();
-        let _ = tokio::time::timeout(if idle { IDLE_INTERVAL } else { QUEUE_INTERVAL }, room).await;
-        look(&process);
+        let notified = process.room.notified();
+        let _ =
+            tokio::time::timeout(if idle { IDLE_INTERVAL } else { QUEUE_INTERVAL }, notified).await;
+        place_queued(&process);
         tokio::time::sleep(BATCH_INTERVAL).await;
     }
 }
 
-fn look<D: Dialect>(process: &Process<D>) {
+fn place_queued<D: Dialect>(process: &Process<D>) {
     let Some(settings) = process.settings() else { return };
     let now = process.now();
     let mut scheduler = process.scheduler.lock().unwrap();
     let mut cluster = process.cluster.lock().unwrap();
-    let answers = scheduler.place_queued(&mut cluster, &settings.table, now);
+    let replies = scheduler.place_queued(&mut cluster, &settings.table, now);
     drop((scheduler, cluster));
-    for (Key { holder, incarnation, number }, answer) in answers {
+    for (Key { holder, incarnation, number }, reply) in replies {
         match holder {
-            Holder::Own => process.pending_grants.deliver(number, answer),
-            Holder::Peer(vm) => tell(process, &vm, Number { incarnation, number }, answer),
+            Holder::Own => process.pending_grants.deliver(number, reply),
+            Holder::Peer(vm) => send_reply_to(process, &vm, Number { incarnation, number }, reply),
         }
     }
 }
 
-fn tell<D: Dialect>(process: &Process<D>, vm: &id::Vm, request: Number, answer: Reply) {
+fn send_reply_to<D: Dialect>(process: &Process<D>, vm: &id::Vm, request: Number, reply: Reply) {
     // A peer that is listed no more asks elsewhere.
     if let Some(member) = process.peers.member(vm) {
-        answered(process, request, member.address, answer);
+        send_reply(process, request, member.address, reply);
     }
 }
 
-fn answered<D: Dialect>(process: &Process<D>, request: Number, to: SocketAddr, answer: Reply) {
-    let reply = encode(&process.cluster.lock().unwrap(), answer);
+fn send_reply<D: Dialect>(process: &Process<D>, request: Number, to: SocketAddr, reply: Reply) {
+    let reply = encode(&process.cluster.lock().unwrap(), reply);
     let message = Message::GrantReply(GrantReply { request, reply });
     tell::send(process, &message, to);
 }
 
-fn encode(cluster: &Cluster, answer: Reply) -> message::Reply {
-    let (placement, grant) = match answer {
+fn encode(cluster: &Cluster, reply: Reply) -> message::Reply {
+    let (placement, grant) = match reply {
         Reply::Granted(placement, grant) => (placement, grant),
         Reply::Queued => return message::Reply::Queued,
         Reply::Rejected(rejection) => return message::Reply::Rejected(rejection),
