--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -101,7 +101,7 @@
     };
     match ended {
         Ok(end) => end,
-        Err(_) if job.left().is_zero() => {
+        Err(_) if job.remaining().is_zero() => {
             note(job, &upstream, Cause::ServerError);
             End::Deadline
         }
@@ -118,8 +118,8 @@
         return job.process.config.fleet.held_silence();
     }
     let last = history.ran + 1 >= job.route.attempts || placement.candidates < 2;
-    if last || !job.repeatable() {
-        return job.left();
+    if last || !job.is_retryable() {
+        return job.remaining();
     }
     match job.route.shape {
         Shape::Whole => job.route.objective.mul_f64(SLOW_WHOLE),
@@ -253,7 +253,7 @@
 async fn channel<D: Dialect>(job: &Job<D>, grant: &Grant) -> Result<Channel, String> {
     let pool = &job.process.pool;
     let upstream = &grant.placement.flight.upstream;
-    if let Some(channel) = pool.take(upstream, job.most_rest(), job.process.now()) {
+    if let Some(channel) = pool.take(upstream, job.max_connection_idle(), job.process.now()) {
         return Ok(channel);
     }
     job.process.metrics.connections.inc();
@@ -276,7 +276,7 @@
     D::rewrite_headers(
         &mut headers,
         &terms::Headers {
-            remaining: job.left(),
+            remaining: job.remaining(),
             instance: placement.flight.upstream.as_str(),
             organisation: job.organisation.as_ref().map(|o| o.name.as_str()),
             last_event,
@@ -313,7 +313,7 @@
     }
     if head.status.is_server_error() {
         note(job, &upstream, Cause::ServerError);
-        if job.repeatable() && head.status != StatusCode::GATEWAY_TIMEOUT {
+        if job.is_retryable() && head.status != StatusCode::GATEWAY_TIMEOUT {
             return End::Own(Box::new(Response::from_parts(head, answer::whole(collected))));
         }
     } else {
--- a/daemon/src/fleet/events.rs
+++ b/daemon/src/fleet/events.rs
@@ -98,7 +98,7 @@
     sink: Writer,
 ) {
     let mut passed = Passed { last: job.terms.last_event, ..Passed::default() };
-    let first_token = job.held();
+    let first_token = job.elapsed();
     let engine = job.process.now().saturating_duration_since(source.sent);
     job.process.metrics.predicted(source.predicted_ms, engine);
     let mut parts = first;
@@ -182,7 +182,7 @@
             Ok(Next::Parts(parts)) => parts,
             Ok(Next::End) => return Ended::Whole,
             Ok(Next::Broken(why)) => return Ended::Broken { why, silent: false },
-            Err(_) if job.left().is_zero() => return Ended::Deadline,
+            Err(_) if job.remaining().is_zero() => return Ended::Deadline,
             Err(_) => return silent(job, heard),
         };
     }
@@ -197,7 +197,7 @@
 fn silence<D: Dialect>(job: &Job<D>, source: &Source<D>) -> Duration {
     let silence = match (job.pause(), job.route.repeat) {
         (Some(pause), Repeat::Resume) => (pause * SILENT_PAUSES).max(LEAST_SILENCE),
-        _ => job.left(),
+        _ => job.remaining(),
     };
     if source.hold.is_empty() {
         silence
--- a/daemon/src/fleet/job.rs
+++ b/daemon/src/fleet/job.rs
@@ -19,10 +19,10 @@
 
 /// How long a connection may have rested for a request that must not be repeated: an upstream that
 /// closes it meanwhile leaves open whether the request ran.
-const FRESH_REST: Duration = Duration::from_millis(500);
+const NON_RETRYABLE_MAX_IDLE: Duration = Duration::from_millis(500);
 
 /// Upstreams with a connection that a question names, 9 bytes each.
-const MOST_CONNECTED: usize = 8;
+const MAX_CONNECTED: usize = 8;
 
 /// The request.
 pub struct Job<D: Dialect> {
@@ -58,18 +58,18 @@
 
 impl<D: Dialect> Job<D> {
     /// The time that is left.
-    pub fn left(&self) -> Duration {
-        let left = self.deadline.saturating_duration_since(self.process.now());
-        left.min(self.due.since(self.process.moment()))
+    pub fn remaining(&self) -> Duration {
+        let remaining = self.deadline.saturating_duration_since(self.process.now());
+        remaining.min(self.due.since(self.process.moment()))
     }
 
     /// The time since it arrived.
-    pub fn held(&self) -> Duration {
+    pub fn elapsed(&self) -> Duration {
         self.process.now().saturating_duration_since(self.arrived)
     }
 
     /// Whether it may be sent to another upstream after one that may have run it.
-    pub fn repeatable(&self) -> bool {
+    pub fn is_retryable(&self) -> bool {
         self.route.repeat != Repeat::Never
     }
 
@@ -81,14 +81,14 @@
     /// Memory for prompt and answer. A caller who tells no limit gets what answers usually take.
     fn memory(&self) -> Tokens {
         let usual = self.service.engine.as_ref().map_or(Tokens(0), |engine| engine.usual_answer);
-        let most = if self.terms.max_answer.0 > 0 { self.terms.max_answer } else { usual };
-        self.terms.prompt + most
+        let answer = if self.terms.max_answer.0 > 0 { self.terms.max_answer } else { usual };
+        self.terms.prompt + answer
     }
 
     /// How long a connection may have rested that is to take the request.
-    pub fn most_rest(&self) -> Duration {
+    pub fn max_connection_idle(&self) -> Duration {
         match self.route.repeat {
-            Repeat::Never => FRESH_REST,
+            Repeat::Never => NON_RETRYABLE_MAX_IDLE,
             Repeat::Safe | Repeat::Resume => Duration::MAX,
         }
     }
@@ -98,19 +98,19 @@
         if self.service.engine.is_some() {
             return Vec::new();
         }
-        let kept = self.process.pool.kept(self.most_rest(), self.process.now());
+        let kept = self.process.pool.kept(self.max_connection_idle(), self.process.now());
         let cluster = self.process.cluster.lock().unwrap();
         let of_service = |id: &id::Upstream| {
-            let known = cluster.get(id).filter(|u| u.listed.service == self.service.name)?;
-            Some(known.tag)
+            let upstream = cluster.get(id).filter(|u| u.listed.service == self.service.name)?;
+            Some(upstream.tag)
         };
-        kept.iter().filter_map(of_service).take(MOST_CONNECTED).collect()
+        kept.iter().filter_map(of_service).take(MAX_CONNECTED).collect()
     }
 
     /// What is asked of the upstreams, those left out that failed it.
-    pub fn requirements(&self, avoid: &[id::Upstream], charge: Charge) -> Requirements {
+    pub fn requirements(&self, excluded: &[id::Upstream], charge: Charge) -> Requirements {
         let cluster = self.process.cluster.lock().unwrap();
-        let excluded = avoid.iter().map(|id| cluster.tag_of(id)).collect();
+        let excluded = excluded.iter().map(|id| cluster.tag_of(id)).collect();
         drop(cluster);
         Requirements {
             prompt: self.terms.prompt,
--- a/daemon/src/fleet/outcome.rs
+++ b/daemon/src/fleet/outcome.rs
@@ -57,7 +57,7 @@
 /// Records that a request has its whole answer.
 pub fn finished<D: Dialect>(job: &Arc<Job<D>>, streamed: Option<Streamed>) {
     ending::answered(job);
-    let first = streamed.map_or_else(|| job.held(), |s| s.first);
+    let first = streamed.map_or_else(|| job.elapsed(), |s| s.first);
     job.process.metrics.answered(&job.service, job.terms.prompt.0, first);
     job.record(Decision::Finished {
         first_token_ms: millis(first),
--- a/daemon/src/fleet/queue.rs
+++ b/daemon/src/fleet/queue.rs
@@ -126,7 +126,7 @@
     let Some(remaining) = notices::all_rest(&job.process, &job.service.name) else {
         return Ok(false);
     };
-    let in_time = job.held() + remaining < job.route.objective && !job.process.closing();
+    let in_time = job.elapsed() + remaining < job.route.objective && !job.process.closing();
     let resumable = stream_begun && remaining < MAX_BACKOFF_RESUMING;
     if !(in_time || resumable) {
         return Err(Rejection::Backoff { left_ms: remaining.as_millis() as u64 });
@@ -199,7 +199,7 @@
 pub fn rejection_error<D: Dialect>(job: &Job<D>, rejection: Rejection, proof: Unsent) -> Error {
     if job.process.closing() {
         let why = "this VM is about to end, and there was no place in time";
-        let after = retry_after::Cause::Stopping.retry_after(job.left());
+        let after = retry_after::Cause::Stopping.retry_after(job.remaining());
         return Error::unsent(Kind::Draining, why, proof).retry_after(after);
     }
     let kind = match rejection {
@@ -212,7 +212,7 @@
     let long = prefill_ms(job, &job.requirements(&[], Charge::Free)).is_some();
     let cause =
         if long { retry_after::Cause::FullForLongPrompts } else { retry_after::Cause::Full };
-    let after = cause.retry_after(job.left());
+    let after = cause.retry_after(job.remaining());
     Error::unsent(kind, format!("{}: {rejection}", job.service.name), proof).retry_after(after)
 }
 
@@ -221,7 +221,7 @@
     let remaining = Duration::from_millis(left_ms).max(POLL_INTERVAL);
     let service = &job.service.name;
     let why = format!("{service}: all upstreams asked {} for a rest", job.process.member.vm);
-    let after = remaining.min(retry_after::Cause::Full.retry_after(job.left()));
+    let after = remaining.min(retry_after::Cause::Full.retry_after(job.remaining()));
     let why = format!("{why}, the first for {left_ms} ms more");
     Error::unsent(Kind::Overloaded, why, proof).retry_after(after)
 }
--- a/daemon/src/fleet/record.rs
+++ b/daemon/src/fleet/record.rs
@@ -11,7 +11,7 @@
 impl<D: Dialect> Job<D> {
     /// Records a decision, and logs it with its inputs as far as the volume allows.
     pub fn record(&self, decision: Decision) {
-        let step = decision::Entry { at_ms: millis(self.held()), decision };
+        let step = decision::Entry { at_ms: millis(self.elapsed()), decision };
         let level = step.decision.event().level();
         let volume = if level.is_at_least(Level::Info) {
             &self.process.trouble_lines
--- a/daemon/src/fleet/retry.rs
+++ b/daemon/src/fleet/retry.rs
@@ -90,10 +90,10 @@
 
 /// Whether a request may be sent again, if the fleet's retry budget allows it.
 pub fn may_retry<D: Dialect>(job: &Job<D>, history: &History, not_run: bool) -> bool {
-    (not_run || job.repeatable())
+    (not_run || job.is_retryable())
         && history.unsent <= MAX_UNSENT
         && history.ran < job.route.attempts
         && history.ran + history.refused < job.route.attempts + MAX_EXTRA_ATTEMPTS
-        && !job.left().is_zero()
+        && !job.remaining().is_zero()
         && !job.process.ending.is_cancelled()
 }
--- a/daemon/src/fleet/serve.rs
+++ b/daemon/src/fleet/serve.rs
@@ -163,7 +163,7 @@
     proof: Proof,
     why: String,
 ) -> Step {
-    if job.held() >= queue::timeout(job) {
+    if job.elapsed() >= queue::timeout(job) {
         return Step::Done(no_place(job, std::mem::take(history), proof, Rejection::Full));
     }
     history.excluded.push(upstream.clone());
@@ -196,7 +196,7 @@
     let kind = if not_run { Kind::NoUpstream } else { Kind::UpstreamFailed };
     let error = proof.error(kind, format!("{upstream}: {why}"), false);
     let error =
-        if not_run { error.retry_after(Cause::Full.retry_after(job.left())) } else { error };
+        if not_run { error.retry_after(Cause::Full.retry_after(job.remaining())) } else { error };
     Step::Done(Err(failed(job, error)))
 }
 
@@ -206,7 +206,7 @@
     let more = history.refused.checked_sub(job.route.attempts + MAX_EXTRA_ATTEMPTS)?;
     let pause = REFUSED_PAUSE * 2_u32.checked_pow(more)?;
     let waits = history.ran == 0
-        && job.held() + pause < job.route.objective.mul_f64(REFUSED_HELD)
+        && job.elapsed() + pause < job.route.objective.mul_f64(REFUSED_HELD)
         && !job.process.closing();
     waits.then_some(pause)
 }
