--- a/daemon/src/fleet/admit.rs
+++ b/daemon/src/fleet/admit.rs
@@ -24,9 +24,9 @@
 use crate::log;
 
 /// The time that a caller has who tells none: that of the platform's longest route.
-const USUAL_PATIENCE: Duration = Duration::from_secs(15);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(15);
 
-fn refuse(kind: Kind, why: impl Into<String>) -> Error {
+fn reject(kind: Kind, why: impl Into<String>) -> Error {
     Error::unsent(kind, why, Unsent::arrived())
 }
 
@@ -46,16 +46,16 @@
         }
         checked => checked,
     };
-    let admitted = checked.inspect_err(|error| {
+    let admission = checked.inspect_err(|error| {
         if process.trouble_lines.admit(process.now()).is_some() {
             log::refused(&process.log, id, error);
         }
     })?;
-    let Admitted { route, service, organisation, version, body_bytes } = admitted;
-    let patience = terms.timeout.unwrap_or(USUAL_PATIENCE).min(route.timeout);
-    let deadline = arrived + patience;
-    let held = process.now().saturating_duration_since(arrived);
-    let due = process.moment().after(patience.saturating_sub(held));
+    let Admission { route, service, organisation, version, body_bytes } = admission;
+    let timeout = terms.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+    let deadline = arrived + timeout;
+    let elapsed = process.now().saturating_duration_since(arrived);
+    let due = process.moment().after(timeout.saturating_sub(elapsed));
     let (head, body) = request.into_parts();
     let body = read_body(body, body_bytes, deadline).await?;
     let entry = process.ring.begin(Subject {
@@ -84,7 +84,7 @@
         due,
         entry,
     };
-    let timeout_ms = patience.as_millis() as u64;
+    let timeout_ms = timeout.as_millis() as u64;
     let age = process.fresh.age(process.moment());
     let settings_age_ms = age.map(|age| age.as_millis() as u64);
     let prompt = job.service.engine.is_some().then_some(job.terms.prompt);
@@ -93,7 +93,7 @@
     Ok(job)
 }
 
-struct Admitted {
+struct Admission {
     route: Arc<Route>,
     service: Arc<Service>,
     organisation: Option<Arc<Organisation>>,
@@ -105,31 +105,33 @@
     process: &Process<D>,
     terms: &Terms,
     request: &Request<Incoming>,
-) -> Result<Admitted, Error> {
-    let time = terms.timeout.unwrap_or(USUAL_PATIENCE);
+) -> Result<Admission, Error> {
+    let timeout = terms.timeout.unwrap_or(DEFAULT_TIMEOUT);
     if process.closing() {
-        let error = refuse(Kind::Draining, "this VM is about to end");
-        return Err(error.retry_after(Cause::Stopping.retry_after(time)));
+        let error = reject(Kind::Draining, "this VM is about to end");
+        return Err(error.retry_after(Cause::Stopping.retry_after(timeout)));
     }
     let Some(settings) = process.settings() else {
-        let error = refuse(Kind::StoreUnavailable, "there are no settings yet");
+        let error = reject(Kind::StoreUnavailable, "there are no settings yet");
         // Where keys have to be confirmed, VMs with settings refuse as well while the directory is away.
-        let confirmed = process.config.fleet.settings_age().is_some();
-        let cause = if confirmed { Cause::StaleSettings } else { Cause::NoSettings };
-        return Err(error.retry_after(cause.retry_after(time)));
+        let needs_confirmation = process.config.fleet.settings_age().is_some();
+        let cause = if needs_confirmation { Cause::StaleSettings } else { Cause::NoSettings };
+        return Err(error.retry_after(cause.retry_after(timeout)));
     };
     let table = &settings.table;
     let host = request.headers().get(HOST).and_then(|h| h.to_str().ok()).unwrap_or_default();
     let path = request.uri().path();
     let Some(route) = table.route(host, path) else {
         let why = format!("settings version {} has no route for {host}{path}", table.number());
-        return Err(refuse(Kind::NotFound, why));
+        return Err(reject(Kind::NotFound, why));
     };
     let organisation = organisation(process, table, route, terms)?;
-    let service = choose(&route.targets)
+    let service = choose_target(&route.targets)
         .and_then(|target| table.service(&target.service))
-        .ok_or_else(|| refuse(Kind::NoUpstream, format!("route {} has no service", route.name)))?;
-    Ok(Admitted {
+        .ok_or_else(|| {
+        reject(Kind::NoUpstream, format!("route {} has no service", route.name))
+    })?;
+    Ok(Admission {
         route: route.clone(),
         service: service.clone(),
         organisation,
@@ -147,10 +149,10 @@
     if !table.keyed() || route.public {
         return Ok(None);
     }
-    let found = terms.api_key.as_deref().and_then(|key| table.organisation(key));
-    let Some(organisation) = found else {
+    let organisation = terms.api_key.as_deref().and_then(|key| table.organisation(key));
+    let Some(organisation) = organisation else {
         let why = format!("settings version {} does not know this key", table.number());
-        return Err(refuse(Kind::Unauthorized, why));
+        return Err(reject(Kind::Unauthorized, why));
     };
     let moment = process.moment();
     if !process.fresh.holds(moment) {
@@ -161,24 +163,24 @@
             ),
             None => "the settings have not been confirmed since this VM started".to_owned(),
         };
-        let time = terms.timeout.unwrap_or(USUAL_PATIENCE);
-        let after = Cause::StaleSettings.retry_after(time);
-        return Err(refuse(Kind::StoreUnavailable, why).retry_after(after));
+        let timeout = terms.timeout.unwrap_or(DEFAULT_TIMEOUT);
+        let after = Cause::StaleSettings.retry_after(timeout);
+        return Err(reject(Kind::StoreUnavailable, why).retry_after(after));
     }
     Ok(Some(organisation.clone()))
 }
 
 /// Picks a target by weight.
-fn choose(targets: &[Target]) -> Option<&Target> {
-    let all: u32 = targets.iter().map(|t| t.weight).sum();
-    if all == 0 {
+fn choose_target(targets: &[Target]) -> Option<&Target> {
+    let total: u32 = targets.iter().map(|t| t.weight).sum();
+    if total == 0 {
         return targets.first();
     }
-    let mut at = rand::random_range(0..all);
+    let mut offset = rand::random_range(0..total);
     targets.iter().find(|target| {
-        let here = at < target.weight;
-        at = at.saturating_sub(target.weight);
-        here
+        let is_chosen = offset < target.weight;
+        offset = offset.saturating_sub(target.weight);
+        is_chosen
     })
 }
 
@@ -194,14 +196,14 @@
     Fingerprint::of(organisation, head.method.as_str(), target, body)
 }
 
-async fn read_body(body: Incoming, most: usize, deadline: Instant) -> Result<Bytes, Error> {
-    let read = Limited::new(body, most).collect();
-    match tokio::time::timeout_at(deadline.into(), read).await {
+async fn read_body(body: Incoming, max_bytes: usize, deadline: Instant) -> Result<Bytes, Error> {
+    let collecting = Limited::new(body, max_bytes).collect();
+    match tokio::time::timeout_at(deadline.into(), collecting).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(e)) if e.is::<LengthLimitError>() => {
-            Err(refuse(Kind::TooLarge, format!("the body is larger than {most} bytes")))
+            Err(reject(Kind::TooLarge, format!("the body is larger than {max_bytes} bytes")))
         }
-        Ok(Err(e)) => Err(refuse(Kind::BadRequest, format!("the body broke off: {e}"))),
-        Err(_) => Err(refuse(Kind::RequestTimeout, "the body came too slowly")),
+        Ok(Err(e)) => Err(reject(Kind::BadRequest, format!("the body broke off: {e}"))),
+        Err(_) => Err(reject(Kind::RequestTimeout, "the body came too slowly")),
     }
 }
