--- a/daemon/src/fleet/callers.rs
+++ b/daemon/src/fleet/callers.rs
@@ -65,9 +65,9 @@
         async move {
             begin(activity, process.now());
             began.notify_one();
-            let answer = serve::answer(process.clone(), request).await;
+            let response = serve::respond(process.clone(), request).await;
             end(activity, process.now());
-            answer
+            response
         }
     });
     let bounds = process.settings().map(|s| *s.table.bounds());
--- a/daemon/src/fleet/serve.rs
+++ b/daemon/src/fleet/serve.rs
@@ -26,17 +26,17 @@
 
 /// The pause after memory that was counted on turned out to be taken: by then the peers have told
 /// what they placed.
-const MEMORY_PAUSE: Duration = Duration::from_millis(30);
+const RESERVATION_RETRY_DELAY: Duration = Duration::from_millis(30);
 
 /// The pause after that many refusals; it doubles with each one more. An engine's report is some
 /// 200 ms old, so what failed a request twice is known to all by the end of the second pause.
-const REFUSED_PAUSE: Duration = Duration::from_millis(100);
+const REFUSAL_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// The part of its objective for which such a request is held: the rest is for its first event.
-const REFUSED_HELD: f64 = 0.5;
+const MAX_REFUSED_WAIT_SHARE: f64 = 0.5;
 
 /// Answers a request.
-pub async fn answer<D: Dialect>(
+pub async fn respond<D: Dialect>(
     process: Arc<Process<D>>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
@@ -44,24 +44,24 @@
     let terms = D::terms(request.headers());
     let id = terms.request_id.parse().unwrap_or_else(|_| process.request_id());
     process.metrics.requests.inc();
-    let answered = match admit::admit(&process, &id, terms, request, arrived).await {
+    let result = match admit::admit(&process, &id, terms, request, arrived).await {
         Ok(job) => run(job).await,
         Err(error) => Err(error),
     };
-    Ok(answered.unwrap_or_else(|error| {
+    Ok(result.unwrap_or_else(|error| {
         process.metrics.error(error.kind());
         answer::error(&error, &id)
     }))
 }
 
 /// What follows an attempt.
-enum Step {
+enum Action {
     /// The request has its answer.
-    Done(Result<Response<Body>, Error>),
+    Respond(Result<Response<Body>, Error>),
     /// It is sent again, with what is known of it by now.
-    Again(Proof),
+    Retry(Proof),
     /// The same, after a pause in which others tell what they placed.
-    Pause(Proof, Duration),
+    RetryAfter(Proof, Duration),
 }
 
 async fn run<D: Dialect>(job: Job<D>) -> Result<Response<Body>, Error> {
@@ -71,16 +71,16 @@
     loop {
         let grant = match queue::wait_for_grant(&job, &mut history, false).await {
             Ok(grant) => grant,
-            Err(rejection) => return no_place(&job, history, proof, rejection),
+            Err(rejection) => return unplaced_response(&job, history, proof, rejection),
         };
         let upstream = grant.placement.flight.upstream.clone();
         let attempt = proof.send();
         let end = attempt::run(&job, grant, job.terms.last_event, &history).await;
-        proof = match settle(&job, &mut history, upstream, attempt, end) {
-            Step::Done(answer) => return answer,
-            Step::Again(proof) => proof,
-            Step::Pause(proof, pause) => {
-                tokio::time::sleep(pause).await;
+        proof = match next_action(&job, &mut history, upstream, attempt, end) {
+            Action::Respond(response) => return response,
+            Action::Retry(proof) => proof,
+            Action::RetryAfter(proof, delay) => {
+                tokio::time::sleep(delay).await;
                 proof
             }
         };
@@ -88,14 +88,14 @@
 }
 
 /// The answer to a request for which there is no placement: an upstream's own failure if there was one.
-fn no_place<D: Dialect>(
+fn unplaced_response<D: Dialect>(
     job: &Job<D>,
     history: History,
     proof: Proof,
     rejection: Rejection,
 ) -> Result<Response<Body>, Error> {
-    if let Some(answer) = history.upstream_response {
-        return Ok(answer);
+    if let Some(response) = history.upstream_response {
+        return Ok(response);
     }
     let why = format!("not sent again: {rejection}");
     Err(failed(
@@ -108,29 +108,33 @@
 }
 
 /// Decides what follows the end of an attempt.
-fn settle<D: Dialect>(
+fn next_action<D: Dialect>(
     job: &Arc<Job<D>>,
     history: &mut History,
     upstream: id::Upstream,
     attempt: Attempt,
     end: End<D>,
-) -> Step {
+) -> Action {
     let (why, proof) = match end {
-        End::Whole(answer) => {
+        End::Whole(response) => {
             finished(job, None);
-            return Step::Done(Ok(answer));
+            return Action::Respond(Ok(response));
         }
         End::Events(begun) => {
-            return Step::Done(Ok(events::relay(job.clone(), *begun, std::mem::take(history))));
+            return Action::Respond(Ok(events::relay(
+                job.clone(),
+                *begun,
+                std::mem::take(history),
+            )));
         }
         End::Deadline => {
             let why = format!("{upstream} had not answered in time");
             let error = attempt.unknown().error(Kind::DeadlineExceeded, why, false);
-            return Step::Done(Err(failed(job, error)));
+            return Action::Respond(Err(failed(job, error)));
         }
         End::NoMemory(reservations::Failure { upstream, cause }) => {
             let proof = attempt.refused(Refusal::not_connected());
-            return no_memory(job, history, upstream, proof, cause.to_string());
+            return on_reservation_failure(job, history, upstream, proof, cause.to_string());
         }
         End::Unsent(why) => {
             history.unsent += 1;
@@ -139,12 +143,12 @@
         End::NotRun { why, at_fault } => {
             history.refused += 1;
             let proof = attempt.refused(Refusal::stated());
-            return again(job, history, at_fault, proof, why);
+            return retry_or_fail(job, history, at_fault, proof, why);
         }
-        End::Own(answer) => {
+        End::Own(response) => {
             history.ran += 1;
-            let why = format!("it answered {}", answer.status());
-            history.upstream_response = Some(*answer);
+            let why = format!("it answered {}", response.status());
+            history.upstream_response = Some(*response);
             (why, attempt.unknown())
         }
         End::Broken(why) => {
@@ -152,61 +156,66 @@
             (why, attempt.unknown())
         }
     };
-    again(job, history, upstream, proof, why)
+    retry_or_fail(job, history, upstream, proof, why)
 }
 
 /// Memory that was counted on was taken: the request looks for another placement while it may wait.
-fn no_memory<D: Dialect>(
+fn on_reservation_failure<D: Dialect>(
     job: &Job<D>,
     history: &mut History,
     upstream: id::Upstream,
     proof: Proof,
     why: String,
-) -> Step {
+) -> Action {
     if job.elapsed() >= queue::timeout(job) {
-        return Step::Done(no_place(job, std::mem::take(history), proof, Rejection::Full));
+        return Action::Respond(unplaced_response(
+            job,
+            std::mem::take(history),
+            proof,
+            Rejection::Full,
+        ));
     }
     history.excluded.push(upstream.clone());
     history.failure = Some(Failure { upstream, why });
-    Step::Pause(proof, MEMORY_PAUSE)
+    Action::RetryAfter(proof, RESERVATION_RETRY_DELAY)
 }
 
 /// Sends a failed request again if that is allowed, or gives the final answer.
-fn again<D: Dialect>(
+fn retry_or_fail<D: Dialect>(
     job: &Job<D>,
     history: &mut History,
     upstream: id::Upstream,
     proof: Proof,
     why: String,
-) -> Step {
+) -> Action {
     history.excluded.push(upstream.clone());
     let not_run = matches!(proof, Proof::NotRun(_));
     if may_retry(job, history, not_run) {
         history.failure = Some(Failure { upstream, why });
-        return Step::Again(proof);
+        return Action::Retry(proof);
     }
-    if not_run && let Some(pause) = pause(job, history) {
+    if not_run && let Some(delay) = refusal_delay(job, history) {
         history.failure = Some(Failure { upstream, why });
         history.excluded.clear();
-        return Step::Pause(proof, pause);
+        return Action::RetryAfter(proof, delay);
     }
-    if let Some(answer) = history.upstream_response.take() {
-        return Step::Done(Ok(answer));
+    if let Some(response) = history.upstream_response.take() {
+        return Action::Respond(Ok(response));
     }
     let kind = if not_run { Kind::NoUpstream } else { Kind::UpstreamFailed };
     let error = proof.error(kind, format!("{upstream}: {why}"), false);
     let error =
         if not_run { error.retry_after(Cause::Full.retry_after(job.remaining())) } else { error };
-    Step::Done(Err(failed(job, error)))
+    Action::Respond(Err(failed(job, error)))
 }
 
 /// How long a request waits that all upstreams refused which it was sent to, while its answer can still
 /// be in time: that a few tries failed does not say that there is no room.
-fn pause<D: Dialect>(job: &Job<D>, history: &History) -> Option<Duration> {
-    let more = history.refused.checked_sub(job.route.attempts + MAX_EXTRA_ATTEMPTS)?;
-    let pause = REFUSED_PAUSE * 2_u32.checked_pow(more)?;
-    let waits = history.ran == 0
-        && job.elapsed() + pause < job.route.objective.mul_f64(REFUSED_HELD)
+fn refusal_delay<D: Dialect>(job: &Job<D>, history: &History) -> Option<Duration> {
+    let excess = history.refused.checked_sub(job.route.attempts + MAX_EXTRA_ATTEMPTS)?;
+    let delay = REFUSAL_RETRY_DELAY * 2_u32.checked_pow(excess)?;
+    let may_wait = history.ran == 0
+        && job.elapsed() + delay < job.route.objective.mul_f64(MAX_REFUSED_WAIT_SHARE)
         && !job.process.closing();
-    waits.then_some(pause)
+    may_wait.then_some(delay)
 }
