--- a/daemon/src/fleet/callers.rs
+++ b/daemon/src/fleet/callers.rs
@@ -22,18 +22,18 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// How long a connection may rest before there are settings that say so.
-const USUAL_IDLE: Duration = Duration::from_secs(15);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// The least read buffer of a connection, bytes; hyper asks for 8 KiB at least.
-const LEAST_BUFFER: usize = 8 << 10;
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 
 /// The read buffer before there are settings, bytes.
-const USUAL_BUFFER: usize = 64 << 10;
+const DEFAULT_BUFFER_BYTES: usize = 64 << 10;
 
 /// What a connection is doing.
 struct Activity {
     requests: u32,
-    since: Instant,
+    last_change: Instant,
 }
 
 /// Accepts callers until the process ends.
@@ -57,40 +57,40 @@
     let _ = stream.set_nodelay(true);
     let mut stream = TimeoutStream::new(stream);
     stream.set_write_timeout(Some(process.config.fleet.write_timeout()));
-    let activity = Mutex::new(Activity { requests: 0, since: process.now() });
-    let began = Notify::new();
+    let activity = Mutex::new(Activity { requests: 0, last_change: process.now() });
+    let request_begun = Notify::new();
     let service = service_fn(|request| {
         let process = process.clone();
-        let (activity, began) = (&activity, &began);
+        let (activity, request_begun) = (&activity, &request_begun);
         async move {
-            begin(activity, process.now());
-            began.notify_one();
+            begin_request(activity, process.now());
+            request_begun.notify_one();
             let response = serve::respond(process.clone(), request).await;
-            end(activity, process.now());
+            end_request(activity, process.now());
             response
         }
     });
     let bounds = process.settings().map(|s| *s.table.bounds());
-    let buffer = bounds.map_or(USUAL_BUFFER, |b| b.header_bytes * 2).max(LEAST_BUFFER);
-    let idle = bounds.map_or(USUAL_IDLE, |b| b.idle_time);
+    let buffer = bounds.map_or(DEFAULT_BUFFER_BYTES, |b| b.header_bytes * 2).max(MIN_BUFFER_BYTES);
+    let idle_timeout = bounds.map_or(DEFAULT_IDLE_TIMEOUT, |b| b.idle_time);
     let connection = http1::Builder::new()
         .max_buf_size(buffer)
         .serve_connection(TokioIo::new(Box::pin(stream)), service);
     let mut connection = pin!(connection);
-    let (mut stopping, mut served) = (false, false);
+    let (mut stopping, mut has_request) = (false, false);
     loop {
-        let rested_at = rested_at(&activity, idle, process.now());
+        let idle_deadline = idle_deadline(&activity, idle_timeout, process.now());
         tokio::select! {
             // How a caller's connection ended is seen by its requests.
             _ = connection.as_mut() => return,
             // A connection that was just opened gets its first request answered, and then closed.
-            () = began.notified(), if !served => served = true,
-            () = process.stopping.cancelled(), if !stopping && served => {
+            () = request_begun.notified(), if !has_request => has_request = true,
+            () = process.stopping.cancelled(), if !stopping && has_request => {
                 stopping = true;
                 connection.as_mut().graceful_shutdown();
             }
-            () = tokio::time::sleep_until(rested_at.into()), if !stopping => {
-                if rested(&activity, idle, process.now()) {
+            () = tokio::time::sleep_until(idle_deadline.into()), if !stopping => {
+                if is_idle(&activity, idle_timeout, process.now()) {
                     stopping = true;
                     connection.as_mut().graceful_shutdown();
                 }
@@ -99,25 +99,29 @@
     }
 }
 
-fn begin(activity: &Mutex<Activity>, now: Instant) {
+fn begin_request(activity: &Mutex<Activity>, now: Instant) {
     let mut activity = activity.lock().unwrap();
     activity.requests += 1;
-    activity.since = now;
+    activity.last_change = now;
 }
 
-fn end(activity: &Mutex<Activity>, now: Instant) {
+fn end_request(activity: &Mutex<Activity>, now: Instant) {
     let mut activity = activity.lock().unwrap();
     activity.requests -= 1;
-    activity.since = now;
+    activity.last_change = now;
 }
 
 /// When the connection will have rested too long, if nothing happens.
-fn rested_at(activity: &Mutex<Activity>, idle: Duration, now: Instant) -> Instant {
+fn idle_deadline(activity: &Mutex<Activity>, idle_timeout: Duration, now: Instant) -> Instant {
     let activity = activity.lock().unwrap();
-    if activity.requests > 0 { now + idle } else { (activity.since + idle).max(now) }
+    if activity.requests > 0 {
+        now + idle_timeout
+    } else {
+        (activity.last_change + idle_timeout).max(now)
+    }
 }
 
-fn rested(activity: &Mutex<Activity>, idle: Duration, now: Instant) -> bool {
+fn is_idle(activity: &Mutex<Activity>, idle_timeout: Duration, now: Instant) -> bool {
     let activity = activity.lock().unwrap();
-    activity.requests == 0 && now.saturating_duration_since(activity.since) >= idle
+    activity.requests == 0 && now.saturating_duration_since(activity.last_change) >= idle_timeout
 }
