--- a/daemon/src/fleet/rate_limits.rs
+++ b/daemon/src/fleet/rate_limits.rs
@@ -20,11 +20,16 @@
 use crate::log;
 
 /// Applies the limit in an answer of an upstream instance to a request sent at `sent`.
-pub fn observe<D: Dialect>(process: &Process<D>, start: Tag, rate: Option<Rate>, sent: Instant) {
+pub fn observe<D: Dialect>(
+    process: &Process<D>,
+    incarnation: Tag,
+    rate: Option<Rate>,
+    sent: Instant,
+) {
     let now = process.now();
     let own = &process.member.vm;
     let mut cluster = process.cluster.lock().unwrap();
-    let Some(upstream) = cluster.observe_limit(start, rate, sent, own, now) else { return };
+    let Some(upstream) = cluster.observe_limit(incarnation, rate, sent, own, now) else { return };
     let entry = entry(&cluster, &upstream);
     drop(cluster);
     log_change(process, &upstream, rate, own);
@@ -69,15 +74,15 @@
 pub fn unknown_to_scheduler<D: Dialect>(process: &Process<D>, placement: &Placement) -> Vec<Entry> {
     let cluster = process.cluster.lock().unwrap();
     let Flight { upstream, helpers, .. } = &placement.flight;
-    let helpers = helpers.iter().map(|helping| &helping.upstream);
+    let helpers = helpers.iter().map(|helper| &helper.upstream);
     let limited = helpers.filter(|id| cluster.get(id).is_some_and(|helper| helper.is_limited()));
-    let own = (!cluster.may_send(upstream, placement.limit)).then_some(upstream);
-    own.into_iter().chain(limited).filter_map(|id| entry(&cluster, id)).collect()
+    let over_limit = (!cluster.may_send(upstream, placement.limit)).then_some(upstream);
+    over_limit.into_iter().chain(limited).filter_map(|id| entry(&cluster, id)).collect()
 }
 
 /// Whether an upstream has a rate limit.
 pub fn is_limited<D: Dialect>(process: &Process<D>, upstream: &id::Upstream) -> bool {
-    process.cluster.lock().unwrap().get(upstream).is_some_and(|known| known.is_limited())
+    process.cluster.lock().unwrap().get(upstream).is_some_and(|upstream| upstream.is_limited())
 }
 
 /// Sends limits to a VM.
@@ -86,9 +91,9 @@
 }
 
 fn entry(cluster: &Cluster, upstream: &id::Upstream) -> Option<Entry> {
-    let known = cluster.get(upstream)?;
-    let limit: Limit = known.rate_limit.as_ref()?.limit;
-    Some(Entry { upstream: known.tag, limit })
+    let listed = cluster.get(upstream)?;
+    let limit: Limit = listed.rate_limit.as_ref()?.limit;
+    Some(Entry { upstream: listed.tag, limit })
 }
 
 fn broadcast<D: Dialect>(process: &Process<D>) {
