--- a/daemon/src/fleet/callers.rs
+++ b/daemon/src/fleet/callers.rs
@@ -1,4 +1,4 @@
-//! Callers' connections: one task for each.
+//! Accepts callers' connections and serves each of them in a task of its own.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -18,25 +18,25 @@
 use crate::fleet::serve;
 use crate::log;
 
-/// The pause after a failed accept, for instance for want of descriptors.
+/// Delay after a failed accept, for example when no file descriptors are left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// How long a connection may rest before there are settings that say so.
+/// Idle timeout of connections that are accepted before the first settings arrive.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The least read buffer of a connection, bytes; hyper asks for 8 KiB at least.
+/// Minimum read buffer of a connection; hyper requires at least 8 KiB.
 const MIN_BUFFER_BYTES: usize = 8 << 10;
 
-/// The read buffer before there are settings, bytes.
+/// Read buffer of connections that are accepted before the first settings arrive.
 const DEFAULT_BUFFER_BYTES: usize = 64 << 10;
 
-/// What a connection is doing.
+/// Number of requests in progress on a connection, and when it last changed.
 struct Activity {
     requests: u32,
     last_change: Instant,
 }
 
-/// Accepts callers until the process ends.
+/// Accepts connections until the process ends.
 pub async fn run<D: Dialect>(process: Arc<Process<D>>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -52,8 +52,8 @@
 }
 
 async fn serve_connection<D: Dialect>(process: Arc<Process<D>>, stream: TcpStream) {
-    // Without it each event would wait for the one before it to be acknowledged. A socket that
-    // refuses is already closed, and the first read says so.
+    // With Nagle's algorithm each event would wait for the acknowledgement of the one before. If
+    // the option can't be set, the socket is closed already, and the first read fails.
     let _ = stream.set_nodelay(true);
     let mut stream = TimeoutStream::new(stream);
     stream.set_write_timeout(Some(process.config.fleet.write_timeout()));
@@ -81,9 +81,9 @@
     loop {
         let idle_deadline = idle_deadline(&activity, idle_timeout, process.now());
         tokio::select! {
-            // How a caller's connection ended is seen by its requests.
+            // The requests handle errors of the connection themselves.
             _ = connection.as_mut() => return,
-            // A connection that was just opened gets its first request answered, and then closed.
+            // On shutdown, a new connection is closed only after the response to its first request.
             () = request_begun.notified(), if !has_request => has_request = true,
             () = process.stopping.cancelled(), if !stopping && has_request => {
                 stopping = true;
@@ -111,7 +111,7 @@
     activity.last_change = now;
 }
 
-/// When the connection will have rested too long, if nothing happens.
+/// When the idle timeout expires, unless a request begins or ends before.
 fn idle_deadline(activity: &Mutex<Activity>, idle_timeout: Duration, now: Instant) -> Instant {
     let activity = activity.lock().unwrap();
     if activity.requests > 0 {
