--- a/daemon/src/fleet/admit.rs
+++ b/daemon/src/fleet/admit.rs
@@ -1,4 +1,5 @@
-//! Admission: the route, the key, the age of the settings and the body of a request.
+//! Admission of a request: matches its route, checks its API key against settings that were
+//! confirmed recently enough, and reads its body.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -23,14 +24,14 @@
 use crate::fleet::suspended;
 use crate::log;
 
-/// The time that a caller has who tells none: that of the platform's longest route.
+/// Timeout of requests whose caller states none: that of the platform's longest route.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(15);
 
 fn reject(kind: Kind, why: impl Into<String>) -> Error {
     Error::unsent(kind, why, Unsent::arrived())
 }
 
-/// Admits a request, or says why not; nothing of it has been sent.
+/// Admits a request, or returns the error that rejects it before anything was sent to an upstream.
 pub async fn admit<D: Dialect>(
     process: &Arc<Process<D>>,
     id: &id::Request,
@@ -93,6 +94,7 @@
     Ok(job)
 }
 
+/// Result of the checks that need no body.
 struct Admission {
     route: Arc<Route>,
     service: Arc<Service>,
@@ -108,12 +110,13 @@
 ) -> Result<Admission, Error> {
     let timeout = terms.timeout.unwrap_or(DEFAULT_TIMEOUT);
     if process.closing() {
-        let error = reject(Kind::Draining, "this VM is about to end");
+        let error = reject(Kind::Draining, "this VM is shutting down");
         return Err(error.retry_after(Cause::Stopping.retry_after(timeout)));
     }
     let Some(settings) = process.settings() else {
         let error = reject(Kind::StoreUnavailable, "there are no settings yet");
-        // Where keys have to be confirmed, VMs with settings refuse as well while the directory is away.
+        // If settings have to be confirmed regularly, other VMs reject requests with keys as well
+        // while the directory is unavailable.
         let needs_confirmation = process.config.fleet.settings_age().is_some();
         let cause = if needs_confirmation { Cause::StaleSettings } else { Cause::NoSettings };
         return Err(error.retry_after(cause.retry_after(timeout)));
@@ -151,7 +154,7 @@
     }
     let organisation = terms.api_key.as_deref().and_then(|key| table.organisation(key));
     let Some(organisation) = organisation else {
-        let why = format!("settings version {} does not know this key", table.number());
+        let why = format!("settings version {} has no such API key", table.number());
         return Err(reject(Kind::Unauthorized, why));
     };
     let moment = process.moment();
@@ -170,7 +173,7 @@
     Ok(Some(organisation.clone()))
 }
 
-/// Picks a target by weight.
+/// Picks a random target, in proportion to the weights.
 fn choose_target(targets: &[Target]) -> Option<&Target> {
     let total: u32 = targets.iter().map(|t| t.weight).sum();
     if total == 0 {
@@ -203,7 +206,9 @@
         Ok(Err(e)) if e.is::<LengthLimitError>() => {
             Err(reject(Kind::TooLarge, format!("the body is larger than {max_bytes} bytes")))
         }
-        Ok(Err(e)) => Err(reject(Kind::BadRequest, format!("the body broke off: {e}"))),
-        Err(_) => Err(reject(Kind::RequestTimeout, "the body came too slowly")),
+        Ok(Err(e)) => Err(reject(Kind::BadRequest, format!("the body could not be read: {e}"))),
+        Err(_) => {
+            Err(reject(Kind::RequestTimeout, "the body was not complete before the deadline"))
+        }
     }
 }
