--- a/daemon/src/fleet/queue.rs
+++ b/daemon/src/fleet/queue.rs
@@ -1,4 +1,4 @@
-//! Admission queue: holds a request until it is scheduled.
+//! Admission queue: a request waits here until it is granted a placement, or is rejected.
 
 use std::time::{Duration, Instant};
 
@@ -20,7 +20,7 @@
 use crate::fleet::notices;
 use crate::fleet::retry::History;
 
-/// How often a request looks again for a service without any open upstream.
+/// Interval at which a request is tried again while its service has no usable upstream.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Grants slower than this count as queueing; faster ones are network latency to the scheduler.
@@ -30,16 +30,18 @@
 /// retry.
 const MAX_QUEUE_SHARE: f64 = 0.4;
 
-/// The longest wait for a service without any open upstream.
+/// Longest wait for a usable upstream of a service that has none.
 const MAX_WAIT_NO_UPSTREAM: Duration = Duration::from_millis(500);
 
-/// Longest backoff of all upstreams that a stream which has begun waits for: its caller leaves after 2 s.
+/// Longest backoff that a stream which has begun waits for when all upstreams are in backoff: its
+/// caller disconnects after 2 s.
 const MAX_BACKOFF_RESUMING: Duration = Duration::from_millis(1_500);
 
-/// The engines among which a long prompt is usually divided, where 18 serve short ones as well.
+/// Number of engines among which a long prompt is usually divided, of 18 that serve short prompts
+/// as well.
 const EXPECTED_PREFILL_PARTS: f64 = 10.0;
 
-/// The writers of the engine that answers a long prompt.
+/// Number of decoding requests on the engine that generates the response to a long prompt.
 const EXPECTED_DECODING: u32 = 4;
 
 /// Share of the deadline a long prompt may queue for before it is rejected.
@@ -48,15 +50,16 @@
 /// Slowdown of decoding caused by prefill chunks in the same batch.
 const PREFILL_SLOWDOWN: f64 = 1.5;
 
-/// How long a request waits for a placement at most.
+/// Queue timeout of requests other than long prompts, and time within which a request is retried
+/// after a failed memory reservation.
 pub fn timeout<D: Dialect>(job: &Job<D>) -> Duration {
     (job.deadline - job.arrived).mul_f64(MAX_QUEUE_SHARE)
 }
 
-/// Finds a placement, or says why there is none. The request has not been sent, or each attempt so far
-/// is known not to have run, or it may be repeated; the caller of this function knows which.
+/// Waits until the request is granted a placement, or returns why it is rejected. The request must
+/// be safe to send: not sent before, known not to have run in any attempt, or retryable.
 ///
-/// `stream_begun` says that a part of its answer was delivered.
+/// `stream_begun`: events of the response have been delivered to the caller.
 pub async fn wait_for_grant<D: Dialect>(
     job: &Job<D>,
     history: &mut History,
@@ -97,7 +100,7 @@
     let expiry = Expiry { at: expires_at, stream_begun };
     loop {
         if wait_for_backoff(job, stream_begun).await? {
-            // Those that refused it have had their rest.
+            // The backoff of the upstreams that refused the request is over.
             requirements.excluded.clear();
         }
         match grant_requests::request(&job.process, &job.service, requirements.clone(), expiry)
@@ -118,10 +121,12 @@
     }
 }
 
-/// Waits for the first end of a rest where all upstreams of the service rest for this VM and the answer may
-/// still be in time then. Else the request cannot be served here in time, which its caller is told at once:
-/// other VMs may not have been asked for a rest. A stream that has begun has only this VM to go on with it.
-/// Answers whether it waited.
+/// If all upstreams of the service are in backoff for this VM, waits until the first backoff ends.
+/// Returns whether it waited.
+///
+/// If the response can't meet its objective then, the request is rejected at once, since other VMs
+/// may not be in backoff. A stream that has begun can be resumed by this VM only, so it waits for up
+/// to `MAX_BACKOFF_RESUMING` in any case.
 async fn wait_for_backoff<D: Dialect>(job: &Job<D>, stream_begun: bool) -> Result<bool, Rejection> {
     let Some(remaining) = notices::all_rest(&job.process, &job.service.name) else {
         return Ok(false);
@@ -136,7 +141,7 @@
     Ok(true)
 }
 
-/// Milliseconds of reading on one engine, if this is a long prompt.
+/// Prefill time on a single engine if this is a long prompt, in milliseconds.
 fn prefill_ms<'a, D: Dialect>(
     job: &'a Job<D>,
     requirements: &Requirements,
@@ -145,8 +150,10 @@
     Some((engine, requirements.long_prefill_ms(engine)?))
 }
 
-/// The time that a long prompt needs from its placement to the end of its answer, if that is no longer than usual. A
-/// caller's guess is often far too long, and a prompt that was refused for it finds engines free.
+/// Time that a long prompt needs from its placement to the end of the response.
+///
+/// The response length that the caller expects is capped at the usual length: it is often far too
+/// high, and prompts would be rejected while engines are free.
 fn service_time<D: Dialect>(job: &Job<D>, engine: &Engine, prefill_ms: f64) -> Duration {
     let expected = job.terms.expected_answer.unwrap_or(engine.usual_answer);
     let answer = expected.min(engine.usual_answer);
@@ -195,10 +202,10 @@
     }
 }
 
-/// The refusal of a request that has not run.
+/// The error for a rejected request that has not run.
 pub fn rejection_error<D: Dialect>(job: &Job<D>, rejection: Rejection, proof: Unsent) -> Error {
     if job.process.closing() {
-        let why = "this VM is about to end, and there was no place in time";
+        let why = "this VM is shutting down, and no placement was granted in time";
         let after = retry_after::Cause::Stopping.retry_after(job.remaining());
         return Error::unsent(Kind::Draining, why, proof).retry_after(after);
     }
@@ -216,28 +223,28 @@
     Error::unsent(kind, format!("{}: {rejection}", job.service.name), proof).retry_after(after)
 }
 
-/// The caller comes back when the first rest is over, or sooner to another VM.
+/// Retry-After is the end of the first backoff, or earlier: another VM may serve the request.
 fn backoff_error<D: Dialect>(job: &Job<D>, left_ms: u64, proof: Unsent) -> Error {
     let remaining = Duration::from_millis(left_ms).max(POLL_INTERVAL);
     let service = &job.service.name;
-    let why = format!("{service}: all upstreams asked {} for a rest", job.process.member.vm);
+    let why = format!("{service}: all upstreams are in backoff for {}", job.process.member.vm);
     let after = remaining.min(retry_after::Cause::Full.retry_after(job.remaining()));
-    let why = format!("{why}, the first for {left_ms} ms more");
+    let why = format!("{why}, the first for another {left_ms} ms");
     Error::unsent(Kind::Overloaded, why, proof).retry_after(after)
 }
 
-/// Retry-After is the next free turn.
+/// Retry-After is the next time at which a rate limit allows a request.
 fn rate_limit_error<D: Dialect>(job: &Job<D>, after_ms: u64, proof: Unsent) -> Error {
     job.process.metrics.rate_limited.get_or_create(&ByLimited { limited: Limited::Rejected }).inc();
-    let why = format!("{}: all upstreams are at the rate limits that they name", job.service.name);
+    let why = format!("{}: all upstreams have reached their rate limits", job.service.name);
     Error::unsent(Kind::Overloaded, why, proof).retry_after(Duration::from_millis(after_ms))
 }
 
 fn quarantine_error(left_ms: u64, proof: Unsent) -> Error {
     let remaining = Duration::from_millis(left_ms);
     let why = format!(
-        "upstreams ended under this request, the last of them while it ran alone: it is sent to none for \
-         {:.1} s",
+        "upstreams crashed during this request, the last of them while it ran isolated: quarantined \
+         for {:.1} s",
         remaining.as_secs_f64()
     );
     Error::unsent(Kind::Quarantined, why, proof).retry_after(remaining)
