--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -1,5 +1,5 @@
-//! Requests that ask for a placement: at the scheduler, at the next one where it does not answer,
-//! and by what this VM knows itself where none does.
+//! Requests a placement from the scheduler or, if it does not reply, from the next standby
+//! scheduler. If none replies, the request is placed locally, from this VM's own cluster state.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,35 +25,35 @@
 use crate::fleet::{affiliation, rate_limits, scheduler, tell};
 use crate::log;
 
-/// How long an answer may take before the same is asked again: the way there and back takes 3 ms
-/// between halls, the rest is for a VM that is busy.
+/// Time after which an unanswered grant request is sent again: a round trip between data halls takes
+/// 3 ms, the rest allows for a busy VM.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(25);
 
-/// Questions without an answer after which the next VM is asked.
+/// Unanswered grant requests after which the next scheduler is tried.
 const MAX_UNANSWERED_REQUESTS: u32 = 2;
 
-/// How often a request that waits asks again, so that it is seen when the scheduler is gone.
+/// Interval at which a queued request is sent again, to detect a scheduler that has failed.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(150);
 
-/// How often a VM that places its own requests looks again.
+/// Delay before a VM that places its own requests tries again.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// An assignment of a request to upstreams, with their addresses.
+/// A granted placement, with the addresses of its upstreams.
 #[derive(Debug)]
 pub struct Grant {
     /// The placement.
     pub placement: Placement,
-    /// Where the upstream listens.
+    /// Address of the upstream.
     pub address: String,
-    /// Where the helpers of the flight listen, in the same order.
+    /// Addresses of the flight's helpers, in their order.
     pub helpers: Vec<String>,
-    /// The number by which the flight is known.
+    /// Number that identifies the flight among those of this VM.
     pub number: u64,
-    /// The VM that placed the request; none where this one did by what it knows alone.
+    /// The VM that granted the placement; none if this VM placed the request locally.
     pub by: Option<id::Vm>,
 }
 
-/// A peer has answered.
+/// Handles a reply of a peer.
 pub fn on_reply<D: Dialect>(process: &Process<D>, received: GrantReply, from: SocketAddr) {
     let Number { incarnation, number } = received.request;
     if incarnation != process.member.incarnation {
@@ -70,16 +70,17 @@
         rate_limits::merge(process, Entry { upstream: grant.upstream, limit }, &peer.vm);
     }
     let reply = decode(&process.cluster.lock().unwrap(), received.reply);
-    // A placement at an upstream that is not known here is of no use: another VM is asked.
+    // A placement at an upstream that is not listed here can't be used. It is dropped, and the
+    // request times out and goes to the next scheduler.
     if let Some(reply) = reply {
         process.pending_grants.deliver(number, reply);
     }
 }
 
-/// Logs that another VM than before is asked.
+/// Logs when grant requests go to another scheduler than before.
 fn log_scheduler_change<D: Dialect>(process: &Process<D>, scheduler: Option<&Scheduler>) {
     if process.pending_grants.set_scheduler(scheduler) {
-        let what = scheduler.map_or_else(|| "none is heard".to_owned(), Scheduler::to_string);
+        let what = scheduler.map_or_else(|| "none is up".to_owned(), Scheduler::to_string);
         log::event(&process.log, Event::SchedulerChanged, what);
     }
 }
@@ -115,7 +116,7 @@
     Some(Reply::Granted(Box::new(placement), grant.number))
 }
 
-/// Where the upstream of a flight and its helpers listen, or the first of them that may be sent nothing.
+/// Addresses of a flight's upstream and helpers, or why one of them must not be used.
 fn addresses<D: Dialect>(
     process: &Process<D>,
     flight: &Flight,
@@ -136,13 +137,14 @@
     Ok((address(&flight.upstream)?, helpers.collect::<Result<_, _>>()?))
 }
 
-/// How long a request asks for a placement.
+/// Until when a placement is requested.
 #[derive(Debug, Clone, Copy)]
 pub struct Expiry {
-    /// At most until then.
+    /// Latest time.
     pub at: Instant,
-    /// Whether its answer has begun. Then nobody else can give it: it asks on while its VM stops, where a
-    /// new one is sent to another VM.
+    /// Whether events of the response have been delivered. Only this VM can resume such a stream, so
+    /// it still requests a placement while the VM shuts down; other requests can be sent to another
+    /// VM by their callers.
     pub stream_begun: bool,
 }
 
@@ -152,7 +154,7 @@
     }
 }
 
-/// Asks for a placement until then.
+/// Requests a placement until it is granted, rejected or `expiry` is over.
 pub async fn request<D: Dialect>(
     process: &Arc<Process<D>>,
     service: &Arc<Service>,
@@ -182,11 +184,12 @@
                 requirements.excluded.push(upstream);
                 requirements.charge = Charge::Free;
             }
-            // The next request names it, or the scheduler has received the limit by then.
+            // The next grant request excludes the upstream, or the scheduler has received the rate
+            // limit by then.
             Outcome::Backoff | Outcome::RateLimited => requirements.charge = Charge::Free,
             Outcome::Queued => {}
         }
-        // It may count already where it was asked for.
+        // The scheduler may have counted the deposit already.
         if requirements.charge == Charge::Deposit {
             requirements.charge = Charge::Free;
         }
@@ -196,7 +199,8 @@
     }
 }
 
-/// A request that is held elsewhere is refused here from now on without asking.
+/// Records a quarantine that the scheduler reports: copies of the request are then rejected without
+/// a grant request.
 fn record_quarantine<D: Dialect>(
     process: &Process<D>,
     fingerprint: Fingerprint,
@@ -213,23 +217,25 @@
     }
 }
 
-/// How it ended to ask one VM.
+/// How a grant request to one scheduler ended.
 enum Outcome {
     Granted(Box<Grant>),
     Rejected(Rejection),
-    /// The VM does not answer.
+    /// The scheduler does not reply.
     NoReply(id::Vm),
-    /// The placement is at an upstream that takes no more work, which the VM does not know yet.
+    /// The placement is at an upstream that takes no more requests. The scheduler had not received
+    /// that yet.
     Unavailable(Tag),
-    /// The placement is at an upstream that has asked this VM for a rest since the question was sent.
+    /// The placement is at an upstream that went into backoff for this VM after the grant request was
+    /// sent.
     Backoff,
-    /// The scheduler did not know the latest rate limit of the upstream.
+    /// The scheduler had not received the latest rate limit of the upstream.
     RateLimited,
-    /// There is no placement yet.
+    /// No placement was granted yet.
     Queued,
 }
 
-/// A request that asks one VM, which hears of it when it asks no more.
+/// A grant request to one scheduler, which is cancelled there on drop.
 struct Pending<'a, D: Dialect> {
     process: &'a Arc<Process<D>>,
     service: &'a Service,
@@ -252,7 +258,7 @@
         Pending { process, service, requirements, expiry, number, replies, scheduler: None }
     }
 
-    /// Asks a VM until it has placed the request, or does not answer.
+    /// Sends the grant request until the scheduler has granted or rejected it, or fails to reply.
     async fn request_from(&mut self, scheduler: Scheduler) -> Outcome {
         self.scheduler = Some(scheduler.clone());
         let mut timeouts = 0;
@@ -295,8 +301,8 @@
         }
     }
 
-    /// What is asked for, the upstreams left out that rest for this VM. They go with the question, so that
-    /// the scheduler need not know who was told to leave whom alone.
+    /// The requirements, with the upstreams excluded that are in backoff for this VM. They are part of
+    /// each grant request, so that the scheduler need not track the backoffs of other VMs.
     fn excluding_backoffs(&self) -> Requirements {
         let mut requirements = self.requirements.clone();
         requirements.excluded.extend(notices::resting(self.process));
@@ -311,13 +317,13 @@
         self.expiry.is_over(self.process)
     }
 
-    /// The next answer, if it comes within `time`.
+    /// The next reply, if it arrives within `time`.
     async fn next_reply(&mut self, time: Duration) -> Option<Reply> {
         let deadline = (self.process.now() + time).min(self.expiry.at);
         tokio::time::timeout_at(deadline.into(), self.replies.recv()).await.ok().flatten()
     }
 
-    /// The placement, if there is one within `time`.
+    /// The next reply other than `Queued`, if it arrives within `time`.
     async fn placement_within(&mut self, time: Duration) -> Option<Reply> {
         let deadline = self.process.now() + time;
         loop {
@@ -350,7 +356,7 @@
         }
     }
 
-    /// Places the request by what is known here.
+    /// Places the request from the cluster state of this VM.
     async fn place_locally(&self) -> Outcome {
         let offset = rand::random_range(0..u16::MAX).into();
         let schedulers = self.process.peers.running_count();
@@ -367,7 +373,7 @@
         }
     }
 
-    /// A placement, unless one of its upstreams takes no more work by what is known here.
+    /// Grants a placement, unless this VM must not use one of its upstreams.
     fn grant(&self, placement: Placement, by: Option<id::Vm>) -> Outcome {
         match addresses(self.process, &placement.flight) {
             Ok((address, helpers)) => {
