--- a/daemon/src/fleet/pending_grants.rs
+++ b/daemon/src/fleet/pending_grants.rs
@@ -1,4 +1,4 @@
-//! The questions for placements that are open at this VM.
+//! Grant requests of this VM that are in progress.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -8,36 +8,36 @@
 
 use crate::fleet::peers::Scheduler;
 
-/// The questions.
+/// The grant requests, by number, each with the channel for its replies.
 #[derive(Debug, Default)]
 pub struct Table {
     requests: Mutex<HashMap<u64, mpsc::UnboundedSender<Reply>>>,
-    /// The VM that was asked last.
+    /// The scheduler of the last grant request.
     scheduler: Mutex<Option<Scheduler>>,
 }
 
 impl Table {
-    /// Opens a question. Its replies come by what is returned.
+    /// Adds a grant request. Returns the channel that receives its replies.
     pub fn add(&self, number: u64) -> mpsc::UnboundedReceiver<Reply> {
         let (sender, replies) = mpsc::unbounded_channel();
         self.requests.lock().unwrap().insert(number, sender);
         replies
     }
 
-    /// A question is asked no more.
+    /// Removes a grant request; later replies to it are dropped.
     pub fn remove(&self, number: u64) {
         self.requests.lock().unwrap().remove(&number);
     }
 
-    /// There is a reply for a request of this VM.
+    /// Delivers a reply to a grant request.
     pub fn deliver(&self, number: u64, reply: Reply) {
         if let Some(sender) = self.requests.lock().unwrap().get(&number) {
-            // Who asked may have left just now; then the placement is given back.
+            // Fails if the request was dropped meanwhile, which releases the placement.
             let _ = sender.send(reply);
         }
     }
 
-    /// A VM is about to be asked. Answers whether it is another than before.
+    /// Sets the scheduler of the next grant request. Returns whether it differs from the last one.
     pub fn set_scheduler(&self, scheduler: Option<&Scheduler>) -> bool {
         let mut current = self.scheduler.lock().unwrap();
         let changed = current.as_ref() != scheduler;
