--- a/daemon/src/fleet/scheduler.rs
+++ b/daemon/src/fleet/scheduler.rs
@@ -1,4 +1,4 @@
-//! Placing the requests of all VMs that ask this one.
+//! Grants placements to the requests of this VM and of peers that have chosen it as scheduler.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,16 +16,18 @@
 use crate::fleet::process::Process;
 use crate::fleet::{affiliation, tell};
 
-/// The least time between two looks at what waits: what ends gathers for it.
+/// Minimum time between two rounds of placing queued requests: one round covers all the capacity
+/// that became free in the meantime.
 const BATCH_INTERVAL: Duration = Duration::from_millis(3);
 
-/// The longest time between two looks while something waits: engines get free by the clock, too.
+/// Maximum time between two rounds while requests are queued: engines are also expected to become
+/// free as time passes, without any event.
 const QUEUE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The same while nothing does: what was given and not used is taken back.
+/// Maximum time between two rounds while the queue is empty: they also release unused grants.
 const IDLE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A peer asks for a placement.
+/// Handles a grant request of a peer.
 pub fn on_grant_request<D: Dialect>(
     process: &Process<D>,
     received: &GrantRequest,
@@ -39,7 +41,7 @@
     send_reply(process, received.request, from, reply);
 }
 
-/// A request of this VM asks for a placement.
+/// Handles a grant request of this VM itself.
 pub fn request_own<D: Dialect>(
     process: &Process<D>,
     number: u64,
@@ -73,8 +75,8 @@
     reply
 }
 
-/// Places a request of this VM by what it knows itself, where no scheduler answers. What it spends is
-/// its own part of the fleet's retry budget.
+/// Places a request of this VM from its own cluster state, when no scheduler replies. Retries are
+/// charged to this VM's own share of the fleet's retry budget.
 pub fn place_locally<D: Dialect>(
     process: &Process<D>,
     service: &Service,
@@ -92,21 +94,21 @@
     Ok(placement)
 }
 
-/// A client has sent its heartbeat.
+/// Handles a heartbeat of a client, a VM whose share of the retry budget is kept here.
 pub fn on_client_heartbeat<D: Dialect>(process: &Process<D>, vm: &id::Vm, now: Instant) {
     let vms = process.peers.running_count();
     let mut scheduler = process.scheduler.lock().unwrap();
     scheduler.budget.record_contact(&Holder::Peer(vm.clone()), true, vms, now);
 }
 
-/// A peer asks no more.
+/// Handles the cancellation of a peer's grant request.
 pub fn on_cancel<D: Dialect>(process: &Process<D>, request: Number, from: SocketAddr) {
     if let Some(peer) = process.peers.at(from) {
         cancel(process, &key(Holder::Peer(peer.vm), request));
     }
 }
 
-/// A request of this VM asks no more.
+/// Cancels a grant request of this VM.
 pub fn cancel_own<D: Dialect>(process: &Process<D>, number: u64) {
     cancel(process, &key(Holder::Own, process.numbered(number)));
 }
@@ -121,7 +123,7 @@
     process.room.notify_one();
 }
 
-/// Places what waits, as there is room for it.
+/// Places queued requests as capacity becomes free.
 pub async fn run<D: Dialect>(process: Arc<Process<D>>) {
     loop {
         let idle = process.scheduler.lock().unwrap().is_idle();
@@ -149,7 +151,7 @@
 }
 
 fn send_reply_to<D: Dialect>(process: &Process<D>, vm: &id::Vm, request: Number, reply: Reply) {
-    // A peer that is listed no more asks elsewhere.
+    // A peer that is no longer listed has to choose another scheduler.
     if let Some(member) = process.peers.member(vm) {
         send_reply(process, request, member.address, reply);
     }
