--- a/daemon/src/fleet/job.rs
+++ b/daemon/src/fleet/job.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, with all that its steps share.
+//! A caller's request, with the state that all stages of its handling share.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -17,11 +17,11 @@
 
 use crate::fleet::process::Process;
 
-/// How long a connection may have rested for a request that must not be repeated: an upstream that
-/// closes it meanwhile leaves open whether the request ran.
+/// Maximum idle time of a connection for a request that must not be retried: if the upstream closes
+/// an idle connection just then, it is unknown whether the request ran.
 const NON_RETRYABLE_MAX_IDLE: Duration = Duration::from_millis(500);
 
-/// Upstreams with a connection that a question names, 9 bytes each.
+/// Maximum number of connected upstreams in a grant request, 9 bytes each.
 const MAX_CONNECTED: usize = 8;
 
 /// The request.
@@ -30,62 +30,64 @@
     pub process: Arc<Process<D>>,
     /// Its id in logs and records.
     pub id: id::Request,
-    /// By which it is known again when it comes again.
+    /// Identifies copies of the same request.
     pub fingerprint: Fingerprint,
-    /// What the caller asks for.
+    /// Terms from the caller's headers.
     pub terms: Terms,
-    /// The route that it came by.
+    /// The route that it matched.
     pub route: Arc<Route>,
-    /// The service that it goes to.
+    /// The service that serves it.
     pub service: Arc<Service>,
-    /// Whose key it has.
+    /// The organisation of its API key; none where no key is required.
     pub organisation: Option<Arc<Organisation>>,
-    /// The number of the settings version that it was admitted under.
+    /// Version of the settings under which it was admitted.
     pub version: u64,
-    /// Its head.
+    /// Its method, target and headers.
     pub head: http::request::Parts,
     /// Its body.
     pub body: Bytes,
-    /// When its head had arrived.
+    /// When its headers had arrived.
     pub arrived: Instant,
-    /// When it has to have its answer.
+    /// When the response has to be complete.
     pub deadline: Instant,
-    /// The same with the time for which the machine is suspended, which its caller counts.
+    /// The deadline by a clock that also counts the time for which the machine is suspended, as the
+    /// caller's clock does.
     pub due: Moment,
-    /// Its record.
+    /// Its record in the decision ring.
     pub entry: Entry,
 }
 
 impl<D: Dialect> Job<D> {
-    /// The time that is left.
+    /// Time until the deadline.
     pub fn remaining(&self) -> Duration {
         let remaining = self.deadline.saturating_duration_since(self.process.now());
         remaining.min(self.due.since(self.process.moment()))
     }
 
-    /// The time since it arrived.
+    /// Time since the arrival.
     pub fn elapsed(&self) -> Duration {
         self.process.now().saturating_duration_since(self.arrived)
     }
 
-    /// Whether it may be sent to another upstream after one that may have run it.
+    /// Whether it may be sent to another upstream after an attempt that may have run.
     pub fn is_retryable(&self) -> bool {
         self.route.repeat != Repeat::Never
     }
 
-    /// The longest pause with which a stream is in time; none for whole answers.
+    /// Longest pause between events that meets the objective; none if the response is not streamed.
     pub fn pause(&self) -> Option<Duration> {
         placement::pause(&self.route)
     }
 
-    /// Memory for prompt and answer. A caller who tells no limit gets what answers usually take.
+    /// Engine memory for prompt and response. If the caller sets no limit, the response is assumed to
+    /// have the usual length.
     fn memory(&self) -> Tokens {
         let usual = self.service.engine.as_ref().map_or(Tokens(0), |engine| engine.usual_answer);
         let answer = if self.terms.max_answer.0 > 0 { self.terms.max_answer } else { usual };
         self.terms.prompt + answer
     }
 
-    /// How long a connection may have rested that is to take the request.
+    /// Maximum idle time of a connection that may carry the request.
     pub fn max_connection_idle(&self) -> Duration {
         match self.route.repeat {
             Repeat::Never => NON_RETRYABLE_MAX_IDLE,
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Upstreams to which there is a connection. Which engine takes a prompt is decided by other things.
+    /// Upstreams with an open connection; none for engines, whose placement does not depend on it.
     fn connected(&self) -> Vec<Tag> {
         if self.service.engine.is_some() {
             return Vec::new();
@@ -107,7 +109,7 @@
         kept.iter().filter_map(of_service).take(MAX_CONNECTED).collect()
     }
 
-    /// What is asked of the upstreams, those left out that failed it.
+    /// The requirements for the next placement, without the excluded upstreams.
     pub fn requirements(&self, excluded: &[id::Upstream], charge: Charge) -> Requirements {
         let cluster = self.process.cluster.lock().unwrap();
         let excluded = excluded.iter().map(|id| cluster.tag_of(id)).collect();
