--- a/daemon/src/fleet/serve.rs
+++ b/daemon/src/fleet/serve.rs
@@ -1,5 +1,5 @@
-//! A request from its arrival to its answer: admitted, placed, sent, and sent again elsewhere where
-//! that is allowed.
+//! Handles a request from its arrival to its response: admission, placement, attempts, and retries
+//! at other upstreams where they are allowed.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -24,18 +24,19 @@
 use crate::fleet::reservations;
 use crate::fleet::retry::{Failure, History, MAX_EXTRA_ATTEMPTS, may_retry};
 
-/// The pause after memory that was counted on turned out to be taken: by then the peers have told
-/// what they placed.
+/// Delay after a failed memory reservation: by then the peers have announced their placements.
 const RESERVATION_RETRY_DELAY: Duration = Duration::from_millis(30);
 
-/// The pause after that many refusals; it doubles with each one more. An engine's report is some
-/// 200 ms old, so what failed a request twice is known to all by the end of the second pause.
+/// Delay before the next attempt once too many were refused to retry at once; it doubles with each
+/// further refusal. An engine's report is about 200 ms old, so the condition behind two refusals has
+/// reached all VMs by the end of the second delay.
 const REFUSAL_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The part of its objective for which such a request is held: the rest is for its first event.
+/// Share of the objective within which such a request is retried; the rest is left for its first
+/// event.
 const MAX_REFUSED_WAIT_SHARE: f64 = 0.5;
 
-/// Answers a request.
+/// Responds to a request.
 pub async fn respond<D: Dialect>(
     process: Arc<Process<D>>,
     request: Request<Incoming>,
@@ -54,13 +55,13 @@
     }))
 }
 
-/// What follows an attempt.
+/// What to do after an attempt.
 enum Action {
-    /// The request has its answer.
+    /// Respond to the caller.
     Respond(Result<Response<Body>, Error>),
-    /// It is sent again, with what is known of it by now.
+    /// Retry at once. The proof states whether any attempt may have run.
     Retry(Proof),
-    /// The same, after a pause in which others tell what they placed.
+    /// Retry after a delay, in which peers announce their placements.
     RetryAfter(Proof, Duration),
 }
 
@@ -87,7 +88,8 @@
     }
 }
 
-/// The answer to a request for which there is no placement: an upstream's own failure if there was one.
+/// The response to a request that was granted no placement: an upstream's own failure response if
+/// there was one, else an error.
 fn unplaced_response<D: Dialect>(
     job: &Job<D>,
     history: History,
@@ -97,7 +99,7 @@
     if let Some(response) = history.upstream_response {
         return Ok(response);
     }
-    let why = format!("not sent again: {rejection}");
+    let why = format!("not retried: {rejection}");
     Err(failed(
         job,
         match proof {
@@ -107,7 +109,7 @@
     ))
 }
 
-/// Decides what follows the end of an attempt.
+/// Decides what to do after an attempt.
 fn next_action<D: Dialect>(
     job: &Arc<Job<D>>,
     history: &mut History,
@@ -128,7 +130,7 @@
             )));
         }
         End::Deadline => {
-            let why = format!("{upstream} had not answered in time");
+            let why = format!("no response of {upstream} before the deadline");
             let error = attempt.unknown().error(Kind::DeadlineExceeded, why, false);
             return Action::Respond(Err(failed(job, error)));
         }
@@ -147,7 +149,7 @@
         }
         End::Own(response) => {
             history.ran += 1;
-            let why = format!("it answered {}", response.status());
+            let why = format!("upstream responded {}", response.status());
             history.upstream_response = Some(*response);
             (why, attempt.unknown())
         }
@@ -159,7 +161,7 @@
     retry_or_fail(job, history, upstream, proof, why)
 }
 
-/// Memory that was counted on was taken: the request looks for another placement while it may wait.
+/// Handles a failed memory reservation: requests another placement, until the queue timeout.
 fn on_reservation_failure<D: Dialect>(
     job: &Job<D>,
     history: &mut History,
@@ -180,7 +182,7 @@
     Action::RetryAfter(proof, RESERVATION_RETRY_DELAY)
 }
 
-/// Sends a failed request again if that is allowed, or gives the final answer.
+/// Retries a failed request if that is allowed, else responds with the failure.
 fn retry_or_fail<D: Dialect>(
     job: &Job<D>,
     history: &mut History,
@@ -209,8 +211,8 @@
     Action::Respond(Err(failed(job, error)))
 }
 
-/// How long a request waits that all upstreams refused which it was sent to, while its answer can still
-/// be in time: that a few tries failed does not say that there is no room.
+/// Delay before the next attempt of a request that was refused wherever it was sent, if its response
+/// can still meet the objective: a few refusals do not mean that there is no capacity.
 fn refusal_delay<D: Dialect>(job: &Job<D>, history: &History) -> Option<Duration> {
     let excess = history.refused.checked_sub(job.route.attempts + MAX_EXTRA_ATTEMPTS)?;
     let delay = REFUSAL_RETRY_DELAY * 2_u32.checked_pow(excess)?;
