--- a/daemon/src/fleet/retry.rs
+++ b/daemon/src/fleet/retry.rs
@@ -1,4 +1,4 @@
-//! How often a request was sent, and whether it may be sent again.
+//! The attempts of a request so far, and whether it may be retried.
 
 use foldlock_base::prelude::*;
 use foldlock_request::budget::Charge;
@@ -10,45 +10,46 @@
 use crate::fleet::answer::Body;
 use crate::fleet::job::Job;
 
-/// Attempts beyond the route's own that may be made at once while none is known to have run.
+/// Attempts without a delay that are allowed beyond the route's number of attempts, for those that
+/// were refused.
 pub const MAX_EXTRA_ATTEMPTS: u32 = 2;
 
-/// Connections that may fail before a request is given up: enough to pass over the upstreams of a
-/// hall that has just been cut off.
+/// Maximum number of failed connections with which a request is still retried: enough to skip the
+/// upstreams of a data hall that has just been cut off.
 const MAX_UNSENT: u32 = 6;
 
 /// A failed attempt.
 pub struct Failure {
-    /// Where it failed.
+    /// The upstream.
     pub upstream: id::Upstream,
-    /// How.
+    /// Cause of the failure.
     pub why: String,
 }
 
-/// How often a request was sent, and how that ended.
+/// The attempts of a request so far.
 #[derive(Default)]
 pub struct History {
-    /// The last failure that was an upstream's own answer.
+    /// The last failure response that came from an upstream itself.
     pub upstream_response: Option<Response<Body>>,
-    /// Upstreams that failed it.
+    /// Upstreams at which the request failed.
     pub excluded: Vec<id::Upstream>,
-    /// The failure after which it is to be sent again.
+    /// The failed attempt that is to be retried, until the retry is granted or rejected.
     pub failure: Option<Failure>,
     /// Attempts of which no byte was sent.
     pub unsent: u32,
-    /// Attempts that an upstream refused to run.
+    /// Attempts that an upstream refused, which did not run.
     pub refused: u32,
     /// Attempts that may have run.
     pub ran: u32,
-    /// Whether it has had a placement.
+    /// Whether the request has been granted a placement before.
     has_placement: bool,
-    /// Repeats that the fleet's retry budget has granted.
+    /// Retries that were charged to the fleet's retry budget.
     charged_retries: u32,
 }
 
 impl History {
-    /// What the next attempt is to the fleet's retry budget. A repeat that reached no upstream leaves its
-    /// token to the next.
+    /// How the next attempt is charged to the fleet's retry budget. A retry that was not sent leaves its
+    /// token to the next one.
     pub fn charge(&self) -> Charge {
         if self.ran + self.refused > self.charged_retries {
             Charge::Withdraw
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The next attempt has its placement.
+    /// Records that the next attempt was granted a placement.
     pub fn on_granted<D: Dialect>(&mut self, job: &Job<D>) {
         if self.charge() == Charge::Withdraw {
             self.charged_retries += 1;
@@ -72,7 +73,7 @@
         }
     }
 
-    /// There is no placement for the next attempt.
+    /// Records that the next attempt was granted no placement.
     pub fn on_rejected<D: Dialect>(&mut self, job: &Job<D>, rejection: &Rejection) {
         let budget = match rejection {
             Rejection::OverBudget(exhausted) => {
@@ -88,7 +89,7 @@
     }
 }
 
-/// Whether a request may be sent again, if the fleet's retry budget allows it.
+/// Whether a request may be retried, provided that the fleet's retry budget allows it.
 pub fn may_retry<D: Dialect>(job: &Job<D>, history: &History, not_run: bool) -> bool {
     (not_run || job.is_retryable())
         && history.unsent <= MAX_UNSENT
