--- a/daemon/src/fleet/reservations.rs
+++ b/daemon/src/fleet/reservations.rs
@@ -1,5 +1,5 @@
-//! Memory held at several engines for one attempt: all of it or none, renewed while the attempt
-//! lasts, given back however it ends.
+//! Reservations of memory at the helper engines of an attempt: all of them or none, renewed during
+//! the attempt and released when it ends, for whatever reason.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,21 +21,21 @@
 use crate::fleet::process::Process;
 use crate::log;
 
-/// The pause after an order without an answer.
+/// Delay after a reservation order that failed.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How often giving back is tried; after that the memory lapses by itself.
+/// Maximum number of release orders for a reservation; after that it expires by itself.
 const MAX_RELEASES: u32 = 6;
 
-/// Memory that an upstream did not set aside.
+/// A failed reservation.
 pub struct Failure {
-    /// The upstream.
+    /// The upstream that did not reserve the memory.
     pub upstream: id::Upstream,
-    /// Why.
+    /// Cause of the failure.
     pub cause: memory::Failure,
 }
 
-/// The memory of one attempt. It is given back when this is dropped.
+/// The reservations of an attempt, released on drop.
 pub struct Reservations<D: Dialect> {
     process: Arc<Process<D>>,
     reservations: Arc<Vec<Reservation>>,
@@ -43,7 +43,7 @@
 }
 
 impl<D: Dialect> Reservations<D> {
-    /// Sets aside the memory that a placement counts on at its helpers.
+    /// Reserves the memory that a placement requires at its helpers.
     pub async fn reserve(job: &Arc<Job<D>>, grant: &Grant) -> Result<Reservations<D>, Failure> {
         let reservations = Arc::new(reservations(job, grant));
         let mut reserved = Reservations {
@@ -66,7 +66,7 @@
             reservations.iter().zip(incarnations).zip(results)
         {
             notices::heard(&job.process, &reservation.upstream, incarnation, sent, notice);
-            // What was set aside is given back as `reserved` is dropped.
+            // Dropping `reserved` releases the reservations that succeeded.
             let upstream = reservation.upstream.clone();
             result.map_err(|cause| Failure { upstream, cause })?;
         }
@@ -77,12 +77,12 @@
         Ok(reserved)
     }
 
-    /// Whether nothing is held.
+    /// Whether there are no reservations.
     pub fn is_empty(&self) -> bool {
         self.reservations.is_empty()
     }
 
-    /// The helpers of a placement with their tickets.
+    /// The helpers of a placement with their reservation ids.
     pub fn helpers(&self, grant: &Grant) -> Vec<Helper> {
         let reservation_id = |upstream: &id::Upstream| {
             let reservation = self.reservations.iter().find(|r| r.upstream == *upstream)?;
@@ -135,7 +135,8 @@
         let what = format!("{} at {}: {failure}", reservation.reservation_id, reservation.upstream);
         log::event(&process.log, Event::RenewalFailed, what);
         tokio::time::sleep(RETRY_INTERVAL).await;
-        // The last try within the hold; without it the engine cuts the request, which is seen.
+        // The last try before the reservation expires. If it fails, the engine aborts the request,
+        // which the attempt detects.
         let _ = reserve(process, reservation).await;
     }
 }
@@ -153,7 +154,7 @@
     result
 }
 
-/// Counts an order that is about to be sent.
+/// Counts a reservation order that is about to be sent, against the upstream's rate limit too.
 fn count_order<D: Dialect>(process: &Process<D>, reservation: &Reservation) {
     process.metrics.sent(Sent::Order, 1);
     process.cluster.lock().unwrap().record_unscheduled(&reservation.upstream, process.now());
