--- a/daemon/src/fleet/headers.rs
+++ b/daemon/src/fleet/headers.rs
@@ -1,17 +1,18 @@
-//! The heads of requests and answers, as far as they concern one connection.
+//! Headers of requests and responses that apply to a single connection.
 
 use std::time::Duration;
 
 use hyper::HeaderMap;
 use hyper::header::{self, HeaderName};
 
-/// How long a connection rests at most where the upstream does not say.
+/// Idle timeout of a connection if the upstream does not state one.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Taken off the rest that an upstream allows, for what is on the way when it closes.
+/// Subtracted from the idle timeout that an upstream states, so that no request is in transit when
+/// it closes the connection.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -23,7 +24,7 @@
     header::PROXY_AUTHORIZATION,
 ];
 
-/// Takes out the headers of one connection, and those that `Connection` names.
+/// Removes the hop-by-hop headers, including those that `Connection` names.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -38,7 +39,7 @@
     }
 }
 
-/// How long the connection may rest after this answer; zero if it closes.
+/// Idle timeout of the connection after this response; zero if the upstream closes it.
 pub fn idle_timeout(headers: &HeaderMap) -> Duration {
     let text = |name: HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
     let closes = |value: &str| value.to_ascii_lowercase().contains("close");
@@ -52,7 +53,8 @@
     timeout.map_or(DEFAULT_IDLE_TIMEOUT, |timeout| timeout.saturating_sub(IDLE_TIMEOUT_MARGIN))
 }
 
-/// Whether the answer's end is told by more than the end of its connection.
+/// Whether the length or framing of the body is declared, so that its end can be told from the end of
+/// the connection.
 pub fn has_body_length(headers: &HeaderMap) -> bool {
     headers.contains_key(header::CONTENT_LENGTH) || headers.contains_key(header::TRANSFER_ENCODING)
 }
