--- a/daemon/src/fleet/rate_limits.rs
+++ b/daemon/src/fleet/rate_limits.rs
@@ -1,7 +1,8 @@
-//! Rate limits that upstreams name in their answers: observed, replicated to all VMs, and enforced.
+//! Rate limits that upstreams state in their responses: observed, replicated to all VMs, and
+//! enforced.
 //!
-//! The scheduler paces the requests of all VMs. A VM discards a grant whose scheduler did not know the latest limit, and
-//! sends that limit to the scheduler.
+//! The scheduler enforces them for the requests of all VMs. A VM discards a grant whose scheduler had
+//! not received the latest limit, and sends that limit to the scheduler.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -19,7 +20,7 @@
 use crate::fleet::tell;
 use crate::log;
 
-/// Applies the limit in an answer of an upstream instance to a request sent at `sent`.
+/// Records the limit in a response of an upstream's incarnation to a request that was sent at `sent`.
 pub fn observe<D: Dialect>(
     process: &Process<D>,
     incarnation: Tag,
@@ -40,7 +41,7 @@
     broadcast(process);
 }
 
-/// Merges limits sent by a peer. Replies with those that are older than the known ones.
+/// Merges limits sent by a peer. Replies with the limits recorded here that are newer.
 pub fn on_announcement<D: Dialect>(
     process: &Process<D>,
     entries: &[Entry],
@@ -53,7 +54,7 @@
     }
 }
 
-/// Merges a limit announced by a peer. Returns the known one if the peer's is older.
+/// Merges a limit announced by a peer. Returns the one recorded here if that is newer.
 pub fn merge<D: Dialect>(process: &Process<D>, announced: Entry, from: &id::Vm) -> Option<Entry> {
     let mut cluster = process.cluster.lock().unwrap();
     let (merged, upstream) = cluster.merge_limit(announced, from, process.now())?;
@@ -70,7 +71,7 @@
     }
 }
 
-/// Limits that forbid the use of a placement, since its scheduler did not know them.
+/// Limits that forbid the use of a placement. Its scheduler had not received them.
 pub fn unknown_to_scheduler<D: Dialect>(process: &Process<D>, placement: &Placement) -> Vec<Entry> {
     let cluster = process.cluster.lock().unwrap();
     let Flight { upstream, helpers, .. } = &placement.flight;
@@ -111,8 +112,10 @@
         return;
     }
     let what = match rate {
-        Some(rate) => format!("{upstream} takes {rate} from all VMs, by its answer to {by}"),
-        None => format!("{upstream} names no rate limit any more, by its answer to {by}"),
+        Some(rate) => {
+            format!("{upstream} limits all VMs together to {rate}, by its response to {by}")
+        }
+        None => format!("{upstream} no longer states a rate limit, by its response to {by}"),
     };
     log::event(&process.log, Event::UpstreamLimited, what);
 }
