--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -212,7 +212,7 @@
     placement: &'a Placement,
 ) -> Option<(&'a id::Upstream, Exclusion)> {
     let flight = &placement.flight;
-    if !rate_limits::unknown_to_scheduler(&job.process, placement).is_empty() {
+    if !rate_limits::missing_at_scheduler(&job.process, placement).is_empty() {
         return Some((&flight.upstream, Exclusion::RateLimited));
     }
     let helpers = flight.helpers.iter().map(|helping| &helping.upstream);
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -340,7 +340,7 @@
             Reply::Granted(placement, _) => {
                 let by = match self.scheduler.take() {
                     Some(Scheduler::Peer(vm, address)) => {
-                        let limits = rate_limits::unknown_to_scheduler(self.process, &placement);
+                        let limits = rate_limits::missing_at_scheduler(self.process, &placement);
                         if !limits.is_empty() {
                             rate_limits::send(self.process, limits, address);
                             return Outcome::RateLimited;
--- a/daemon/src/fleet/rate_limits.rs
+++ b/daemon/src/fleet/rate_limits.rs
@@ -72,13 +72,13 @@
 }
 
 /// Limits that forbid the use of a placement. Its scheduler had not received them.
-pub fn unknown_to_scheduler<D: Dialect>(process: &Process<D>, placement: &Placement) -> Vec<Entry> {
+pub fn missing_at_scheduler<D: Dialect>(process: &Process<D>, placement: &Placement) -> Vec<Entry> {
     let cluster = process.cluster.lock().unwrap();
     let Flight { upstream, helpers, .. } = &placement.flight;
     let helpers = helpers.iter().map(|helper| &helper.upstream);
     let limited = helpers.filter(|id| cluster.get(id).is_some_and(|helper| helper.is_limited()));
-    let over_limit = (!cluster.may_send(upstream, placement.limit)).then_some(upstream);
-    over_limit.into_iter().chain(limited).filter_map(|id| entry(&cluster, id)).collect()
+    let outdated = (!cluster.may_send(upstream, placement.limit)).then_some(upstream);
+    outdated.into_iter().chain(limited).filter_map(|id| entry(&cluster, id)).collect()
 }
 
 /// Whether an upstream has a rate limit.
