--- a/daemon/src/fleet/retry.rs
+++ b/daemon/src/fleet/retry.rs
@@ -42,7 +42,7 @@
     /// Attempts that may have run.
     pub ran: u32,
     /// Whether the request has been granted a placement before.
-    has_placement: bool,
+    was_granted: bool,
     /// Retries that were charged to the fleet's retry budget.
     charged_retries: u32,
 }
@@ -53,7 +53,7 @@
     pub fn charge(&self) -> Charge {
         if self.ran + self.refused > self.charged_retries {
             Charge::Withdraw
-        } else if self.has_placement {
+        } else if self.was_granted {
             Charge::Free
         } else {
             Charge::Deposit
@@ -66,7 +66,7 @@
             self.charged_retries += 1;
             job.process.metrics.repeat_decided(true);
         }
-        self.has_placement = true;
+        self.was_granted = true;
         if let Some(Failure { upstream, why }) = self.failure.take() {
             job.process.metrics.retries.inc();
             job.record(Decision::Retried { upstream, why });
