--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -23,16 +23,16 @@
 use crate::fleet::answer::{self, Body};
 use crate::fleet::crash;
 use crate::fleet::grant_requests::Grant;
-use crate::fleet::heads::{declared, rest, strip};
-use crate::fleet::hold::{Hold, ReservationLost};
+use crate::fleet::headers::{has_body_length, idle_timeout, strip_hop_by_hop};
 use crate::fleet::job::Job;
 use crate::fleet::metrics::Sent;
 use crate::fleet::notices::{self, Exclusion};
 use crate::fleet::outcome::{self, record_failure};
 use crate::fleet::process::Guard;
 use crate::fleet::rate_limits;
+use crate::fleet::reservations::{self, Reservations};
+use crate::fleet::retry::History;
 use crate::fleet::stream::{Item, Started, Stream};
-use crate::fleet::tries::Tries;
 
 /// Timeout of a new connection. It is established within a few milliseconds, and an unreachable
 /// upstream does not respond at all.
@@ -65,7 +65,7 @@
     /// No byte was sent.
     Unsent(String),
     /// Engine memory for the placement could not be reserved; the request was not sent.
-    ReservationFailed(ReservationLost),
+    ReservationFailed(reservations::Failure),
     /// The upstream reported that it did not run the request.
     NotRun {
         /// The reported reason.
@@ -86,11 +86,11 @@
     job: &Arc<Job<D>>,
     grant: Grant,
     last_event: Option<u64>,
-    tries: &Tries,
+    history: &History,
 ) -> End<D> {
     let upstream = grant.placement.flight.upstream.clone();
     let entered = job.process.begin_attempt(grant.number, grant.placement.flight.clone());
-    let timeout = response_timeout(job, &grant.placement, tries);
+    let timeout = response_timeout(job, &grant.placement, history);
     let sending = send(job, grant, last_event, entered);
     let until = job.deadline.min(job.process.now() + timeout);
     let ended = tokio::select! {
@@ -101,7 +101,7 @@
     };
     match ended {
         Ok(end) => end,
-        Err(_) if job.left().is_zero() => {
+        Err(_) if job.remaining().is_zero() => {
             record_failure(job, &upstream, Cause::ServerError);
             End::Deadline
         }
@@ -113,13 +113,17 @@
 }
 
 /// Time to wait for the response or its first event before the request is sent to another upstream.
-fn response_timeout<D: Dialect>(job: &Job<D>, placement: &Placement, tries: &Tries) -> Duration {
+fn response_timeout<D: Dialect>(
+    job: &Job<D>,
+    placement: &Placement,
+    history: &History,
+) -> Duration {
     if placement.flight.has_reservations() {
         return job.process.config.fleet.reserved_silence_timeout();
     }
-    let last = tries.ran + 1 >= job.route.attempts || placement.candidates < 2;
-    if last || !job.repeatable() {
-        return job.left();
+    let last = history.ran + 1 >= job.route.attempts || placement.candidates < 2;
+    if last || !job.is_retryable() {
+        return job.remaining();
     }
     match job.route.shape {
         Shape::Whole => job.route.objective.mul_f64(COMPLETE_TIMEOUT_SHARE),
@@ -140,7 +144,7 @@
     let placement = &grant.placement;
     let upstream = placement.flight.upstream.clone();
     let incarnation = notices::incarnation(&job.process, &upstream);
-    let reservations = match Hold::take(job, &grant).await {
+    let reservations = match Reservations::reserve(job, &grant).await {
         Ok(reservations) => reservations,
         Err(lost) => {
             record_failure(job, &lost.upstream, Cause::Overloaded);
@@ -174,7 +178,7 @@
     let (mut head, body) = response.into_parts();
     let notice = D::notice(head.status, &head.headers);
     notices::apply(&job.process, &upstream, incarnation, sent, notice);
-    let idle_timeout = rest(&head.headers);
+    let idle_timeout = idle_timeout(&head.headers);
     match D::verdict(&job.terms.request_id, head.status, &head.headers) {
         Verdict::Ran if notice.rate_limit == RateLimit::Unlimited => {
             rate_limits::observe(&job.process, incarnation, None, sent);
@@ -188,8 +192,8 @@
         record_failure(job, &upstream, Cause::Malformed);
         return End::Broken(format!("response signature does not match upstream {upstream}"));
     }
-    let has_length = declared(&head.headers);
-    strip(&mut head.headers);
+    let has_length = has_body_length(&head.headers);
+    strip_hop_by_hop(&mut head.headers);
     let stream = Stream {
         flight: placement.flight.clone(),
         incarnation,
@@ -215,7 +219,7 @@
     placement: &'a Placement,
 ) -> Option<(&'a id::Upstream, Exclusion)> {
     let flight = &placement.flight;
-    if !rate_limits::unknown_to_scheduler(&job.process, placement).is_empty() {
+    if !rate_limits::missing_at_scheduler(&job.process, placement).is_empty() {
         return Some((&flight.upstream, Exclusion::RateLimited));
     }
     let helpers = flight.helpers.iter().map(|helper| &helper.upstream);
@@ -256,7 +260,7 @@
 async fn connect<D: Dialect>(job: &Job<D>, grant: &Grant) -> Result<Channel, String> {
     let pool = &job.process.pool;
     let upstream = &grant.placement.flight.upstream;
-    if let Some(channel) = pool.take(upstream, job.most_rest(), job.process.now()) {
+    if let Some(channel) = pool.take(upstream, job.max_connection_idle(), job.process.now()) {
         return Ok(channel);
     }
     job.process.metrics.connections.inc();
@@ -273,13 +277,13 @@
     last_event: Option<u64>,
 ) -> Request<Full<Bytes>> {
     let mut headers = job.head.headers.clone();
-    strip(&mut headers);
+    strip_hop_by_hop(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
     D::rewrite_headers(
         &mut headers,
         &terms::Headers {
-            remaining: job.left(),
+            remaining: job.remaining(),
             instance: placement.flight.upstream.as_str(),
             organisation: job.organisation.as_ref().map(|o| o.name.as_str()),
             last_event,
@@ -325,7 +329,7 @@
     }
     if head.status.is_server_error() {
         record_failure(job, &upstream, Cause::ServerError);
-        if job.repeatable() && head.status != StatusCode::GATEWAY_TIMEOUT {
+        if job.is_retryable() && head.status != StatusCode::GATEWAY_TIMEOUT {
             return End::ServerError(Box::new(Response::from_parts(
                 head,
                 answer::whole(collected),
--- a/daemon/src/fleet/events.rs
+++ b/daemon/src/fleet/events.rs
@@ -14,12 +14,12 @@
 
 use crate::fleet::answer::Body;
 use crate::fleet::attempt::{self, End};
-use crate::fleet::gate;
-use crate::fleet::hold::ReservationLost;
 use crate::fleet::job::Job;
 use crate::fleet::outcome::{self, Stats};
+use crate::fleet::queue;
+use crate::fleet::reservations;
+use crate::fleet::retry::{self, Failure, History};
 use crate::fleet::stream::{Item, Started, Stream};
-use crate::fleet::tries::{self, Failure, Tries};
 use crate::fleet::unread::{Closed, Writer};
 
 /// Number of pauses of the route without an event after which a stream is resumed at another upstream.
@@ -73,12 +73,16 @@
 }
 
 /// Responds with a stream that has started, and relays the rest of it in a task.
-pub fn relay<D: Dialect>(job: Arc<Job<D>>, started: Started<D>, tries: Tries) -> Response<Body> {
+pub fn relay<D: Dialect>(
+    job: Arc<Job<D>>,
+    started: Started<D>,
+    history: History,
+) -> Response<Body> {
     let Started { mut head, first, stream } = started;
     head.headers.remove(header::CONTENT_LENGTH);
     let (writer, reader) = job.process.unread.open(&job.id);
     let tracker = job.process.tasks.clone();
-    tracker.spawn(relay_all(job, stream, first, tries, writer));
+    tracker.spawn(relay_all(job, stream, first, history, writer));
     Response::from_parts(head, Body::Buffered(reader))
 }
 
@@ -94,11 +98,11 @@
     job: Arc<Job<D>>,
     mut stream: Stream<D>,
     first: Vec<sse::Event>,
-    mut tries: Tries,
+    mut history: History,
     writer: Writer,
 ) {
     let mut progress = Progress { last_id: job.terms.last_event, ..Progress::default() };
-    let first_event = job.held();
+    let first_event = job.elapsed();
     let engine = job.process.now().saturating_duration_since(stream.sent);
     job.process.metrics.observe_prediction(stream.predicted_ms, engine);
     let mut events = first;
@@ -138,9 +142,9 @@
             RelayEnd::Broken { why, unresponsive } => (why, unresponsive),
         };
         stream.fail(&job, unresponsive).await;
-        tries.ran += 1;
-        tries.avoid.push(upstream.clone());
-        let resumed = resume(&job, &mut tries, &progress, upstream, &why, &writer).await;
+        history.ran += 1;
+        history.excluded.push(upstream.clone());
+        let resumed = resume(&job, &mut history, &progress, upstream, &why, &writer).await;
         let Some((next, first)) = resumed else {
             record_failed(&job, Kind::UpstreamFailed, why);
             return;
@@ -190,7 +194,7 @@
             Ok(Item::Events(events)) => events,
             Ok(Item::End) => return RelayEnd::Complete,
             Ok(Item::Broken(why)) => return RelayEnd::Broken { why, unresponsive: false },
-            Err(_) if job.left().is_zero() => return RelayEnd::Deadline,
+            Err(_) if job.remaining().is_zero() => return RelayEnd::Deadline,
             Err(_) => return timed_out(job, last_received),
         };
     }
@@ -205,7 +209,7 @@
 fn silence_timeout<D: Dialect>(job: &Job<D>, stream: &Stream<D>) -> Duration {
     let timeout = match (job.pause(), job.route.repeat) {
         (Some(pause), Repeat::Resume) => (pause * SILENCE_TIMEOUT_PAUSES).max(MIN_SILENCE_TIMEOUT),
-        _ => job.left(),
+        _ => job.remaining(),
     };
     if stream.reservations.is_empty() {
         timeout
@@ -217,7 +221,7 @@
 /// Resumes the stream at another upstream after the last relayed event. Returns none if it cannot be resumed.
 async fn resume<D: Dialect>(
     job: &Arc<Job<D>>,
-    tries: &mut Tries,
+    history: &mut History,
     progress: &Progress,
     mut from: id::Upstream,
     why: &str,
@@ -226,18 +230,18 @@
     let mut why = why.to_owned();
     let last = progress.last_id?;
     loop {
-        if job.route.repeat != Repeat::Resume || !tries::may_repeat(job, tries, false) {
+        if job.route.repeat != Repeat::Resume || !retry::may_retry(job, history, false) {
             return None;
         }
-        tries.failure = Some(Failure { upstream: from, why });
+        history.failure = Some(Failure { upstream: from, why });
         let grant = tokio::select! {
-            grant = gate::place(job, tries, true) => grant.ok()?,
+            grant = queue::wait_for_grant(job, history, true) => grant.ok()?,
             _ = writer.closed() => return None,
         };
         job.process.metrics.resumed_streams.inc();
         from = grant.placement.flight.upstream.clone();
         let end = tokio::select! {
-            end = attempt::run(job, grant, Some(last), tries) => end,
+            end = attempt::run(job, grant, Some(last), history) => end,
             _ = writer.closed() => return None,
         };
         why = match end {
@@ -247,32 +251,32 @@
             }
             End::Deadline => return None,
             End::Unsent(why) => {
-                tries.unsent += 1;
+                history.unsent += 1;
                 why
             }
-            End::ReservationFailed(ReservationLost { upstream, fault }) => {
-                tries.unsent += 1;
+            End::ReservationFailed(reservations::Failure { upstream, cause }) => {
+                history.unsent += 1;
                 from = upstream;
-                fault.to_string()
+                cause.to_string()
             }
             End::NotRun { why, at_fault } => {
-                tries.refused += 1;
+                history.refused += 1;
                 from = at_fault;
                 why
             }
             End::ServerError(answer) => {
-                tries.ran += 1;
+                history.ran += 1;
                 format!("responded with status {}", answer.status())
             }
             End::Complete(answer) => {
-                tries.ran += 1;
+                history.ran += 1;
                 format!("responded with status {}", answer.status())
             }
             End::Broken(why) => {
-                tries.ran += 1;
+                history.ran += 1;
                 why
             }
         };
-        tries.avoid.push(from.clone());
+        history.excluded.push(from.clone());
     }
 }
--- a/daemon/src/fleet/outcome.rs
+++ b/daemon/src/fleet/outcome.rs
@@ -58,7 +58,7 @@
 /// Records that a request completed.
 pub fn record_completion<D: Dialect>(job: &Arc<Job<D>>, stats: Option<Stats>) {
     crash::record_completion(job);
-    let first = stats.map_or_else(|| job.held(), |s| s.first_event);
+    let first = stats.map_or_else(|| job.elapsed(), |s| s.first_event);
     job.process.metrics.observe_response(&job.service, job.terms.prompt.0, first);
     job.record(Decision::Finished {
         first_token_ms: millis(first),
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -30,7 +30,7 @@
 use crate::fleet::metrics::Metrics;
 use crate::fleet::packed::Kept;
 use crate::fleet::peers::Peers;
-use crate::fleet::questions::Questions;
+use crate::fleet::pending_grants;
 use crate::fleet::unread;
 use crate::fleet::unreadable;
 use crate::fleet::withdrawals::Withdrawals;
@@ -87,7 +87,7 @@
     /// The scheduler that accounts for this VM's share of the fleet's retry budget.
     pub affiliation: Mutex<Affiliation>,
     /// Grant requests of this VM without a reply.
-    pub questions: Questions,
+    pub pending_grants: pending_grants::Table,
     /// Notified when the cluster state changes such that a queued request may get a placement.
     pub cluster_changed: Notify,
     /// Notified when the state of this VM is to be announced to peers.
@@ -177,7 +177,7 @@
             cluster: Mutex::default(),
             scheduler: Mutex::new(Scheduler::new(config.fleet.budget())),
             affiliation: Mutex::default(),
-            questions: Questions::default(),
+            pending_grants: pending_grants::Table::default(),
             cluster_changed: Notify::new(),
             announce: Notify::new(),
             announce_to_all: AtomicBool::new(false),
--- a/daemon/src/fleet/rate_limits.rs
+++ b/daemon/src/fleet/rate_limits.rs
@@ -1,7 +1,8 @@
-//! Rate limits that upstreams name in their answers: observed, replicated to all VMs, and enforced.
+//! Rate limits that upstreams state in their responses: observed, replicated to all VMs, and
+//! enforced.
 //!
-//! The scheduler paces the requests of all VMs. A VM discards a grant whose scheduler did not know the latest limit, and
-//! sends that limit to the scheduler.
+//! The scheduler enforces them for the requests of all VMs. A VM discards a grant whose scheduler had
+//! not received the latest limit, and sends that limit to the scheduler.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -19,12 +20,17 @@
 use crate::fleet::tell;
 use crate::log;
 
-/// Applies the limit in an answer of an upstream instance to a request sent at `sent`.
-pub fn observe<D: Dialect>(process: &Process<D>, start: Tag, rate: Option<Rate>, sent: Instant) {
+/// Records the limit in a response of an upstream's incarnation to a request that was sent at `sent`.
+pub fn observe<D: Dialect>(
+    process: &Process<D>,
+    incarnation: Tag,
+    rate: Option<Rate>,
+    sent: Instant,
+) {
     let now = process.now();
     let own = &process.member.vm;
     let mut cluster = process.cluster.lock().unwrap();
-    let Some(upstream) = cluster.observe_limit(start, rate, sent, own, now) else { return };
+    let Some(upstream) = cluster.observe_limit(incarnation, rate, sent, own, now) else { return };
     let entry = entry(&cluster, &upstream);
     drop(cluster);
     log_change(process, &upstream, rate, own);
@@ -35,7 +41,7 @@
     broadcast(process);
 }
 
-/// Merges limits sent by a peer. Replies with those that are older than the known ones.
+/// Merges limits sent by a peer. Replies with the limits recorded here that are newer.
 pub fn on_announcement<D: Dialect>(
     process: &Process<D>,
     entries: &[Entry],
@@ -48,7 +54,7 @@
     }
 }
 
-/// Merges a limit announced by a peer. Returns the known one if the peer's is older.
+/// Merges a limit announced by a peer. Returns the one recorded here if that is newer.
 pub fn merge<D: Dialect>(process: &Process<D>, announced: Entry, from: &id::Vm) -> Option<Entry> {
     let mut cluster = process.cluster.lock().unwrap();
     let (merged, upstream) = cluster.merge_limit(announced, from, process.now())?;
@@ -65,19 +71,19 @@
     }
 }
 
-/// Limits that forbid the use of a placement, since its scheduler did not know them.
-pub fn unknown_to_scheduler<D: Dialect>(process: &Process<D>, placement: &Placement) -> Vec<Entry> {
+/// Limits that forbid the use of a placement. Its scheduler had not received them.
+pub fn missing_at_scheduler<D: Dialect>(process: &Process<D>, placement: &Placement) -> Vec<Entry> {
     let cluster = process.cluster.lock().unwrap();
     let Flight { upstream, helpers, .. } = &placement.flight;
-    let helpers = helpers.iter().map(|helping| &helping.upstream);
+    let helpers = helpers.iter().map(|helper| &helper.upstream);
     let limited = helpers.filter(|id| cluster.get(id).is_some_and(|helper| helper.is_limited()));
-    let own = (!cluster.may_send(upstream, placement.limit)).then_some(upstream);
-    own.into_iter().chain(limited).filter_map(|id| entry(&cluster, id)).collect()
+    let outdated = (!cluster.may_send(upstream, placement.limit)).then_some(upstream);
+    outdated.into_iter().chain(limited).filter_map(|id| entry(&cluster, id)).collect()
 }
 
 /// Whether an upstream has a rate limit.
 pub fn is_limited<D: Dialect>(process: &Process<D>, upstream: &id::Upstream) -> bool {
-    process.cluster.lock().unwrap().get(upstream).is_some_and(|known| known.is_limited())
+    process.cluster.lock().unwrap().get(upstream).is_some_and(|upstream| upstream.is_limited())
 }
 
 /// Sends limits to a VM.
@@ -86,9 +92,9 @@
 }
 
 fn entry(cluster: &Cluster, upstream: &id::Upstream) -> Option<Entry> {
-    let known = cluster.get(upstream)?;
-    let limit: Limit = known.rate_limit.as_ref()?.limit;
-    Some(Entry { upstream: known.tag, limit })
+    let listed = cluster.get(upstream)?;
+    let limit: Limit = listed.rate_limit.as_ref()?.limit;
+    Some(Entry { upstream: listed.tag, limit })
 }
 
 fn broadcast<D: Dialect>(process: &Process<D>) {
@@ -106,8 +112,10 @@
         return;
     }
     let what = match rate {
-        Some(rate) => format!("{upstream} takes {rate} from all VMs, by its answer to {by}"),
-        None => format!("{upstream} names no rate limit any more, by its answer to {by}"),
+        Some(rate) => {
+            format!("{upstream} limits all VMs together to {rate}, by its response to {by}")
+        }
+        None => format!("{upstream} no longer states a rate limit, by its response to {by}"),
     };
     log::event(&process.log, Event::UpstreamLimited, what);
 }
--- a/daemon/src/fleet/record.rs
+++ b/daemon/src/fleet/record.rs
@@ -11,7 +11,7 @@
 impl<D: Dialect> Job<D> {
     /// Records a decision, and logs it with its inputs unless the log is throttled.
     pub fn record(&self, decision: Decision) {
-        let entry = decision::Entry { at_ms: millis(self.held()), decision };
+        let entry = decision::Entry { at_ms: millis(self.elapsed()), decision };
         let level = entry.decision.event().level();
         let throttle = if level.is_at_least(Level::Info) {
             &self.process.trouble_lines
--- a/daemon/src/fleet/hold.rs
+++ b/daemon/src/fleet/reservations.rs
@@ -1,5 +1,5 @@
-//! Memory held at several engines for one attempt: all of it or none, renewed while the attempt
-//! lasts, given back however it ends.
+//! Reservations of memory at the helper engines of an attempt: all of them or none, renewed during
+//! the attempt and released when it ends, for whatever reason.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,84 +21,84 @@
 use crate::fleet::process::Process;
 use crate::log;
 
-/// The pause after an order without an answer.
+/// Delay after a reservation order that failed.
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How often giving back is tried; after that the memory lapses by itself.
+/// Maximum number of release orders for a reservation; after that it expires by itself.
 const MAX_RELEASES: u32 = 6;
 
-/// Memory that an upstream did not set aside.
-pub struct ReservationLost {
-    /// The upstream.
+/// A failed reservation.
+pub struct Failure {
+    /// The upstream that did not reserve the memory.
     pub upstream: id::Upstream,
-    /// Why.
-    pub fault: memory::Failure,
+    /// Cause of the failure.
+    pub cause: memory::Failure,
 }
 
-/// The memory of one attempt. It is given back when this is dropped.
-pub struct Hold<D: Dialect> {
+/// The reservations of an attempt, released on drop.
+pub struct Reservations<D: Dialect> {
     process: Arc<Process<D>>,
     reservations: Arc<Vec<Reservation>>,
     renewal: Option<tokio::task::JoinHandle<()>>,
 }
 
-impl<D: Dialect> Hold<D> {
-    /// Sets aside the memory that a placement counts on at its helpers.
-    pub async fn take(job: &Arc<Job<D>>, grant: &Grant) -> Result<Hold<D>, ReservationLost> {
+impl<D: Dialect> Reservations<D> {
+    /// Reserves the memory that a placement requires at its helpers.
+    pub async fn reserve(job: &Arc<Job<D>>, grant: &Grant) -> Result<Reservations<D>, Failure> {
         let reservations = Arc::new(reservations(job, grant));
-        let mut hold = Hold {
+        let mut reserved = Reservations {
             process: job.process.clone(),
             reservations: reservations.clone(),
             renewal: None,
         };
         if reservations.is_empty() {
-            return Ok(hold);
+            return Ok(reserved);
         }
         let started = job.process.now();
-        let start = |r: &Reservation| notices::incarnation(&job.process, &r.upstream);
-        let starts: Vec<Tag> = reservations.iter().map(start).collect();
+        let incarnation = |r: &Reservation| notices::incarnation(&job.process, &r.upstream);
+        let incarnations: Vec<Tag> = reservations.iter().map(incarnation).collect();
         let memory = &job.process.memory;
-        let time = job.process.config.fleet.reservation_time();
-        reservations.iter().for_each(|reservation| note_order(&job.process, reservation));
+        let ttl = job.process.config.fleet.reservation_time();
+        reservations.iter().for_each(|reservation| count_order(&job.process, reservation));
         let sent = job.process.now();
-        let answers = join_all(reservations.iter().map(|r| memory.reserve(r, time))).await;
-        for ((reservation, start), Annotated { notice, value: answer }) in
-            reservations.iter().zip(starts).zip(answers)
+        let results = join_all(reservations.iter().map(|r| memory.reserve(r, ttl))).await;
+        for ((reservation, incarnation), Annotated { notice, value: result }) in
+            reservations.iter().zip(incarnations).zip(results)
         {
-            notices::apply(&job.process, &reservation.upstream, start, sent, notice);
-            // What was set aside is given back as `hold` is dropped.
+            notices::apply(&job.process, &reservation.upstream, incarnation, sent, notice);
+            // Dropping `reserved` releases the reservations that succeeded.
             let upstream = reservation.upstream.clone();
-            answer.map_err(|fault| ReservationLost { upstream, fault })?;
+            result.map_err(|cause| Failure { upstream, cause })?;
         }
         let engines = reservations.iter().map(|r| r.upstream.clone()).collect();
         let waited_ms = millis(job.process.now().saturating_duration_since(started));
         job.record(Decision::Reserved { engines, waited_ms });
-        hold.renewal = Some(tokio::spawn(renew(job.process.clone(), reservations)));
-        Ok(hold)
+        reserved.renewal = Some(tokio::spawn(renew(job.process.clone(), reservations)));
+        Ok(reserved)
     }
 
-    /// Whether nothing is held.
+    /// Whether there are no reservations.
     pub fn is_empty(&self) -> bool {
         self.reservations.is_empty()
     }
 
-    /// The helpers of a placement with their tickets.
+    /// The helpers of a placement with their reservation ids.
     pub fn helpers(&self, grant: &Grant) -> Vec<Helper> {
-        let ticket = |upstream: &id::Upstream| {
+        let reservation_id = |upstream: &id::Upstream| {
             let reservation = self.reservations.iter().find(|r| r.upstream == *upstream)?;
             Some(reservation.reservation_id.clone())
         };
         let helpers = grant.placement.flight.helpers.iter().zip(&grant.helpers);
         helpers
-            .map(|(helping, address)| Helper {
+            .map(|(helper, address)| Helper {
                 address: address.clone(),
-                reservation_id: ticket(&helping.upstream),
+                reservation_id: reservation_id(&helper.upstream),
             })
             .collect()
     }
 }
 
-impl<D: Dialect> Drop for Hold<D> {
+impl<D: Dialect> Drop for Reservations<D> {
     fn drop(&mut self) {
         if let Some(renewal) = self.renewal.take() {
             renewal.abort();
@@ -112,14 +112,15 @@
 
 fn reservations<D: Dialect>(job: &Job<D>, grant: &Grant) -> Vec<Reservation> {
     let helpers = grant.placement.flight.helpers.iter().zip(&grant.helpers);
-    let held = helpers.filter(|(helping, _)| helping.reserved > 0);
-    held.map(|(helping, address)| Reservation {
-        upstream: helping.upstream.clone(),
-        address: address.clone(),
-        reservation_id: job.process.reservation_id(),
-        tokens: Tokens(helping.reserved),
-    })
-    .collect()
+    let reserving = helpers.filter(|(helper, _)| helper.reserved > 0);
+    reserving
+        .map(|(helper, address)| Reservation {
+            upstream: helper.upstream.clone(),
+            address: address.clone(),
+            reservation_id: job.process.reservation_id(),
+            tokens: Tokens(helper.reserved),
+        })
+        .collect()
 }
 
 async fn renew<D: Dialect>(process: Arc<Process<D>>, reservations: Arc<Vec<Reservation>>) {
@@ -130,11 +131,12 @@
 }
 
 async fn renew_one<D: Dialect>(process: &Process<D>, reservation: &Reservation) {
-    if let Err(fault) = reserve(process, reservation).await {
-        let what = format!("{} at {}: {fault}", reservation.reservation_id, reservation.upstream);
+    if let Err(failure) = reserve(process, reservation).await {
+        let what = format!("{} at {}: {failure}", reservation.reservation_id, reservation.upstream);
         log::event(&process.log, Event::RenewalFailed, what);
         tokio::time::sleep(RETRY_INTERVAL).await;
-        // The last try within the hold; without it the engine cuts the request, which is seen.
+        // The last try before the reservation expires. If it fails, the engine aborts the request,
+        // which the attempt detects.
         let _ = reserve(process, reservation).await;
     }
 }
@@ -143,17 +145,17 @@
     process: &Process<D>,
     reservation: &Reservation,
 ) -> Result<(), memory::Failure> {
-    let time = process.config.fleet.reservation_time();
-    let start = notices::incarnation(process, &reservation.upstream);
-    note_order(process, reservation);
+    let ttl = process.config.fleet.reservation_time();
+    let incarnation = notices::incarnation(process, &reservation.upstream);
+    count_order(process, reservation);
     let sent = process.now();
-    let Annotated { notice, value: answer } = process.memory.reserve(reservation, time).await;
-    notices::apply(process, &reservation.upstream, start, sent, notice);
-    answer
+    let Annotated { notice, value: result } = process.memory.reserve(reservation, ttl).await;
+    notices::apply(process, &reservation.upstream, incarnation, sent, notice);
+    result
 }
 
-/// Counts an order that is about to be sent.
-fn note_order<D: Dialect>(process: &Process<D>, reservation: &Reservation) {
+/// Counts a reservation order that is about to be sent, against the upstream's rate limit too.
+fn count_order<D: Dialect>(process: &Process<D>, reservation: &Reservation) {
     process.metrics.count_upstream_messages(Sent::Order, 1);
     process.cluster.lock().unwrap().record_unscheduled(&reservation.upstream, process.now());
 }
@@ -165,18 +167,18 @@
 async fn release<D: Dialect>(process: &Process<D>, reservation: &Reservation) {
     let mut last = None;
     for _ in 0..MAX_RELEASES {
-        let start = notices::incarnation(process, &reservation.upstream);
-        note_order(process, reservation);
+        let incarnation = notices::incarnation(process, &reservation.upstream);
+        count_order(process, reservation);
         let sent = process.now();
-        let Annotated { notice, value: answer } = process.memory.release(reservation).await;
-        notices::apply(process, &reservation.upstream, start, sent, notice);
-        match answer {
+        let Annotated { notice, value: result } = process.memory.release(reservation).await;
+        notices::apply(process, &reservation.upstream, incarnation, sent, notice);
+        match result {
             Ok(()) => return,
-            Err(fault) => last = Some(fault),
+            Err(failure) => last = Some(failure),
         }
         tokio::time::sleep(RETRY_INTERVAL).await;
     }
-    let why = last.map_or_else(String::new, |fault| fault.to_string());
+    let why = last.map_or_else(String::new, |failure| failure.to_string());
     let what = format!("{} at {}: {why}", reservation.reservation_id, reservation.upstream);
     log::event(&process.log, Event::ReleaseFailed, what);
 }
--- /dev/null
+++ b/daemon/src/fleet/retry.rs
@@ -0,0 +1,100 @@
+//! The attempts of a request so far, and whether it may be retried.
+
+use foldlock_base::prelude::*;
+use foldlock_request::budget::Charge;
+use foldlock_request::decision::Decision;
+use foldlock_request::dialect::Dialect;
+use foldlock_request::placement::Rejection;
+use hyper::Response;
+
+use crate::fleet::answer::Body;
+use crate::fleet::job::Job;
+
+/// Attempts without a delay that are allowed beyond the route's number of attempts, for those that
+/// were refused.
+pub const MAX_EXTRA_ATTEMPTS: u32 = 2;
+
+/// Maximum number of failed connections with which a request is still retried: enough to skip the
+/// upstreams of a data hall that has just been cut off.
+const MAX_UNSENT: u32 = 6;
+
+/// A failed attempt.
+pub struct Failure {
+    /// The upstream.
+    pub upstream: id::Upstream,
+    /// Cause of the failure.
+    pub why: String,
+}
+
+/// The attempts of a request so far.
+#[derive(Default)]
+pub struct History {
+    /// The last failure response that came from an upstream itself.
+    pub upstream_response: Option<Response<Body>>,
+    /// Upstreams at which the request failed.
+    pub excluded: Vec<id::Upstream>,
+    /// The failed attempt that is to be retried, until the retry is granted or rejected.
+    pub failure: Option<Failure>,
+    /// Attempts of which no byte was sent.
+    pub unsent: u32,
+    /// Attempts that an upstream refused, which did not run.
+    pub refused: u32,
+    /// Attempts that may have run.
+    pub ran: u32,
+    /// Whether the request has been granted a placement before.
+    was_granted: bool,
+    /// Retries that were charged to the fleet's retry budget.
+    charged_retries: u32,
+}
+
+impl History {
+    /// How the next attempt is charged to the fleet's retry budget. A retry that was not sent leaves its
+    /// token to the next one.
+    pub fn charge(&self) -> Charge {
+        if self.ran + self.refused > self.charged_retries {
+            Charge::Withdraw
+        } else if self.was_granted {
+            Charge::Free
+        } else {
+            Charge::Deposit
+        }
+    }
+
+    /// Records that the next attempt was granted a placement.
+    pub fn on_granted<D: Dialect>(&mut self, job: &Job<D>) {
+        if self.charge() == Charge::Withdraw {
+            self.charged_retries += 1;
+            job.process.metrics.count_retry_decision(true);
+        }
+        self.was_granted = true;
+        if let Some(Failure { upstream, why }) = self.failure.take() {
+            job.process.metrics.retries.inc();
+            job.record(Decision::Retried { upstream, why });
+        }
+    }
+
+    /// Records that the next attempt was granted no placement.
+    pub fn on_rejected<D: Dialect>(&mut self, job: &Job<D>, rejection: &Rejection) {
+        let budget = match rejection {
+            Rejection::OverBudget(exhausted) => {
+                job.process.metrics.count_retry_decision(false);
+                Some(*exhausted)
+            }
+            _ => None,
+        };
+        if let Some(Failure { upstream, why }) = self.failure.take() {
+            let reason = rejection.to_string();
+            job.record(Decision::NotRetried { upstream, why, reason, budget });
+        }
+    }
+}
+
+/// Whether a request may be retried, provided that the fleet's retry budget allows it.
+pub fn may_retry<D: Dialect>(job: &Job<D>, history: &History, not_run: bool) -> bool {
+    (not_run || job.is_retryable())
+        && history.unsent <= MAX_UNSENT
+        && history.ran < job.route.attempts
+        && history.ran + history.refused < job.route.attempts + MAX_EXTRA_ATTEMPTS
+        && !job.remaining().is_zero()
+        && !job.process.aborting.is_cancelled()
+}
--- a/daemon/src/fleet/serve.rs
+++ b/daemon/src/fleet/serve.rs
@@ -1,5 +1,5 @@
-//! A request from its arrival to its answer: admitted, placed, sent, and sent again elsewhere where
-//! that is allowed.
+//! Handles a request from its arrival to its response: admission, placement, attempts, and retries
+//! at other upstreams where they are allowed.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -17,26 +17,27 @@
 use crate::fleet::answer::{self, Body};
 use crate::fleet::attempt::{self, End};
 use crate::fleet::events;
-use crate::fleet::gate;
-use crate::fleet::hold::ReservationLost;
 use crate::fleet::job::Job;
 use crate::fleet::outcome::{record_completion, record_error};
 use crate::fleet::process::Process;
-use crate::fleet::tries::{Failure, REFUSED_MORE, Tries, may_repeat};
+use crate::fleet::queue;
+use crate::fleet::reservations;
+use crate::fleet::retry::{Failure, History, MAX_EXTRA_ATTEMPTS, may_retry};
 
-/// The pause after memory that was counted on turned out to be taken: by then the peers have told
-/// what they placed.
-const MEMORY_PAUSE: Duration = Duration::from_millis(30);
+/// Delay after a failed memory reservation: by then the peers have announced their placements.
+const RESERVATION_RETRY_DELAY: Duration = Duration::from_millis(30);
 
-/// The pause after that many refusals; it doubles with each one more. An engine's report is some
-/// 200 ms old, so what failed a request twice is known to all by the end of the second pause.
-const REFUSED_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before the next attempt once too many were refused to retry at once; it doubles with each
+/// further refusal. An engine's report is about 200 ms old, so the condition behind two refusals has
+/// reached all VMs by the end of the second delay.
+const REFUSAL_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The part of its objective for which such a request is held: the rest is for its first event.
-const REFUSED_HELD: f64 = 0.5;
+/// Share of the objective within which such a request is retried; the rest is left for its first
+/// event.
+const MAX_REFUSED_WAIT_SHARE: f64 = 0.5;
 
-/// Answers a request.
-pub async fn answer<D: Dialect>(
+/// Responds to a request.
+pub async fn respond<D: Dialect>(
     process: Arc<Process<D>>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
@@ -44,169 +45,179 @@
     let terms = D::terms(request.headers());
     let id = terms.request_id.parse().unwrap_or_else(|_| process.request_id());
     process.metrics.requests.inc();
-    let answered = match admit::admit(&process, &id, terms, request, arrived).await {
+    let result = match admit::admit(&process, &id, terms, request, arrived).await {
         Ok(job) => run(job).await,
         Err(error) => Err(error),
     };
-    Ok(answered.unwrap_or_else(|error| {
+    Ok(result.unwrap_or_else(|error| {
         process.metrics.count_error(error.kind());
         answer::error(&error, &id)
     }))
 }
 
-/// What follows an attempt.
-enum Step {
-    /// The request has its answer.
-    Done(Result<Response<Body>, Error>),
-    /// It is sent again, with what is known of it by now.
-    Again(Proof),
-    /// The same, after a pause in which others tell what they placed.
-    Pause(Proof, Duration),
+/// What to do after an attempt.
+enum Action {
+    /// Respond to the caller.
+    Respond(Result<Response<Body>, Error>),
+    /// Retry at once. The proof states whether any attempt may have run.
+    Retry(Proof),
+    /// Retry after a delay, in which peers announce their placements.
+    RetryAfter(Proof, Duration),
 }
 
 async fn run<D: Dialect>(job: Job<D>) -> Result<Response<Body>, Error> {
     let job = Arc::new(job);
     let mut proof = Proof::NotRun(Unsent::arrived());
-    let mut tries = Tries::default();
+    let mut history = History::default();
     loop {
-        let grant = match gate::place(&job, &mut tries, false).await {
+        let grant = match queue::wait_for_grant(&job, &mut history, false).await {
             Ok(grant) => grant,
-            Err(rejection) => return no_place(&job, tries, proof, rejection),
+            Err(rejection) => return unplaced_response(&job, history, proof, rejection),
         };
         let upstream = grant.placement.flight.upstream.clone();
         let attempt = proof.send();
-        let end = attempt::run(&job, grant, job.terms.last_event, &tries).await;
-        proof = match settle(&job, &mut tries, upstream, attempt, end) {
-            Step::Done(answer) => return answer,
-            Step::Again(proof) => proof,
-            Step::Pause(proof, pause) => {
-                tokio::time::sleep(pause).await;
+        let end = attempt::run(&job, grant, job.terms.last_event, &history).await;
+        proof = match next_action(&job, &mut history, upstream, attempt, end) {
+            Action::Respond(response) => return response,
+            Action::Retry(proof) => proof,
+            Action::RetryAfter(proof, delay) => {
+                tokio::time::sleep(delay).await;
                 proof
             }
         };
     }
 }
 
-/// The answer to a request for which there is no placement: an upstream's own failure if there was one.
-fn no_place<D: Dialect>(
+/// The response to a request that was granted no placement: an upstream's own failure response if
+/// there was one, else an error.
+fn unplaced_response<D: Dialect>(
     job: &Job<D>,
-    tries: Tries,
+    history: History,
     proof: Proof,
     rejection: Rejection,
 ) -> Result<Response<Body>, Error> {
-    if let Some(answer) = tries.own {
-        return Ok(answer);
+    if let Some(response) = history.upstream_response {
+        return Ok(response);
     }
-    let why = format!("not sent again: {rejection}");
+    let why = format!("not retried: {rejection}");
     Err(record_error(
         job,
         match proof {
-            Proof::NotRun(unsent) => gate::refusal(job, rejection, unsent),
+            Proof::NotRun(unsent) => queue::rejection_error(job, rejection, unsent),
             sent => sent.error(Kind::UpstreamFailed, why, false),
         },
     ))
 }
 
-/// Decides what follows the end of an attempt.
-fn settle<D: Dialect>(
+/// Decides what to do after an attempt.
+fn next_action<D: Dialect>(
     job: &Arc<Job<D>>,
-    tries: &mut Tries,
+    history: &mut History,
     upstream: id::Upstream,
     attempt: Attempt,
     end: End<D>,
-) -> Step {
+) -> Action {
     let (why, proof) = match end {
-        End::Complete(answer) => {
+        End::Complete(response) => {
             record_completion(job, None);
-            return Step::Done(Ok(answer));
+            return Action::Respond(Ok(response));
         }
         End::Streaming(started) => {
-            return Step::Done(Ok(events::relay(job.clone(), *started, std::mem::take(tries))));
+            return Action::Respond(Ok(events::relay(
+                job.clone(),
+                *started,
+                std::mem::take(history),
+            )));
         }
         End::Deadline => {
-            let why = format!("{upstream} had not answered in time");
+            let why = format!("no response of {upstream} before the deadline");
             let error = attempt.unknown().error(Kind::DeadlineExceeded, why, false);
-            return Step::Done(Err(record_error(job, error)));
+            return Action::Respond(Err(record_error(job, error)));
         }
-        End::ReservationFailed(ReservationLost { upstream, fault }) => {
+        End::ReservationFailed(reservations::Failure { upstream, cause }) => {
             let proof = attempt.refused(Refusal::not_connected());
-            return no_memory(job, tries, upstream, proof, fault.to_string());
+            return on_reservation_failure(job, history, upstream, proof, cause.to_string());
         }
         End::Unsent(why) => {
-            tries.unsent += 1;
+            history.unsent += 1;
             (why, attempt.refused(Refusal::not_connected()))
         }
         End::NotRun { why, at_fault } => {
-            tries.refused += 1;
+            history.refused += 1;
             let proof = attempt.refused(Refusal::stated());
-            return again(job, tries, at_fault, proof, why);
+            return retry_or_fail(job, history, at_fault, proof, why);
         }
-        End::ServerError(answer) => {
-            tries.ran += 1;
-            let why = format!("it answered {}", answer.status());
-            tries.own = Some(*answer);
+        End::ServerError(response) => {
+            history.ran += 1;
+            let why = format!("upstream responded {}", response.status());
+            history.upstream_response = Some(*response);
             (why, attempt.unknown())
         }
         End::Broken(why) => {
-            tries.ran += 1;
+            history.ran += 1;
             (why, attempt.unknown())
         }
     };
-    again(job, tries, upstream, proof, why)
+    retry_or_fail(job, history, upstream, proof, why)
 }
 
-/// Memory that was counted on was taken: the request looks for another placement while it may wait.
-fn no_memory<D: Dialect>(
+/// Handles a failed memory reservation: requests another placement, until the queue timeout.
+fn on_reservation_failure<D: Dialect>(
     job: &Job<D>,
-    tries: &mut Tries,
+    history: &mut History,
     upstream: id::Upstream,
     proof: Proof,
     why: String,
-) -> Step {
-    if job.held() >= gate::patience(job) {
-        return Step::Done(no_place(job, std::mem::take(tries), proof, Rejection::Full));
+) -> Action {
+    if job.elapsed() >= queue::timeout(job) {
+        return Action::Respond(unplaced_response(
+            job,
+            std::mem::take(history),
+            proof,
+            Rejection::Full,
+        ));
     }
-    tries.avoid.push(upstream.clone());
-    tries.failure = Some(Failure { upstream, why });
-    Step::Pause(proof, MEMORY_PAUSE)
+    history.excluded.push(upstream.clone());
+    history.failure = Some(Failure { upstream, why });
+    Action::RetryAfter(proof, RESERVATION_RETRY_DELAY)
 }
 
-/// Sends a failed request again if that is allowed, or gives the final answer.
-fn again<D: Dialect>(
+/// Retries a failed request if that is allowed, else responds with the failure.
+fn retry_or_fail<D: Dialect>(
     job: &Job<D>,
-    tries: &mut Tries,
+    history: &mut History,
     upstream: id::Upstream,
     proof: Proof,
     why: String,
-) -> Step {
-    tries.avoid.push(upstream.clone());
+) -> Action {
+    history.excluded.push(upstream.clone());
     let not_run = matches!(proof, Proof::NotRun(_));
-    if may_repeat(job, tries, not_run) {
-        tries.failure = Some(Failure { upstream, why });
-        return Step::Again(proof);
+    if may_retry(job, history, not_run) {
+        history.failure = Some(Failure { upstream, why });
+        return Action::Retry(proof);
     }
-    if not_run && let Some(pause) = pause(job, tries) {
-        tries.failure = Some(Failure { upstream, why });
-        tries.avoid.clear();
-        return Step::Pause(proof, pause);
+    if not_run && let Some(delay) = refusal_delay(job, history) {
+        history.failure = Some(Failure { upstream, why });
+        history.excluded.clear();
+        return Action::RetryAfter(proof, delay);
     }
-    if let Some(answer) = tries.own.take() {
-        return Step::Done(Ok(answer));
+    if let Some(response) = history.upstream_response.take() {
+        return Action::Respond(Ok(response));
     }
     let kind = if not_run { Kind::NoUpstream } else { Kind::UpstreamFailed };
     let error = proof.error(kind, format!("{upstream}: {why}"), false);
     let error =
-        if not_run { error.retry_after(Cause::Full.retry_after(job.left())) } else { error };
-    Step::Done(Err(record_error(job, error)))
+        if not_run { error.retry_after(Cause::Full.retry_after(job.remaining())) } else { error };
+    Action::Respond(Err(record_error(job, error)))
 }
 
-/// How long a request waits that all upstreams refused which it was sent to, while its answer can still
-/// be in time: that a few tries failed does not say that there is no room.
-fn pause<D: Dialect>(job: &Job<D>, tries: &Tries) -> Option<Duration> {
-    let more = tries.refused.checked_sub(job.route.attempts + REFUSED_MORE)?;
-    let pause = REFUSED_PAUSE * 2_u32.checked_pow(more)?;
-    let waits = tries.ran == 0
-        && job.held() + pause < job.route.objective.mul_f64(REFUSED_HELD)
+/// Delay before the next attempt of a request that was refused wherever it was sent, if its response
+/// can still meet the objective: a few refusals do not mean that there is no capacity.
+fn refusal_delay<D: Dialect>(job: &Job<D>, history: &History) -> Option<Duration> {
+    let excess = history.refused.checked_sub(job.route.attempts + MAX_EXTRA_ATTEMPTS)?;
+    let delay = REFUSAL_RETRY_DELAY * 2_u32.checked_pow(excess)?;
+    let may_wait = history.ran == 0
+        && job.elapsed() + delay < job.route.objective.mul_f64(MAX_REFUSED_WAIT_SHARE)
         && !job.process.rejects_new_requests();
-    waits.then_some(pause)
+    may_wait.then_some(delay)
 }
--- a/daemon/src/fleet/stream.rs
+++ b/daemon/src/fleet/stream.rs
@@ -13,10 +13,10 @@
 use hyper::body::Incoming;
 
 use crate::fleet::crash;
-use crate::fleet::hold::Hold;
 use crate::fleet::job::Job;
 use crate::fleet::outcome;
 use crate::fleet::process::Guard;
+use crate::fleet::reservations::Reservations;
 
 /// A stream whose first events were received.
 pub struct Started<D: Dialect> {
@@ -39,7 +39,7 @@
     /// The predicted time to the first event, milliseconds.
     pub predicted_ms: f64,
     pub(super) entered: Guard<D>,
-    pub(super) reservations: Hold<D>,
+    pub(super) reservations: Reservations<D>,
     pub(super) channel: Channel,
     /// How long the connection may be idle afterwards; zero if it cannot be reused.
     pub(super) idle_timeout: Duration,
