--- a/daemon/src/fleet/beats.rs
+++ b/daemon/src/fleet/beats.rs
@@ -15,7 +15,7 @@
 use foldlock_request::message::{self, Heartbeat, Message, State};
 use foldlock_request::step;
 
-use crate::fleet::peers::{Cadence, News};
+use crate::fleet::peers::{News, Timing};
 use crate::fleet::process::Process;
 use crate::fleet::tell::{self, Round};
 use crate::fleet::{
@@ -47,8 +47,8 @@
     let mut told = Told { first: now, spare: now, all: now };
     let mut due = true;
     loop {
-        let cadence = process.peers.cadence();
-        let next = told.next(due, process.tell_all.load(Ordering::Relaxed), cadence);
+        let timing = process.peers.timing();
+        let next = told.next(due, process.tell_all.load(Ordering::Relaxed), timing);
         tokio::select! {
             heard = process.socket.recv_from(&mut buffer) => {
                 if let Ok((length, from)) = heard {
@@ -61,7 +61,7 @@
             () = tokio::time::sleep_until(next.into()) => {
                 let now = process.now();
                 drop_silent(&process, now);
-                let round = told.round(process.tell_all.load(Ordering::Relaxed), cadence, now);
+                let round = told.round(process.tell_all.load(Ordering::Relaxed), timing, now);
                 if round == Round::All {
                     process.tell_all.store(false, Ordering::Relaxed);
                 }
@@ -79,22 +79,22 @@
 
 impl Told {
     /// When somebody is told next.
-    fn next(&self, due: bool, all: bool, cadence: Cadence) -> Instant {
-        let mut next = self.all + cadence.idle();
+    fn next(&self, due: bool, all: bool, timing: Timing) -> Instant {
+        let mut next = self.all + timing.heartbeat_interval();
         if due {
             next = next.min(self.first + GATHER);
         }
         if all {
-            next = next.min((self.all + cadence.gather()).max(self.first + GATHER));
+            next = next.min((self.all + timing.broadcast_interval()).max(self.first + GATHER));
         }
         next
     }
 
     /// Who is told now.
-    fn round(&mut self, all: bool, cadence: Cadence, now: Instant) -> Round {
+    fn round(&mut self, all: bool, timing: Timing, now: Instant) -> Round {
         self.first = now;
         let since = now.saturating_duration_since(self.all);
-        if since >= cadence.idle() || all && since >= cadence.gather() {
+        if since >= timing.heartbeat_interval() || all && since >= timing.broadcast_interval() {
             (self.spare, self.all) = (now, now);
             return Round::All;
         }
--- a/daemon/src/fleet/follow.rs
+++ b/daemon/src/fleet/follow.rs
@@ -154,8 +154,11 @@
     let now = process.now();
     // What it is yet to learn, who watches among it, comes from any peer that has heard of it; and those that watch
     // answer a beat or two after it has learnt who they are.
-    let learns =
-        if process.at().is_none() { LEARN_TIMEOUT } else { process.peers.cadence().places() * 2 };
+    let learns = if process.at().is_none() {
+        LEARN_TIMEOUT
+    } else {
+        process.peers.timing().scheduler_timeout() * 2
+    };
     if process.peers.age(now) < learns && process.peers.knows(now) {
         return true;
     }
@@ -181,7 +184,7 @@
 fn turn<D: Dialect>(process: &Process<D>) -> Duration {
     let position = process.peers.position_listed() as u32;
     // From some place on, those before this VM answer with their next beat.
-    let most = MOST_TURN + process.peers.cadence().idle();
+    let most = MOST_TURN + process.peers.timing().heartbeat_interval();
     (TURN * position).min(most) + TURN_EACH * position
 }
 
--- a/daemon/src/fleet/peers.rs
+++ b/daemon/src/fleet/peers.rs
@@ -1,11 +1,11 @@
 //! The other VMs of the fleet: who is heard, how fresh their settings are, and which of them place
 //! the requests of this one.
 
-mod cadence;
 mod known;
 mod peer;
 mod scheduler;
 mod sources;
+mod timing;
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -22,8 +22,8 @@
 use crate::fleet::peers::known::Known;
 use crate::fleet::peers::peer::Peer;
 
-pub use cadence::Cadence;
 pub use scheduler::Scheduler;
+pub use timing::Timing;
 
 /// VMs that watch the directory in a large fleet; the others hear from them. Three, so that two
 /// may fail at once without a gap.
@@ -93,12 +93,12 @@
     /// A VM has withdrawn. Answers what that means for its work, if it had not withdrawn before.
     pub fn withdraw(&self, vm: &id::Vm, now: Instant) -> Option<Withdrawal> {
         let mut known = self.known.lock().unwrap();
-        let cadence = known.cadence();
+        let timing = known.timing();
         let peer = known.peers.get_mut(vm)?;
         if std::mem::replace(&mut peer.leaving, true) {
             return None;
         }
-        let heard = peer.is_heard(cadence, now);
+        let heard = peer.is_heard(timing, now);
         if !heard {
             known.peers.remove(vm);
         }
@@ -180,10 +180,10 @@
         let mut known = self.known.lock().unwrap();
         let schedulers: Vec<id::Vm> =
             known.schedulers(now).map(|member| member.vm.clone()).collect();
-        let cadence = known.cadence();
+        let timing = known.timing();
         let mut target = |vm: &id::Vm| {
             let peer = known.peers.get_mut(vm)?;
-            peer.tried(cadence, now);
+            peer.tried(timing, now);
             Some(peer.target(true))
         };
         schedulers.iter().filter_map(&mut target).collect()
@@ -192,10 +192,10 @@
     /// The other VMs that want to hear.
     pub fn listeners(&self, now: Instant) -> Vec<Target> {
         let known = self.known.lock().unwrap();
-        let cadence = known.cadence();
+        let timing = known.timing();
         let schedulers: Vec<&id::Vm> = known.schedulers(now).map(|member| &member.vm).collect();
         let listens =
-            |peer: &&Peer| peer.wants(cadence, now) && !schedulers.contains(&&peer.member.vm);
+            |peer: &&Peer| peer.wants(timing, now) && !schedulers.contains(&&peer.member.vm);
         known.peers.values().filter(listens).map(|peer| peer.target(false)).collect()
     }
 
@@ -207,7 +207,7 @@
     /// The scheduler, the first in order that answers; none where none does.
     pub fn scheduler(&self, stopping: bool, now: Instant) -> Option<Scheduler> {
         let known = self.known.lock().unwrap();
-        let own_settled = self.age(now) >= known.cadence().settles();
+        let own_settled = self.age(now) >= known.timing().sync_time();
         let mut found: Option<(u8, Scheduler)> = None;
         for member in known.schedulers(now) {
             let (rank, scheduler) = match known.peers.get(&member.vm) {
@@ -216,7 +216,7 @@
                 Some(peer) if peer.missed.is_some() => continue,
                 Some(peer) => {
                     let scheduler = Scheduler::Peer(member.vm.clone(), member.address);
-                    (peer.placing_rank(known.cadence(), now), scheduler)
+                    (peer.placing_rank(known.timing(), now), scheduler)
                 }
             };
             if found.as_ref().is_none_or(|(best, _)| rank < *best) {
@@ -248,8 +248,8 @@
     }
 
     /// How often VMs of a fleet of this size tell each other that nothing happened.
-    pub fn cadence(&self) -> Cadence {
-        self.known.lock().unwrap().cadence()
+    pub fn timing(&self) -> Timing {
+        self.known.lock().unwrap().timing()
     }
 
     /// The place of this VM among those that are heard, in their order.
@@ -276,9 +276,9 @@
     pub fn drop_silent(&self, now: Instant) -> Vec<id::Vm> {
         let mut known = self.known.lock().unwrap();
         let mut silent = Vec::new();
-        let cadence = known.cadence();
+        let timing = known.timing();
         for (vm, peer) in &mut known.peers {
-            if peer.heard.is_some() && !peer.is_heard(cadence, now) {
+            if peer.heard.is_some() && !peer.is_heard(timing, now) {
                 peer.heard = None;
                 silent.push(vm.clone());
             }
@@ -326,7 +326,7 @@
 
     /// Whether this VM has run for long enough to have heard of all that is under way.
     pub fn settled(&self, now: Instant) -> bool {
-        self.age(now) >= self.cadence().settles()
+        self.age(now) >= self.timing().sync_time()
     }
 }
 
--- a/daemon/src/fleet/peers/known.rs
+++ b/daemon/src/fleet/peers/known.rs
@@ -7,7 +7,7 @@
 use foldlock_request::directory::Member;
 use foldlock_request::rank::{self, Liveness};
 
-use crate::fleet::peers::Cadence;
+use crate::fleet::peers::Timing;
 use crate::fleet::peers::peer::Peer;
 
 #[derive(Debug)]
@@ -35,20 +35,20 @@
     }
 
     /// The times of a fleet of this size.
-    pub(super) fn cadence(&self) -> Cadence {
-        Cadence::of(self.order.len())
+    pub(super) fn timing(&self) -> Timing {
+        Timing::of(self.order.len())
     }
 
     /// What is known of a VM's life.
     pub(super) fn liveness(&self, vm: &id::Vm, now: Instant) -> Liveness {
         // This VM is always up for itself.
-        self.peers.get(vm).map_or(Liveness::Up, |peer| peer.liveness(self.cadence(), now))
+        self.peers.get(vm).map_or(Liveness::Up, |peer| peer.liveness(self.timing(), now))
     }
 
     /// The peers that were heard of late.
     pub(super) fn heard(&self, now: Instant) -> impl Iterator<Item = &Peer> {
-        let cadence = self.cadence();
-        self.peers.values().filter(move |peer| peer.is_heard(cadence, now))
+        let timing = self.timing();
+        self.peers.values().filter(move |peer| peer.is_heard(timing, now))
     }
 
     /// The VMs that are told all, in their order.
--- a/daemon/src/fleet/peers/peer.rs
+++ b/daemon/src/fleet/peers/peer.rs
@@ -7,7 +7,7 @@
 use foldlock_request::rank::Liveness;
 use foldlock_request::revision::Revision;
 
-use crate::fleet::peers::{Cadence, Target};
+use crate::fleet::peers::{Target, Timing};
 
 /// How long after that it is tried again.
 const RETRIED: Duration = Duration::from_millis(2_500);
@@ -90,29 +90,30 @@
     }
 
     /// Whether it is taken to be up.
-    pub(super) fn is_heard(&self, cadence: Cadence, now: Instant) -> bool {
-        self.heard.is_some_and(|at| now.saturating_duration_since(at) < cadence.silent())
+    pub(super) fn is_heard(&self, timing: Timing, now: Instant) -> bool {
+        self.heard.is_some_and(|at| now.saturating_duration_since(at) < timing.down_timeout())
     }
 
     /// Whether it asked of late to hear from this VM.
-    pub(super) fn wants(&self, cadence: Cadence, now: Instant) -> bool {
-        self.wants.is_some_and(|at| now.saturating_duration_since(at) < cadence.wants())
+    pub(super) fn wants(&self, timing: Timing, now: Instant) -> bool {
+        self.wants
+            .is_some_and(|at| now.saturating_duration_since(at) < timing.subscription_timeout())
     }
 
     /// Whether it may be asked to place requests.
-    pub(super) fn liveness(&self, cadence: Cadence, now: Instant) -> Liveness {
+    pub(super) fn liveness(&self, timing: Timing, now: Instant) -> Liveness {
         let since = |at: Instant| now.saturating_duration_since(at);
         // Where all schedulers die at once, the next ones are told at once, and not only when the
         // dead are no longer taken for heard. Until then each VM would place by its own requests alone,
         // on engines that it takes for empty.
-        if self.missed.is_some_and(|at| since(at) < cadence.places()) {
+        if self.missed.is_some_and(|at| since(at) < timing.scheduler_timeout()) {
             return Liveness::Unknown;
         }
-        if self.heard.is_some_and(|at| since(at) < cadence.places()) {
+        if self.heard.is_some_and(|at| since(at) < timing.scheduler_timeout()) {
             return Liveness::Up;
         }
         // How long a VM that is not heard is told all, to find out whether it lives.
-        let tried = cadence.places();
+        let tried = timing.scheduler_timeout();
         match self.tried {
             Some(at) if since(at) >= tried && since(at) < tried + RETRIED => Liveness::Down,
             _ => Liveness::Unknown,
@@ -120,16 +121,17 @@
     }
 
     /// It is told all now, whether it is heard or not.
-    pub(super) fn tried(&mut self, cadence: Cadence, now: Instant) {
-        let again = |at: Instant| now.saturating_duration_since(at) >= cadence.places() + RETRIED;
-        if self.liveness(cadence, now) != Liveness::Up && self.tried.is_none_or(again) {
+    pub(super) fn tried(&mut self, timing: Timing, now: Instant) {
+        let again =
+            |at: Instant| now.saturating_duration_since(at) >= timing.scheduler_timeout() + RETRIED;
+        if self.liveness(timing, now) != Liveness::Up && self.tried.is_none_or(again) {
             self.tried = Some(now);
         }
     }
 
     /// How little it is to be asked, 0 the most.
-    pub(super) fn placing_rank(&self, cadence: Cadence, now: Instant) -> u8 {
-        match self.liveness(cadence, now) {
+    pub(super) fn placing_rank(&self, timing: Timing, now: Instant) -> u8 {
+        match self.liveness(timing, now) {
             Liveness::Up if self.settled => 0,
             Liveness::Up => 1,
             Liveness::Unknown | Liveness::Down => 2,
--- a/daemon/src/fleet/peers/sources.rs
+++ b/daemon/src/fleet/peers/sources.rs
@@ -15,7 +15,7 @@
     /// where this VM is the first that does.
     pub fn told_by_others(&self, now: Instant) -> Revision {
         let known = self.known.lock().unwrap();
-        let places = known.cadence().places();
+        let places = known.timing().scheduler_timeout();
         let watches = |peer: &&Peer| {
             peer.watching.is_some_and(|at| now.saturating_duration_since(at) < places)
         };
@@ -27,7 +27,7 @@
     /// Whether a peer was heard just now that the directory answers.
     pub fn watched(&self, now: Instant) -> bool {
         let known = self.known.lock().unwrap();
-        let places = known.cadence().places();
+        let places = known.timing().scheduler_timeout();
         let watched = |at: Instant| now.saturating_duration_since(at) < places;
         known.peers.values().any(|peer| peer.watching.is_some_and(watched))
     }
@@ -70,7 +70,7 @@
         let is_near = |peer: &&Peer| {
             peer.member.hall == self.own.hall
                 && !peer.leaving
-                && peer.liveness(known.cadence(), now) != Liveness::Down
+                && peer.liveness(known.timing(), now) != Liveness::Down
         };
         let near: Vec<&Peer> = known.peers.values().filter(is_near).collect();
         near.choose(&mut rand::rng()).map(|peer| peer.member.address)
--- a/daemon/tests/fleet_size.rs
+++ b/daemon/tests/fleet_size.rs
@@ -4,7 +4,7 @@
 
 use foldlock_request::message::{self, Activity, Heartbeat, Message, State};
 use foldlockd::fleet::join;
-use foldlockd::fleet::peers::Cadence;
+use foldlockd::fleet::peers::Timing;
 
 const FLEETS: [usize; 7] = [6, 30, 195, 400, 985, 1_500, 2_000];
 
@@ -42,7 +42,7 @@
 #[test]
 fn the_vm_that_places_hears_and_tells_at_a_rate_that_does_not_grow_with_the_fleet() {
     for vms in FLEETS {
-        let beats_per_s = vms as f64 / Cadence::of(vms).idle().as_secs_f64();
+        let beats_per_s = vms as f64 / Timing::of(vms).heartbeat_interval().as_secs_f64();
         assert!(beats_per_s <= 2_001.0, "{beats_per_s} a second at {vms} VMs");
     }
 }
@@ -50,7 +50,7 @@
 #[test]
 fn a_vm_without_requests_takes_less_for_control_than_it_may() {
     for vms in FLEETS {
-        let beats_per_s = 2.0 * TOLD / Cadence::of(vms).idle().as_secs_f64();
+        let beats_per_s = 2.0 * TOLD / Timing::of(vms).heartbeat_interval().as_secs_f64();
         let bytes_per_s = beats_per_s * idle_beat() as f64;
         assert!(bytes_per_s < CONTROL, "{bytes_per_s} bytes a second at {vms} VMs");
     }
@@ -58,24 +58,26 @@
 
 /// Up to some hundreds of VMs the times are those of a small fleet.
 #[test]
-fn small_fleets_keep_their_times() {
+fn intervals_are_constant_up_to_400_vms() {
     for vms in [1, 6, 100, 400] {
-        let cadence = Cadence::of(vms);
+        let timing = Timing::of(vms);
         let ms = |time: Duration| time.as_millis();
-        assert_eq!(ms(cadence.idle()), 200);
-        assert_eq!(ms(cadence.places()), 650);
-        assert_eq!(ms(cadence.wants()), 1_000);
-        assert_eq!(ms(cadence.silent()), 2_000);
-        assert_eq!(ms(cadence.settles()), 1_000);
+        assert_eq!(ms(timing.heartbeat_interval()), 200);
+        assert_eq!(ms(timing.scheduler_timeout()), 650);
+        assert_eq!(ms(timing.subscription_timeout()), 1_000);
+        assert_eq!(ms(timing.down_timeout()), 2_000);
+        assert_eq!(ms(timing.sync_time()), 1_000);
     }
 }
 
 /// Settings are in force in 4 s at 1,500 VMs: a watch, its gathering, and a round to all that is lost once.
 #[test]
 fn news_reaches_all_within_the_time_that_settings_have() {
-    let cadence = Cadence::of(1_500);
+    let timing = Timing::of(1_500);
     let watch = Duration::from_millis(1_100);
-    assert!(watch + cadence.gather() + cadence.idle() < Duration::from_secs(4));
+    assert!(
+        watch + timing.broadcast_interval() + timing.heartbeat_interval() < Duration::from_secs(4)
+    );
 }
 
 /// All are killed at once, and none of the first in the order comes back: nobody is heard, and each reads the
