--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -7,6 +7,7 @@
 
 pub mod admit;
 pub mod affiliation;
+pub mod announce;
 pub mod answer;
 pub mod attempt;
 pub mod beats;
@@ -44,7 +45,6 @@
 pub mod source;
 pub mod stop;
 pub mod suspended;
-pub mod tell;
 pub mod tries;
 pub mod unread;
 pub mod unreadable;
--- a/daemon/src/fleet/beats.rs
+++ b/daemon/src/fleet/beats.rs
@@ -15,9 +15,9 @@
 use foldlock_request::message::{self, Heartbeat, Message, State};
 use foldlock_request::step;
 
+use crate::fleet::announce::{self, Audience};
 use crate::fleet::peers::{News, Timing};
 use crate::fleet::process::Process;
-use crate::fleet::tell::{self, Round};
 use crate::fleet::{
     catch_up, grant_requests, members, notices, packed, peer_sync, rate_limits, reports, scheduler,
 };
@@ -61,15 +61,15 @@
             () = tokio::time::sleep_until(next.into()) => {
                 let now = process.now();
                 drop_silent(&process, now);
-                let round = told.round(process.tell_all.load(Ordering::Relaxed), timing, now);
-                if round == Round::All {
+                let audience = told.audience(process.tell_all.load(Ordering::Relaxed), timing, now);
+                if audience == Audience::All {
                     process.tell_all.store(false, Ordering::Relaxed);
                 }
                 // What the spare ones have not heard yet, the next round tells.
                 due = false;
-                let mut rest = tell::tell(&process, round, now);
-                while let Some(some) = rest {
-                    rest = some.tell_some(&process);
+                let mut remainder = announce::start(&process, audience, now);
+                while let Some(batch) = remainder {
+                    remainder = batch.send_batch(&process);
                     hear_more(&process, &mut buffer, &directory);
                 }
             }
@@ -91,18 +91,18 @@
     }
 
     /// Who is told now.
-    fn round(&mut self, all: bool, timing: Timing, now: Instant) -> Round {
+    fn audience(&mut self, all: bool, timing: Timing, now: Instant) -> Audience {
         self.first = now;
         let since = now.saturating_duration_since(self.all);
         if since >= timing.heartbeat_interval() || all && since >= timing.broadcast_interval() {
             (self.spare, self.all) = (now, now);
-            return Round::All;
+            return Audience::All;
         }
         if now.saturating_duration_since(self.spare) >= GATHER_SPARE {
             self.spare = now;
-            return Round::Spare;
+            return Audience::Standby;
         }
-        Round::First
+        Audience::Scheduler
     }
 }
 
@@ -151,7 +151,7 @@
         members::leaves(process, &state.vm, state.withdraw);
     }
     if beat.requests_heartbeats && state.version == 0 {
-        tell::tell_newcomer(process, &state.vm);
+        announce::to_new_peer(process, &state.vm);
     }
     if beat.is_client {
         scheduler::on_client_heartbeat(process, &state.vm, now);
--- a/daemon/src/fleet/ending.rs
+++ b/daemon/src/fleet/ending.rs
@@ -14,9 +14,9 @@
 use foldlock_request::suspicion::{Failure as Cause, Outcome};
 use foldlock_request::tag::Tag;
 
+use crate::fleet::announce;
 use crate::fleet::job::Job;
 use crate::fleet::register::Order;
-use crate::fleet::tell;
 
 /// How long an upstream is asked whether it listens: a dead port says so within a way there and back, a
 /// few milliseconds. One that says nothing may be cut off, which is not the request's doing.
@@ -65,7 +65,7 @@
     let held = cluster.quarantine.record_crash(job.fingerprint, ending, now);
     let known = cluster.quarantine.crash_count(job.fingerprint) as u32;
     drop(cluster);
-    tell::tell_scheduler(&job.process);
+    announce::to_scheduler(&job.process);
     job.process.pool.forget(&upstream);
     job.process.metrics.ended_under.inc();
     job.record(Decision::Crashed { upstream, crashes: known, isolated: alone });
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -22,7 +22,7 @@
 use crate::fleet::notices::{self, Exclusion};
 use crate::fleet::peers::Scheduler;
 use crate::fleet::process::Process;
-use crate::fleet::{affiliation, rate_limits, scheduler, tell};
+use crate::fleet::{affiliation, announce, rate_limits, scheduler};
 use crate::log;
 
 /// How long an answer may take before the same is asked again: the way there and back takes 3 ms
@@ -280,7 +280,7 @@
                 let now = self.process.now();
                 let asked =
                     GrantRequest::new(self.request(), service, &requirements, is_client, now);
-                tell::send(self.process, &Message::GrantRequest(asked), *address);
+                announce::send(self.process, &Message::GrantRequest(asked), *address);
             }
         }
     }
@@ -376,7 +376,7 @@
             Some(Scheduler::Own) => scheduler::cancel_own(self.process, self.number),
             Some(Scheduler::Peer(_, address)) => {
                 let message = Message::Cancelled(self.request());
-                tell::send(self.process, &message, address);
+                announce::send(self.process, &message, address);
             }
             None => {}
         }
--- a/daemon/src/fleet/rate_limits.rs
+++ b/daemon/src/fleet/rate_limits.rs
@@ -15,8 +15,8 @@
 use foldlock_request::rate_limit::{Entry, Limit, Merge};
 use foldlock_request::tag::Tag;
 
+use crate::fleet::announce;
 use crate::fleet::process::Process;
-use crate::fleet::tell;
 use crate::log;
 
 /// Applies the limit in an answer of an upstream instance to a request sent at `sent`.
@@ -82,7 +82,7 @@
 
 /// Sends limits to a VM.
 pub fn send<D: Dialect>(process: &Process<D>, limits: Vec<Entry>, to: SocketAddr) {
-    tell::send(process, &Message::RateLimits(limits), to);
+    announce::send(process, &Message::RateLimits(limits), to);
 }
 
 fn entry(cluster: &Cluster, upstream: &id::Upstream) -> Option<Entry> {
--- a/daemon/src/fleet/reports.rs
+++ b/daemon/src/fleet/reports.rs
@@ -17,7 +17,7 @@
 use crate::fleet::notices::{self, Exclusion};
 use crate::fleet::peers::Scheduler;
 use crate::fleet::process::Process;
-use crate::fleet::{rate_limits, tell};
+use crate::fleet::{announce, rate_limits};
 use crate::log;
 
 /// How often each engine is asked: a slow or silent one holds up most prompts that several engines
@@ -47,7 +47,7 @@
         match vms.iter().max_by_key(weight) {
             Some(vm) if vm.vm != process.member.vm => {
                 let message = Message::Poll(listed.tag());
-                tell::send(process, &message, vm.address);
+                announce::send(process, &message, vm.address);
             }
             _ => {
                 tokio::spawn(ask(process.clone(), listed));
--- a/daemon/src/fleet/scheduler.rs
+++ b/daemon/src/fleet/scheduler.rs
@@ -14,7 +14,7 @@
 use foldlock_version::routes::Service;
 
 use crate::fleet::process::Process;
-use crate::fleet::{affiliation, tell};
+use crate::fleet::{affiliation, announce};
 
 /// The least time between two looks at what waits: what ends gathers for it.
 const BATCH_INTERVAL: Duration = Duration::from_millis(3);
@@ -153,7 +153,7 @@
 fn answered<D: Dialect>(process: &Process<D>, request: Number, to: SocketAddr, answer: Reply) {
     let reply = encode(&process.cluster.lock().unwrap(), answer);
     let message = Message::GrantReply(GrantReply { request, reply });
-    tell::send(process, &message, to);
+    announce::send(process, &message, to);
 }
 
 fn encode(cluster: &Cluster, answer: Reply) -> message::Reply {
--- a/daemon/tests/layers.rs
+++ b/daemon/tests/layers.rs
@@ -41,7 +41,7 @@
 fn imports_run_one_way() {
     let mut modules = modules();
     assert!(modules.len() > 30, "{modules:?}");
-    assert!(modules["serve"].contains("gate") && modules["grant_requests"].contains("tell"));
+    assert!(modules["serve"].contains("gate") && modules["grant_requests"].contains("announce"));
     // Takes off those that import nothing that is left, until all are gone.
     while let Some(free) =
         modules.iter().find(|(_, of)| of.is_empty()).map(|(name, _)| name.clone())
