--- a/daemon/src/fleet/beats.rs
+++ b/daemon/src/fleet/heartbeat.rs
@@ -25,18 +25,18 @@
 
 /// The least time between two beats to the scheduler: what begins and ends gathers for it. A
 /// VM so sends at most 200 datagrams a second.
-const GATHER: Duration = Duration::from_millis(5);
+const SCHEDULER_MIN_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The same to the VMs that would take over from it.
-const GATHER_SPARE: Duration = Duration::from_millis(50);
+const STANDBY_MIN_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Datagrams that are read in one go, before what they change is told.
-const IN_ONE_GO: usize = 64;
+const MAX_DATAGRAMS_PER_WAKE: usize = 64;
 
 /// When a VM was last told.
-struct Told {
-    first: Instant,
-    spare: Instant,
+struct LastSent {
+    scheduler: Instant,
+    standby: Instant,
     all: Instant,
 }
 
@@ -44,24 +44,25 @@
 pub async fn run<D: Dialect, R: Directory>(process: Arc<Process<D>>, directory: R) {
     let mut buffer = vec![0; message::MAX_BYTES];
     let now = process.now();
-    let mut told = Told { first: now, spare: now, all: now };
+    let mut last_sent = LastSent { scheduler: now, standby: now, all: now };
     let mut due = true;
     loop {
         let timing = process.peers.timing();
-        let next = told.next(due, process.tell_all.load(Ordering::Relaxed), timing);
+        let next = last_sent.next(due, process.tell_all.load(Ordering::Relaxed), timing);
         tokio::select! {
-            heard = process.socket.recv_from(&mut buffer) => {
-                if let Ok((length, from)) = heard {
-                    hear(&process, &buffer[..length], from, &directory);
-                    hear_more(&process, &mut buffer, &directory);
+            received = process.socket.recv_from(&mut buffer) => {
+                if let Ok((length, from)) = received {
+                    receive(&process, &buffer[..length], from, &directory);
+                    receive_pending(&process, &mut buffer, &directory);
                 }
                 // Else a peer's port is closed; its silence is noticed below.
             }
             () = process.tell.notified(), if !due => due = true,
             () = tokio::time::sleep_until(next.into()) => {
                 let now = process.now();
-                drop_silent(&process, now);
-                let audience = told.audience(process.tell_all.load(Ordering::Relaxed), timing, now);
+                mark_down(&process, now);
+                let audience =
+                    last_sent.audience(process.tell_all.load(Ordering::Relaxed), timing, now);
                 if audience == Audience::All {
                     process.tell_all.store(false, Ordering::Relaxed);
                 }
@@ -70,64 +71,69 @@
                 let mut remainder = announce::start(&process, audience, now);
                 while let Some(batch) = remainder {
                     remainder = batch.send_batch(&process);
-                    hear_more(&process, &mut buffer, &directory);
+                    receive_pending(&process, &mut buffer, &directory);
                 }
             }
         }
     }
 }
 
-impl Told {
+impl LastSent {
     /// When somebody is told next.
     fn next(&self, due: bool, all: bool, timing: Timing) -> Instant {
         let mut next = self.all + timing.heartbeat_interval();
         if due {
-            next = next.min(self.first + GATHER);
+            next = next.min(self.scheduler + SCHEDULER_MIN_INTERVAL);
         }
         if all {
-            next = next.min((self.all + timing.broadcast_interval()).max(self.first + GATHER));
+            next = next.min(
+                (self.all + timing.broadcast_interval())
+                    .max(self.scheduler + SCHEDULER_MIN_INTERVAL),
+            );
         }
         next
     }
 
     /// Who is told now.
     fn audience(&mut self, all: bool, timing: Timing, now: Instant) -> Audience {
-        self.first = now;
-        let since = now.saturating_duration_since(self.all);
-        if since >= timing.heartbeat_interval() || all && since >= timing.broadcast_interval() {
-            (self.spare, self.all) = (now, now);
+        self.scheduler = now;
+        let since_broadcast = now.saturating_duration_since(self.all);
+        if since_broadcast >= timing.heartbeat_interval()
+            || all && since_broadcast >= timing.broadcast_interval()
+        {
+            (self.standby, self.all) = (now, now);
             return Audience::All;
         }
-        if now.saturating_duration_since(self.spare) >= GATHER_SPARE {
-            self.spare = now;
+        if now.saturating_duration_since(self.standby) >= STANDBY_MIN_INTERVAL {
+            self.standby = now;
             return Audience::Standby;
         }
         Audience::Scheduler
     }
 }
 
-fn hear_more<D: Dialect, R: Directory>(
+fn receive_pending<D: Dialect, R: Directory>(
     process: &Arc<Process<D>>,
     buffer: &mut [u8],
     directory: &R,
 ) {
-    for _ in 0..IN_ONE_GO {
+    for _ in 0..MAX_DATAGRAMS_PER_WAKE {
         let Ok((length, from)) = process.socket.try_recv_from(buffer) else { return };
-        hear(process, &buffer[..length], from, directory);
+        receive(process, &buffer[..length], from, directory);
     }
 }
 
-fn hear<D: Dialect, R: Directory>(
+fn receive<D: Dialect, R: Directory>(
     process: &Arc<Process<D>>,
     bytes: &[u8],
     from: std::net::SocketAddr,
     directory: &R,
 ) {
     match message::decode(bytes) {
-        Ok(Message::Heartbeat(beat)) => hear_beat(process, &beat, directory),
-        Ok(Message::GrantRequest(asked)) => scheduler::asked(process, &asked, from),
+        Ok(Message::Heartbeat(heartbeat)) => on_heartbeat(process, &heartbeat, directory),
+        Ok(Message::GrantRequest(request)) => scheduler::asked(process, &request, from),
         Ok(Message::Cancelled(number)) => scheduler::cancelled(process, number, from),
-        Ok(Message::GrantReply(answered)) => grant_requests::answered(process, answered, from),
+        Ok(Message::GrantReply(reply)) => grant_requests::answered(process, reply, from),
         Ok(Message::Poll(upstream)) => reports::polled(process, upstream),
         Ok(Message::RateLimits(limits)) => {
             if let Some(peer) = process.peers.at(from) {
@@ -138,31 +144,35 @@
     }
 }
 
-fn hear_beat<D: Dialect, R: Directory>(process: &Arc<Process<D>>, beat: &Heartbeat, directory: &R) {
+fn on_heartbeat<D: Dialect, R: Directory>(
+    process: &Arc<Process<D>>,
+    heartbeat: &Heartbeat,
+    directory: &R,
+) {
     let now = process.now();
-    let state = &beat.state;
-    let Some(news) = process.peers.heard_beat(beat, now) else { return };
+    let state = &heartbeat.state;
+    let Some(news) = process.peers.heard_beat(heartbeat, now) else { return };
     // What it has of an earlier start of this process says nothing of this one.
-    let of_this_start = beat.echo_of == process.member.incarnation;
-    if of_this_start {
-        confirm(process, beat);
+    let echoes_own_incarnation = heartbeat.echo_of == process.member.incarnation;
+    if echoes_own_incarnation {
+        confirm(process, heartbeat);
     }
     if state.leaving {
         members::leaves(process, &state.vm, state.withdraw);
     }
-    if beat.requests_heartbeats && state.version == 0 {
+    if heartbeat.requests_heartbeats && state.version == 0 {
         announce::to_new_peer(process, &state.vm);
     }
-    if beat.is_client {
+    if heartbeat.is_client {
         scheduler::on_client_heartbeat(process, &state.vm, now);
     }
-    hear_steps(process, state);
+    merge_steps(process, state);
     catch_up::start(process, directory);
     for Restart { upstream, born } in &state.restarts {
         reports::renewed(process, upstream, *born, &state.vm);
     }
-    for start in &state.leaving_upstreams {
-        notices::leaves(process, *start, &state.vm);
+    for incarnation in &state.leaving_upstreams {
+        notices::leaves(process, *incarnation, &state.vm);
     }
     for limit in &state.rate_limits {
         rate_limits::merge(process, *limit, &state.vm);
@@ -171,22 +181,22 @@
     if news == News::Renewed {
         cluster.remove_peer(&state.vm, now);
     }
-    let Some(work) = &state.activity else { return };
-    cluster.merge_outcomes(&state.vm, &work.outcomes, now);
-    cluster.merge_reports(&work.reports, now);
-    cluster.quarantine.merge(&work.suspects, now);
-    cluster.merge_dispatches(&state.vm, &work.dispatches, now);
-    let granted = if of_this_start { beat.last_grant } else { 0 };
-    let room = cluster.merge_flights(&state.vm, &work.flights, granted, now);
+    let Some(activity) = &state.activity else { return };
+    cluster.merge_outcomes(&state.vm, &activity.outcomes, now);
+    cluster.merge_reports(&activity.reports, now);
+    cluster.quarantine.merge(&activity.suspects, now);
+    cluster.merge_dispatches(&state.vm, &activity.dispatches, now);
+    let granted = if echoes_own_incarnation { heartbeat.last_grant } else { 0 };
+    let room = cluster.merge_flights(&state.vm, &activity.flights, granted, now);
     drop(cluster);
-    if room || !work.suspects.is_empty() {
+    if room || !activity.suspects.is_empty() {
         process.room.notify_one();
     }
 }
 
 /// What a peer that watches the directory says of changes there, if they follow on what is known here. Who
 /// misses some reads all that is listed, from a peer.
-fn hear_steps<D: Dialect>(process: &Arc<Process<D>>, state: &State) {
+fn merge_steps<D: Dialect>(process: &Arc<Process<D>>, state: &State) {
     if state.steps.is_empty() {
         return;
     }
@@ -200,9 +210,9 @@
 
 /// The peer knew our version to be the newest `age` before it sent this beat, which was after we
 /// sent the stamp that it echoes.
-fn confirm<D: Dialect>(process: &Process<D>, beat: &Heartbeat) {
-    let (Some(echo), Some(age_ms)) = (beat.echo, beat.state.age_ms) else { return };
-    if beat.state.version != process.version() || beat.state.version == 0 {
+fn confirm<D: Dialect>(process: &Process<D>, heartbeat: &Heartbeat) {
+    let (Some(echo), Some(age_ms)) = (heartbeat.echo, heartbeat.state.age_ms) else { return };
+    if heartbeat.state.version != process.version() || heartbeat.state.version == 0 {
         return;
     }
     let sent = process.peers.stamped(echo);
@@ -211,7 +221,7 @@
     }
 }
 
-fn drop_silent<D: Dialect>(process: &Process<D>, now: Instant) {
+fn mark_down<D: Dialect>(process: &Process<D>, now: Instant) {
     for vm in process.peers.drop_silent(now) {
         process.cluster.lock().unwrap().remove_peer(&vm, now);
         log::event(&process.log, Event::MemberDown, vm);
