--- a/daemon/src/fleet/announce.rs
+++ b/daemon/src/fleet/announce.rs
@@ -54,7 +54,7 @@
         schedulers.retain(|target| Some(target.address) == first);
     }
     let subscribers =
-        if audience == Audience::All { process.peers.listeners(now) } else { Vec::new() };
+        if audience == Audience::All { process.peers.subscribers(now) } else { Vec::new() };
     if schedulers.is_empty() && subscribers.is_empty() {
         return None;
     }
@@ -91,12 +91,12 @@
     for target in targets {
         let is_client =
             Some(target.address) == scheduler && affiliation::contact_peer(process, &target.vm);
-        let activity = activity.clone().filter(|_| target.scheduler);
+        let activity = activity.clone().filter(|_| target.may_schedule);
         let heartbeat = Heartbeat {
             echo: target.echo,
             echo_of: target.echo_of,
-            last_grant: target.granted,
-            requests_heartbeats: target.scheduler,
+            last_grant: target.last_grant,
+            requests_heartbeats: target.may_schedule,
             state: State { activity, ..state.clone() },
             is_client,
         };
@@ -132,7 +132,7 @@
         leaving: process.stopping.is_cancelled(),
         withdraw: process.withdrawals.asks(),
         watching: process.watching.load(Ordering::Relaxed),
-        synced: process.peers.settled(now),
+        synced: process.peers.is_synced(now),
         restarts,
         leaving_upstreams,
         rate_limits,
@@ -143,7 +143,7 @@
 
 /// What changed of late, unless a VM before this one in the order tells it.
 fn steps<D: Dialect>(process: &Process<D>, now: Instant) -> Bytes {
-    let announced = process.peers.told_by_others(now);
+    let announced = process.peers.announced_by_others(now);
     let steps = process.steps.lock().unwrap().announced(announced);
     if steps.is_empty() { Bytes::new() } else { packed::pack(&step::encode(&steps)) }
 }
--- a/daemon/src/fleet/follow.rs
+++ b/daemon/src/fleet/follow.rs
@@ -128,7 +128,7 @@
 
 /// The pause between two watches of this VM.
 fn gather<D: Dialect>(process: &Process<D>) -> Duration {
-    let tells = process.peers.told_by_others(process.now()).is_none();
+    let tells = process.peers.announced_by_others(process.now()).is_none();
     if tells || !is_large(process) { GATHER } else { GATHER_SPARE }
 }
 
@@ -159,13 +159,13 @@
     } else {
         process.peers.timing().scheduler_timeout() * 2
     };
-    if process.peers.age(now) < learns && process.peers.knows(now) {
+    if process.peers.age(now) < learns && process.peers.any_has_settings(now) {
         return true;
     }
     if process.at().is_none() {
         return false;
     }
-    process.peers.watched(now) && !(is_watcher(process) && process.peers.settled(now))
+    process.peers.has_watcher(now) && !(is_watcher(process) && process.peers.is_synced(now))
 }
 
 /// Whether this VM is one of those that watch in a large fleet. One that stops takes over from none: where all do,
@@ -228,7 +228,7 @@
         process.confirm(asked);
     }
     contact.settle(process.restored(RESTORE_PERIOD));
-    let is_told = process.peers.told_by_others(now) >= at;
+    let is_told = process.peers.announced_by_others(now) >= at;
     if changed && !is_told {
         process.tell_all();
     }
@@ -288,7 +288,7 @@
         return;
     }
     let until = process.now() + pause.min(MOST_RETRY_TOLD.max(longest_pause(process)));
-    while process.now() < until && !process.peers.watched(process.now()) {
+    while process.now() < until && !process.peers.has_watcher(process.now()) {
         tokio::time::sleep(TOLD_LOOK.min(until - process.now())).await;
     }
 }
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -59,10 +59,10 @@
     if incarnation != process.member.incarnation {
         return;
     }
-    let Some(peer) = process.peers.at(from) else { return };
-    process.peers.answered(&peer.vm);
+    let Some(peer) = process.peers.by_address(from) else { return };
+    process.peers.on_grant_reply(&peer.vm);
     if let message::Reply::Granted(placed) = &answered.reply {
-        process.peers.granted(&peer.vm, placed.number);
+        process.peers.on_grant(&peer.vm, placed.number);
     }
     if let message::Reply::Granted(placed) = &answered.reply
         && let Some(limit) = placed.limit
@@ -175,7 +175,7 @@
             }
             Ended::Silent(vm) => {
                 log::event(&process.log, Event::SchedulerSilent, &vm);
-                process.peers.missed(&vm, process.now());
+                process.peers.on_grant_timeout(&vm, process.now());
             }
             Ended::Gone(upstream) => {
                 requirements.excluded.push(upstream);
--- a/daemon/src/fleet/heartbeat.rs
+++ b/daemon/src/fleet/heartbeat.rs
@@ -16,7 +16,7 @@
 use foldlock_request::step;
 
 use crate::fleet::announce::{self, Audience};
-use crate::fleet::peers::{News, Timing};
+use crate::fleet::peers::{Timing, Update};
 use crate::fleet::process::Process;
 use crate::fleet::{
     catch_up, grant_requests, members, notices, packed, peer_sync, rate_limits, reports, scheduler,
@@ -136,7 +136,7 @@
         Ok(Message::GrantReply(reply)) => grant_requests::answered(process, reply, from),
         Ok(Message::Poll(upstream)) => reports::polled(process, upstream),
         Ok(Message::RateLimits(limits)) => {
-            if let Some(peer) = process.peers.at(from) {
+            if let Some(peer) = process.peers.by_address(from) {
                 rate_limits::on_announcement(process, &limits, &peer.vm, from);
             }
         }
@@ -151,7 +151,7 @@
 ) {
     let now = process.now();
     let state = &heartbeat.state;
-    let Some(news) = process.peers.heard_beat(heartbeat, now) else { return };
+    let Some(update) = process.peers.on_heartbeat(heartbeat, now) else { return };
     // What it has of an earlier start of this process says nothing of this one.
     let echoes_own_incarnation = heartbeat.echo_of == process.member.incarnation;
     if echoes_own_incarnation {
@@ -178,7 +178,7 @@
         rate_limits::merge(process, *limit, &state.vm);
     }
     let mut cluster = process.cluster.lock().unwrap();
-    if news == News::Renewed {
+    if update == Update::Restarted {
         cluster.remove_peer(&state.vm, now);
     }
     let Some(activity) = &state.activity else { return };
@@ -222,7 +222,7 @@
 }
 
 fn mark_down<D: Dialect>(process: &Process<D>, now: Instant) {
-    for vm in process.peers.drop_silent(now) {
+    for vm in process.peers.mark_down(now) {
         process.cluster.lock().unwrap().remove_peer(&vm, now);
         log::event(&process.log, Event::MemberDown, vm);
     }
--- a/daemon/src/fleet/join.rs
+++ b/daemon/src/fleet/join.rs
@@ -125,7 +125,7 @@
         return;
     }
     let patience = patience(position);
-    if !comes_about(patience, || process.peers.knows(process.now())).await {
+    if !comes_about(patience, || process.peers.any_has_settings(process.now())).await {
         let what = format!("place {position}, {} ms: reading the directory", patience.as_millis());
         log::event(&process.log, Event::PeersUnheard, what);
     }
@@ -135,7 +135,8 @@
 async fn is_told<D: Dialect>(process: &Process<D>, patience: Duration) -> bool {
     let position = process.peers.position_listed();
     let patience = patience + WAIT_PER_VM * position as u32;
-    position >= WATCHERS && comes_about(patience, || process.peers.knows(process.now())).await
+    position >= WATCHERS
+        && comes_about(patience, || process.peers.any_has_settings(process.now())).await
 }
 
 /// Waits for this long at most until it is so, and answers whether it is. Looks are counted and not the clock: a VM
--- a/daemon/src/fleet/members.rs
+++ b/daemon/src/fleet/members.rs
@@ -4,7 +4,7 @@
 use foldlock_request::dialect::Dialect;
 use foldlock_request::directory::Member;
 
-use crate::fleet::peers::{News, Withdrawal};
+use crate::fleet::peers::{Update, Withdrawal};
 use crate::fleet::process::Process;
 use crate::fleet::withdraw;
 use crate::log;
@@ -12,8 +12,8 @@
 /// A VM is listed. Answers whether that is news.
 pub fn listed<D: Dialect>(process: &Process<D>, member: Member) -> bool {
     let vm = member.vm.clone();
-    let Some(news) = process.peers.list(member) else { return false };
-    if news == News::Renewed {
+    let Some(update) = process.peers.list(member) else { return false };
+    if update == Update::Restarted {
         process.cluster.lock().unwrap().remove_peer(&vm, process.now());
     }
     process.tell.notify_one();
@@ -31,7 +31,7 @@
 pub fn withdrawn<D: Dialect>(process: &Process<D>, vm: &id::Vm) -> bool {
     let now = process.now();
     let Some(withdrawal) = process.peers.withdraw(vm, now) else { return false };
-    if withdrawal == Withdrawal::Gone {
+    if withdrawal == Withdrawal::Ended {
         process.cluster.lock().unwrap().remove_peer(vm, now);
     }
     log::event(&process.log, Event::MemberLeaving, vm);
--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -159,7 +159,7 @@
     metrics.suspects.set(cluster.quarantine.suspects(now).count() as i64);
     drop(cluster);
     metrics.line.set(process.scheduler.lock().unwrap().queue_len() as i64);
-    metrics.peers.set(process.peers.heard(now).len() as i64);
+    metrics.peers.set(process.peers.up(now).len() as i64);
 }
 
 fn why<D: Dialect>(process: &Process<D>, request: &id::Request) -> Response<Body> {
--- a/daemon/src/fleet/peers.rs
+++ b/daemon/src/fleet/peers.rs
@@ -44,9 +44,9 @@
     /// The incarnation of the stamp.
     pub echo_of: u64,
     /// The newest placement that it gave.
-    pub granted: u64,
+    pub last_grant: u64,
     /// Whether it places the requests of this VM, or might.
-    pub scheduler: bool,
+    pub may_schedule: bool,
 }
 
 /// The peers.
@@ -54,7 +54,7 @@
 pub struct Peers {
     started: Instant,
     /// The same, as beats are stamped.
-    began: Moment,
+    stamp_origin: Moment,
     own: Member,
     known: Mutex<Known>,
     /// Whether something is being read from a peer.
@@ -63,31 +63,31 @@
 
 impl Peers {
     /// No peers yet; stamps count from `began`.
-    pub fn new(own: Member, started: Instant, began: Moment) -> Peers {
+    pub fn new(own: Member, started: Instant, stamp_origin: Moment) -> Peers {
         let known = Mutex::new(Known::new(own.clone()));
-        Peers { started, began, own, known, reading: AtomicBool::new(false) }
+        Peers { started, stamp_origin, own, known, reading: AtomicBool::new(false) }
     }
 
     /// A VM is listed. Answers what is news in that, if anything.
-    pub fn list(&self, member: Member) -> Option<News> {
+    pub fn list(&self, member: Member) -> Option<Update> {
         if member.vm == self.own.vm {
             return None;
         }
         let mut known = self.known.lock().unwrap();
-        let before = known.peers.get_mut(&member.vm);
-        if let Some(peer) = before.filter(|peer| peer.member == member) {
+        let previous = known.peers.get_mut(&member.vm);
+        if let Some(peer) = previous.filter(|peer| peer.member == member) {
             // A withdrawal of its start before may be carried out late; it then lists itself again.
-            let returns = std::mem::replace(&mut peer.leaving, false);
-            if returns {
+            let was_leaving = std::mem::replace(&mut peer.leaving, false);
+            if was_leaving {
                 known.place(member);
             }
-            return returns.then_some(News::Heard);
+            return was_leaving.then_some(Update::Changed);
         }
-        let before = known.peers.get(&member.vm);
-        let renewed = before.is_some_and(|peer| peer.member.incarnation != member.incarnation);
+        let previous = known.peers.get(&member.vm);
+        let restarted = previous.is_some_and(|peer| peer.member.incarnation != member.incarnation);
         known.peers.insert(member.vm.clone(), Peer::new(member.clone()));
         known.place(member);
-        Some(if renewed { News::Renewed } else { News::Heard })
+        Some(if restarted { Update::Restarted } else { Update::Changed })
     }
 
     /// A VM has withdrawn. Answers what that means for its work, if it had not withdrawn before.
@@ -98,44 +98,44 @@
         if std::mem::replace(&mut peer.leaving, true) {
             return None;
         }
-        let heard = peer.is_heard(timing, now);
-        if !heard {
+        let is_up = peer.is_heard(timing, now);
+        if !is_up {
             known.peers.remove(vm);
         }
         known.displace(vm);
-        Some(if heard { Withdrawal::Finishing } else { Withdrawal::Gone })
+        Some(if is_up { Withdrawal::Finishing } else { Withdrawal::Ended })
     }
 
     /// Takes a peer's state from a beat, unless it is older than what is known. Answers whether the
     /// peer has started anew since.
-    pub fn heard_beat(&self, beat: &Heartbeat, now: Instant) -> Option<News> {
-        let state = &beat.state;
+    pub fn on_heartbeat(&self, heartbeat: &Heartbeat, now: Instant) -> Option<Update> {
+        let state = &heartbeat.state;
         let mut known = self.known.lock().unwrap();
         let peer = known.peers.get_mut(&state.vm)?;
         // A VM that has started anew is heard before the directory tells of it, if it is away.
         if state.incarnation < peer.member.incarnation {
             return None;
         }
-        let renewed = state.incarnation > peer.member.incarnation;
-        if renewed {
+        let restarted = state.incarnation > peer.member.incarnation;
+        if restarted {
             let member = Member { incarnation: state.incarnation, ..peer.member.clone() };
             *peer = Peer::new(member);
         } else if peer.stamp.is_some_and(|stamp| stamp >= state.stamp) {
             return None;
         }
         peer.hear(state, now);
-        if beat.requests_heartbeats {
+        if heartbeat.requests_heartbeats {
             peer.wants = Some(now);
         }
-        if renewed {
+        if restarted {
             let member = known.peers.get(&state.vm).map(|peer| peer.member.clone());
             member.into_iter().for_each(|member| known.place(member));
         }
-        Some(if renewed { News::Renewed } else { News::Heard })
+        Some(if restarted { Update::Restarted } else { Update::Changed })
     }
 
     /// The peer that sends from this address.
-    pub fn at(&self, address: SocketAddr) -> Option<Member> {
+    pub fn by_address(&self, address: SocketAddr) -> Option<Member> {
         let known = self.known.lock().unwrap();
         let found = known.peers.values().find(|peer| peer.member.address == address);
         found.map(|peer| peer.member.clone())
@@ -169,10 +169,10 @@
     }
 
     /// The peers that were heard of late and are not leaving.
-    pub fn heard(&self, now: Instant) -> Vec<Member> {
+    pub fn up(&self, now: Instant) -> Vec<Member> {
         let known = self.known.lock().unwrap();
-        let heard = known.heard(now).filter(|peer| !peer.leaving);
-        heard.map(|peer| peer.member.clone()).collect()
+        let up = known.heard(now).filter(|peer| !peer.leaving);
+        up.map(|peer| peer.member.clone()).collect()
     }
 
     /// The VMs that place the requests of this one, or might.
@@ -190,13 +190,13 @@
     }
 
     /// The other VMs that want to hear.
-    pub fn listeners(&self, now: Instant) -> Vec<Target> {
+    pub fn subscribers(&self, now: Instant) -> Vec<Target> {
         let known = self.known.lock().unwrap();
         let timing = known.timing();
         let schedulers: Vec<&id::Vm> = known.schedulers(now).map(|member| &member.vm).collect();
-        let listens =
+        let is_subscriber =
             |peer: &&Peer| peer.wants(timing, now) && !schedulers.contains(&&peer.member.vm);
-        known.peers.values().filter(listens).map(|peer| peer.target(false)).collect()
+        known.peers.values().filter(is_subscriber).map(|peer| peer.target(false)).collect()
     }
 
     /// One peer, to be told at once.
@@ -207,12 +207,12 @@
     /// The scheduler, the first in order that answers; none where none does.
     pub fn scheduler(&self, stopping: bool, now: Instant) -> Option<Scheduler> {
         let known = self.known.lock().unwrap();
-        let own_settled = self.age(now) >= known.timing().sync_time();
+        let is_synced = self.age(now) >= known.timing().sync_time();
         let mut found: Option<(u8, Scheduler)> = None;
         for member in known.schedulers(now) {
             let (rank, scheduler) = match known.peers.get(&member.vm) {
                 None if stopping => continue,
-                None => (if own_settled { 0 } else { 1 }, Scheduler::Own),
+                None => (if is_synced { 0 } else { 1 }, Scheduler::Own),
                 Some(peer) if peer.missed.is_some() => continue,
                 Some(peer) => {
                     let scheduler = Scheduler::Peer(member.vm.clone(), member.address);
@@ -227,21 +227,21 @@
     }
 
     /// A VM left questions unanswered: the next one is asked until it is heard again.
-    pub fn missed(&self, vm: &id::Vm, now: Instant) {
+    pub fn on_grant_timeout(&self, vm: &id::Vm, now: Instant) {
         if let Some(peer) = self.known.lock().unwrap().peers.get_mut(vm) {
             peer.missed = Some(now);
         }
     }
 
     /// A VM has answered a question, late or in time: it lives.
-    pub fn answered(&self, vm: &id::Vm) {
+    pub fn on_grant_reply(&self, vm: &id::Vm) {
         if let Some(peer) = self.known.lock().unwrap().peers.get_mut(vm) {
             peer.missed = None;
         }
     }
 
     /// A peer has granted a placement.
-    pub fn granted(&self, vm: &id::Vm, grant: u64) {
+    pub fn on_grant(&self, vm: &id::Vm, grant: u64) {
         if let Some(peer) = self.known.lock().unwrap().peers.get_mut(vm) {
             peer.granted = peer.granted.max(grant);
         }
@@ -266,25 +266,25 @@
     }
 
     /// The age of the oldest word among the peers that are heard, milliseconds.
-    pub fn oldest_ms(&self, now: Instant) -> Option<u64> {
+    pub fn oldest_heartbeat_ms(&self, now: Instant) -> Option<u64> {
         let known = self.known.lock().unwrap();
-        let heard = known.heard(now).filter_map(|peer| peer.heard);
-        heard.map(|at| now.saturating_duration_since(at).as_millis() as u64).max()
+        let up = known.heard(now).filter_map(|peer| peer.heard);
+        up.map(|at| now.saturating_duration_since(at).as_millis() as u64).max()
     }
 
     /// Forgets peers that have fallen silent, and names them.
-    pub fn drop_silent(&self, now: Instant) -> Vec<id::Vm> {
+    pub fn mark_down(&self, now: Instant) -> Vec<id::Vm> {
         let mut known = self.known.lock().unwrap();
-        let mut silent = Vec::new();
+        let mut down = Vec::new();
         let timing = known.timing();
         for (vm, peer) in &mut known.peers {
             if peer.heard.is_some() && !peer.is_heard(timing, now) {
                 peer.heard = None;
-                silent.push(vm.clone());
+                down.push(vm.clone());
             }
         }
         known.peers.retain(|_, peer| !peer.leaving || peer.heard.is_some());
-        silent
+        down
     }
 
     /// What is known, for a dump.
@@ -303,16 +303,16 @@
 
     /// Microseconds since the start, the time for which the machine was suspended counted.
     pub fn stamp(&self, moment: Moment) -> u64 {
-        moment.since(self.began).as_micros() as u64
+        moment.since(self.stamp_origin).as_micros() as u64
     }
 
     /// The moment of a stamp of this VM.
     pub fn stamped(&self, stamp: u64) -> Moment {
-        self.began.after(Duration::from_micros(stamp))
+        self.stamp_origin.after(Duration::from_micros(stamp))
     }
 
     /// The machine was suspended: nobody counts as heard before it is heard again.
-    pub fn forget_heard(&self) {
+    pub fn reset_liveness(&self) {
         for peer in self.known.lock().unwrap().peers.values_mut() {
             peer.heard = None;
             peer.watching = None;
@@ -325,7 +325,7 @@
     }
 
     /// Whether this VM has run for long enough to have heard of all that is under way.
-    pub fn settled(&self, now: Instant) -> bool {
+    pub fn is_synced(&self, now: Instant) -> bool {
         self.age(now) >= self.timing().sync_time()
     }
 }
@@ -336,14 +336,14 @@
     /// It is heard: what it has under way counts until it no longer is.
     Finishing,
     /// It is not: nothing is under way.
-    Gone,
+    Ended,
 }
 
 /// What a beat or a listing brought.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum News {
+pub enum Update {
     /// A peer, or its state.
-    Heard,
+    Changed,
     /// A peer that has started anew: what it had under way before has ended.
-    Renewed,
+    Restarted,
 }
--- a/daemon/src/fleet/peers/peer.rs
+++ b/daemon/src/fleet/peers/peer.rs
@@ -62,14 +62,14 @@
     }
 
     /// What a beat to it needs.
-    pub(super) fn target(&self, scheduler: bool) -> Target {
+    pub(super) fn target(&self, may_schedule: bool) -> Target {
         Target {
             vm: self.member.vm.clone(),
             address: self.member.address,
             echo: self.stamp,
             echo_of: self.member.incarnation,
-            granted: self.granted,
-            scheduler,
+            last_grant: self.granted,
+            may_schedule,
         }
     }
 
--- a/daemon/src/fleet/peers/sources.rs
+++ b/daemon/src/fleet/peers/sources.rs
@@ -13,27 +13,27 @@
 impl Peers {
     /// The revision up to which a VM before this one in the order tells all what it sees at the directory; none
     /// where this VM is the first that does.
-    pub fn told_by_others(&self, now: Instant) -> Revision {
+    pub fn announced_by_others(&self, now: Instant) -> Revision {
         let known = self.known.lock().unwrap();
-        let places = known.timing().scheduler_timeout();
-        let watches = |peer: &&Peer| {
-            peer.watching.is_some_and(|at| now.saturating_duration_since(at) < places)
+        let timeout = known.timing().scheduler_timeout();
+        let is_watcher = |peer: &&Peer| {
+            peer.watching.is_some_and(|at| now.saturating_duration_since(at) < timeout)
         };
         let before = known.order.iter().take_while(|member| member.vm != self.own.vm);
-        let watching = before.filter_map(|member| known.peers.get(&member.vm)).filter(watches);
+        let watching = before.filter_map(|member| known.peers.get(&member.vm)).filter(is_watcher);
         watching.map(|peer| peer.at).max().unwrap_or_default()
     }
 
     /// Whether a peer was heard just now that the directory answers.
-    pub fn watched(&self, now: Instant) -> bool {
+    pub fn has_watcher(&self, now: Instant) -> bool {
         let known = self.known.lock().unwrap();
-        let places = known.timing().scheduler_timeout();
-        let watched = |at: Instant| now.saturating_duration_since(at) < places;
-        known.peers.values().any(|peer| peer.watching.is_some_and(watched))
+        let timeout = known.timing().scheduler_timeout();
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < timeout;
+        known.peers.values().any(|peer| peer.watching.is_some_and(is_recent))
     }
 
     /// Whether a peer was heard of late that has settings, from whomever: the directory is read by someone.
-    pub fn knows(&self, now: Instant) -> bool {
+    pub fn any_has_settings(&self, now: Instant) -> bool {
         self.known.lock().unwrap().heard(now).any(|peer| peer.version > 0)
     }
 
@@ -45,22 +45,22 @@
     /// A peer that knows other listings, of a later revision, or of the same one unless `compared`.
     pub fn other_listings(
         &self,
-        at: Revision,
+        revision: Revision,
         digest: u64,
         compared: bool,
         now: Instant,
     ) -> Option<SocketAddr> {
-        let other = |peer: &Peer| !compared && peer.at == at && peer.digest != digest;
-        self.pick(now, |peer| peer.at > at || other(peer))
+        let other = |peer: &Peer| !compared && peer.at == revision && peer.digest != digest;
+        self.pick(now, |peer| peer.at > revision || other(peer))
     }
 
     /// One of the peers that are heard, drawn at random so that they share the work.
-    fn pick(&self, now: Instant, of: impl Fn(&Peer) -> bool) -> Option<SocketAddr> {
+    fn pick(&self, now: Instant, matches: impl Fn(&Peer) -> bool) -> Option<SocketAddr> {
         let known = self.known.lock().unwrap();
-        let of: Vec<&Peer> = known.heard(now).filter(|peer| of(peer)).collect();
+        let candidates: Vec<&Peer> = known.heard(now).filter(|peer| matches(peer)).collect();
         let near: Vec<&Peer> =
-            of.iter().copied().filter(|p| p.member.hall == self.own.hall).collect();
-        let from = if near.is_empty() { of } else { near };
+            candidates.iter().copied().filter(|p| p.member.hall == self.own.hall).collect();
+        let from = if near.is_empty() { candidates } else { near };
         from.choose(&mut rand::rng()).map(|peer| peer.member.address)
     }
 
--- a/daemon/src/fleet/reports.rs
+++ b/daemon/src/fleet/reports.rs
@@ -40,7 +40,7 @@
 /// Divides the engines among the VMs that are heard, each by a hash, so that the same VM asks the
 /// same engine on its connection.
 fn poll<D: Dialect>(process: &Arc<Process<D>>) {
-    let mut vms = process.peers.heard(process.now());
+    let mut vms = process.peers.up(process.now());
     vms.push(process.member.clone());
     for listed in engines(process) {
         let weight = |vm: &&Member| xxh3_64(format!("{} {}", vm.vm, listed.id).as_bytes());
--- a/daemon/src/fleet/scheduler.rs
+++ b/daemon/src/fleet/scheduler.rs
@@ -27,7 +27,7 @@
 
 /// A peer asks for a placement.
 pub fn asked<D: Dialect>(process: &Process<D>, asked: &GrantRequest, from: SocketAddr) {
-    let Some(peer) = process.peers.at(from) else { return };
+    let Some(peer) = process.peers.by_address(from) else { return };
     let now = process.now();
     let requirements = asked.requirements(peer.hall, now);
     let key = key(Holder::Peer(peer.vm), asked.request);
@@ -97,7 +97,7 @@
 
 /// A peer asks no more.
 pub fn cancelled<D: Dialect>(process: &Process<D>, request: Number, from: SocketAddr) {
-    if let Some(peer) = process.peers.at(from) {
+    if let Some(peer) = process.peers.by_address(from) {
         cancel(process, &key(Holder::Peer(peer.vm), request));
     }
 }
--- a/daemon/src/fleet/suspended.rs
+++ b/daemon/src/fleet/suspended.rs
@@ -28,7 +28,7 @@
 /// Drops what is too old after a suspension, if there was one since the last look.
 pub fn check<D: Dialect>(process: &Process<D>) {
     let Some(slept) = process.sleep.noticed(&process.clock) else { return };
-    process.peers.forget_heard();
+    process.peers.reset_liveness();
     process.pool.clear();
     process.scheduler.lock().unwrap().budget.clear();
     process.woke.notify_one();
--- a/daemon/tests/peers.rs
+++ b/daemon/tests/peers.rs
@@ -42,7 +42,7 @@
 fn peers(strong: &Member, now: Instant) -> Peers {
     let peers = Peers::new(member("vm-weak", 120), now, System.moment());
     peers.list(strong.clone());
-    peers.heard_beat(&beat(strong, false), now);
+    peers.on_heartbeat(&beat(strong, false), now);
     peers
 }
 
@@ -55,9 +55,9 @@
     let peers = peers(&strong, now);
     let other = Some(Scheduler::Peer(strong.vm.clone(), strong.address));
     assert_eq!(peers.scheduler(false, now), other);
-    peers.missed(&strong.vm, now);
+    peers.on_grant_timeout(&strong.vm, now);
     assert_eq!(peers.scheduler(false, now), Some(Scheduler::Own));
-    peers.answered(&strong.vm);
+    peers.on_grant_reply(&strong.vm);
     assert_eq!(peers.scheduler(false, now), other);
 }
 
@@ -87,7 +87,7 @@
     assert_eq!(peers.running_count(), 2);
     peers.withdraw(&strong.vm, now);
     assert_eq!((peers.listed_count(), peers.running_count()), (1, 2));
-    peers.drop_silent(now + Duration::from_secs(30));
+    peers.mark_down(now + Duration::from_secs(30));
     assert_eq!(peers.running_count(), 1);
 }
 
@@ -99,10 +99,10 @@
     for number in 0..1_000 {
         let listener = member(&format!("vm-{number}"), 120);
         peers.list(listener.clone());
-        peers.heard_beat(&beat(&listener, true), now);
+        peers.on_heartbeat(&beat(&listener, true), now);
     }
-    assert_eq!(peers.listeners(now).len() + peers.schedulers(now).len(), 1_000);
+    assert_eq!(peers.subscribers(now).len() + peers.schedulers(now).len(), 1_000);
     assert!(peers.schedulers(now).len() <= 6);
     let later = now + Duration::from_secs(30);
-    assert!(peers.listeners(later).is_empty(), "nobody asked of late");
+    assert!(peers.subscribers(later).is_empty(), "nobody asked of late");
 }
