--- a/daemon/src/fleet/peers.rs
+++ b/daemon/src/fleet/peers.rs
@@ -98,7 +98,7 @@
         if std::mem::replace(&mut peer.leaving, true) {
             return None;
         }
-        let is_up = peer.is_heard(timing, now);
+        let is_up = peer.is_up(timing, now);
         if !is_up {
             known.peers.remove(vm);
         }
@@ -123,9 +123,9 @@
         } else if peer.stamp.is_some_and(|stamp| stamp >= state.stamp) {
             return None;
         }
-        peer.hear(state, now);
+        peer.on_heartbeat(state, now);
         if heartbeat.requests_heartbeats {
-            peer.wants = Some(now);
+            peer.last_subscribed = Some(now);
         }
         if restarted {
             let member = known.peers.get(&state.vm).map(|peer| peer.member.clone());
@@ -183,7 +183,7 @@
         let timing = known.timing();
         let mut target = |vm: &id::Vm| {
             let peer = known.peers.get_mut(vm)?;
-            peer.tried(timing, now);
+            peer.start_probe(timing, now);
             Some(peer.target(true))
         };
         schedulers.iter().filter_map(&mut target).collect()
@@ -194,8 +194,9 @@
         let known = self.known.lock().unwrap();
         let timing = known.timing();
         let schedulers: Vec<&id::Vm> = known.schedulers(now).map(|member| &member.vm).collect();
-        let is_subscriber =
-            |peer: &&Peer| peer.wants(timing, now) && !schedulers.contains(&&peer.member.vm);
+        let is_subscriber = |peer: &&Peer| {
+            peer.is_subscribed(timing, now) && !schedulers.contains(&&peer.member.vm)
+        };
         known.peers.values().filter(is_subscriber).map(|peer| peer.target(false)).collect()
     }
 
@@ -213,10 +214,10 @@
             let (rank, scheduler) = match known.peers.get(&member.vm) {
                 None if stopping => continue,
                 None => (if is_synced { 0 } else { 1 }, Scheduler::Own),
-                Some(peer) if peer.missed.is_some() => continue,
+                Some(peer) if peer.grant_timeout_at.is_some() => continue,
                 Some(peer) => {
                     let scheduler = Scheduler::Peer(member.vm.clone(), member.address);
-                    (peer.placing_rank(known.timing(), now), scheduler)
+                    (peer.scheduler_rank(known.timing(), now), scheduler)
                 }
             };
             if found.as_ref().is_none_or(|(best, _)| rank < *best) {
@@ -229,21 +230,21 @@
     /// A VM left questions unanswered: the next one is asked until it is heard again.
     pub fn on_grant_timeout(&self, vm: &id::Vm, now: Instant) {
         if let Some(peer) = self.known.lock().unwrap().peers.get_mut(vm) {
-            peer.missed = Some(now);
+            peer.grant_timeout_at = Some(now);
         }
     }
 
     /// A VM has answered a question, late or in time: it lives.
     pub fn on_grant_reply(&self, vm: &id::Vm) {
         if let Some(peer) = self.known.lock().unwrap().peers.get_mut(vm) {
-            peer.missed = None;
+            peer.grant_timeout_at = None;
         }
     }
 
     /// A peer has granted a placement.
     pub fn on_grant(&self, vm: &id::Vm, grant: u64) {
         if let Some(peer) = self.known.lock().unwrap().peers.get_mut(vm) {
-            peer.granted = peer.granted.max(grant);
+            peer.last_grant = peer.last_grant.max(grant);
         }
     }
 
@@ -268,7 +269,7 @@
     /// The age of the oldest word among the peers that are heard, milliseconds.
     pub fn oldest_heartbeat_ms(&self, now: Instant) -> Option<u64> {
         let known = self.known.lock().unwrap();
-        let up = known.heard(now).filter_map(|peer| peer.heard);
+        let up = known.heard(now).filter_map(|peer| peer.last_seen);
         up.map(|at| now.saturating_duration_since(at).as_millis() as u64).max()
     }
 
@@ -278,12 +279,12 @@
         let mut down = Vec::new();
         let timing = known.timing();
         for (vm, peer) in &mut known.peers {
-            if peer.heard.is_some() && !peer.is_heard(timing, now) {
-                peer.heard = None;
+            if peer.last_seen.is_some() && !peer.is_up(timing, now) {
+                peer.last_seen = None;
                 down.push(vm.clone());
             }
         }
-        known.peers.retain(|_, peer| !peer.leaving || peer.heard.is_some());
+        known.peers.retain(|_, peer| !peer.leaving || peer.last_seen.is_some());
         down
     }
 
@@ -292,10 +293,12 @@
         let known = self.known.lock().unwrap();
         let schedulers: Vec<&id::Vm> = known.schedulers(now).map(|member| &member.vm).collect();
         let peers = known.peers.iter().map(|(vm, p)| {
-            let heard_ms = p.heard.map(|at| now.saturating_duration_since(at).as_millis() as u64);
+            let heard_ms =
+                p.last_seen.map(|at| now.saturating_duration_since(at).as_millis() as u64);
             json!({
                 "vm": vm, "address": p.member.address, "heard_ms": heard_ms, "version": p.version,
-                "scheduler": schedulers.contains(&vm), "settled": p.settled, "missed": p.missed.is_some(),
+                "scheduler": schedulers.contains(&vm), "settled": p.synced,
+                "missed": p.grant_timeout_at.is_some(),
             })
         });
         peers.collect()
@@ -314,8 +317,8 @@
     /// The machine was suspended: nobody counts as heard before it is heard again.
     pub fn reset_liveness(&self) {
         for peer in self.known.lock().unwrap().peers.values_mut() {
-            peer.heard = None;
-            peer.watching = None;
+            peer.last_seen = None;
+            peer.last_watching = None;
         }
     }
 
--- a/daemon/src/fleet/peers/known.rs
+++ b/daemon/src/fleet/peers/known.rs
@@ -48,7 +48,7 @@
     /// The peers that were heard of late.
     pub(super) fn heard(&self, now: Instant) -> impl Iterator<Item = &Peer> {
         let timing = self.timing();
-        self.peers.values().filter(move |peer| peer.is_heard(timing, now))
+        self.peers.values().filter(move |peer| peer.is_up(timing, now))
     }
 
     /// The VMs that are told all, in their order.
--- a/daemon/src/fleet/peers/sources.rs
+++ b/daemon/src/fleet/peers/sources.rs
@@ -17,11 +17,11 @@
         let known = self.known.lock().unwrap();
         let timeout = known.timing().scheduler_timeout();
         let is_watcher = |peer: &&Peer| {
-            peer.watching.is_some_and(|at| now.saturating_duration_since(at) < timeout)
+            peer.last_watching.is_some_and(|at| now.saturating_duration_since(at) < timeout)
         };
         let before = known.order.iter().take_while(|member| member.vm != self.own.vm);
         let watching = before.filter_map(|member| known.peers.get(&member.vm)).filter(is_watcher);
-        watching.map(|peer| peer.at).max().unwrap_or_default()
+        watching.map(|peer| peer.revision).max().unwrap_or_default()
     }
 
     /// Whether a peer was heard just now that the directory answers.
@@ -29,7 +29,7 @@
         let known = self.known.lock().unwrap();
         let timeout = known.timing().scheduler_timeout();
         let is_recent = |at: Instant| now.saturating_duration_since(at) < timeout;
-        known.peers.values().any(|peer| peer.watching.is_some_and(is_recent))
+        known.peers.values().any(|peer| peer.last_watching.is_some_and(is_recent))
     }
 
     /// Whether a peer was heard of late that has settings, from whomever: the directory is read by someone.
@@ -50,8 +50,8 @@
         compared: bool,
         now: Instant,
     ) -> Option<SocketAddr> {
-        let other = |peer: &Peer| !compared && peer.at == revision && peer.digest != digest;
-        self.pick(now, |peer| peer.at > revision || other(peer))
+        let other = |peer: &Peer| !compared && peer.revision == revision && peer.digest != digest;
+        self.pick(now, |peer| peer.revision > revision || other(peer))
     }
 
     /// One of the peers that are heard, drawn at random so that they share the work.
