--- a/daemon/src/fleet/peers/known.rs
+++ b/daemon/src/fleet/peers/membership.rs
@@ -11,26 +11,26 @@
 use crate::fleet::peers::peer::Peer;
 
 #[derive(Debug)]
-pub(super) struct Known {
+pub(super) struct Membership {
     pub(super) peers: BTreeMap<id::Vm, Peer>,
     /// All VMs that are listed, this one among them, in the order in which they place.
     pub(super) order: Vec<Member>,
 }
 
-impl Known {
+impl Membership {
     /// This VM alone.
-    pub(super) fn new(own: Member) -> Known {
-        Known { peers: BTreeMap::new(), order: vec![own] }
+    pub(super) fn new(own: Member) -> Membership {
+        Membership { peers: BTreeMap::new(), order: vec![own] }
     }
 
     /// Puts a peer in its place in the order, as it is known now.
-    pub(super) fn place(&mut self, member: Member) {
-        self.displace(&member.vm);
+    pub(super) fn insert(&mut self, member: Member) {
+        self.remove(&member.vm);
         rank::insert(&mut self.order, member);
     }
 
     /// Takes a peer out of the order.
-    pub(super) fn displace(&mut self, vm: &id::Vm) {
+    pub(super) fn remove(&mut self, vm: &id::Vm) {
         self.order.retain(|member| member.vm != *vm);
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// The peers that were heard of late.
-    pub(super) fn heard(&self, now: Instant) -> impl Iterator<Item = &Peer> {
+    pub(super) fn up(&self, now: Instant) -> impl Iterator<Item = &Peer> {
         let timing = self.timing();
         self.peers.values().filter(move |peer| peer.is_up(timing, now))
     }
