--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -18,7 +18,7 @@
 pub mod ending;
 pub mod events;
 pub mod follow;
-pub mod fresh;
+pub mod freshness;
 pub mod gate;
 pub mod grant_requests;
 pub mod heads;
--- a/daemon/src/fleet/admit.rs
+++ b/daemon/src/fleet/admit.rs
@@ -153,7 +153,7 @@
         return Err(refuse(Kind::Unauthorized, why));
     };
     let moment = process.moment();
-    if !process.fresh.holds(moment) {
+    if !process.fresh.is_fresh(moment) {
         let why = match process.fresh.age(moment) {
             Some(age) => format!(
                 "the settings were last confirmed {} ms ago: keys may have changed",
--- a/daemon/src/fleet/fresh.rs
+++ b/daemon/src/fleet/freshness.rs
@@ -15,25 +15,25 @@
 
 /// The part of the greatest age up to which a VM takes new connections: beyond it the platform no
 /// longer counts on it.
-const READY_PART: f64 = 0.6;
+const READY_SHARE: f64 = 0.6;
 
 /// The freshness of the settings.
 #[derive(Debug)]
-pub struct Fresh {
-    most: Option<Duration>,
+pub struct Freshness {
+    max_age: Option<Duration>,
     confirmed: Mutex<Option<Moment>>,
 }
 
-impl Fresh {
+impl Freshness {
     /// Settings that may be this old.
-    pub fn new(most: Option<Duration>) -> Fresh {
-        Fresh { most, confirmed: Mutex::new(None) }
+    pub fn new(max_age: Option<Duration>) -> Freshness {
+        Freshness { max_age, confirmed: Mutex::new(None) }
     }
 
     /// The settings in force were the newest at this moment.
     pub fn confirm(&self, at: Moment) {
         let mut confirmed = self.confirmed.lock().unwrap();
-        *confirmed = confirmed.map_or(Some(at), |known| Some(known.max(at)));
+        *confirmed = confirmed.map_or(Some(at), |current| Some(current.max(at)));
     }
 
     /// The age of the settings; none before they were ever confirmed.
@@ -43,14 +43,14 @@
     }
 
     /// Whether keys may still be taken for valid.
-    pub fn holds(&self, now: Moment) -> bool {
-        let Some(most) = self.most else { return true };
-        self.age(now).is_some_and(|age| age + MARGIN < most)
+    pub fn is_fresh(&self, now: Moment) -> bool {
+        let Some(max_age) = self.max_age else { return true };
+        self.age(now).is_some_and(|age| age + MARGIN < max_age)
     }
 
     /// Whether new connections are welcome.
-    pub fn welcomes(&self, now: Moment) -> bool {
-        let Some(most) = self.most else { return true };
-        self.age(now).is_some_and(|age| age < most.mul_f64(READY_PART))
+    pub fn accepts_connections(&self, now: Moment) -> bool {
+        let Some(max_age) = self.max_age else { return true };
+        self.age(now).is_some_and(|age| age < max_age.mul_f64(READY_SHARE))
     }
 }
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -25,7 +25,7 @@
 use tokio_util::task::TaskTracker;
 
 use crate::fleet::config::Config;
-use crate::fleet::fresh::Fresh;
+use crate::fleet::freshness::Freshness;
 use crate::fleet::metrics::Metrics;
 use crate::fleet::packed::Kept;
 use crate::fleet::peers::Peers;
@@ -76,7 +76,7 @@
     /// The records of requests.
     pub ring: Ring,
     /// How old the settings are.
-    pub fresh: Fresh,
+    pub fresh: Freshness,
     /// Where peers are told and heard.
     pub socket: UdpSocket,
     /// The upstreams and what is under way there.
@@ -171,7 +171,7 @@
             listing_lines: Volume::new(volume::LISTING, clock.now()),
             metrics: Metrics::default(),
             ring: Ring::new(RECORDS),
-            fresh: Fresh::new(config.fleet.settings_age()),
+            fresh: Freshness::new(config.fleet.settings_age()),
             cluster: Mutex::default(),
             scheduler: Mutex::new(Scheduler::new(config.fleet.budget())),
             affiliation: Mutex::default(),
@@ -230,7 +230,7 @@
     /// Waits during startup until the settings are confirmed: those of a peer arrive before the heartbeat that confirms
     /// them. Returns whether they are.
     pub async fn first_confirmed(&self) -> bool {
-        let is_confirmed = || self.version() > 0 && self.fresh.holds(self.moment());
+        let is_confirmed = || self.version() > 0 && self.fresh.is_fresh(self.moment());
         self.wait_at_start(is_confirmed).await;
         is_confirmed()
     }
@@ -289,7 +289,9 @@
     /// Whether new connections are welcome.
     pub fn ready(&self) -> bool {
         let moment = self.moment();
-        !self.stopping.is_cancelled() && self.version() > 0 && self.fresh.welcomes(moment)
+        !self.stopping.is_cancelled()
+            && self.version() > 0
+            && self.fresh.accepts_connections(moment)
     }
 
     /// Whether a stop is so far on that a new request could not be finished before the kill.
--- a/daemon/tests/volume.rs
+++ b/daemon/tests/volume.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use foldlock_base::clock::{Clock, Manual};
-use foldlockd::fleet::fresh::Fresh;
+use foldlockd::fleet::freshness::Freshness;
 use foldlockd::fleet::volume::Volume;
 use proptest::prelude::*;
 
@@ -23,33 +23,33 @@
 #[test]
 fn settings_hold_until_the_bound_less_a_margin() {
     let now = Manual::default().moment();
-    let fresh = Fresh::new(Some(Duration::from_secs(5)));
+    let fresh = Freshness::new(Some(Duration::from_secs(5)));
     let after = |ms| now.after(Duration::from_millis(ms));
-    assert!(!fresh.holds(now), "never confirmed");
+    assert!(!fresh.is_fresh(now), "never confirmed");
     fresh.confirm(now);
-    assert!(fresh.welcomes(after(2_900)) && !fresh.welcomes(after(3_100)));
-    assert!(fresh.holds(after(4_600)) && !fresh.holds(after(4_800)));
+    assert!(fresh.accepts_connections(after(2_900)) && !fresh.accepts_connections(after(3_100)));
+    assert!(fresh.is_fresh(after(4_600)) && !fresh.is_fresh(after(4_800)));
 }
 
 #[test]
 fn without_a_bound_settings_of_any_age_hold() {
-    let fresh = Fresh::new(None);
+    let fresh = Freshness::new(None);
     let now = Manual::default().moment();
-    assert!(fresh.holds(now) && fresh.welcomes(now));
+    assert!(fresh.is_fresh(now) && fresh.accepts_connections(now));
 }
 
 /// A key may be taken away while the machine is suspended.
 #[test]
 fn settings_grow_old_while_the_machine_is_suspended() {
     let clock = Manual::default();
-    let fresh = Fresh::new(Some(Duration::from_secs(5)));
+    let fresh = Freshness::new(Some(Duration::from_secs(5)));
     fresh.confirm(clock.moment());
     let now = clock.now();
     clock.suspend(Duration::from_secs(6));
     assert_eq!(clock.now(), now, "the steady clock stood still");
-    assert!(!fresh.holds(clock.moment()) && !fresh.welcomes(clock.moment()));
+    assert!(!fresh.is_fresh(clock.moment()) && !fresh.accepts_connections(clock.moment()));
     fresh.confirm(clock.moment());
-    assert!(fresh.holds(clock.moment()));
+    assert!(fresh.is_fresh(clock.moment()));
 }
 
 proptest! {
@@ -74,7 +74,7 @@
     #[test]
     fn an_old_confirmation_takes_nothing_back(times in prop::collection::vec(0u64..10_000, 1..20)) {
         let start = Manual::default().moment();
-        let fresh = Fresh::new(Some(Duration::from_secs(5)));
+        let fresh = Freshness::new(Some(Duration::from_secs(5)));
         let at = |ms: u64| start.after(Duration::from_millis(ms));
         times.iter().for_each(|ms| fresh.confirm(at(*ms)));
         let latest = times.iter().max().unwrap();
