--- a/daemon/src/fleet/follow.rs
+++ b/daemon/src/fleet/follow.rs
@@ -92,19 +92,19 @@
     loop {
         if !asks(&process).await {
             process.watching.store(false, Ordering::Relaxed);
-            contact.is_told();
+            contact.follow_peers();
             tokio::time::sleep(TOLD_LOOK).await;
             continue;
         }
         let asked = process.moment();
-        let from = contact.from(process.at());
+        let from = contact.watch_from(process.at());
         process.metrics.called(if from.is_some() { Call::Watch } else { Call::Read });
         let answer = match from {
             Some(at) => tokio::select! {
                 answer = directory.watch(at, WATCH_TIMEOUT) => answer,
                 // What it told before may have ended in that time.
                 () = process.woke.notified() => {
-                    contact.forget();
+                    contact.reset();
                     continue;
                 }
             },
@@ -117,10 +117,10 @@
             }
             Err(directory::Failure::Compacted) => {
                 log::event(&process.log, Event::DirectoryCompacted, "reading all anew");
-                contact.forget();
+                contact.reset();
             }
             // What it holds now is read anew; its new era is noted then.
-            Err(directory::Failure::Restored) => contact.forget(),
+            Err(directory::Failure::Restored) => contact.reset(),
             Err(directory::Failure::Unavailable(why)) => failed(&process, &mut contact, &why).await,
         }
     }
@@ -197,7 +197,7 @@
 ) {
     let now = process.now();
     process.watching.store(true, Ordering::Relaxed);
-    if let Some(failures) = contact.answered(now) {
+    if let Some(failures) = contact.on_success(now) {
         log::event(&process.log, Event::DirectoryUp, format!("after {failures} failed calls"));
     }
     let mut change_log = ChangeLog::default();
@@ -212,7 +212,7 @@
     }
     contact.note_settings(process.version(), provenance, &changes);
     let changed = !changes.is_empty();
-    contact.goes_on(at);
+    contact.resume_at(at);
     process.known_to(at);
     let mut step: Vec<step::Change> =
         changes.iter().filter_map(|change| changes::told(change, provenance)).collect();
@@ -224,10 +224,10 @@
     step.extend(gone.into_iter().map(|id| step::Change::UpstreamRemoved(id, at)));
     note_step(process, from, at, step);
     change_log.log(process, at, "the directory");
-    if !contact.is_behind() {
+    if !contact.has_older_settings() {
         process.confirm(asked);
     }
-    contact.settle(process.restored(RESTORE_PERIOD));
+    contact.on_restore_end(process.restored(RESTORE_PERIOD));
     let is_told = process.peers.announced_by_others(now) >= at;
     if changed && !is_told {
         process.tell_all();
@@ -276,7 +276,7 @@
 }
 
 async fn failed<D: Dialect>(process: &Arc<Process<D>>, contact: &mut Contact, why: &str) {
-    let failures = contact.failed(process.now());
+    let failures = contact.on_failure(process.now());
     if failures == 1 {
         log::event(&process.log, Event::DirectoryDown, why);
     }
--- a/daemon/tests/contact.rs
+++ b/daemon/tests/contact.rs
@@ -8,57 +8,57 @@
 use foldlock_request::revision::Revision;
 use foldlockd::fleet::contact::Contact;
 
-const NOTHING: Revision = Revision { era: 0, number: 0 };
+const UNKNOWN: Revision = Revision { era: 0, number: 0 };
 
-const TOLD: Revision = Revision { era: 0, number: 7 };
+const ANNOUNCED: Revision = Revision { era: 0, number: 7 };
 
 const WATCHED: Revision = Revision { era: 0, number: 5 };
 
 #[test]
-fn a_vm_that_knows_nothing_reads_all() {
-    assert_eq!(Contact::default().from(NOTHING), None);
+fn a_vm_without_listings_reads_everything() {
+    assert_eq!(Contact::default().watch_from(UNKNOWN), None);
 }
 
 #[test]
-fn a_vm_that_was_told_goes_on_from_there() {
-    assert_eq!(Contact::default().from(TOLD), Some(TOLD));
+fn a_vm_that_followed_peers_resumes_from_the_announced_revision() {
+    assert_eq!(Contact::default().watch_from(ANNOUNCED), Some(ANNOUNCED));
     let mut contact = Contact::default();
-    contact.goes_on(WATCHED);
-    contact.is_told();
-    assert_eq!(contact.from(TOLD), Some(TOLD));
+    contact.resume_at(WATCHED);
+    contact.follow_peers();
+    assert_eq!(contact.watch_from(ANNOUNCED), Some(ANNOUNCED));
 }
 
 /// A revision that a peer names may have changes that its own watch has yet to bring.
 #[test]
-fn a_vm_that_watches_goes_on_from_its_own_watch() {
+fn a_watching_vm_resumes_from_its_own_revision() {
     let mut contact = Contact::default();
-    contact.goes_on(WATCHED);
-    assert_eq!(contact.from(TOLD), Some(WATCHED));
+    contact.resume_at(WATCHED);
+    assert_eq!(contact.watch_from(ANNOUNCED), Some(WATCHED));
 }
 
 #[test]
-fn after_a_failure_or_a_loss_all_is_read_whatever_peers_tell() {
+fn after_a_failure_or_reset_everything_is_read_despite_announcements() {
     let mut contact = Contact::default();
-    contact.goes_on(WATCHED);
-    assert_eq!(contact.failed(Instant::now()), 1);
-    assert_eq!(contact.from(TOLD), None);
-    assert_eq!(contact.answered(Instant::now()), Some(1));
-    contact.goes_on(WATCHED);
-    contact.forget();
-    assert_eq!(contact.from(TOLD), None);
-    contact.goes_on(TOLD);
-    assert_eq!(contact.from(WATCHED), Some(TOLD));
+    contact.resume_at(WATCHED);
+    assert_eq!(contact.on_failure(Instant::now()), 1);
+    assert_eq!(contact.watch_from(ANNOUNCED), None);
+    assert_eq!(contact.on_success(Instant::now()), Some(1));
+    contact.resume_at(WATCHED);
+    contact.reset();
+    assert_eq!(contact.watch_from(ANNOUNCED), None);
+    contact.resume_at(ANNOUNCED);
+    assert_eq!(contact.watch_from(WATCHED), Some(ANNOUNCED));
 }
 
 /// Once a directory that came back from a copy lists what is sound, it is read once more.
 #[test]
-fn a_restored_directory_is_read_again_when_it_is_sound() {
+fn a_restored_directory_is_read_again_when_the_restore_ends() {
     let mut contact = Contact::default();
     let now = Instant::now();
     contact.note_restored(Some(now));
-    contact.goes_on(WATCHED);
-    contact.settle(Some(now));
-    assert_eq!(contact.from(TOLD), Some(WATCHED));
-    contact.settle(None);
-    assert_eq!(contact.from(TOLD), None);
+    contact.resume_at(WATCHED);
+    contact.on_restore_end(Some(now));
+    assert_eq!(contact.watch_from(ANNOUNCED), Some(WATCHED));
+    contact.on_restore_end(None);
+    assert_eq!(contact.watch_from(ANNOUNCED), None);
 }
