--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -230,7 +230,7 @@
         }
         Change::Member(member) => {
             let what = format!("{} at {}", member.vm, member.address);
-            if members::listed(process, member) {
+            if members::on_listed(process, member) {
                 change_log.add(Event::MemberUp, what);
             }
         }
@@ -241,7 +241,7 @@
             list_again(process);
         }
         Change::MemberWithdrawn(vm) => {
-            members::withdrawn(process, &vm);
+            members::on_withdrawn(process, &vm);
         }
         Change::Hall(hall) => hall_noted(process, hall, change_log),
         Change::Quarantined(entry)
--- a/daemon/src/fleet/heartbeat.rs
+++ b/daemon/src/fleet/heartbeat.rs
@@ -158,7 +158,7 @@
         confirm(process, heartbeat);
     }
     if state.leaving {
-        members::leaves(process, &state.vm, state.withdraw);
+        members::on_leaving(process, &state.vm, state.withdraw);
     }
     if heartbeat.requests_heartbeats && state.version == 0 {
         announce::to_new_peer(process, &state.vm);
--- a/daemon/src/fleet/members.rs
+++ b/daemon/src/fleet/members.rs
@@ -10,7 +10,7 @@
 use crate::log;
 
 /// A VM is listed. Answers whether that is news.
-pub fn listed<D: Dialect>(process: &Process<D>, member: Member) -> bool {
+pub fn on_listed<D: Dialect>(process: &Process<D>, member: Member) -> bool {
     let vm = member.vm.clone();
     let Some(update) = process.peers.list(member) else { return false };
     if update == Update::Restarted {
@@ -21,14 +21,14 @@
 }
 
 /// A VM says that it stops. The one that withdraws others does so if it asks for that.
-pub fn leaves<D: Dialect>(process: &Process<D>, vm: &id::Vm, asks: bool) {
-    if withdrawn(process, vm) && asks && withdraw::is_first(process) {
+pub fn on_leaving<D: Dialect>(process: &Process<D>, vm: &id::Vm, requests_withdrawal: bool) {
+    if on_withdrawn(process, vm) && requests_withdrawal && withdraw::is_first(process) {
         process.withdrawals.note(vm.clone());
     }
 }
 
 /// A VM has withdrawn. What it has under way counts until it is no longer heard. Answers whether that is news.
-pub fn withdrawn<D: Dialect>(process: &Process<D>, vm: &id::Vm) -> bool {
+pub fn on_withdrawn<D: Dialect>(process: &Process<D>, vm: &id::Vm) -> bool {
     let now = process.now();
     let Some(withdrawal) = process.peers.withdraw(vm, now) else { return false };
     if withdrawal == Withdrawal::Ended {
