--- a/daemon/src/fleet/affiliation.rs
+++ b/daemon/src/fleet/affiliation.rs
@@ -20,11 +20,12 @@
 fn contact<D: Dialect>(process: &Process<D>, scheduler: &Member) -> bool {
     let has_ended = |former: &budget::Process| {
         let is_own = former.vm == process.member.vm;
-        let known = process.peers.member(&former.vm);
-        !is_own && known.is_none_or(|member| member.incarnation != former.incarnation)
+        let member = process.peers.member(&former.vm);
+        !is_own && member.is_none_or(|member| member.incarnation != former.incarnation)
     };
-    let asked = budget::Process { vm: scheduler.vm.clone(), incarnation: scheduler.incarnation };
+    let contacted =
+        budget::Process { vm: scheduler.vm.clone(), incarnation: scheduler.incarnation };
     let window = process.scheduler.lock().unwrap().budget.window();
     let mut affiliation = process.affiliation.lock().unwrap();
-    affiliation.contact(&asked, window, process.now(), has_ended)
+    affiliation.contact(&contacted, window, process.now(), has_ended)
 }
