--- a/daemon/src/fleet/catch_up.rs
+++ b/daemon/src/fleet/catch_up.rs
@@ -143,7 +143,7 @@
             let listing = serde_json::from_slice(&text).map_err(|e| {
                 format!("cannot decode the directory listing received from VM {from}: {e}")
             })?;
-            peer_sync::listing(process, listing);
+            peer_sync::merge_listing(process, listing);
             // What still differs then is for a later revision to settle: two VMs would else read each other's
             // listings without an end.
             let digest = process.cluster.lock().unwrap().digest();
--- a/daemon/src/fleet/heartbeat.rs
+++ b/daemon/src/fleet/heartbeat.rs
@@ -203,7 +203,9 @@
     let steps = packed::unpack(&state.steps)
         .and_then(|bytes| step::decode(&bytes).map_err(|e| e.to_string()));
     match steps {
-        Ok(steps) => steps.into_iter().for_each(|step| peer_sync::step(process, step, &state.vm)),
+        Ok(steps) => {
+            steps.into_iter().for_each(|step| peer_sync::merge_step(process, step, &state.vm))
+        }
         Err(why) => log::event(&process.log, Event::BeatUnreadable, why),
     }
 }
--- a/daemon/src/fleet/peer_sync.rs
+++ b/daemon/src/fleet/peer_sync.rs
@@ -18,12 +18,12 @@
 /// The revisions of two VMs do not order what they know: a watch may name a revision whose changes
 /// it did not bring. So nothing that ended here comes back by a peer's word, and what is leaving
 /// stays so.
-pub fn listing<D: Dialect>(process: &Arc<Process<D>>, listing: Listing) {
-    let at = process.at();
-    if process.watching.load(Ordering::Relaxed) || listing.revision < at {
+pub fn merge_listing<D: Dialect>(process: &Arc<Process<D>>, listing: Listing) {
+    let own_revision = process.at();
+    if process.watching.load(Ordering::Relaxed) || listing.revision < own_revision {
         return;
     }
-    let newer = listing.revision > at;
+    let is_newer = listing.revision > own_revision;
     let revision = listing.revision;
     // The peer may know the copy alone.
     let restored = follow::note_era(process, revision, "a peer");
@@ -35,11 +35,11 @@
     };
     let members = listing.members.into_iter().map(Change::Member);
     let upstreams = upstreams.into_iter().map(Change::Upstream);
-    let held = listing.quarantined.into_iter().map(Change::Quarantined);
-    let changes: Vec<Change> = upstreams.chain(members).chain(held).collect();
+    let quarantined = listing.quarantined.into_iter().map(Change::Quarantined);
+    let changes: Vec<Change> = upstreams.chain(members).chain(quarantined).collect();
     let mut change_log = ChangeLog::default();
     changes::halls_told(process, &listing.halls, &mut change_log);
-    if newer {
+    if is_newer {
         changes::end_unlisted(process, &changes, revision, provenance, &mut change_log);
     }
     changes
@@ -51,13 +51,13 @@
 /// Takes a step of the listings that a peer saw, if it follows on what is known here. What ended here comes
 /// back by a later revision alone, as with [`listing`]. A VM that stands by, and watches less often, takes it as
 /// well: it would else not hear a VM that has just started.
-pub fn step<D: Dialect>(process: &Arc<Process<D>>, step: Step, from: &id::Vm) {
+pub fn merge_step<D: Dialect>(process: &Arc<Process<D>>, step: Step, from: &id::Vm) {
     if !step.follows(process.at()) {
         return;
     }
     let mut change_log = ChangeLog::default();
     for change in step.changes {
-        if let Some(change) = accepted(process, change) {
+        if let Some(change) = filter_stale(process, change) {
             changes::apply(process, change, Provenance::Sound, &mut change_log);
         }
     }
@@ -66,14 +66,15 @@
 }
 
 /// A change that a peer told, unless something newer is known here.
-fn accepted<D: Dialect>(process: &Process<D>, change: step::Change) -> Option<Change> {
+fn filter_stale<D: Dialect>(process: &Process<D>, change: step::Change) -> Option<Change> {
     let cluster = process.cluster.lock().unwrap();
     Some(match change {
         step::Change::Upstream(listed) => {
             cluster.accepts(&listed).then_some(Change::Upstream(listed))?
         }
         step::Change::UpstreamRemoved(id, revision) => {
-            let is_newer = cluster.get(&id).is_some_and(|known| known.listed.revision > revision);
+            let is_newer =
+                cluster.get(&id).is_some_and(|current| current.listed.revision > revision);
             (!is_newer).then_some(Change::UpstreamRemoved(id, revision))?
         }
         step::Change::Member(member) => Change::Member(member),
