--- a/daemon/src/fleet/heartbeat.rs
+++ b/daemon/src/fleet/heartbeat.rs
@@ -19,7 +19,7 @@
 use crate::fleet::peers::{Timing, Update};
 use crate::fleet::process::Process;
 use crate::fleet::{
-    catch_up, grant_requests, members, notices, packed, peer_sync, rate_limits, reports, scheduler,
+    grant_requests, members, notices, packed, peer_sync, rate_limits, reports, resync, scheduler,
 };
 use crate::log;
 
@@ -167,7 +167,7 @@
         scheduler::on_client_heartbeat(process, &state.vm, now);
     }
     merge_steps(process, state);
-    catch_up::start(process, directory);
+    resync::start(process, directory);
     for Restart { upstream, born } in &state.restarts {
         reports::renewed(process, upstream, *born, &state.vm);
     }
--- a/daemon/src/fleet/catch_up.rs
+++ b/daemon/src/fleet/resync.rs
@@ -26,13 +26,13 @@
 
 /// The same from a VM of the own hall that may not live: the way there takes less than a millisecond, and a text
 /// on the smallest link some ten.
-const NEAR_READ_TIMEOUT: Duration = Duration::from_millis(100);
+const NEIGHBOUR_READ_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The time between two VMs.
-const WAIT_PER_VM: Duration = Duration::from_millis(2);
+const DELAY_PER_VM: Duration = Duration::from_millis(2);
 
 /// The longest such wait: settings have to be in force everywhere in 2 s.
-const MOST_TURN: Duration = Duration::from_millis(400);
+const MAX_DELAY: Duration = Duration::from_millis(400);
 
 /// The pause between two reads.
 const READ_INTERVAL: Duration = Duration::from_millis(100);
@@ -63,17 +63,17 @@
     if process.watching.load(Ordering::Relaxed) {
         return None;
     }
-    let at = process.at();
+    let revision = process.at();
     let digest = process.cluster.lock().unwrap().digest();
-    let compared = *process.compared.lock().unwrap() == Some((at, digest));
-    process.peers.other_listings(at, digest, compared, now).map(Source::Listing)
+    let compared = *process.compared.lock().unwrap() == Some((revision, digest));
+    process.peers.other_listings(revision, digest, compared, now).map(Source::Listing)
 }
 
 async fn run<D: Dialect, R: Directory>(process: Arc<Process<D>>, directory: R) {
-    tokio::time::sleep(turn(&process)).await;
+    tokio::time::sleep(initial_delay(&process)).await;
     for read in 0..MAX_READS {
         let Some(source) = source(&process) else { break };
-        if read == 0 && read_near(&process, &directory, &source).await {
+        if read == 0 && read_from_neighbour(&process, &directory, &source).await {
             continue;
         }
         if let Err(why) = read_from(&process, &directory, source).await {
@@ -85,22 +85,22 @@
 }
 
 /// How long this VM leaves the way to others. One that knows nothing yet keeps callers waiting.
-fn turn<D: Dialect>(process: &Process<D>) -> Duration {
+fn initial_delay<D: Dialect>(process: &Process<D>) -> Duration {
     if process.version() == 0 {
         return Duration::ZERO;
     }
     let before = rand::random_range(0..process.peers.listed_count() as u32);
-    (WAIT_PER_VM * before).min(MOST_TURN)
+    (DELAY_PER_VM * before).min(MAX_DELAY)
 }
 
 /// Reads from some VM of the own hall, if it has what is missing: most have by the time at which most read, and
 /// so neither the few that all hear nor the links between halls carry a text for each VM. Answers whether it did.
-async fn read_near<D: Dialect, R: Directory>(
+async fn read_from_neighbour<D: Dialect, R: Directory>(
     process: &Arc<Process<D>>,
     directory: &R,
     source: &Source,
 ) -> bool {
-    let Some(near) = process.peers.neighbour(process.now()) else { return false };
+    let Some(neighbour) = process.peers.neighbour(process.now()) else { return false };
     let path = match source {
         Source::Settings(_) => {
             format!("{}?{}{}", operators::SETTINGS, operators::ABOVE, process.version())
@@ -109,8 +109,8 @@
             format!("{}?{}{}", operators::LISTING, operators::ABOVE, process.at())
         }
     };
-    let Ok(text) = read(near, &path, NEAR_READ_TIMEOUT).await else { return false };
-    take(process, directory, source, near, text).is_ok()
+    let Ok(text) = read(neighbour, &path, NEIGHBOUR_READ_TIMEOUT).await else { return false };
+    merge(process, directory, source, neighbour, text).is_ok()
 }
 
 async fn read_from<D: Dialect, R: Directory>(
@@ -123,10 +123,10 @@
         Source::Listing(peer) => (peer, operators::LISTING),
     };
     let text = read(peer, path, READ_TIMEOUT).await?;
-    take(process, directory, &source, peer, text)
+    merge(process, directory, &source, peer, text)
 }
 
-fn take<D: Dialect, R: Directory>(
+fn merge<D: Dialect, R: Directory>(
     process: &Arc<Process<D>>,
     directory: &R,
     source: &Source,
@@ -153,13 +153,14 @@
     Ok(())
 }
 
-async fn read(peer: SocketAddr, path: &str, time: Duration) -> Result<Bytes, String> {
+async fn read(peer: SocketAddr, path: &str, timeout: Duration) -> Result<Bytes, String> {
     let request = Request::get(format!("http://{peer}{path}"))
         .body(http::body(Bytes::new()))
         .expect("an address is a valid authority");
-    let answer = Client::default().call(request, time).await.map_err(|e| format!("{peer}: {e}"))?;
-    if answer.status() != StatusCode::OK {
-        return Err(format!("{peer}{path}: it answered {}", answer.status()));
+    let response =
+        Client::default().call(request, timeout).await.map_err(|e| format!("{peer}: {e}"))?;
+    if response.status() != StatusCode::OK {
+        return Err(format!("{peer}{path}: it answered {}", response.status()));
     }
-    packed::unpack(answer.body()).map_err(|why| format!("{peer}{path}: {why}"))
+    packed::unpack(response.body()).map_err(|why| format!("{peer}{path}: {why}"))
 }
