--- a/daemon/src/fleet/announce.rs
+++ b/daemon/src/fleet/announce.rs
@@ -11,7 +11,7 @@
 
 use crate::fleet::peers::Target;
 use crate::fleet::process::Process;
-use crate::fleet::{affiliation, packed};
+use crate::fleet::{affiliation, compression};
 
 /// Beats that are sent in one go, before what came meanwhile is heard.
 const BATCH_SIZE: usize = 64;
@@ -145,7 +145,7 @@
 fn steps<D: Dialect>(process: &Process<D>, now: Instant) -> Bytes {
     let announced = process.peers.announced_by_others(now);
     let steps = process.steps.lock().unwrap().announced(announced);
-    if steps.is_empty() { Bytes::new() } else { packed::pack(&step::encode(&steps)) }
+    if steps.is_empty() { Bytes::new() } else { compression::compress(&step::encode(&steps)) }
 }
 
 fn activity<D: Dialect>(process: &Process<D>, audience: Audience, now: Instant) -> Activity {
--- a/daemon/src/fleet/heartbeat.rs
+++ b/daemon/src/fleet/heartbeat.rs
@@ -19,7 +19,8 @@
 use crate::fleet::peers::{Timing, Update};
 use crate::fleet::process::Process;
 use crate::fleet::{
-    grant_requests, members, notices, packed, peer_sync, rate_limits, reports, resync, scheduler,
+    compression, grant_requests, members, notices, peer_sync, rate_limits, reports, resync,
+    scheduler,
 };
 use crate::log;
 
@@ -200,7 +201,7 @@
     if state.steps.is_empty() {
         return;
     }
-    let steps = packed::unpack(&state.steps)
+    let steps = compression::decompress(&state.steps)
         .and_then(|bytes| step::decode(&bytes).map_err(|e| e.to_string()));
     match steps {
         Ok(steps) => {
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -24,10 +24,10 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
+use crate::fleet::compression::Cache;
 use crate::fleet::config::Config;
 use crate::fleet::freshness::Freshness;
 use crate::fleet::metrics::Metrics;
-use crate::fleet::packed::Kept;
 use crate::fleet::peers::Peers;
 use crate::fleet::questions::Questions;
 use crate::fleet::register::Register;
@@ -102,9 +102,9 @@
     /// Upstreams that asked this VM for a rest.
     pub backoffs: Mutex<Backoffs>,
     /// The settings as peers read them.
-    pub packed_settings: Kept,
+    pub packed_settings: Cache,
     /// The listings as peers read them.
-    pub packed_listing: Kept,
+    pub packed_listing: Cache,
     /// What changed in the listings of late, as this VM saw it at the directory.
     pub steps: Mutex<Steps>,
     /// The listings, by their revision and digest, that were compared with a peer's as a whole.
@@ -183,8 +183,8 @@
             memory: D::Memory::default(),
             reports: D::Reports::default(),
             backoffs: Mutex::default(),
-            packed_settings: Kept::default(),
-            packed_listing: Kept::default(),
+            packed_settings: Cache::default(),
+            packed_listing: Cache::default(),
             steps: Mutex::default(),
             compared: Mutex::default(),
             unread: Unread::new(config.fleet.memory()),
--- a/daemon/src/fleet/resync.rs
+++ b/daemon/src/fleet/resync.rs
@@ -18,7 +18,7 @@
 
 use crate::fleet::metrics::Text;
 use crate::fleet::process::Process;
-use crate::fleet::{operators, packed, peer_sync};
+use crate::fleet::{compression, operators, peer_sync};
 use crate::log;
 
 /// How long a read from a peer may take.
@@ -162,5 +162,5 @@
     if response.status() != StatusCode::OK {
         return Err(format!("{peer}{path}: it answered {}", response.status()));
     }
-    packed::unpack(response.body()).map_err(|why| format!("{peer}{path}: {why}"))
+    compression::decompress(response.body()).map_err(|why| format!("{peer}{path}: {why}"))
 }
--- a/daemon/tests/volume.rs
+++ b/daemon/tests/volume.rs
@@ -85,12 +85,12 @@
 proptest! {
     #[test]
     fn a_text_comes_out_as_it_went_in(text in prop::collection::vec(any::<u8>(), 0..2_000)) {
-        let packed = foldlockd::fleet::packed::pack(&text);
-        prop_assert_eq!(&foldlockd::fleet::packed::unpack(&packed).unwrap()[..], &text[..]);
+        let packed = foldlockd::fleet::compression::compress(&text);
+        prop_assert_eq!(&foldlockd::fleet::compression::decompress(&packed).unwrap()[..], &text[..]);
     }
 
     #[test]
     fn any_bytes_are_unpacked_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        let _ = foldlockd::fleet::packed::unpack(&bytes);
+        let _ = foldlockd::fleet::compression::decompress(&bytes);
     }
 }
