--- a/daemon/tests/fleet_size.rs
+++ b/daemon/tests/fleet_size.rs
@@ -9,13 +9,13 @@
 const FLEETS: [usize; 7] = [6, 30, 195, 400, 985, 1_500, 2_000];
 
 /// What control may take of each VM, bytes a second.
-const CONTROL: f64 = 16_384.0;
+const MAX_CONTROL_BYTES_PER_S: f64 = 16_384.0;
 
 /// VMs that each VM tells that it lives.
-const TOLD: f64 = 3.0;
+const RECIPIENTS: f64 = 3.0;
 
 /// The beat of a VM that has no request.
-fn idle_beat() -> usize {
+fn idle_heartbeat_bytes() -> usize {
     let state = State {
         stamp: 86_400_000_000,
         version: 4_711,
@@ -27,7 +27,7 @@
         ..State::new("front-el-ghazala-204".parse().unwrap(), 1_780_012_754_015)
     };
     let echo = Some(86_400_000_000);
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         echo,
         echo_of: 1_780_012_754_015,
         last_grant: 100,
@@ -35,24 +35,25 @@
         state,
         is_client: false,
     };
-    message::encode(&Message::Heartbeat(beat)).len()
+    message::encode(&Message::Heartbeat(heartbeat)).len()
 }
 
 /// A fleet in which nothing happens: each VM tells three, and these tell all.
 #[test]
-fn the_vm_that_places_hears_and_tells_at_a_rate_that_does_not_grow_with_the_fleet() {
+fn the_heartbeat_rate_of_a_scheduler_does_not_grow_with_the_fleet() {
     for vms in FLEETS {
-        let beats_per_s = vms as f64 / Timing::of(vms).heartbeat_interval().as_secs_f64();
-        assert!(beats_per_s <= 2_001.0, "{beats_per_s} a second at {vms} VMs");
+        let heartbeats_per_s = vms as f64 / Timing::of(vms).heartbeat_interval().as_secs_f64();
+        assert!(heartbeats_per_s <= 2_001.0, "{heartbeats_per_s} a second at {vms} VMs");
     }
 }
 
 #[test]
-fn a_vm_without_requests_takes_less_for_control_than_it_may() {
+fn an_idle_vm_stays_within_the_bandwidth_for_control_traffic() {
     for vms in FLEETS {
-        let beats_per_s = 2.0 * TOLD / Timing::of(vms).heartbeat_interval().as_secs_f64();
-        let bytes_per_s = beats_per_s * idle_beat() as f64;
-        assert!(bytes_per_s < CONTROL, "{bytes_per_s} bytes a second at {vms} VMs");
+        let heartbeats_per_s =
+            2.0 * RECIPIENTS / Timing::of(vms).heartbeat_interval().as_secs_f64();
+        let bytes_per_s = heartbeats_per_s * idle_heartbeat_bytes() as f64;
+        assert!(bytes_per_s < MAX_CONTROL_BYTES_PER_S, "{bytes_per_s} bytes a second at {vms} VMs");
     }
 }
 
@@ -72,24 +73,25 @@
 
 /// Settings are in force in 4 s at 1,500 VMs: a watch, its gathering, and a round to all that is lost once.
 #[test]
-fn news_reaches_all_within_the_time_that_settings_have() {
+fn settings_reach_all_vms_within_4_s() {
     let timing = Timing::of(1_500);
-    let watch = Duration::from_millis(1_100);
+    let watch_timeout = Duration::from_millis(1_100);
     assert!(
-        watch + timing.broadcast_interval() + timing.heartbeat_interval() < Duration::from_secs(4)
+        watch_timeout + timing.broadcast_interval() + timing.heartbeat_interval()
+            < Duration::from_secs(4)
     );
 }
 
 /// All are killed at once, and none of the first in the order comes back: nobody is heard, and each reads the
 /// directory for itself.
 #[test]
-fn vms_that_hear_nobody_come_to_the_directory_one_after_the_other() {
+fn vms_without_live_peers_read_the_directory_in_turn() {
     // The smallest directory takes 2,000 reading calls a second, of which one start makes up to eight pages.
-    let most_in_a_second = 250;
+    let max_reads_per_s = 250;
     let times: Vec<Duration> = (0..2_000).map(join::patience).collect();
     for from in &times {
         let within = |at: &&Duration| *at >= from && **at < *from + Duration::from_secs(1);
         let reads = times.iter().filter(within).count();
-        assert!(reads <= most_in_a_second + 3, "{reads} reads in the second after {from:?}");
+        assert!(reads <= max_reads_per_s + 3, "{reads} reads in the second after {from:?}");
     }
 }
