--- a/daemon/src/fleet/compression.rs
+++ b/daemon/src/fleet/compression.rs
@@ -25,7 +25,7 @@
     let mut decoder = DeflateDecoder::new(compressed).take(MAX_TEXT_BYTES + 1);
     decoder.read_to_end(&mut text).map_err(|e| e.to_string())?;
     if text.len() as u64 > MAX_TEXT_BYTES {
-        return Err(format!("it unpacks to more than {MAX_TEXT_BYTES} bytes"));
+        return Err(format!("decompressed text exceeds {MAX_TEXT_BYTES} bytes"));
     }
     Ok(text.into())
 }
--- a/daemon/src/fleet/peers/scheduler.rs
+++ b/daemon/src/fleet/peers/scheduler.rs
@@ -17,7 +17,7 @@
 impl fmt::Display for Scheduler {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Scheduler::Own => f.write_str("this one"),
+            Scheduler::Own => f.write_str("this VM"),
             Scheduler::Peer(vm, address) => write!(f, "{vm} at {address}"),
         }
     }
--- a/daemon/src/fleet/resync.rs
+++ b/daemon/src/fleet/resync.rs
@@ -160,7 +160,7 @@
     let response =
         Client::default().call(request, timeout).await.map_err(|e| format!("{peer}: {e}"))?;
     if response.status() != StatusCode::OK {
-        return Err(format!("{peer}{path}: it answered {}", response.status()));
+        return Err(format!("{peer}{path}: response status {}", response.status()));
     }
     compression::decompress(response.body()).map_err(|why| format!("{peer}{path}: {why}"))
 }
