--- a/daemon/src/fleet/heartbeat.rs
+++ b/daemon/src/fleet/heartbeat.rs
@@ -1,8 +1,8 @@
-//! Telling the peers and hearing them.
+//! Sends heartbeats to the peers and handles messages from them.
 //!
-//! A VM tells all that it has under way to the few VMs that place requests, soon after it changes;
-//! these tell it that they live, and how fresh the settings and listings are. So messages grow with
-//! the requests and with the VMs, not with their square.
+//! A VM announces its in-flight attempts to the scheduler and its standbys shortly after a change.
+//! These send back heartbeats with the age of their settings and listings. The number of messages
+//! therefore grows linearly with the requests and the VMs, not with the square of the VMs.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -24,24 +24,24 @@
 };
 use crate::log;
 
-/// The least time between two beats to the scheduler: what begins and ends gathers for it. A
-/// VM so sends at most 200 datagrams a second.
+/// The minimum time between two heartbeats to the scheduler. Attempts that begin and end within it
+/// are announced together, so a VM sends at most 200 datagrams per second.
 const SCHEDULER_MIN_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The same to the VMs that would take over from it.
+/// The minimum time between two heartbeats to the standby schedulers.
 const STANDBY_MIN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Datagrams that are read in one go, before what they change is told.
+/// The maximum number of datagrams that are read before the resulting changes are announced.
 const MAX_DATAGRAMS_PER_WAKE: usize = 64;
 
-/// When a VM was last told.
+/// When the last heartbeat was sent, by audience.
 struct LastSent {
     scheduler: Instant,
     standby: Instant,
     all: Instant,
 }
 
-/// Tells and hears the peers until the process ends.
+/// Exchanges heartbeats with the peers until the process ends.
 pub async fn run<D: Dialect, R: Directory>(process: Arc<Process<D>>, directory: R) {
     let mut buffer = vec![0; message::MAX_BYTES];
     let now = process.now();
@@ -56,7 +56,7 @@
                     receive(&process, &buffer[..length], from, &directory);
                     receive_pending(&process, &mut buffer, &directory);
                 }
-                // Else a peer's port is closed; its silence is noticed below.
+                // An error means that a peer's port is closed; its time-out is handled below.
             }
             () = process.tell.notified(), if !due => due = true,
             () = tokio::time::sleep_until(next.into()) => {
@@ -67,7 +67,7 @@
                 if audience == Audience::All {
                     process.tell_all.store(false, Ordering::Relaxed);
                 }
-                // What the spare ones have not heard yet, the next round tells.
+                // The standby schedulers receive what they missed with the next heartbeat.
                 due = false;
                 let mut remainder = announce::start(&process, audience, now);
                 while let Some(batch) = remainder {
@@ -80,7 +80,7 @@
 }
 
 impl LastSent {
-    /// When somebody is told next.
+    /// When the next heartbeat is due.
     fn next(&self, due: bool, all: bool, timing: Timing) -> Instant {
         let mut next = self.all + timing.heartbeat_interval();
         if due {
@@ -95,7 +95,7 @@
         next
     }
 
-    /// Who is told now.
+    /// Returns the recipients of the heartbeat that is due now, and records it as sent.
     fn audience(&mut self, all: bool, timing: Timing, now: Instant) -> Audience {
         self.scheduler = now;
         let since_broadcast = now.saturating_duration_since(self.all);
@@ -153,7 +153,7 @@
     let now = process.now();
     let state = &heartbeat.state;
     let Some(update) = process.peers.on_heartbeat(heartbeat, now) else { return };
-    // What it has of an earlier start of this process says nothing of this one.
+    // An echo of an earlier incarnation of this process confirms nothing for this one.
     let echoes_own_incarnation = heartbeat.echo_of == process.member.incarnation;
     if echoes_own_incarnation {
         confirm(process, heartbeat);
@@ -195,8 +195,8 @@
     }
 }
 
-/// What a peer that watches the directory says of changes there, if they follow on what is known here. Who
-/// misses some reads all that is listed, from a peer.
+/// Merges directory changes from a peer that watches the directory, if they continue from the own
+/// revision. A VM that missed some reads the whole listing from a peer.
 fn merge_steps<D: Dialect>(process: &Arc<Process<D>>, state: &State) {
     if state.steps.is_empty() {
         return;
@@ -211,8 +211,8 @@
     }
 }
 
-/// The peer knew our version to be the newest `age` before it sent this beat, which was after we
-/// sent the stamp that it echoes.
+/// Confirms the own settings: the peer had last confirmed the same version `age_ms` before it sent
+/// this heartbeat, and it sent the heartbeat after this VM had sent the stamp that it echoes.
 fn confirm<D: Dialect>(process: &Process<D>, heartbeat: &Heartbeat) {
     let (Some(echo), Some(age_ms)) = (heartbeat.echo, heartbeat.state.age_ms) else { return };
     if heartbeat.state.version != process.version() || heartbeat.state.version == 0 {
