--- a/daemon/src/fleet/announce.rs
+++ b/daemon/src/fleet/announce.rs
@@ -1,4 +1,4 @@
-//! What this VM tells its peers, and whom.
+//! Builds the heartbeats that announce the state of this VM, and sends them to its peers.
 
 use std::sync::atomic::Ordering;
 use std::time::Instant;
@@ -13,35 +13,37 @@
 use crate::fleet::process::Process;
 use crate::fleet::{affiliation, compression};
 
-/// Beats that are sent in one go, before what came meanwhile is heard.
+/// The number of heartbeats that are sent before pending datagrams are received.
 const BATCH_SIZE: usize = 64;
 
-/// Who is told.
+/// The recipients of a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Audience {
     /// The scheduler.
     Scheduler,
-    /// The VMs that would take over from it, too.
+    /// The scheduler and the standby schedulers.
     Standby,
-    /// All that want to hear.
+    /// The schedulers and all peers that requested heartbeats.
     All,
 }
 
-/// Tells the scheduler at once what it must not place without: a caller that sends a request again
-/// takes a few milliseconds, no more than a beat may wait for others.
+/// Sends the state to the scheduler at once, where it must have it before it places the next
+/// request: a caller may retry within a few milliseconds, which is as long as a heartbeat may be
+/// delayed to be combined with others.
 pub fn to_scheduler<D: Dialect>(process: &Process<D>) {
     start(process, Audience::Scheduler, process.now());
 }
 
-/// Tells one peer at once how things are: it has just started and waits to know.
+/// Sends the state to one peer at once, as it has just started and waits for it.
 pub fn to_new_peer<D: Dialect>(process: &Process<D>, vm: &id::Vm) {
     let now = process.now();
     let target: Vec<Target> = process.peers.target(vm).into_iter().collect();
     send_to(process, &state(process, Audience::Scheduler, now), None, &target);
 }
 
-/// Tells those whose turn it is. Answers who is left to be told the same: a round to all of a large fleet takes
-/// tens of milliseconds, in which questions would wait for their answers.
+/// Sends a heartbeat to the schedulers of the audience. Returns the other recipients, which the
+/// caller serves in batches: sending to all VMs of a large fleet takes tens of milliseconds, for
+/// which grant requests would otherwise wait.
 pub fn start<D: Dialect>(
     process: &Process<D>,
     audience: Audience,
@@ -64,7 +66,7 @@
     (!subscribers.is_empty()).then_some(Remainder { state, targets: subscribers })
 }
 
-/// VMs that are still to be told of a round.
+/// Recipients to which a heartbeat has not been sent yet.
 #[derive(Debug)]
 pub struct Remainder {
     state: State,
@@ -72,7 +74,7 @@
 }
 
 impl Remainder {
-    /// Tells some of them. Answers the others.
+    /// Sends the heartbeat to one batch of the recipients. Returns the others.
     pub fn send_batch<D: Dialect>(mut self, process: &Process<D>) -> Option<Remainder> {
         let left = self.targets.split_off(self.targets.len().min(BATCH_SIZE));
         send_to(process, &self.state, None, &self.targets);
@@ -105,8 +107,8 @@
     process.metrics.beats.inc_by(targets.len() as u64);
 }
 
-/// Sends a message. A full or closed way loses it, as the network may: beats say the same again, and
-/// who asks asks again.
+/// Sends a message. It is dropped if the socket's buffer is full or the port closed, as the network
+/// may drop it: heartbeats repeat the state, and grant requests are sent again.
 pub fn send<D: Dialect>(process: &Process<D>, message: &Message, to: std::net::SocketAddr) {
     let bytes = message::encode(message);
     process.metrics.peer_bytes.inc_by(bytes.len() as u64);
@@ -141,7 +143,7 @@
     }
 }
 
-/// What changed of late, unless a VM before this one in the order tells it.
+/// The recent directory changes that no VM before this one in the order announces.
 fn steps<D: Dialect>(process: &Process<D>, now: Instant) -> Bytes {
     let announced = process.peers.announced_by_others(now);
     let steps = process.steps.lock().unwrap().announced(announced);
