--- a/daemon/src/fleet/peers.rs
+++ b/daemon/src/fleet/peers.rs
@@ -1,5 +1,5 @@
-//! The other VMs of the fleet: who is heard, how fresh their settings are, and which of them place
-//! the requests of this one.
+//! The other VMs of the fleet: which are up, how fresh their settings are, and which of them
+//! schedules the requests of this one.
 
 mod membership;
 mod peer;
@@ -25,27 +25,28 @@
 pub use scheduler::Scheduler;
 pub use timing::Timing;
 
-/// VMs that watch the directory in a large fleet; the others hear from them. Three, so that two
-/// may fail at once without a gap.
+/// The VMs that watch the directory in a large fleet and announce its changes to the others. With
+/// three, two may fail at once without an interruption.
 pub const WATCHERS: usize = 3;
 
-/// The fleet up to which all VMs watch: there the calls cost less than a gap would.
+/// The fleet size up to which all VMs watch: the calls to the directory then cost less than an
+/// interruption would.
 const ALL_WATCH: usize = 10;
 
-/// A VM that a beat is to be sent to.
+/// The recipient of a heartbeat.
 #[derive(Debug, Clone)]
 pub struct Target {
     /// The VM.
     pub vm: id::Vm,
     /// Where it listens.
     pub address: SocketAddr,
-    /// The newest stamp that was heard of it.
+    /// The newest stamp received from it.
     pub echo: Option<u64>,
-    /// The incarnation of the stamp.
+    /// The incarnation that sent the stamp.
     pub echo_of: u64,
-    /// The newest placement that it gave.
+    /// The newest grant received from it.
     pub last_grant: u64,
-    /// Whether it places the requests of this VM, or might.
+    /// Whether it is the scheduler of this VM or a standby.
     pub may_schedule: bool,
 }
 
@@ -53,22 +54,22 @@
 #[derive(Debug)]
 pub struct Peers {
     started: Instant,
-    /// The same, as beats are stamped.
+    /// The moment from which the stamps of heartbeats are counted.
     stamp_origin: Moment,
     own: Member,
     membership: Mutex<Membership>,
-    /// Whether something is being read from a peer.
+    /// Whether settings or listings are being read from a peer.
     pub reading: AtomicBool,
 }
 
 impl Peers {
-    /// No peers yet; stamps count from `began`.
+    /// Creates an empty set of peers; stamps are counted from `stamp_origin`.
     pub fn new(own: Member, started: Instant, stamp_origin: Moment) -> Peers {
         let membership = Mutex::new(Membership::new(own.clone()));
         Peers { started, stamp_origin, own, membership, reading: AtomicBool::new(false) }
     }
 
-    /// A VM is listed. Answers what is news in that, if anything.
+    /// Adds a VM that is listed in the directory. Returns what that changes, if anything.
     pub fn list(&self, member: Member) -> Option<Update> {
         if member.vm == self.own.vm {
             return None;
@@ -76,7 +77,8 @@
         let mut membership = self.membership.lock().unwrap();
         let previous = membership.peers.get_mut(&member.vm);
         if let Some(peer) = previous.filter(|peer| peer.member == member) {
-            // A withdrawal of its start before may be carried out late; it then lists itself again.
+            // The withdrawal of its previous incarnation may take effect late; it then registers
+            // again.
             let was_leaving = std::mem::replace(&mut peer.leaving, false);
             if was_leaving {
                 membership.insert(member);
@@ -90,7 +92,8 @@
         Some(if restarted { Update::Restarted } else { Update::Changed })
     }
 
-    /// A VM has withdrawn. Answers what that means for its work, if it had not withdrawn before.
+    /// Records that a VM has withdrawn. Returns whether its attempts still count, if it had not
+    /// withdrawn before.
     pub fn withdraw(&self, vm: &id::Vm, now: Instant) -> Option<Withdrawal> {
         let mut membership = self.membership.lock().unwrap();
         let timing = membership.timing();
@@ -106,13 +109,14 @@
         Some(if is_up { Withdrawal::Finishing } else { Withdrawal::Ended })
     }
 
-    /// Takes a peer's state from a beat, unless it is older than what is known. Answers whether the
-    /// peer has started anew since.
+    /// Merges a peer's state from a heartbeat, unless a newer one has been received. Returns
+    /// whether the peer has restarted since.
     pub fn on_heartbeat(&self, heartbeat: &Heartbeat, now: Instant) -> Option<Update> {
         let state = &heartbeat.state;
         let mut membership = self.membership.lock().unwrap();
         let peer = membership.peers.get_mut(&state.vm)?;
-        // A VM that has started anew is heard before the directory tells of it, if it is away.
+        // While the directory is unavailable, the heartbeat of a restarted VM arrives before its
+        // listing.
         if state.incarnation < peer.member.incarnation {
             return None;
         }
@@ -134,48 +138,48 @@
         Some(if restarted { Update::Restarted } else { Update::Changed })
     }
 
-    /// The peer that sends from this address.
+    /// Returns the peer with this address.
     pub fn by_address(&self, address: SocketAddr) -> Option<Member> {
         let membership = self.membership.lock().unwrap();
         let found = membership.peers.values().find(|peer| peer.member.address == address);
         found.map(|peer| peer.member.clone())
     }
 
-    /// A peer by its name.
+    /// Returns the peer with this name.
     pub fn member(&self, vm: &id::Vm) -> Option<Member> {
         self.membership.lock().unwrap().peers.get(vm).map(|peer| peer.member.clone())
     }
 
-    /// The number of VMs that are listed, this one among them, heard or not.
+    /// The number of listed VMs, up or down, including this one.
     pub fn listed_count(&self) -> usize {
         self.membership.lock().unwrap().order.len()
     }
 
-    /// The number of VMs that are listed, and of those that have withdrawn and are still heard: bounds of the
+    /// The number of listed VMs plus those that have withdrawn but are still up. Limits of the
     /// whole fleet are divided by it.
     pub fn running_count(&self) -> usize {
         self.membership.lock().unwrap().peers.len() + 1
     }
 
-    /// Whether the fleet is so large that a few VMs watch the directory for all.
+    /// Whether the fleet is so large that only a few VMs watch the directory.
     pub fn is_large(&self) -> bool {
         self.listed_count() > ALL_WATCH
     }
 
-    /// All VMs that are listed but this one.
+    /// All listed VMs except this one.
     pub fn members(&self) -> Vec<Member> {
         let membership = self.membership.lock().unwrap();
         membership.order.iter().filter(|member| member.vm != self.own.vm).cloned().collect()
     }
 
-    /// The peers that were heard of late and are not leaving.
+    /// The peers that are up and not leaving.
     pub fn up(&self, now: Instant) -> Vec<Member> {
         let membership = self.membership.lock().unwrap();
         let up = membership.up(now).filter(|peer| !peer.leaving);
         up.map(|peer| peer.member.clone()).collect()
     }
 
-    /// The VMs that place the requests of this one, or might.
+    /// The scheduler of this VM and the standby schedulers.
     pub fn schedulers(&self, now: Instant) -> Vec<Target> {
         let mut membership = self.membership.lock().unwrap();
         let schedulers: Vec<id::Vm> =
@@ -189,7 +193,7 @@
         schedulers.iter().filter_map(&mut target).collect()
     }
 
-    /// The other VMs that want to hear.
+    /// The other VMs that requested heartbeats recently.
     pub fn subscribers(&self, now: Instant) -> Vec<Target> {
         let membership = self.membership.lock().unwrap();
         let timing = membership.timing();
@@ -201,12 +205,13 @@
         membership.peers.values().filter(is_subscriber).map(|peer| peer.target(false)).collect()
     }
 
-    /// One peer, to be told at once.
+    /// One peer as the recipient of a heartbeat.
     pub fn target(&self, vm: &id::Vm) -> Option<Target> {
         self.membership.lock().unwrap().peers.get(vm).map(|peer| peer.target(false))
     }
 
-    /// The scheduler, the first in order that answers; none where none does.
+    /// The scheduler: the first VM in the order with the lowest rank; none if there is no
+    /// candidate. VMs whose grant requests timed out are no candidates.
     pub fn scheduler(&self, stopping: bool, now: Instant) -> Option<Scheduler> {
         let membership = self.membership.lock().unwrap();
         let is_synced = self.age(now) >= membership.timing().sync_time();
@@ -228,53 +233,55 @@
         found.map(|(_, scheduler)| scheduler)
     }
 
-    /// A VM left questions unanswered: the next one is asked until it is heard again.
+    /// Records that grant requests to a VM timed out. The next one in the order is the scheduler
+    /// until the VM sends a heartbeat or a grant reply.
     pub fn on_grant_timeout(&self, vm: &id::Vm, now: Instant) {
         if let Some(peer) = self.membership.lock().unwrap().peers.get_mut(vm) {
             peer.grant_timeout_at = Some(now);
         }
     }
 
-    /// A VM has answered a question, late or in time: it lives.
+    /// Records that a VM replied to a grant request, late or in time, and so is up.
     pub fn on_grant_reply(&self, vm: &id::Vm) {
         if let Some(peer) = self.membership.lock().unwrap().peers.get_mut(vm) {
             peer.grant_timeout_at = None;
         }
     }
 
-    /// A peer has granted a placement.
+    /// Records the newest grant of a peer.
     pub fn on_grant(&self, vm: &id::Vm, grant: u64) {
         if let Some(peer) = self.membership.lock().unwrap().peers.get_mut(vm) {
             peer.last_grant = peer.last_grant.max(grant);
         }
     }
 
-    /// How often VMs of a fleet of this size tell each other that nothing happened.
+    /// The heartbeat interval and time-outs for the current fleet size.
     pub fn timing(&self) -> Timing {
         self.membership.lock().unwrap().timing()
     }
 
-    /// The place of this VM among those that are heard, in their order.
+    /// The position of this VM in the order of the VMs that are up.
     pub fn position(&self, now: Instant) -> usize {
         let membership = self.membership.lock().unwrap();
         let before = membership.order.iter().take_while(|member| member.vm != self.own.vm);
         before.filter(|member| membership.liveness(&member.vm, now) == Liveness::Up).count()
     }
 
-    /// The place of this VM among all that are listed, in their order.
+    /// The position of this VM in the order of all listed VMs.
     pub fn position_listed(&self) -> usize {
         let membership = self.membership.lock().unwrap();
         membership.order.iter().take_while(|member| member.vm != self.own.vm).count()
     }
 
-    /// The age of the oldest word among the peers that are heard, milliseconds.
+    /// The age in milliseconds of the oldest last heartbeat of the peers that are up.
     pub fn oldest_heartbeat_ms(&self, now: Instant) -> Option<u64> {
         let membership = self.membership.lock().unwrap();
         let up = membership.up(now).filter_map(|peer| peer.last_seen);
         up.map(|at| now.saturating_duration_since(at).as_millis() as u64).max()
     }
 
-    /// Forgets peers that have fallen silent, and names them.
+    /// Marks peers without a recent heartbeat as down and returns them; those that have withdrawn
+    /// are removed.
     pub fn mark_down(&self, now: Instant) -> Vec<id::Vm> {
         let mut membership = self.membership.lock().unwrap();
         let mut down = Vec::new();
@@ -289,7 +296,7 @@
         down
     }
 
-    /// What is known, for a dump.
+    /// The peers as JSON, for the dump.
     pub fn dump(&self, now: Instant) -> serde_json::Value {
         let membership = self.membership.lock().unwrap();
         let schedulers: Vec<&id::Vm> =
@@ -306,17 +313,19 @@
         peers.collect()
     }
 
-    /// Microseconds since the start, the time for which the machine was suspended counted.
+    /// The microseconds from the start to a moment, including time for which the machine was
+    /// suspended.
     pub fn stamp(&self, moment: Moment) -> u64 {
         moment.since(self.stamp_origin).as_micros() as u64
     }
 
-    /// The moment of a stamp of this VM.
+    /// Converts a stamp of this VM back to its moment.
     pub fn stamped(&self, stamp: u64) -> Moment {
         self.stamp_origin.after(Duration::from_micros(stamp))
     }
 
-    /// The machine was suspended: nobody counts as heard before it is heard again.
+    /// Resets the liveness of all peers after the machine was suspended: none counts as up before
+    /// its next heartbeat.
     pub fn reset_liveness(&self) {
         for peer in self.membership.lock().unwrap().peers.values_mut() {
             peer.last_seen = None;
@@ -324,31 +333,31 @@
         }
     }
 
-    /// How long this VM has run.
+    /// The time since this VM started.
     pub fn age(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.started)
     }
 
-    /// Whether this VM has run for long enough to have heard of all that is under way.
+    /// Whether this VM has run for long enough to have received all in-flight attempts.
     pub fn is_synced(&self, now: Instant) -> bool {
         self.age(now) >= self.timing().sync_time()
     }
 }
 
-/// A VM that has withdrawn.
+/// The state of a VM that has withdrawn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Withdrawal {
-    /// It is heard: what it has under way counts until it no longer is.
+    /// It is up: its in-flight attempts count until it is down.
     Finishing,
-    /// It is not: nothing is under way.
+    /// It is down and has no attempts in flight.
     Ended,
 }
 
-/// What a beat or a listing brought.
+/// What a heartbeat or a listing changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Update {
-    /// A peer, or its state.
+    /// A peer was added, or its state changed.
     Changed,
-    /// A peer that has started anew: what it had under way before has ended.
+    /// A peer has restarted: the attempts of its previous incarnation have ended.
     Restarted,
 }
--- a/daemon/src/fleet/peers/peer.rs
+++ b/daemon/src/fleet/peers/peer.rs
@@ -1,4 +1,5 @@
-//! What is known of one peer: when it was heard, what it told, and how far it is to be asked.
+//! The state of one peer: when it was last seen, what it announced, and whether it may be
+//! scheduler.
 
 use std::time::{Duration, Instant};
 
@@ -9,40 +10,41 @@
 
 use crate::fleet::peers::{Target, Timing};
 
-/// How long after that it is tried again.
+/// The time after an unsuccessful probe until the peer is probed again.
 const PROBE_PAUSE: Duration = Duration::from_millis(2_500);
 
-/// The age of its settings up to which a peer that says that the directory answers it is believed:
-/// a watch and some beats.
+/// The maximum age of the settings with which a peer counts as watching the directory: the duration
+/// of a watch and some heartbeats.
 const MAX_WATCHER_AGE: Duration = Duration::from_millis(2_000);
 
-/// What is known of a peer.
+/// The state of a peer.
 #[derive(Debug, Clone)]
 pub(super) struct Peer {
     pub(super) member: Member,
-    /// It has withdrawn from the fleet and finishes what it has under way, which still counts.
+    /// It has withdrawn from the fleet; its in-flight attempts still count until they end.
     pub(super) leaving: bool,
     pub(super) last_seen: Option<Instant>,
-    /// The newest stamp that it told.
+    /// The newest stamp received from it.
     pub(super) stamp: Option<u64>,
     pub(super) version: u64,
     pub(super) revision: Revision,
     pub(super) digest: u64,
     pub(super) synced: bool,
-    /// When it last said that the directory answers it and its settings were fresh.
+    /// When it last announced that it watches the directory, with fresh settings.
     pub(super) last_watching: Option<Instant>,
-    /// When it last asked to hear from this VM.
+    /// When it last requested heartbeats from this VM.
     pub(super) last_subscribed: Option<Instant>,
-    /// Since when it is told all without being heard.
+    /// Since when it has been probed: it receives the heartbeats of a scheduler without sending
+    /// any.
     pub(super) probed_since: Option<Instant>,
-    /// When it left questions unanswered, if it was not heard since.
+    /// When grant requests to it timed out, if nothing has been received from it since.
     pub(super) grant_timeout_at: Option<Instant>,
-    /// The newest placement that it gave.
+    /// The newest grant received from it.
     pub(super) last_grant: u64,
 }
 
 impl Peer {
-    /// A peer that was not heard yet.
+    /// Creates the state of a peer from which nothing has been received.
     pub(super) fn new(member: Member) -> Peer {
         Peer {
             member,
@@ -61,7 +63,7 @@
         }
     }
 
-    /// What a beat to it needs.
+    /// The peer as the recipient of a heartbeat.
     pub(super) fn target(&self, may_schedule: bool) -> Target {
         Target {
             vm: self.member.vm.clone(),
@@ -73,7 +75,7 @@
         }
     }
 
-    /// It was heard, and told this.
+    /// Records the state that it announced.
     pub(super) fn on_heartbeat(&mut self, state: &State, now: Instant) {
         self.last_seen = Some(now);
         self.stamp = Some(state.stamp);
@@ -89,30 +91,30 @@
         }
     }
 
-    /// Whether it is taken to be up.
+    /// Whether it sent a heartbeat within the time-out after which it counts as down.
     pub(super) fn is_up(&self, timing: Timing, now: Instant) -> bool {
         self.last_seen.is_some_and(|at| now.saturating_duration_since(at) < timing.down_timeout())
     }
 
-    /// Whether it asked of late to hear from this VM.
+    /// Whether it recently requested heartbeats from this VM.
     pub(super) fn is_subscribed(&self, timing: Timing, now: Instant) -> bool {
         self.last_subscribed
             .is_some_and(|at| now.saturating_duration_since(at) < timing.subscription_timeout())
     }
 
-    /// Whether it may be asked to place requests.
+    /// Its liveness as a scheduler, for which the time-out is shorter than for `is_up`.
     pub(super) fn liveness(&self, timing: Timing, now: Instant) -> Liveness {
         let since = |at: Instant| now.saturating_duration_since(at);
-        // Where all schedulers die at once, the next ones are told at once, and not only when the
-        // dead are no longer taken for heard. Until then each VM would place by its own requests alone,
-        // on engines that it takes for empty.
+        // When all schedulers crash at once, the next VMs in the order have to receive heartbeats
+        // at once, and not only after the time-out. Until then each VM would place requests by its
+        // own attempts alone, on engines that look idle to it.
         if self.grant_timeout_at.is_some_and(|at| since(at) < timing.scheduler_timeout()) {
             return Liveness::Unknown;
         }
         if self.last_seen.is_some_and(|at| since(at) < timing.scheduler_timeout()) {
             return Liveness::Up;
         }
-        // How long a VM that is not heard is told all, to find out whether it lives.
+        // How long a VM that sends no heartbeats is probed.
         let probe_time = timing.scheduler_timeout();
         match self.probed_since {
             Some(at) if since(at) >= probe_time && since(at) < probe_time + PROBE_PAUSE => {
@@ -122,7 +124,7 @@
         }
     }
 
-    /// It is told all now, whether it is heard or not.
+    /// Records that it is sent a scheduler's heartbeat; if it is not up, that begins a probe.
     pub(super) fn start_probe(&mut self, timing: Timing, now: Instant) {
         let may_restart = |at: Instant| {
             now.saturating_duration_since(at) >= timing.scheduler_timeout() + PROBE_PAUSE
@@ -132,7 +134,7 @@
         }
     }
 
-    /// How little it is to be asked, 0 the most.
+    /// Its rank as a scheduler; the lowest is preferred.
     pub(super) fn scheduler_rank(&self, timing: Timing, now: Instant) -> u8 {
         match self.liveness(timing, now) {
             Liveness::Up if self.synced => 0,
--- a/daemon/src/fleet/peers/scheduler.rs
+++ b/daemon/src/fleet/peers/scheduler.rs
@@ -1,14 +1,14 @@
-//! The scheduler of a VM's requests.
+//! The VM that schedules the requests of another.
 
 use std::fmt;
 use std::net::SocketAddr;
 
 use foldlock_base::prelude::*;
 
-/// The VM that places a request.
+/// The VM that schedules a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Scheduler {
-    /// This one.
+    /// This VM.
     Own,
     /// A peer.
     Peer(id::Vm, SocketAddr),
@@ -24,7 +24,7 @@
 }
 
 impl Scheduler {
-    /// Where it listens, if it is a peer.
+    /// Its address, if it is a peer.
     pub fn address(&self) -> Option<SocketAddr> {
         match self {
             Scheduler::Own => None,
--- a/daemon/src/fleet/peers/sources.rs
+++ b/daemon/src/fleet/peers/sources.rs
@@ -1,4 +1,4 @@
-//! Which peers know more of the directory than this VM, and are read from.
+//! The peers that have newer settings or listings than this VM, from which it reads them.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -11,8 +11,8 @@
 use crate::fleet::peers::peer::Peer;
 
 impl Peers {
-    /// The revision up to which a VM before this one in the order tells all what it sees at the directory; none
-    /// where this VM is the first that does.
+    /// The revision up to which a VM before this one in the order announces the directory's
+    /// changes; none if this VM is the first watcher.
     pub fn announced_by_others(&self, now: Instant) -> Revision {
         let membership = self.membership.lock().unwrap();
         let timeout = membership.timing().scheduler_timeout();
@@ -25,7 +25,7 @@
         watching.map(|peer| peer.revision).max().unwrap_or_default()
     }
 
-    /// Whether a peer was heard just now that the directory answers.
+    /// Whether a peer that is up watches the directory.
     pub fn has_watcher(&self, now: Instant) -> bool {
         let membership = self.membership.lock().unwrap();
         let timeout = membership.timing().scheduler_timeout();
@@ -33,17 +33,19 @@
         membership.peers.values().any(|peer| peer.last_watching.is_some_and(is_recent))
     }
 
-    /// Whether a peer was heard of late that has settings, from whomever: the directory is read by someone.
+    /// Whether a peer that is up has settings, whatever their source: some VM then reads the
+    /// directory.
     pub fn any_has_settings(&self, now: Instant) -> bool {
         self.membership.lock().unwrap().up(now).any(|peer| peer.version > 0)
     }
 
-    /// A peer that knows something newer of the settings, one of the own hall if possible.
+    /// A peer with newer settings than `version`, preferably in the own hall.
     pub fn newer_settings(&self, version: u64, now: Instant) -> Option<SocketAddr> {
         self.pick(now, |peer| peer.version > version)
     }
 
-    /// A peer that knows other listings, of a later revision, or of the same one unless `compared`.
+    /// A peer with listings of a later revision, or with different listings of the same revision
+    /// unless they have been `compared`.
     pub fn other_listings(
         &self,
         revision: Revision,
@@ -55,7 +57,8 @@
         self.pick(now, |peer| peer.revision > revision || other(peer))
     }
 
-    /// One of the peers that are heard, drawn at random so that they share the work.
+    /// A random matching peer that is up, preferably in the own hall, so that the peers share the
+    /// load.
     fn pick(&self, now: Instant, matches: impl Fn(&Peer) -> bool) -> Option<SocketAddr> {
         let membership = self.membership.lock().unwrap();
         let candidates: Vec<&Peer> = membership.up(now).filter(|peer| matches(peer)).collect();
@@ -65,7 +68,7 @@
         from.choose(&mut rand::rng()).map(|peer| peer.member.address)
     }
 
-    /// Some VM of the own hall that is listed and not known to be silent.
+    /// A random listed VM of the own hall that is not known to be down.
     pub fn neighbour(&self, now: Instant) -> Option<SocketAddr> {
         let membership = self.membership.lock().unwrap();
         let is_near = |peer: &&Peer| {
--- a/daemon/src/fleet/peers/timing.rs
+++ b/daemon/src/fleet/peers/timing.rs
@@ -1,72 +1,76 @@
-//! How often VMs tell each other that nothing happened, and the times that follow from it.
+//! The heartbeat interval, and the time-outs that are derived from it.
 
 use std::time::Duration;
 
-/// The longest time between two beats of a small fleet.
+/// The heartbeat interval of a small fleet.
 const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Beats a second that a VM which places takes from all others together, and sends them. A period that does
-/// not grow with the fleet would have it spend all of its processor on what did not happen.
+/// The heartbeats per second that a scheduler receives from all other VMs together, and sends to
+/// them. With an interval that does not grow with the fleet, a scheduler would spend all of its
+/// processor time on idle heartbeats.
 const MAX_HEARTBEATS_PER_S: u32 = 2_000;
 
-/// Lost beats that are borne before a VM is asked no more to place: two, and the way of the third.
+/// The heartbeat intervals after which a VM is no longer used as scheduler: two heartbeats may be
+/// lost, and the third may still be in transit.
 const SCHEDULER_TIMEOUT_HEARTBEATS: u32 = 3;
 
-/// The time that the third may take.
+/// The time that the third heartbeat may be in transit.
 const MAX_TRANSIT_TIME: Duration = Duration::from_millis(50);
 
-/// Beats after which a VM that asked to hear is told no more.
+/// The heartbeat intervals after which a subscription to heartbeats ends.
 const SUBSCRIPTION_HEARTBEATS: u32 = 5;
 
-/// Beats after which a silent VM is taken for down, and the least time for that.
+/// The heartbeat intervals without a heartbeat after which a VM counts as down, and the minimum
+/// time for that.
 const DOWN_TIMEOUT_HEARTBEATS: u32 = 5;
 const MIN_DOWN_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Beats until a VM that starts has heard of all that is under way: the others find it within two, and some of
-/// these are lost.
+/// The heartbeat intervals until a VM that starts has received all in-flight attempts: the others
+/// discover it within two, and some heartbeats are lost.
 const SYNC_HEARTBEATS: u32 = 5;
 
-/// The times of a fleet of some size.
+/// The heartbeat interval and time-outs for a fleet size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
     heartbeat_interval: Duration,
-    /// The time in which a VM may tell all others once.
+    /// The time that a VM takes to send one heartbeat to each other VM.
     broadcast_time: Duration,
 }
 
 impl Timing {
-    /// The times of a fleet of this many VMs.
+    /// Returns the times for a fleet of this many VMs.
     pub fn of(vms: usize) -> Timing {
         let broadcast_time = Duration::from_secs(1) * vms as u32 / MAX_HEARTBEATS_PER_S;
         Timing { heartbeat_interval: broadcast_time.max(MIN_HEARTBEAT_INTERVAL), broadcast_time }
     }
 
-    /// The longest time between two beats.
+    /// The maximum time between two heartbeats.
     pub fn heartbeat_interval(self) -> Duration {
         self.heartbeat_interval
     }
 
-    /// The least time between two rounds to all that a VM has news for: what comes meanwhile gathers.
+    /// The minimum time between two heartbeats to all subscribers. Changes within it are announced
+    /// together.
     pub fn broadcast_interval(self) -> Duration {
         self.broadcast_time / 2
     }
 
-    /// A VM that was not heard for this long places nothing.
+    /// A VM without a heartbeat for this long is not used as scheduler.
     pub fn scheduler_timeout(self) -> Duration {
         self.heartbeat_interval * SCHEDULER_TIMEOUT_HEARTBEATS + MAX_TRANSIT_TIME
     }
 
-    /// How long a VM that asked to hear from another is told.
+    /// How long a VM receives heartbeats after it last requested them.
     pub fn subscription_timeout(self) -> Duration {
         self.heartbeat_interval * SUBSCRIPTION_HEARTBEATS
     }
 
-    /// How long a VM runs until it has heard of all that is under way.
+    /// How long after its start a VM has received all in-flight attempts.
     pub fn sync_time(self) -> Duration {
         self.heartbeat_interval * SYNC_HEARTBEATS
     }
 
-    /// A peer that was not heard for this long is taken for down.
+    /// A peer without a heartbeat for this long counts as down.
     pub fn down_timeout(self) -> Duration {
         (self.heartbeat_interval * DOWN_TIMEOUT_HEARTBEATS).max(MIN_DOWN_TIMEOUT)
     }
