--- a/daemon/src/fleet/contact.rs
+++ b/daemon/src/fleet/contact.rs
@@ -1,4 +1,5 @@
-//! What is known of the directory itself: up to where it was heard, and how far it can be trusted.
+//! The state of the connection to the directory: the revision to watch from, and whether responses
+//! can be stale.
 
 use std::time::{Duration, Instant};
 
@@ -7,45 +8,45 @@
 
 use crate::fleet::changes::Provenance;
 
-/// How long a trouble of the directory may lie back for an ended listing to be put down to it.
+/// How long after an outage of the directory a missing listing may be due to the outage.
 const OUTAGE_WINDOW: Duration = Duration::from_secs(3);
 
-/// What is known of the directory.
+/// The state of the connection to the directory.
 #[derive(Debug, Default)]
 pub struct Contact {
-    /// The revision from which this VM's own watch goes on.
+    /// The revision from which this VM's own watch resumes.
     watch_revision: Option<Revision>,
-    /// Whether all is to be read anew.
+    /// Whether all listings have to be read again.
     needs_full_read: bool,
     failures: u32,
     last_outage: Option<Instant>,
-    /// When it came back from a copy, until what it lists is sound again.
+    /// When the directory was restored from an older copy, until its listings are complete again.
     restored: Option<Instant>,
-    /// Whether the settings that it holds are older than those in force here.
+    /// Whether its settings are older than those in force on this VM.
     has_older_settings: bool,
 }
 
 impl Contact {
-    /// The revision from which a watch goes on; none where all is to be read. A VM that did not watch goes on from
-    /// what it was told, at whatever moment it was.
+    /// The revision from which to watch; none if all listings have to be read. A VM that did not
+    /// watch resumes from the revision that peers `announced`, whenever that was.
     pub fn watch_from(&self, announced: Revision) -> Option<Revision> {
         let announced = Some(announced).filter(|revision| !revision.is_none());
         if self.needs_full_read { None } else { self.watch_revision.or(announced) }
     }
 
-    /// The next watch goes on from here.
+    /// Sets the revision from which the next watch resumes.
     pub fn resume_at(&mut self, revision: Revision) {
         self.watch_revision = Some(revision);
         self.needs_full_read = false;
     }
 
-    /// What was heard is no base for a watch: all is to be read anew.
+    /// Discards the revision: no watch can resume from it, so all listings have to be read again.
     pub fn reset(&mut self) {
         self.watch_revision = None;
         self.needs_full_read = true;
     }
 
-    /// Peers tell what it says.
+    /// Resets the state for a VM that no longer watches, as peers announce the directory's changes.
     pub fn follow_peers(&mut self) {
         self.watch_revision = None;
         self.needs_full_read = false;
@@ -53,8 +54,8 @@
         self.has_older_settings = false;
     }
 
-    /// A call failed. Answers how many did since the last answer. What a watch would have told may have lapsed
-    /// and come back meanwhile, so all is read anew.
+    /// Records a failed call. Returns the number of failures since the last response. Listings may
+    /// have expired and returned meanwhile without a watch event, so all are read again.
     pub fn on_failure(&mut self, now: Instant) -> u32 {
         self.reset();
         self.last_outage = Some(now);
@@ -62,7 +63,7 @@
         self.failures
     }
 
-    /// It answers. Answers how many calls had failed, if any.
+    /// Records a response. Returns the number of calls that failed before it, if any.
     pub fn on_success(&mut self, now: Instant) -> Option<u32> {
         let failures = std::mem::take(&mut self.failures);
         if failures == 0 {
@@ -72,12 +73,13 @@
         Some(failures)
     }
 
-    /// It came back from a copy of itself at this moment, if it did; also where a peer told of it first.
+    /// Records when the directory was restored from a copy, also if a peer announced it first.
     pub fn note_restored(&mut self, at: Option<Instant>) {
         self.restored = self.restored.or(at);
     }
 
-    /// Once what it lists since then is sound, which `restored` no longer names, all is read once more.
+    /// Requests another full read once the listings are complete again after a restore, that is,
+    /// when `restored` is none.
     pub fn on_restore_end(&mut self, restored: Option<Instant>) {
         if self.restored.is_some() && restored.is_none() {
             self.restored = None;
@@ -85,7 +87,7 @@
         }
     }
 
-    /// How an answer is to be taken that goes on from there, or is a whole read.
+    /// How far a response is trusted, to a watch that resumed at `from` or to a full read.
     pub fn provenance(&self, from: Option<Revision>, now: Instant) -> Provenance {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < OUTAGE_WINDOW;
         match self.restored {
@@ -95,13 +97,14 @@
         }
     }
 
-    /// Whether the settings that it holds are older than those in force here.
+    /// Whether the directory's settings are older than those in force on this VM.
     pub fn has_older_settings(&self) -> bool {
         self.has_older_settings
     }
 
-    /// Settings in force are never given up for older ones, and a copy that lacks them does not confirm them:
-    /// a key that was taken away in a version which is lost as well would be served on.
+    /// Compares the directory's settings with those in force. Settings in force are never replaced
+    /// by older ones, and a restored copy that lacks them does not confirm them: a key revoked in a
+    /// version that was lost as well would otherwise remain valid.
     pub fn note_settings(&mut self, in_force: u64, provenance: Provenance, changes: &[Change]) {
         let listed = changes.iter().rev().find_map(|change| match change {
             Change::Settings(settings) => Some(settings.table.number()),
