--- a/daemon/src/fleet/resync.rs
+++ b/daemon/src/fleet/resync.rs
@@ -1,8 +1,8 @@
-//! Reading from peers what they know and this VM does not: settings, and listings where the directory
-//! is not heard.
+//! Reads newer settings from peers, and newer listings on VMs that do not watch the directory.
 //!
-//! The VMs read one after the other, so that no VM's link carries the same text many times at once, and from a VM of
-//! their own hall, which may have it by then, before they ask one that is known to.
+//! The VMs read one after the other, so that no VM's link carries the same text many times at once.
+//! Each first tries a VM of its own hall, which may have the text by then, and only then a peer
+//! that is known to have it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,26 +21,27 @@
 use crate::fleet::{compression, operators, peer_sync};
 use crate::log;
 
-/// How long a read from a peer may take.
+/// The time-out of a read from a peer.
 const READ_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The same from a VM of the own hall that may not live: the way there takes less than a millisecond, and a text
-/// on the smallest link some ten.
+/// The time-out of a read from a VM of the own hall, which may be down: the latency within a hall
+/// is less than a millisecond, and a text takes some ten milliseconds on the smallest link.
 const NEIGHBOUR_READ_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The time between two VMs.
+/// The time between the reads of two VMs.
 const DELAY_PER_VM: Duration = Duration::from_millis(2);
 
-/// The longest such wait: settings have to be in force everywhere in 2 s.
+/// The maximum delay of a VM: settings have to be in force everywhere in 2 s.
 const MAX_DELAY: Duration = Duration::from_millis(400);
 
 /// The pause between two reads.
 const READ_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Reads in one go; what is still missing then is told by the next beat.
+/// The maximum number of reads in a row; the next heartbeat starts another resync for what is still
+/// missing.
 const MAX_READS: u32 = 8;
 
-/// Starts to catch up if a peer knows more and nothing is being read yet.
+/// Starts to read if a peer has newer settings or listings and no read is in progress.
 pub fn start<D: Dialect, R: Directory>(process: &Arc<Process<D>>, directory: &R) {
     if source(process).is_none() || process.peers.reading.swap(true, Ordering::Relaxed) {
         return;
@@ -48,7 +49,7 @@
     tokio::spawn(run(process.clone(), directory.clone()));
 }
 
-/// What there is to read, and where.
+/// What to read, and from which peer.
 enum Source {
     Settings(SocketAddr),
     Listing(SocketAddr),
@@ -84,7 +85,8 @@
     process.peers.reading.store(false, Ordering::Relaxed);
 }
 
-/// How long this VM leaves the way to others. One that knows nothing yet keeps callers waiting.
+/// The random delay that spreads the reads of many VMs. A VM without settings reads at once, as
+/// callers wait for it.
 fn initial_delay<D: Dialect>(process: &Process<D>) -> Duration {
     if process.version() == 0 {
         return Duration::ZERO;
@@ -93,8 +95,9 @@
     (DELAY_PER_VM * before).min(MAX_DELAY)
 }
 
-/// Reads from some VM of the own hall, if it has what is missing: most have by the time at which most read, and
-/// so neither the few that all hear nor the links between halls carry a text for each VM. Answers whether it did.
+/// Reads from a VM of the own hall, if it has the newer text. By the time most VMs read, most
+/// others have it, so neither the schedulers nor the links between halls carry a text for each VM.
+/// Returns whether it succeeded.
 async fn read_from_neighbour<D: Dialect, R: Directory>(
     process: &Arc<Process<D>>,
     directory: &R,
@@ -144,8 +147,8 @@
                 format!("cannot decode the directory listing received from VM {from}: {e}")
             })?;
             peer_sync::merge_listing(process, listing);
-            // What still differs then is for a later revision to settle: two VMs would else read each other's
-            // listings without an end.
+            // Listings that still differ are only read again at a later revision: two VMs would
+            // otherwise read each other's listings endlessly.
             let digest = process.cluster.lock().unwrap().digest();
             *process.compared.lock().unwrap() = Some((process.at(), digest));
         }
