--- a/daemon/src/fleet/peer_sync.rs
+++ b/daemon/src/fleet/peer_sync.rs
@@ -1,4 +1,4 @@
-//! What peers tell of the directory's listings, where the directory itself is not heard.
+//! Merges the directory's listings from peers on a VM that does not watch the directory itself.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -13,11 +13,11 @@
 use crate::fleet::follow;
 use crate::fleet::process::Process;
 
-/// Takes the listings that a peer knows, where the directory itself is not heard.
+/// Merges the whole listing of a peer, unless this VM watches the directory.
 ///
-/// The revisions of two VMs do not order what they know: a watch may name a revision whose changes
-/// it did not bring. So nothing that ended here comes back by a peer's word, and what is leaving
-/// stays so.
+/// The revisions of two VMs do not order their listings: a watch may return a revision without all
+/// of its changes. So a listing removed on this VM is not restored from a peer's, and an upstream
+/// or VM that is leaving stays so.
 pub fn merge_listing<D: Dialect>(process: &Arc<Process<D>>, listing: Listing) {
     let own_revision = process.at();
     if process.watching.load(Ordering::Relaxed) || listing.revision < own_revision {
@@ -25,7 +25,7 @@
     }
     let is_newer = listing.revision > own_revision;
     let revision = listing.revision;
-    // The peer may know the copy alone.
+    // The peer may have only the listings of the restored copy.
     let restored = follow::note_era(process, revision, "a peer");
     let provenance = if restored { Provenance::Lapsed } else { Provenance::Sound };
     process.known_to(revision);
@@ -48,9 +48,10 @@
     change_log.log(process, revision, "a peer");
 }
 
-/// Takes a step of the listings that a peer saw, if it follows on what is known here. What ended here comes
-/// back by a later revision alone, as with [`listing`]. A VM that stands by, and watches less often, takes it as
-/// well: it would else not hear a VM that has just started.
+/// Merges one step of the listings from a peer, if it continues from the own revision. A listing
+/// removed on this VM only returns with a later revision, as in [`merge_listing`]. A standby
+/// watcher, which watches less often, merges it as well: it would otherwise ignore a VM that has
+/// just started.
 pub fn merge_step<D: Dialect>(process: &Arc<Process<D>>, step: Step, from: &id::Vm) {
     if !step.follows(process.at()) {
         return;
@@ -65,7 +66,7 @@
     change_log.log(process, step.to, from.as_str());
 }
 
-/// A change that a peer told, unless something newer is known here.
+/// Returns a change that a peer announced, unless this VM has a newer one.
 fn filter_stale<D: Dialect>(process: &Process<D>, change: step::Change) -> Option<Change> {
     let cluster = process.cluster.lock().unwrap();
     Some(match change {
