--- a/daemon/src/fleet/members.rs
+++ b/daemon/src/fleet/members.rs
@@ -1,4 +1,4 @@
-//! VMs that join the fleet and leave it, taken into what this VM believes.
+//! Applies VMs that join or leave the fleet to the peers and the cluster state.
 
 use foldlock_base::prelude::*;
 use foldlock_request::dialect::Dialect;
@@ -9,7 +9,7 @@
 use crate::fleet::withdraw;
 use crate::log;
 
-/// A VM is listed. Answers whether that is news.
+/// Applies the listing of a VM. Returns whether it changes anything.
 pub fn on_listed<D: Dialect>(process: &Process<D>, member: Member) -> bool {
     let vm = member.vm.clone();
     let Some(update) = process.peers.list(member) else { return false };
@@ -20,14 +20,16 @@
     true
 }
 
-/// A VM says that it stops. The one that withdraws others does so if it asks for that.
+/// Applies the announcement of a VM that it stops. The VM that withdraws others removes its entry
+/// from the directory if the leaving VM requests that.
 pub fn on_leaving<D: Dialect>(process: &Process<D>, vm: &id::Vm, requests_withdrawal: bool) {
     if on_withdrawn(process, vm) && requests_withdrawal && withdraw::is_first(process) {
         process.withdrawals.note(vm.clone());
     }
 }
 
-/// A VM has withdrawn. What it has under way counts until it is no longer heard. Answers whether that is news.
+/// Applies the withdrawal of a VM. Its in-flight attempts count until it is down. Returns whether
+/// it had not withdrawn before.
 pub fn on_withdrawn<D: Dialect>(process: &Process<D>, vm: &id::Vm) -> bool {
     let now = process.now();
     let Some(withdrawal) = process.peers.withdraw(vm, now) else { return false };
