--- a/daemon/src/fleet/suspended.rs
+++ b/daemon/src/fleet/suspended.rs
@@ -1,9 +1,9 @@
-//! A machine that was suspended: what this VM believed is as old as the sleep was long, though its steady
-//! clock stood still.
+//! Detects that the machine was suspended and discards state that became stale meanwhile, as the
+//! monotonic clock does not advance during a suspension.
 //!
-//! The age of settings and keys and the time that callers have left count the sleep by themselves. What
-//! is kept by the steady clock is dropped on waking and learnt anew: who is heard, what the directory said,
-//! and connections that have rested.
+//! The age of settings and keys and the deadlines of callers include the suspension. State timed by
+//! the monotonic clock is discarded on resume and obtained again: the liveness of peers, the watch
+//! of the directory, and idle connections.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 use crate::fleet::process::Process;
 use crate::log;
 
-/// How often the clocks are compared beside each arrival of a request.
+/// How often the clocks are compared, besides at the arrival of each request.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Looks for suspensions until the process stops.
+/// Checks for suspensions until the process stops.
 pub async fn run<D: Dialect>(process: Arc<Process<D>>) {
     while !process.stopping.is_cancelled() {
         tokio::time::sleep(CHECK_INTERVAL).await;
@@ -25,7 +25,7 @@
     }
 }
 
-/// Drops what is too old after a suspension, if there was one since the last look.
+/// Discards stale state if the machine was suspended since the last check.
 pub fn check<D: Dialect>(process: &Process<D>) {
     let Some(slept) = process.sleep.noticed(&process.clock) else { return };
     process.peers.reset_liveness();
