--- a/daemon/src/fleet/compression.rs
+++ b/daemon/src/fleet/compression.rs
@@ -1,5 +1,5 @@
-//! Texts between VMs, packed: settings with many routes repeat the same words, and a small VM's link
-//! would be busy for a second with sending them to its hall.
+//! Compression of texts sent between VMs: settings with many routes are highly repetitive, and
+//! sending them uncompressed to a whole hall would occupy the link of a small VM for a second.
 
 use std::io::{Read, Write};
 use std::sync::Mutex;
@@ -9,17 +9,18 @@
 use flate2::read::DeflateDecoder;
 use flate2::write::DeflateEncoder;
 
-/// The longest text that is unpacked, bytes: eight times the largest value of the platform's store.
+/// The maximum size of a decompressed text: eight times the largest value of the platform's store.
 const MAX_TEXT_BYTES: u64 = 8 << 20;
 
-/// Packs a text. The fastest level: it makes a tenth of the settings, and the next levels little less.
+/// Compresses a text at the fastest level, which reduces settings to a tenth; higher levels save
+/// little more.
 pub fn compress(text: &[u8]) -> Bytes {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     encoder.write_all(text).expect("memory takes all bytes");
     encoder.finish().expect("memory takes all bytes").into()
 }
 
-/// Unpacks a text.
+/// Decompresses a text.
 pub fn decompress(compressed: &[u8]) -> Result<Bytes, String> {
     let mut text = Vec::new();
     let mut decoder = DeflateDecoder::new(compressed).take(MAX_TEXT_BYTES + 1);
@@ -30,12 +31,12 @@
     Ok(text.into())
 }
 
-/// The packed text of one version, made when first asked for.
+/// The compressed text of one version, created on first use.
 #[derive(Debug, Default)]
 pub struct Cache(Mutex<Option<(u64, Bytes)>>);
 
 impl Cache {
-    /// The packed text of a version.
+    /// Returns the compressed text of a version.
     pub fn get(&self, version: u64, text: &[u8]) -> Bytes {
         let mut cached = self.0.lock().unwrap();
         if let Some((cached_version, compressed)) = &*cached
