--- a/daemon/tests/contact.rs
+++ b/daemon/tests/contact.rs
@@ -1,7 +1,8 @@
-//! Where a VM goes on at the directory.
+//! The revision from which a VM resumes its watch of the directory.
 //!
-//! Seen: a VM that had just started, and learnt the listings from a peer between two of its looks at what it is told, read all
-//! of the directory, though it knew the revision to go on from.
+//! Guards against a needless full read: a VM that had just started, and received the listings from
+//! a peer between two of its checks, read the whole directory although it had a revision to resume
+//! from.
 
 use std::time::Instant;
 
@@ -28,7 +29,7 @@
     assert_eq!(contact.watch_from(ANNOUNCED), Some(ANNOUNCED));
 }
 
-/// A revision that a peer names may have changes that its own watch has yet to bring.
+/// A revision announced by a peer may include changes that the VM's own watch has not returned yet.
 #[test]
 fn a_watching_vm_resumes_from_its_own_revision() {
     let mut contact = Contact::default();
@@ -50,7 +51,8 @@
     assert_eq!(contact.watch_from(WATCHED), Some(ANNOUNCED));
 }
 
-/// Once a directory that came back from a copy lists what is sound, it is read once more.
+/// After the directory was restored from a copy and its listings are complete again, it is read
+/// once more.
 #[test]
 fn a_restored_directory_is_read_again_when_the_restore_ends() {
     let mut contact = Contact::default();
--- a/daemon/tests/fleet_size.rs
+++ b/daemon/tests/fleet_size.rs
@@ -1,4 +1,5 @@
-//! What a VM tells, and asks for, as the fleet grows: counts at 6 to 2,000 VMs, against what a VM may take.
+//! The control traffic of a VM as the fleet grows: message counts at 6 to 2,000 VMs against the
+//! limits of a VM.
 
 use std::time::Duration;
 
@@ -8,13 +9,13 @@
 
 const FLEETS: [usize; 7] = [6, 30, 195, 400, 985, 1_500, 2_000];
 
-/// What control may take of each VM, bytes a second.
+/// The bandwidth that a VM may use for control traffic.
 const MAX_CONTROL_BYTES_PER_S: f64 = 16_384.0;
 
-/// VMs that each VM tells that it lives.
+/// The VMs to which each VM sends heartbeats.
 const RECIPIENTS: f64 = 3.0;
 
-/// The beat of a VM that has no request.
+/// The size of a heartbeat of a VM without requests.
 fn idle_heartbeat_bytes() -> usize {
     let state = State {
         stamp: 86_400_000_000,
@@ -38,7 +39,7 @@
     message::encode(&Message::Heartbeat(heartbeat)).len()
 }
 
-/// A fleet in which nothing happens: each VM tells three, and these tell all.
+/// In an idle fleet each VM sends heartbeats to three schedulers, and these to all VMs.
 #[test]
 fn the_heartbeat_rate_of_a_scheduler_does_not_grow_with_the_fleet() {
     for vms in FLEETS {
@@ -57,7 +58,7 @@
     }
 }
 
-/// Up to some hundreds of VMs the times are those of a small fleet.
+/// Up to some hundreds of VMs the intervals are those of a small fleet.
 #[test]
 fn intervals_are_constant_up_to_400_vms() {
     for vms in [1, 6, 100, 400] {
@@ -71,7 +72,8 @@
     }
 }
 
-/// Settings are in force in 4 s at 1,500 VMs: a watch, its gathering, and a round to all that is lost once.
+/// Settings have to be in force in 4 s at 1,500 VMs: a watch, the broadcast interval, and one lost
+/// heartbeat.
 #[test]
 fn settings_reach_all_vms_within_4_s() {
     let timing = Timing::of(1_500);
@@ -82,11 +84,11 @@
     );
 }
 
-/// All are killed at once, and none of the first in the order comes back: nobody is heard, and each reads the
-/// directory for itself.
+/// All VMs are killed at once and none of the first in the order returns: no VM receives
+/// heartbeats, and each reads the directory itself.
 #[test]
 fn vms_without_live_peers_read_the_directory_in_turn() {
-    // The smallest directory takes 2,000 reading calls a second, of which one start makes up to eight pages.
+    // The smallest directory serves 2,000 reads per second, and one start reads up to eight pages.
     let max_reads_per_s = 250;
     let times: Vec<Duration> = (0..2_000).map(join::patience).collect();
     for from in &times {
