--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -2,24 +2,25 @@
 //! settings, upstreams and VMs from a directory.
 //!
 //! Two traits adapt it to the platform: [`Dialect`] for HTTP headers and [`Directory`] for stored
-//! entries. A request passes through [`callers`], [`serve`], [`admit`], [`gate`] (placement),
+//! entries. A request passes through [`callers`], [`serve`], [`admit`], [`queue`] (placement),
 //! [`attempt`] and then [`events`], unless its response is not a stream.
 
 pub mod admit;
 pub mod affiliation;
+pub mod announce;
 pub mod answer;
 pub mod attempt;
-pub mod beats;
 pub mod callers;
-pub mod catch_up;
 pub mod changes;
+pub mod compression;
 pub mod config;
 pub mod contact;
 pub mod crash;
 pub mod events;
-pub mod fresh;
+pub mod freshness;
 pub mod grant_requests;
 pub mod headers;
+pub mod heartbeat;
 pub mod job;
 pub mod join;
 pub mod log_throttle;
@@ -28,7 +29,6 @@
 pub mod notices;
 pub mod operators;
 pub mod outcome;
-pub mod packed;
 pub mod peer_sync;
 pub mod peers;
 pub mod pending_grants;
@@ -38,13 +38,13 @@
 pub mod record;
 pub mod reports;
 pub mod reservations;
+pub mod resync;
 pub mod retry;
 pub mod scheduler;
 pub mod serve;
 pub mod stop;
 pub mod stream;
 pub mod suspended;
-pub mod tell;
 pub mod unread;
 pub mod unreadable;
 pub mod watch;
@@ -107,7 +107,7 @@
     tokio::spawn(callers::run(process.clone(), callers));
     tokio::spawn(operators::ready(process.clone(), ready));
     tokio::spawn(operators::run(process.clone(), control));
-    tokio::spawn(beats::run(process.clone(), directory.clone()));
+    tokio::spawn(heartbeat::run(process.clone(), directory.clone()));
     tokio::spawn(scheduler::run(process.clone()));
     tokio::spawn(watch::run(process.clone(), directory.clone()));
     tokio::spawn(watch::register(process.clone(), directory.clone()));
--- a/daemon/src/fleet/admit.rs
+++ b/daemon/src/fleet/admit.rs
@@ -160,7 +160,7 @@
         return Err(reject(Kind::Unauthorized, why));
     };
     let moment = process.moment();
-    if !process.freshness.holds(moment) {
+    if !process.freshness.is_fresh(moment) {
         let why = match process.freshness.age(moment) {
             Some(age) => format!(
                 "the settings were last confirmed {} ms ago: keys may have changed",
--- a/daemon/src/fleet/crash.rs
+++ b/daemon/src/fleet/crash.rs
@@ -13,8 +13,8 @@
 use foldlock_request::suspicion::{Failure as Cause, Outcome};
 use foldlock_request::tag::Tag;
 
+use crate::fleet::announce;
 use crate::fleet::job::Job;
-use crate::fleet::tell;
 use crate::fleet::write_queue::Write;
 
 /// Timeout of the connection attempt that checks whether an upstream still listens. A closed port refuses within one
@@ -65,7 +65,7 @@
     let status = cluster.quarantine.record_crash(job.fingerprint, crash, now);
     let crashes = cluster.quarantine.crash_count(job.fingerprint) as u32;
     drop(cluster);
-    tell::tell_scheduler(&job.process);
+    announce::to_scheduler(&job.process);
     job.process.pool.forget(&upstream);
     job.process.metrics.crashes.inc();
     job.record(Decision::Crashed { upstream, crashes, isolated });
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -22,7 +22,7 @@
 use crate::fleet::notices::{self, Exclusion};
 use crate::fleet::peers::Scheduler;
 use crate::fleet::process::Process;
-use crate::fleet::{affiliation, rate_limits, scheduler, tell};
+use crate::fleet::{affiliation, announce, rate_limits, scheduler};
 use crate::log;
 
 /// Time after which an unanswered grant request is sent again: a round trip between data halls takes
@@ -59,10 +59,10 @@
     if incarnation != process.member.incarnation {
         return;
     }
-    let Some(peer) = process.peers.at(from) else { return };
-    process.peers.answered(&peer.vm);
+    let Some(peer) = process.peers.by_address(from) else { return };
+    process.peers.on_grant_reply(&peer.vm);
     if let message::Reply::Granted(grant) = &received.reply {
-        process.peers.granted(&peer.vm, grant.number);
+        process.peers.on_grant(&peer.vm, grant.number);
     }
     if let message::Reply::Granted(grant) = &received.reply
         && let Some(limit) = grant.limit
@@ -178,7 +178,7 @@
             }
             Outcome::NoReply(vm) => {
                 log::event(&process.log, Event::SchedulerSilent, &vm);
-                process.peers.missed(&vm, process.now());
+                process.peers.on_grant_timeout(&vm, process.now());
             }
             Outcome::Unavailable(upstream) => {
                 requirements.excluded.push(upstream);
@@ -296,7 +296,7 @@
                 let now = self.process.now();
                 let request =
                     GrantRequest::new(self.number(), service, &requirements, is_client, now);
-                tell::send(self.process, &Message::GrantRequest(request), *address);
+                announce::send(self.process, &Message::GrantRequest(request), *address);
             }
         }
     }
@@ -392,7 +392,7 @@
             Some(Scheduler::Own) => scheduler::cancel_own(self.process, self.number),
             Some(Scheduler::Peer(_, address)) => {
                 let message = Message::Cancelled(self.number());
-                tell::send(self.process, &message, address);
+                announce::send(self.process, &message, address);
             }
             None => {}
         }
--- a/daemon/src/fleet/join.rs
+++ b/daemon/src/fleet/join.rs
@@ -139,7 +139,7 @@
         return;
     }
     let timeout = peer_timeout(position);
-    if !poll_until(timeout, || process.peers.knows(process.now())).await {
+    if !poll_until(timeout, || process.peers.any_has_settings(process.now())).await {
         let what = format!(
             "no peer up within {} ms, position {position} in the order: reading the directory",
             timeout.as_millis()
@@ -153,7 +153,8 @@
 async fn learns_from_peers<D: Dialect>(process: &Process<D>, timeout: Duration) -> bool {
     let position = process.peers.position_listed();
     let timeout = timeout + TIMEOUT_PER_VM * position as u32;
-    position >= WATCHERS && poll_until(timeout, || process.peers.knows(process.now())).await
+    position >= WATCHERS
+        && poll_until(timeout, || process.peers.any_has_settings(process.now())).await
 }
 
 /// Polls until the condition holds, at most for about this time, and returns whether it holds.
--- a/daemon/src/fleet/peers.rs
+++ b/daemon/src/fleet/peers.rs
@@ -1,11 +1,11 @@
-//! The other VMs of the fleet: who is heard, how fresh their settings are, and which of them place
-//! the requests of this one.
+//! The other VMs of the fleet: which are up, how fresh their settings are, and which of them
+//! schedules the requests of this one.
 
-mod cadence;
-mod known;
+mod membership;
 mod peer;
 mod scheduler;
 mod sources;
+mod timing;
 
 use std::net::SocketAddr;
 use std::sync::Mutex;
@@ -19,204 +19,211 @@
 use foldlock_request::rank::Liveness;
 use serde_json::json;
 
-use crate::fleet::peers::known::Known;
+use crate::fleet::peers::membership::Membership;
 use crate::fleet::peers::peer::Peer;
 
-pub use cadence::Cadence;
 pub use scheduler::Scheduler;
+pub use timing::Timing;
 
-/// VMs that watch the directory in a large fleet; the others hear from them. Three, so that two
-/// may fail at once without a gap.
+/// The VMs that watch the directory in a large fleet and announce its changes to the others. With
+/// three, two may fail at once without an interruption.
 pub const WATCHERS: usize = 3;
 
-/// The fleet up to which all VMs watch: there the calls cost less than a gap would.
+/// The fleet size up to which all VMs watch: the calls to the directory then cost less than an
+/// interruption would.
 const ALL_WATCH: usize = 10;
 
-/// A VM that a beat is to be sent to.
+/// The recipient of a heartbeat.
 #[derive(Debug, Clone)]
 pub struct Target {
     /// The VM.
     pub vm: id::Vm,
     /// Where it listens.
     pub address: SocketAddr,
-    /// The newest stamp that was heard of it.
+    /// The newest stamp received from it.
     pub echo: Option<u64>,
-    /// The incarnation of the stamp.
+    /// The incarnation that sent the stamp.
     pub echo_of: u64,
-    /// The newest placement that it gave.
-    pub granted: u64,
-    /// Whether it places the requests of this VM, or might.
-    pub scheduler: bool,
+    /// The newest grant received from it.
+    pub last_grant: u64,
+    /// Whether it is the scheduler of this VM or a standby.
+    pub may_schedule: bool,
 }
 
 /// The peers.
 #[derive(Debug)]
 pub struct Peers {
     started: Instant,
-    /// The same, as beats are stamped.
-    began: Moment,
+    /// The moment from which the stamps of heartbeats are counted.
+    stamp_origin: Moment,
     own: Member,
-    known: Mutex<Known>,
-    /// Whether something is being read from a peer.
+    membership: Mutex<Membership>,
+    /// Whether settings or listings are being read from a peer.
     pub reading: AtomicBool,
 }
 
 impl Peers {
-    /// No peers yet; stamps count from `began`.
-    pub fn new(own: Member, started: Instant, began: Moment) -> Peers {
-        let known = Mutex::new(Known::new(own.clone()));
-        Peers { started, began, own, known, reading: AtomicBool::new(false) }
+    /// Creates an empty set of peers; stamps are counted from `stamp_origin`.
+    pub fn new(own: Member, started: Instant, stamp_origin: Moment) -> Peers {
+        let membership = Mutex::new(Membership::new(own.clone()));
+        Peers { started, stamp_origin, own, membership, reading: AtomicBool::new(false) }
     }
 
-    /// A VM is listed. Answers what is news in that, if anything.
-    pub fn list(&self, member: Member) -> Option<News> {
+    /// Adds a VM that is listed in the directory. Returns what that changes, if anything.
+    pub fn list(&self, member: Member) -> Option<Update> {
         if member.vm == self.own.vm {
             return None;
         }
-        let mut known = self.known.lock().unwrap();
-        let before = known.peers.get_mut(&member.vm);
-        if let Some(peer) = before.filter(|peer| peer.member == member) {
-            // A withdrawal of its start before may be carried out late; it then lists itself again.
-            let returns = std::mem::replace(&mut peer.leaving, false);
-            if returns {
-                known.place(member);
+        let mut membership = self.membership.lock().unwrap();
+        let previous = membership.peers.get_mut(&member.vm);
+        if let Some(peer) = previous.filter(|peer| peer.member == member) {
+            // The withdrawal of its previous incarnation may take effect late; it then registers
+            // again.
+            let was_leaving = std::mem::replace(&mut peer.leaving, false);
+            if was_leaving {
+                membership.insert(member);
             }
-            return returns.then_some(News::Heard);
+            return was_leaving.then_some(Update::Changed);
         }
-        let before = known.peers.get(&member.vm);
-        let renewed = before.is_some_and(|peer| peer.member.incarnation != member.incarnation);
-        known.peers.insert(member.vm.clone(), Peer::new(member.clone()));
-        known.place(member);
-        Some(if renewed { News::Renewed } else { News::Heard })
+        let previous = membership.peers.get(&member.vm);
+        let restarted = previous.is_some_and(|peer| peer.member.incarnation != member.incarnation);
+        membership.peers.insert(member.vm.clone(), Peer::new(member.clone()));
+        membership.insert(member);
+        Some(if restarted { Update::Restarted } else { Update::Changed })
     }
 
-    /// A VM has withdrawn. Answers what that means for its work, if it had not withdrawn before.
+    /// Records that a VM has withdrawn. Returns whether its attempts still count, if it had not
+    /// withdrawn before.
     pub fn withdraw(&self, vm: &id::Vm, now: Instant) -> Option<Withdrawal> {
-        let mut known = self.known.lock().unwrap();
-        let cadence = known.cadence();
-        let peer = known.peers.get_mut(vm)?;
+        let mut membership = self.membership.lock().unwrap();
+        let timing = membership.timing();
+        let peer = membership.peers.get_mut(vm)?;
         if std::mem::replace(&mut peer.leaving, true) {
             return None;
         }
-        let heard = peer.is_heard(cadence, now);
-        if !heard {
-            known.peers.remove(vm);
+        let is_up = peer.is_up(timing, now);
+        if !is_up {
+            membership.peers.remove(vm);
         }
-        known.displace(vm);
-        Some(if heard { Withdrawal::Finishing } else { Withdrawal::Gone })
+        membership.remove(vm);
+        Some(if is_up { Withdrawal::Finishing } else { Withdrawal::Ended })
     }
 
-    /// Takes a peer's state from a beat, unless it is older than what is known. Answers whether the
-    /// peer has started anew since.
-    pub fn heard_beat(&self, beat: &Heartbeat, now: Instant) -> Option<News> {
-        let state = &beat.state;
-        let mut known = self.known.lock().unwrap();
-        let peer = known.peers.get_mut(&state.vm)?;
-        // A VM that has started anew is heard before the directory tells of it, if it is away.
+    /// Merges a peer's state from a heartbeat, unless a newer one has been received. Returns
+    /// whether the peer has restarted since.
+    pub fn on_heartbeat(&self, heartbeat: &Heartbeat, now: Instant) -> Option<Update> {
+        let state = &heartbeat.state;
+        let mut membership = self.membership.lock().unwrap();
+        let peer = membership.peers.get_mut(&state.vm)?;
+        // While the directory is unavailable, the heartbeat of a restarted VM arrives before its
+        // listing.
         if state.incarnation < peer.member.incarnation {
             return None;
         }
-        let renewed = state.incarnation > peer.member.incarnation;
-        if renewed {
+        let restarted = state.incarnation > peer.member.incarnation;
+        if restarted {
             let member = Member { incarnation: state.incarnation, ..peer.member.clone() };
             *peer = Peer::new(member);
         } else if peer.stamp.is_some_and(|stamp| stamp >= state.stamp) {
             return None;
         }
-        peer.hear(state, now);
-        if beat.requests_heartbeats {
-            peer.wants = Some(now);
+        peer.on_heartbeat(state, now);
+        if heartbeat.requests_heartbeats {
+            peer.last_subscribed = Some(now);
         }
-        if renewed {
-            let member = known.peers.get(&state.vm).map(|peer| peer.member.clone());
-            member.into_iter().for_each(|member| known.place(member));
+        if restarted {
+            let member = membership.peers.get(&state.vm).map(|peer| peer.member.clone());
+            member.into_iter().for_each(|member| membership.insert(member));
         }
-        Some(if renewed { News::Renewed } else { News::Heard })
+        Some(if restarted { Update::Restarted } else { Update::Changed })
     }
 
-    /// The peer that sends from this address.
-    pub fn at(&self, address: SocketAddr) -> Option<Member> {
-        let known = self.known.lock().unwrap();
-        let found = known.peers.values().find(|peer| peer.member.address == address);
+    /// Returns the peer with this address.
+    pub fn by_address(&self, address: SocketAddr) -> Option<Member> {
+        let membership = self.membership.lock().unwrap();
+        let found = membership.peers.values().find(|peer| peer.member.address == address);
         found.map(|peer| peer.member.clone())
     }
 
-    /// A peer by its name.
+    /// Returns the peer with this name.
     pub fn member(&self, vm: &id::Vm) -> Option<Member> {
-        self.known.lock().unwrap().peers.get(vm).map(|peer| peer.member.clone())
+        self.membership.lock().unwrap().peers.get(vm).map(|peer| peer.member.clone())
     }
 
-    /// The number of VMs that are listed, this one among them, heard or not.
+    /// The number of listed VMs, up or down, including this one.
     pub fn listed_count(&self) -> usize {
-        self.known.lock().unwrap().order.len()
+        self.membership.lock().unwrap().order.len()
     }
 
-    /// The number of VMs that are listed, and of those that have withdrawn and are still heard: bounds of the
+    /// The number of listed VMs plus those that have withdrawn but are still up. Limits of the
     /// whole fleet are divided by it.
     pub fn running_count(&self) -> usize {
-        self.known.lock().unwrap().peers.len() + 1
+        self.membership.lock().unwrap().peers.len() + 1
     }
 
-    /// Whether the fleet is so large that a few VMs watch the directory for all.
+    /// Whether the fleet is so large that only a few VMs watch the directory.
     pub fn is_large(&self) -> bool {
         self.listed_count() > ALL_WATCH
     }
 
-    /// All VMs that are listed but this one.
+    /// All listed VMs except this one.
     pub fn members(&self) -> Vec<Member> {
-        let known = self.known.lock().unwrap();
-        known.order.iter().filter(|member| member.vm != self.own.vm).cloned().collect()
+        let membership = self.membership.lock().unwrap();
+        membership.order.iter().filter(|member| member.vm != self.own.vm).cloned().collect()
     }
 
-    /// The peers that were heard of late and are not leaving.
-    pub fn heard(&self, now: Instant) -> Vec<Member> {
-        let known = self.known.lock().unwrap();
-        let heard = known.heard(now).filter(|peer| !peer.leaving);
-        heard.map(|peer| peer.member.clone()).collect()
+    /// The peers that are up and not leaving.
+    pub fn up(&self, now: Instant) -> Vec<Member> {
+        let membership = self.membership.lock().unwrap();
+        let up = membership.up(now).filter(|peer| !peer.leaving);
+        up.map(|peer| peer.member.clone()).collect()
     }
 
-    /// The VMs that place the requests of this one, or might.
+    /// The scheduler of this VM and the standby schedulers.
     pub fn schedulers(&self, now: Instant) -> Vec<Target> {
-        let mut known = self.known.lock().unwrap();
+        let mut membership = self.membership.lock().unwrap();
         let schedulers: Vec<id::Vm> =
-            known.schedulers(now).map(|member| member.vm.clone()).collect();
-        let cadence = known.cadence();
+            membership.schedulers(now).map(|member| member.vm.clone()).collect();
+        let timing = membership.timing();
         let mut target = |vm: &id::Vm| {
-            let peer = known.peers.get_mut(vm)?;
-            peer.tried(cadence, now);
+            let peer = membership.peers.get_mut(vm)?;
+            peer.start_probe(timing, now);
             Some(peer.target(true))
         };
         schedulers.iter().filter_map(&mut target).collect()
     }
 
-    /// The other VMs that want to hear.
-    pub fn listeners(&self, now: Instant) -> Vec<Target> {
-        let known = self.known.lock().unwrap();
-        let cadence = known.cadence();
-        let schedulers: Vec<&id::Vm> = known.schedulers(now).map(|member| &member.vm).collect();
-        let listens =
-            |peer: &&Peer| peer.wants(cadence, now) && !schedulers.contains(&&peer.member.vm);
-        known.peers.values().filter(listens).map(|peer| peer.target(false)).collect()
+    /// The other VMs that requested heartbeats recently.
+    pub fn subscribers(&self, now: Instant) -> Vec<Target> {
+        let membership = self.membership.lock().unwrap();
+        let timing = membership.timing();
+        let schedulers: Vec<&id::Vm> =
+            membership.schedulers(now).map(|member| &member.vm).collect();
+        let is_subscriber = |peer: &&Peer| {
+            peer.is_subscribed(timing, now) && !schedulers.contains(&&peer.member.vm)
+        };
+        membership.peers.values().filter(is_subscriber).map(|peer| peer.target(false)).collect()
     }
 
-    /// One peer, to be told at once.
+    /// One peer as the recipient of a heartbeat.
     pub fn target(&self, vm: &id::Vm) -> Option<Target> {
-        self.known.lock().unwrap().peers.get(vm).map(|peer| peer.target(false))
+        self.membership.lock().unwrap().peers.get(vm).map(|peer| peer.target(false))
     }
 
-    /// The scheduler, the first in order that answers; none where none does.
+    /// The scheduler: the first VM in the order with the lowest rank; none if there is no
+    /// candidate. VMs whose grant requests timed out are no candidates.
     pub fn scheduler(&self, stopping: bool, now: Instant) -> Option<Scheduler> {
-        let known = self.known.lock().unwrap();
-        let own_settled = self.age(now) >= known.cadence().settles();
+        let membership = self.membership.lock().unwrap();
+        let is_synced = self.age(now) >= membership.timing().sync_time();
         let mut found: Option<(u8, Scheduler)> = None;
-        for member in known.schedulers(now) {
-            let (rank, scheduler) = match known.peers.get(&member.vm) {
+        for member in membership.schedulers(now) {
+            let (rank, scheduler) = match membership.peers.get(&member.vm) {
                 None if stopping => continue,
-                None => (if own_settled { 0 } else { 1 }, Scheduler::Own),
-                Some(peer) if peer.missed.is_some() => continue,
+                None => (if is_synced { 0 } else { 1 }, Scheduler::Own),
+                Some(peer) if peer.grant_timeout_at.is_some() => continue,
                 Some(peer) => {
                     let scheduler = Scheduler::Peer(member.vm.clone(), member.address);
-                    (peer.placing_rank(known.cadence(), now), scheduler)
+                    (peer.scheduler_rank(membership.timing(), now), scheduler)
                 }
             };
             if found.as_ref().is_none_or(|(best, _)| rank < *best) {
@@ -226,124 +233,131 @@
         found.map(|(_, scheduler)| scheduler)
     }
 
-    /// A VM left questions unanswered: the next one is asked until it is heard again.
-    pub fn missed(&self, vm: &id::Vm, now: Instant) {
-        if let Some(peer) = self.known.lock().unwrap().peers.get_mut(vm) {
-            peer.missed = Some(now);
+    /// Records that grant requests to a VM timed out. The next one in the order is the scheduler
+    /// until the VM sends a heartbeat or a grant reply.
+    pub fn on_grant_timeout(&self, vm: &id::Vm, now: Instant) {
+        if let Some(peer) = self.membership.lock().unwrap().peers.get_mut(vm) {
+            peer.grant_timeout_at = Some(now);
         }
     }
 
-    /// A VM has answered a question, late or in time: it lives.
-    pub fn answered(&self, vm: &id::Vm) {
-        if let Some(peer) = self.known.lock().unwrap().peers.get_mut(vm) {
-            peer.missed = None;
+    /// Records that a VM replied to a grant request, late or in time, and so is up.
+    pub fn on_grant_reply(&self, vm: &id::Vm) {
+        if let Some(peer) = self.membership.lock().unwrap().peers.get_mut(vm) {
+            peer.grant_timeout_at = None;
         }
     }
 
-    /// A peer has granted a placement.
-    pub fn granted(&self, vm: &id::Vm, grant: u64) {
-        if let Some(peer) = self.known.lock().unwrap().peers.get_mut(vm) {
-            peer.granted = peer.granted.max(grant);
+    /// Records the newest grant of a peer.
+    pub fn on_grant(&self, vm: &id::Vm, grant: u64) {
+        if let Some(peer) = self.membership.lock().unwrap().peers.get_mut(vm) {
+            peer.last_grant = peer.last_grant.max(grant);
         }
     }
 
-    /// How often VMs of a fleet of this size tell each other that nothing happened.
-    pub fn cadence(&self) -> Cadence {
-        self.known.lock().unwrap().cadence()
+    /// The heartbeat interval and time-outs for the current fleet size.
+    pub fn timing(&self) -> Timing {
+        self.membership.lock().unwrap().timing()
     }
 
-    /// The place of this VM among those that are heard, in their order.
+    /// The position of this VM in the order of the VMs that are up.
     pub fn position(&self, now: Instant) -> usize {
-        let known = self.known.lock().unwrap();
-        let before = known.order.iter().take_while(|member| member.vm != self.own.vm);
-        before.filter(|member| known.liveness(&member.vm, now) == Liveness::Up).count()
+        let membership = self.membership.lock().unwrap();
+        let before = membership.order.iter().take_while(|member| member.vm != self.own.vm);
+        before.filter(|member| membership.liveness(&member.vm, now) == Liveness::Up).count()
     }
 
-    /// The place of this VM among all that are listed, in their order.
+    /// The position of this VM in the order of all listed VMs.
     pub fn position_listed(&self) -> usize {
-        let known = self.known.lock().unwrap();
-        known.order.iter().take_while(|member| member.vm != self.own.vm).count()
+        let membership = self.membership.lock().unwrap();
+        membership.order.iter().take_while(|member| member.vm != self.own.vm).count()
     }
 
-    /// The age of the oldest word among the peers that are heard, milliseconds.
-    pub fn oldest_ms(&self, now: Instant) -> Option<u64> {
-        let known = self.known.lock().unwrap();
-        let heard = known.heard(now).filter_map(|peer| peer.heard);
-        heard.map(|at| now.saturating_duration_since(at).as_millis() as u64).max()
+    /// The age in milliseconds of the oldest last heartbeat of the peers that are up.
+    pub fn oldest_heartbeat_ms(&self, now: Instant) -> Option<u64> {
+        let membership = self.membership.lock().unwrap();
+        let up = membership.up(now).filter_map(|peer| peer.last_seen);
+        up.map(|at| now.saturating_duration_since(at).as_millis() as u64).max()
     }
 
-    /// Forgets peers that have fallen silent, and names them.
-    pub fn drop_silent(&self, now: Instant) -> Vec<id::Vm> {
-        let mut known = self.known.lock().unwrap();
-        let mut silent = Vec::new();
-        let cadence = known.cadence();
-        for (vm, peer) in &mut known.peers {
-            if peer.heard.is_some() && !peer.is_heard(cadence, now) {
-                peer.heard = None;
-                silent.push(vm.clone());
+    /// Marks peers without a recent heartbeat as down and returns them; those that have withdrawn
+    /// are removed.
+    pub fn mark_down(&self, now: Instant) -> Vec<id::Vm> {
+        let mut membership = self.membership.lock().unwrap();
+        let mut down = Vec::new();
+        let timing = membership.timing();
+        for (vm, peer) in &mut membership.peers {
+            if peer.last_seen.is_some() && !peer.is_up(timing, now) {
+                peer.last_seen = None;
+                down.push(vm.clone());
             }
         }
-        known.peers.retain(|_, peer| !peer.leaving || peer.heard.is_some());
-        silent
+        membership.peers.retain(|_, peer| !peer.leaving || peer.last_seen.is_some());
+        down
     }
 
-    /// What is known, for a dump.
+    /// The peers as JSON, for the dump.
     pub fn dump(&self, now: Instant) -> serde_json::Value {
-        let known = self.known.lock().unwrap();
-        let schedulers: Vec<&id::Vm> = known.schedulers(now).map(|member| &member.vm).collect();
-        let peers = known.peers.iter().map(|(vm, p)| {
-            let heard_ms = p.heard.map(|at| now.saturating_duration_since(at).as_millis() as u64);
+        let membership = self.membership.lock().unwrap();
+        let schedulers: Vec<&id::Vm> =
+            membership.schedulers(now).map(|member| &member.vm).collect();
+        let peers = membership.peers.iter().map(|(vm, p)| {
+            let heard_ms =
+                p.last_seen.map(|at| now.saturating_duration_since(at).as_millis() as u64);
             json!({
                 "vm": vm, "address": p.member.address, "heard_ms": heard_ms, "version": p.version,
-                "scheduler": schedulers.contains(&vm), "settled": p.settled, "missed": p.missed.is_some(),
+                "scheduler": schedulers.contains(&vm), "settled": p.synced,
+                "missed": p.grant_timeout_at.is_some(),
             })
         });
         peers.collect()
     }
 
-    /// Microseconds since the start, the time for which the machine was suspended counted.
+    /// The microseconds from the start to a moment, including time for which the machine was
+    /// suspended.
     pub fn stamp(&self, moment: Moment) -> u64 {
-        moment.since(self.began).as_micros() as u64
+        moment.since(self.stamp_origin).as_micros() as u64
     }
 
-    /// The moment of a stamp of this VM.
+    /// Converts a stamp of this VM back to its moment.
     pub fn stamped(&self, stamp: u64) -> Moment {
-        self.began.after(Duration::from_micros(stamp))
+        self.stamp_origin.after(Duration::from_micros(stamp))
     }
 
-    /// The machine was suspended: nobody counts as heard before it is heard again.
-    pub fn forget_heard(&self) {
-        for peer in self.known.lock().unwrap().peers.values_mut() {
-            peer.heard = None;
-            peer.watching = None;
+    /// Resets the liveness of all peers after the machine was suspended: none counts as up before
+    /// its next heartbeat.
+    pub fn reset_liveness(&self) {
+        for peer in self.membership.lock().unwrap().peers.values_mut() {
+            peer.last_seen = None;
+            peer.last_watching = None;
         }
     }
 
-    /// How long this VM has run.
+    /// The time since this VM started.
     pub fn age(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.started)
     }
 
-    /// Whether this VM has run for long enough to have heard of all that is under way.
-    pub fn settled(&self, now: Instant) -> bool {
-        self.age(now) >= self.cadence().settles()
+    /// Whether this VM has run for long enough to have received all in-flight attempts.
+    pub fn is_synced(&self, now: Instant) -> bool {
+        self.age(now) >= self.timing().sync_time()
     }
 }
 
-/// A VM that has withdrawn.
+/// The state of a VM that has withdrawn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Withdrawal {
-    /// It is heard: what it has under way counts until it no longer is.
+    /// It is up: its in-flight attempts count until it is down.
     Finishing,
-    /// It is not: nothing is under way.
-    Gone,
+    /// It is down and has no attempts in flight.
+    Ended,
 }
 
-/// What a beat or a listing brought.
+/// What a heartbeat or a listing changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum News {
-    /// A peer, or its state.
-    Heard,
-    /// A peer that has started anew: what it had under way before has ended.
-    Renewed,
+pub enum Update {
+    /// A peer was added, or its state changed.
+    Changed,
+    /// A peer has restarted: the attempts of its previous incarnation have ended.
+    Restarted,
 }
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -24,11 +24,11 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
+use crate::fleet::compression::Cache;
 use crate::fleet::config::Config;
-use crate::fleet::fresh::Fresh;
+use crate::fleet::freshness::Freshness;
 use crate::fleet::log_throttle::{self, Throttle};
 use crate::fleet::metrics::Metrics;
-use crate::fleet::packed::Kept;
 use crate::fleet::peers::Peers;
 use crate::fleet::pending_grants;
 use crate::fleet::unread;
@@ -77,7 +77,7 @@
     /// The newest request records.
     pub ring: Ring,
     /// The age of the settings.
-    pub freshness: Fresh,
+    pub freshness: Freshness,
     /// The socket for heartbeats and other datagrams between peers.
     pub socket: UdpSocket,
     /// The upstreams and their in-flight attempts.
@@ -103,9 +103,9 @@
     /// Upstreams that requested a backoff of this VM.
     pub backoffs: Mutex<Backoffs>,
     /// The settings, compressed for peers.
-    pub compressed_settings: Kept,
+    pub compressed_settings: Cache,
     /// The listings, compressed for peers.
-    pub compressed_listing: Kept,
+    pub compressed_listing: Cache,
     /// The latest changes of the listings that this VM read from the directory.
     pub steps: Mutex<Steps>,
     /// Revision and digest of the listings that were last compared with a peer's full listings.
@@ -173,7 +173,7 @@
             listing_lines: Throttle::new(log_throttle::LISTING_PER_S, clock.now()),
             metrics: Metrics::default(),
             ring: Ring::new(MAX_RECORDS),
-            freshness: Fresh::new(config.fleet.max_settings_age()),
+            freshness: Freshness::new(config.fleet.max_settings_age()),
             cluster: Mutex::default(),
             scheduler: Mutex::new(Scheduler::new(config.fleet.budget())),
             affiliation: Mutex::default(),
@@ -185,8 +185,8 @@
             memory: D::Memory::default(),
             reports: D::Reports::default(),
             backoffs: Mutex::default(),
-            compressed_settings: Kept::default(),
-            compressed_listing: Kept::default(),
+            compressed_settings: Cache::default(),
+            compressed_listing: Cache::default(),
             steps: Mutex::default(),
             last_compared: Mutex::default(),
             unread: unread::Buffers::new(config.fleet.memory()),
@@ -232,7 +232,7 @@
     /// Waits during startup until the settings are confirmed: settings read from a peer arrive before the
     /// heartbeat that confirms them. Returns whether they are confirmed.
     pub async fn wait_for_confirmation(&self) -> bool {
-        let is_confirmed = || self.version() > 0 && self.freshness.holds(self.moment());
+        let is_confirmed = || self.version() > 0 && self.freshness.is_fresh(self.moment());
         self.wait_during_startup(is_confirmed).await;
         is_confirmed()
     }
@@ -291,7 +291,9 @@
     /// Whether this VM accepts new connections: it has sufficiently fresh settings and is not stopping.
     pub fn ready(&self) -> bool {
         let moment = self.moment();
-        !self.stopping.is_cancelled() && self.version() > 0 && self.freshness.welcomes(moment)
+        !self.stopping.is_cancelled()
+            && self.version() > 0
+            && self.freshness.accepts_connections(moment)
     }
 
     /// Whether a stop has progressed so far that a new request might not end before the process is killed.
@@ -350,7 +352,7 @@
         Number { incarnation: self.member.incarnation, number }
     }
 
-    /// A unique id for a reservation of engine memory.
+    /// A unique id for a reservation of engine memory, never reused.
     pub fn reservation_id(&self) -> String {
         self.request_id().to_string()
     }
--- a/daemon/src/fleet/reports.rs
+++ b/daemon/src/fleet/reports.rs
@@ -17,7 +17,7 @@
 use crate::fleet::notices::{self, Exclusion};
 use crate::fleet::peers::Scheduler;
 use crate::fleet::process::Process;
-use crate::fleet::{rate_limits, tell};
+use crate::fleet::{announce, rate_limits};
 use crate::log;
 
 /// Interval between polls of each engine. A slow or unresponsive engine delays most prompts that are split over several
@@ -40,14 +40,14 @@
 /// Distributes the engines over the VMs that are up by rendezvous hashing, so that the same VM polls an engine each
 /// time, on an open connection.
 fn poll<D: Dialect>(process: &Arc<Process<D>>) {
-    let mut vms = process.peers.heard(process.now());
+    let mut vms = process.peers.up(process.now());
     vms.push(process.member.clone());
     for listed in engines(process) {
         let weight = |vm: &&Member| xxh3_64(format!("{} {}", vm.vm, listed.id).as_bytes());
         match vms.iter().max_by_key(weight) {
             Some(vm) if vm.vm != process.member.vm => {
                 let message = Message::Poll(listed.tag());
-                tell::send(process, &message, vm.address);
+                announce::send(process, &message, vm.address);
             }
             _ => {
                 tokio::spawn(fetch(process.clone(), listed));
--- a/daemon/src/fleet/catch_up.rs
+++ b/daemon/src/fleet/resync.rs
@@ -1,8 +1,8 @@
-//! Reading from peers what they know and this VM does not: settings, and listings where the directory
-//! is not heard.
+//! Reads newer settings from peers, and newer listings on VMs that do not watch the directory.
 //!
-//! The VMs read one after the other, so that no VM's link carries the same text many times at once, and from a VM of
-//! their own hall, which may have it by then, before they ask one that is known to.
+//! The VMs read one after the other, so that no VM's link carries the same text many times at once.
+//! Each first tries a VM of its own hall, which may have the text by then, and only then a peer
+//! that is known to have it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,29 +18,30 @@
 
 use crate::fleet::metrics::Text;
 use crate::fleet::process::Process;
-use crate::fleet::{operators, packed, peer_sync};
+use crate::fleet::{compression, operators, peer_sync};
 use crate::log;
 
-/// How long a read from a peer may take.
+/// The time-out of a read from a peer.
 const READ_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The same from a VM of the own hall that may not live: the way there takes less than a millisecond, and a text
-/// on the smallest link some ten.
-const NEAR_READ_TIMEOUT: Duration = Duration::from_millis(100);
+/// The time-out of a read from a VM of the own hall, which may be down: the latency within a hall
+/// is less than a millisecond, and a text takes some ten milliseconds on the smallest link.
+const NEIGHBOUR_READ_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// The time between two VMs.
-const WAIT_PER_VM: Duration = Duration::from_millis(2);
+/// The time between the reads of two VMs.
+const DELAY_PER_VM: Duration = Duration::from_millis(2);
 
-/// The longest such wait: settings have to be in force everywhere in 2 s.
-const MOST_TURN: Duration = Duration::from_millis(400);
+/// The maximum delay of a VM: settings have to be in force everywhere in 2 s.
+const MAX_DELAY: Duration = Duration::from_millis(400);
 
 /// The pause between two reads.
 const READ_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Reads in one go; what is still missing then is told by the next beat.
+/// The maximum number of reads in a row; the next heartbeat starts another resync for what is still
+/// missing.
 const MAX_READS: u32 = 8;
 
-/// Starts to catch up if a peer knows more and nothing is being read yet.
+/// Starts to read if a peer has newer settings or listings and no read is in progress.
 pub fn start<D: Dialect, R: Directory>(process: &Arc<Process<D>>, directory: &R) {
     if source(process).is_none() || process.peers.reading.swap(true, Ordering::Relaxed) {
         return;
@@ -48,7 +49,7 @@
     tokio::spawn(run(process.clone(), directory.clone()));
 }
 
-/// What there is to read, and where.
+/// What to read, and from which peer.
 enum Source {
     Settings(SocketAddr),
     Listing(SocketAddr),
@@ -63,17 +64,17 @@
     if process.watching.load(Ordering::Relaxed) {
         return None;
     }
-    let at = process.revision();
+    let revision = process.revision();
     let digest = process.cluster.lock().unwrap().digest();
-    let compared = *process.last_compared.lock().unwrap() == Some((at, digest));
-    process.peers.other_listings(at, digest, compared, now).map(Source::Listing)
+    let compared = *process.last_compared.lock().unwrap() == Some((revision, digest));
+    process.peers.other_listings(revision, digest, compared, now).map(Source::Listing)
 }
 
 async fn run<D: Dialect, R: Directory>(process: Arc<Process<D>>, directory: R) {
-    tokio::time::sleep(turn(&process)).await;
+    tokio::time::sleep(initial_delay(&process)).await;
     for read in 0..MAX_READS {
         let Some(source) = source(&process) else { break };
-        if read == 0 && read_near(&process, &directory, &source).await {
+        if read == 0 && read_from_neighbour(&process, &directory, &source).await {
             continue;
         }
         if let Err(why) = read_from(&process, &directory, source).await {
@@ -84,23 +85,25 @@
     process.peers.reading.store(false, Ordering::Relaxed);
 }
 
-/// How long this VM leaves the way to others. One that knows nothing yet keeps callers waiting.
-fn turn<D: Dialect>(process: &Process<D>) -> Duration {
+/// The random delay that spreads the reads of many VMs. A VM without settings reads at once, as
+/// callers wait for it.
+fn initial_delay<D: Dialect>(process: &Process<D>) -> Duration {
     if process.version() == 0 {
         return Duration::ZERO;
     }
     let before = rand::random_range(0..process.peers.listed_count() as u32);
-    (WAIT_PER_VM * before).min(MOST_TURN)
+    (DELAY_PER_VM * before).min(MAX_DELAY)
 }
 
-/// Reads from some VM of the own hall, if it has what is missing: most have by the time at which most read, and
-/// so neither the few that all hear nor the links between halls carry a text for each VM. Answers whether it did.
-async fn read_near<D: Dialect, R: Directory>(
+/// Reads from a VM of the own hall, if it has the newer text. By the time most VMs read, most
+/// others have it, so neither the schedulers nor the links between halls carry a text for each VM.
+/// Returns whether it succeeded.
+async fn read_from_neighbour<D: Dialect, R: Directory>(
     process: &Arc<Process<D>>,
     directory: &R,
     source: &Source,
 ) -> bool {
-    let Some(near) = process.peers.neighbour(process.now()) else { return false };
+    let Some(neighbour) = process.peers.neighbour(process.now()) else { return false };
     let path = match source {
         Source::Settings(_) => {
             format!(
@@ -119,8 +122,8 @@
             )
         }
     };
-    let Ok(text) = read(near, &path, NEAR_READ_TIMEOUT).await else { return false };
-    take(process, directory, source, near, text).is_ok()
+    let Ok(text) = read(neighbour, &path, NEIGHBOUR_READ_TIMEOUT).await else { return false };
+    merge(process, directory, source, neighbour, text).is_ok()
 }
 
 async fn read_from<D: Dialect, R: Directory>(
@@ -133,10 +136,10 @@
         Source::Listing(peer) => (peer, operators::LISTING_PATH),
     };
     let text = read(peer, path, READ_TIMEOUT).await?;
-    take(process, directory, &source, peer, text)
+    merge(process, directory, &source, peer, text)
 }
 
-fn take<D: Dialect, R: Directory>(
+fn merge<D: Dialect, R: Directory>(
     process: &Arc<Process<D>>,
     directory: &R,
     source: &Source,
@@ -153,9 +156,9 @@
             let listing = serde_json::from_slice(&text).map_err(|e| {
                 format!("cannot decode the directory listing received from VM {from}: {e}")
             })?;
-            peer_sync::listing(process, listing);
-            // What still differs then is for a later revision to settle: two VMs would else read each other's
-            // listings without an end.
+            peer_sync::merge_listing(process, listing);
+            // Listings that still differ are only read again at a later revision: two VMs would
+            // otherwise read each other's listings endlessly.
             let digest = process.cluster.lock().unwrap().digest();
             *process.last_compared.lock().unwrap() = Some((process.revision(), digest));
         }
@@ -163,13 +166,14 @@
     Ok(())
 }
 
-async fn read(peer: SocketAddr, path: &str, time: Duration) -> Result<Bytes, String> {
+async fn read(peer: SocketAddr, path: &str, timeout: Duration) -> Result<Bytes, String> {
     let request = Request::get(format!("http://{peer}{path}"))
         .body(http::body(Bytes::new()))
         .expect("an address is a valid authority");
-    let answer = Client::default().call(request, time).await.map_err(|e| format!("{peer}: {e}"))?;
-    if answer.status() != StatusCode::OK {
-        return Err(format!("{peer}{path}: it answered {}", answer.status()));
+    let response =
+        Client::default().call(request, timeout).await.map_err(|e| format!("{peer}: {e}"))?;
+    if response.status() != StatusCode::OK {
+        return Err(format!("{peer}{path}: response status {}", response.status()));
     }
-    packed::unpack(answer.body()).map_err(|why| format!("{peer}{path}: {why}"))
+    compression::decompress(response.body()).map_err(|why| format!("{peer}{path}: {why}"))
 }
--- a/daemon/src/fleet/scheduler.rs
+++ b/daemon/src/fleet/scheduler.rs
@@ -14,7 +14,7 @@
 use foldlock_version::routes::Service;
 
 use crate::fleet::process::Process;
-use crate::fleet::{affiliation, tell};
+use crate::fleet::{affiliation, announce};
 
 /// Minimum time between two rounds of placing queued requests: one round covers all the capacity
 /// that became free in the meantime.
@@ -33,7 +33,7 @@
     received: &GrantRequest,
     from: SocketAddr,
 ) {
-    let Some(peer) = process.peers.at(from) else { return };
+    let Some(peer) = process.peers.by_address(from) else { return };
     let now = process.now();
     let requirements = received.requirements(peer.hall, now);
     let key = key(Holder::Peer(peer.vm), received.request);
@@ -103,7 +103,7 @@
 
 /// Handles the cancellation of a peer's grant request.
 pub fn on_cancel<D: Dialect>(process: &Process<D>, request: Number, from: SocketAddr) {
-    if let Some(peer) = process.peers.at(from) {
+    if let Some(peer) = process.peers.by_address(from) {
         cancel(process, &key(Holder::Peer(peer.vm), request));
     }
 }
@@ -160,7 +160,7 @@
 fn send_reply<D: Dialect>(process: &Process<D>, request: Number, to: SocketAddr, reply: Reply) {
     let reply = encode(&process.cluster.lock().unwrap(), reply);
     let message = Message::GrantReply(GrantReply { request, reply });
-    tell::send(process, &message, to);
+    announce::send(process, &message, to);
 }
 
 fn encode(cluster: &Cluster, reply: Reply) -> message::Reply {
--- a/daemon/src/fleet/watch.rs
+++ b/daemon/src/fleet/watch.rs
@@ -96,19 +96,19 @@
     loop {
         if !should_watch(&process).await {
             process.watching.store(false, Ordering::Relaxed);
-            contact.is_told();
+            contact.follow_peers();
             tokio::time::sleep(WATCHER_CHECK_INTERVAL).await;
             continue;
         }
         let requested_at = process.moment();
-        let from = contact.from(process.revision());
+        let from = contact.watch_from(process.revision());
         process.metrics.count_directory_call(if from.is_some() { Call::Watch } else { Call::Read });
         let answer = match from {
             Some(at) => tokio::select! {
                 answer = directory.watch(at, WATCH_TIMEOUT) => answer,
                 // Entries received before may have expired during the suspension.
                 () = process.after_suspension.notified() => {
-                    contact.forget();
+                    contact.reset();
                     continue;
                 }
             },
@@ -125,10 +125,10 @@
                     Event::DirectoryCompacted,
                     "the requested changes are compacted; reading all listings",
                 );
-                contact.forget();
+                contact.reset();
             }
             // The full sync detects the new era.
-            Err(directory::Failure::Restored) => contact.forget(),
+            Err(directory::Failure::Restored) => contact.reset(),
             Err(directory::Failure::Unavailable(why)) => {
                 on_failure(&process, &mut contact, &why).await
             }
@@ -138,7 +138,7 @@
 
 /// Interval between two watches of this VM: longer if another VM announces the changes too.
 fn watch_interval<D: Dialect>(process: &Process<D>) -> Duration {
-    let announces = process.peers.told_by_others(process.now()).is_none();
+    let announces = process.peers.announced_by_others(process.now()).is_none();
     if announces || !is_large(process) { WATCH_INTERVAL } else { STANDBY_WATCH_INTERVAL }
 }
 
@@ -171,15 +171,15 @@
     let sync_timeout = if process.revision().is_none() {
         FIRST_SYNC_TIMEOUT
     } else {
-        process.peers.cadence().places() * 2
+        process.peers.timing().scheduler_timeout() * 2
     };
-    if process.peers.age(now) < sync_timeout && process.peers.knows(now) {
+    if process.peers.age(now) < sync_timeout && process.peers.any_has_settings(now) {
         return true;
     }
     if process.revision().is_none() {
         return false;
     }
-    process.peers.watched(now) && !(is_watcher(process) && process.peers.settled(now))
+    process.peers.has_watcher(now) && !(is_watcher(process) && process.peers.is_synced(now))
 }
 
 /// Whether this VM is one of the watchers of a large fleet. A stopping VM does not become one: if
@@ -200,7 +200,7 @@
 fn takeover_delay<D: Dialect>(process: &Process<D>) -> Duration {
     let position = process.peers.position_listed() as u32;
     // From some position on, the VMs before this one respond within their next heartbeat.
-    let max = MAX_TAKEOVER_DELAY + process.peers.cadence().idle();
+    let max = MAX_TAKEOVER_DELAY + process.peers.timing().heartbeat_interval();
     (TAKEOVER_DELAY_PER_VM * position).min(max) + UNCAPPED_TAKEOVER_DELAY_PER_VM * position
 }
 
@@ -213,7 +213,7 @@
 ) {
     let now = process.now();
     process.watching.store(true, Ordering::Relaxed);
-    if let Some(failures) = contact.answered(now) {
+    if let Some(failures) = contact.on_success(now) {
         log::event(&process.log, Event::DirectoryUp, format!("after {failures} failed calls"));
     }
     let mut change_log = ChangeLog::default();
@@ -228,7 +228,7 @@
     }
     contact.note_settings(process.version(), provenance, &changes);
     let changed = !changes.is_empty();
-    contact.goes_on(at);
+    contact.resume_at(at);
     process.advance_revision(at);
     let mut step: Vec<step::Change> =
         changes.iter().filter_map(|change| changes::announced(change, provenance)).collect();
@@ -247,11 +247,11 @@
     step.extend(expired.into_iter().map(|id| step::Change::UpstreamRemoved(id, at)));
     record_step(process, from, at, step);
     change_log.log(process, at, "the directory");
-    if !contact.is_behind() {
+    if !contact.has_older_settings() {
         process.confirm(requested_at);
     }
-    contact.settle(process.restored_within(RESTORE_PERIOD));
-    let is_announced = process.peers.told_by_others(now) >= at;
+    contact.on_restore_end(process.restored_within(RESTORE_PERIOD));
+    let is_announced = process.peers.announced_by_others(now) >= at;
     if changed && !is_announced {
         process.announce_to_all();
     }
@@ -306,7 +306,7 @@
 }
 
 async fn on_failure<D: Dialect>(process: &Arc<Process<D>>, contact: &mut Contact, why: &str) {
-    let failures = contact.failed(process.now());
+    let failures = contact.on_failure(process.now());
     if failures == 1 {
         log::event(&process.log, Event::DirectoryDown, why);
     }
@@ -319,7 +319,7 @@
     }
     let until =
         process.now() + pause.min(MAX_FOLLOWER_RETRY_INTERVAL.max(max_retry_interval(process)));
-    while process.now() < until && !process.peers.watched(process.now()) {
+    while process.now() < until && !process.peers.has_watcher(process.now()) {
         tokio::time::sleep(WATCHER_CHECK_INTERVAL.min(until - process.now())).await;
     }
 }
--- a/daemon/tests/volume.rs
+++ b/daemon/tests/volume.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use foldlock_base::clock::{Clock, Manual};
-use foldlockd::fleet::fresh::Fresh;
+use foldlockd::fleet::freshness::Freshness;
 use foldlockd::fleet::log_throttle::Throttle;
 use proptest::prelude::*;
 
@@ -23,33 +23,33 @@
 #[test]
 fn settings_are_fresh_until_shortly_before_their_maximum_age() {
     let now = Manual::default().moment();
-    let fresh = Fresh::new(Some(Duration::from_secs(5)));
+    let fresh = Freshness::new(Some(Duration::from_secs(5)));
     let after = |ms| now.after(Duration::from_millis(ms));
-    assert!(!fresh.holds(now), "never confirmed");
+    assert!(!fresh.is_fresh(now), "never confirmed");
     fresh.confirm(now);
-    assert!(fresh.welcomes(after(2_900)) && !fresh.welcomes(after(3_100)));
-    assert!(fresh.holds(after(4_600)) && !fresh.holds(after(4_800)));
+    assert!(fresh.accepts_connections(after(2_900)) && !fresh.accepts_connections(after(3_100)));
+    assert!(fresh.is_fresh(after(4_600)) && !fresh.is_fresh(after(4_800)));
 }
 
 #[test]
 fn without_a_maximum_age_settings_are_always_fresh() {
-    let fresh = Fresh::new(None);
+    let fresh = Freshness::new(None);
     let now = Manual::default().moment();
-    assert!(fresh.holds(now) && fresh.welcomes(now));
+    assert!(fresh.is_fresh(now) && fresh.accepts_connections(now));
 }
 
 /// A key may be revoked while the machine is suspended.
 #[test]
 fn settings_age_while_the_machine_is_suspended() {
     let clock = Manual::default();
-    let fresh = Fresh::new(Some(Duration::from_secs(5)));
+    let fresh = Freshness::new(Some(Duration::from_secs(5)));
     fresh.confirm(clock.moment());
     let now = clock.now();
     clock.suspend(Duration::from_secs(6));
     assert_eq!(clock.now(), now, "the steady clock stood still");
-    assert!(!fresh.holds(clock.moment()) && !fresh.welcomes(clock.moment()));
+    assert!(!fresh.is_fresh(clock.moment()) && !fresh.accepts_connections(clock.moment()));
     fresh.confirm(clock.moment());
-    assert!(fresh.holds(clock.moment()));
+    assert!(fresh.is_fresh(clock.moment()));
 }
 
 proptest! {
@@ -75,7 +75,7 @@
     #[test]
     fn the_latest_confirmation_counts(times in prop::collection::vec(0u64..10_000, 1..20)) {
         let start = Manual::default().moment();
-        let fresh = Fresh::new(Some(Duration::from_secs(5)));
+        let fresh = Freshness::new(Some(Duration::from_secs(5)));
         let at = |ms: u64| start.after(Duration::from_millis(ms));
         times.iter().for_each(|ms| fresh.confirm(at(*ms)));
         let latest = times.iter().max().unwrap();
@@ -86,14 +86,14 @@
 proptest! {
     #[test]
     fn compressed_text_is_restored(text in prop::collection::vec(any::<u8>(), 0..2_000)) {
-        let packed = foldlockd::fleet::packed::pack(&text);
-        prop_assert_eq!(&foldlockd::fleet::packed::unpack(&packed).unwrap()[..], &text[..]);
+        let packed = foldlockd::fleet::compression::compress(&text);
+        prop_assert_eq!(&foldlockd::fleet::compression::decompress(&packed).unwrap()[..], &text[..]);
     }
 
     #[test]
     fn any_bytes_are_decompressed_without_a_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..200),
     ) {
-        let _ = foldlockd::fleet::packed::unpack(&bytes);
+        let _ = foldlockd::fleet::compression::decompress(&bytes);
     }
 }
