--- a/connection/src/kv.rs
+++ b/connection/src/kv.rs
@@ -74,10 +74,10 @@
         let result = answer.and_then(|answer| match answer.status().as_u16() {
             200 | 304 | 404 => Ok(answer),
             409 => Err(Failure::Conflict),
-            429 => Err(Failure::Limited),
+            429 => Err(Failure::RateLimited),
             status => Err(Failure::Unavailable(format!("status {status}"))),
         });
-        if matches!(result, Err(Failure::Unavailable(_) | Failure::Limited)) {
+        if matches!(result, Err(Failure::Unavailable(_) | Failure::RateLimited)) {
             self.calls.failures.fetch_add(1, Ordering::Relaxed);
         }
         result
--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -254,7 +254,7 @@
                     self.log.commit(&batch, revision);
                     return batch.verdicts;
                 }
-                Err(Failure::Limited) => tokio::time::sleep(BATCH_INTERVAL).await,
+                Err(Failure::RateLimited) => tokio::time::sleep(BATCH_INTERVAL).await,
                 Err(_) => self.up_to_date = false,
             }
         }
--- a/version/src/publish.rs
+++ b/version/src/publish.rs
@@ -180,10 +180,10 @@
 
     /// Writes one text, as fast as the store's rate allows.
     async fn write_text(&self, hash: &Hash, text: &str) -> Result<u64, Failure> {
-        let mut result = Err(Failure::Limited);
+        let mut result = Err(Failure::RateLimited);
         for _ in 0..PACED {
             result = self.store.swap(&hash.key(), 0, text.as_bytes().to_vec()).await;
-            if result != Err(Failure::Limited) {
+            if result != Err(Failure::RateLimited) {
                 break;
             }
             tokio::time::sleep(PACE).await;
--- a/version/src/store.rs
+++ b/version/src/store.rs
@@ -19,7 +19,7 @@
     /// No answer, or none that makes sense. A write may have taken effect.
     Unavailable(String),
     /// The store refused the call for its rate; it had no effect.
-    Limited,
+    RateLimited,
     /// The key is at another revision; the write had no effect.
     Conflict,
 }
@@ -28,7 +28,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Failure::Unavailable(why) => write!(f, "the key-value service gave no answer: {why}"),
-            Failure::Limited => write!(f, "the key-value service is at its rate limit"),
+            Failure::RateLimited => write!(f, "the key-value service is at its rate limit"),
             Failure::Conflict => write!(f, "another write came first"),
         }
     }
