--- a/daemon/src/fleet/admit.rs
+++ b/daemon/src/fleet/admit.rs
@@ -144,7 +144,7 @@
     route: &Route,
     terms: &Terms,
 ) -> Result<Option<Arc<Organisation>>, Error> {
-    if !table.keyed() || route.public {
+    if !table.requires_key() || route.public {
         return Ok(None);
     }
     let found = terms.api_key.as_deref().and_then(|key| table.organisation(key));
--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -15,7 +15,7 @@
 use foldlock_request::suspicion::{Failure as Cause, Outcome};
 use foldlock_request::tag::Tag;
 use foldlock_request::terms::{self, Helper, Verdict};
-use foldlock_version::routes::Shape;
+use foldlock_version::routes::Delivery;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header;
 use hyper::{Request, Response, StatusCode, Uri};
@@ -121,9 +121,9 @@
     if last || !job.repeatable() {
         return job.left();
     }
-    match job.route.shape {
-        Shape::Whole => job.route.objective.mul_f64(SLOW_WHOLE),
-        Shape::Events { .. } => {
+    match job.route.delivery {
+        Delivery::Complete => job.route.objective.mul_f64(SLOW_WHOLE),
+        Delivery::Streaming { .. } => {
             let ms = placement.predicted_ms * SLOW_FIRST + SLOW_FIRST_MS;
             Duration::from_secs_f64(ms / 1e3).max(job.route.objective.mul_f64(SLOW_OBJECTIVES))
         }
@@ -199,7 +199,7 @@
         body,
         cutter: Cutter::default(),
     };
-    if head.status.is_success() && matches!(job.route.shape, Shape::Events { .. }) {
+    if head.status.is_success() && matches!(job.route.delivery, Delivery::Streaming { .. }) {
         first(job, head, source).await
     } else {
         whole(job, head, source, promised).await
--- a/daemon/src/fleet/events.rs
+++ b/daemon/src/fleet/events.rs
@@ -8,7 +8,7 @@
 use foldlock_connection::sse::Event as Part;
 use foldlock_request::decision::Decision;
 use foldlock_request::dialect::Dialect;
-use foldlock_version::routes::Repeat;
+use foldlock_version::routes::Retry;
 use hyper::Response;
 use hyper::header;
 
@@ -195,8 +195,8 @@
 
 /// How long an upstream may be silent within a stream.
 fn silence<D: Dialect>(job: &Job<D>, source: &Source<D>) -> Duration {
-    let silence = match (job.pause(), job.route.repeat) {
-        (Some(pause), Repeat::Resume) => (pause * SILENT_PAUSES).max(LEAST_SILENCE),
+    let silence = match (job.pause(), job.route.retry) {
+        (Some(pause), Retry::Resume) => (pause * SILENT_PAUSES).max(LEAST_SILENCE),
         _ => job.left(),
     };
     if source.hold.is_empty() {
@@ -218,7 +218,7 @@
     let mut why = why.to_owned();
     let last = passed.last?;
     loop {
-        if job.route.repeat != Repeat::Resume || !tries::may_repeat(job, tries, false) {
+        if job.route.retry != Retry::Resume || !tries::may_repeat(job, tries, false) {
             return None;
         }
         tries.failure = Some(Failure { upstream: from, why });
--- a/daemon/src/fleet/gate.rs
+++ b/daemon/src/fleet/gate.rs
@@ -140,8 +140,8 @@
 /// The time that a long prompt needs from its placement to the end of its answer, if that is no longer than usual. A
 /// caller's guess is often far too long, and a prompt that was refused for it finds engines free.
 fn last_start<D: Dialect>(job: &Job<D>, engine: &Engine, read_ms: f64) -> Duration {
-    let expected = job.terms.expected_answer.unwrap_or(engine.usual_answer);
-    let answer = expected.min(engine.usual_answer);
+    let expected = job.terms.expected_answer.unwrap_or(engine.mean_answer);
+    let answer = expected.min(engine.mean_answer);
     let passes = answer.0 as f64 / f64::from(engine.stride.max(1));
     let pass_ms = forecast::pass_ms(engine, USUAL_WRITERS, engine.memory.0 / 2);
     Duration::from_secs_f64((read_ms / USUAL_PARTS + passes * pass_ms * PREFILL_SLOWDOWN) / 1e3)
--- a/daemon/src/fleet/job.rs
+++ b/daemon/src/fleet/job.rs
@@ -13,7 +13,7 @@
 use foldlock_request::ring::Entry;
 use foldlock_request::tag::Tag;
 use foldlock_request::terms::Terms;
-use foldlock_version::routes::{Organisation, Repeat, Route, Service};
+use foldlock_version::routes::{Organisation, Retry, Route, Service};
 
 use crate::fleet::process::Process;
 
@@ -70,7 +70,7 @@
 
     /// Whether it may be sent to another upstream after one that may have run it.
     pub fn repeatable(&self) -> bool {
-        self.route.repeat != Repeat::Never
+        self.route.retry != Retry::Never
     }
 
     /// The longest pause with which a stream is in time; none for whole answers.
@@ -80,16 +80,16 @@
 
     /// Memory for prompt and answer. A caller who tells no limit gets what answers usually take.
     fn memory(&self) -> Tokens {
-        let usual = self.service.engine.as_ref().map_or(Tokens(0), |engine| engine.usual_answer);
+        let usual = self.service.engine.as_ref().map_or(Tokens(0), |engine| engine.mean_answer);
         let most = if self.terms.max_answer.0 > 0 { self.terms.max_answer } else { usual };
         self.terms.prompt + most
     }
 
     /// How long a connection may have rested that is to take the request.
     pub fn most_rest(&self) -> Duration {
-        match self.route.repeat {
-            Repeat::Never => FRESH_REST,
-            Repeat::Safe | Repeat::Resume => Duration::MAX,
+        match self.route.retry {
+            Retry::Never => FRESH_REST,
+            Retry::Safe | Retry::Resume => Duration::MAX,
         }
     }
 
--- a/request/src/forecast.rs
+++ b/request/src/forecast.rs
@@ -6,7 +6,7 @@
 
 use foldlock_version::routes::Engine;
 
-/// Pairs in a million, the unit of [`Engine::pairs_ms`].
+/// Pairs in a million, the unit of [`Engine::ms_per_million_pairs`].
 const MILLION: f64 = 1e6;
 
 /// Tokens in a thousand, the unit of [`Engine::per_context_ms`].
@@ -17,7 +17,7 @@
 pub fn prefill_ms(engine: &Engine, tokens: u64) -> f64 {
     let tokens = tokens as f64;
     let pairs = tokens * tokens / 2.0;
-    tokens / engine.read_per_ms + pairs / MILLION * engine.pairs_ms
+    tokens / engine.prefill_tokens_per_ms + pairs / MILLION * engine.ms_per_million_pairs
 }
 
 /// Milliseconds of the decode steps of one pass with `decoding` requests that together hold
--- a/request/src/placement.rs
+++ b/request/src/placement.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 use foldlock_base::prelude::*;
-use foldlock_version::routes::{Engine, Route, Service, Shape};
+use foldlock_version::routes::{Delivery, Engine, Route, Service};
 use serde::{Deserialize, Serialize};
 
 use crate::budget::{Charge, Exhausted};
@@ -116,9 +116,9 @@
 /// The longest acceptable pause between events of a route's streams; none for responses that are
 /// sent whole.
 pub fn pause(route: &Route) -> Option<Duration> {
-    match route.shape {
-        Shape::Events { pause } => Some(pause),
-        Shape::Whole => None,
+    match route.delivery {
+        Delivery::Streaming { max_pause: pause } => Some(pause),
+        Delivery::Complete => None,
     }
 }
 
--- a/request/tests/line.rs
+++ b/request/tests/line.rs
@@ -20,11 +20,11 @@
     step_ms: 1.31,
     per_request_ms: 0.000_917,
     per_context_ms: 0.002_13,
-    read_per_ms: 154.0,
-    pairs_ms: 0.162,
+    prefill_tokens_per_ms: 154.0,
+    ms_per_million_pairs: 0.162,
     stride: 34,
     chunk: 2_048,
-    usual_answer: Tokens(1_266),
+    mean_answer: Tokens(1_266),
 };
 
 const TEN: Capacity = Capacity { engines: 10.0, max_per_prompt: 10.0, busy_ms: 0.0 };
--- a/request/tests/patterns/simulation.rs
+++ b/request/tests/patterns/simulation.rs
@@ -202,7 +202,7 @@
         let kind = &request.kind;
         Requirements {
             prompt: Tokens(request.tokens),
-            memory: Tokens(request.tokens + self.figures.usual_answer.0),
+            memory: Tokens(request.tokens + self.figures.mean_answer.0),
             objective: Duration::from_millis(kind.objective_ms),
             pause: Some(Duration::from_millis(kind.pause_ms)),
             arrived: request.arrival,
--- a/request/tests/scheduler.rs
+++ b/request/tests/scheduler.rs
@@ -22,11 +22,11 @@
     step_ms: 1.02,
     per_request_ms: 0.00226,
     per_context_ms: 0.00431,
-    read_per_ms: 206.0,
-    pairs_ms: 0.138,
+    prefill_tokens_per_ms: 206.0,
+    ms_per_million_pairs: 0.138,
     stride: 68,
     chunk: 2_048,
-    usual_answer: Tokens(1_500),
+    mean_answer: Tokens(1_500),
 };
 
 fn table() -> Table {
--- a/version/src/routes.rs
+++ b/version/src/routes.rs
@@ -12,7 +12,7 @@
 
 /// What may be done with a request of a route when an attempt has failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Retry {
     /// It may run any number of times.
     Safe,
     /// It runs at most once for each request of a caller.
@@ -23,13 +23,13 @@
 
 /// How a route's answers are shaped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Shape {
+pub enum Delivery {
     /// One body.
-    Whole,
+    Complete,
     /// A stream of events.
-    Events {
+    Streaming {
         /// The longest pause between two events with which an answer is still in time.
-        pause: Duration,
+        max_pause: Duration,
     },
 }
 
@@ -52,9 +52,9 @@
     /// The prefix, with a slash at both ends.
     pub prefix: String,
     /// What may be repeated.
-    pub repeat: Repeat,
+    pub retry: Retry,
     /// How answers look.
-    pub shape: Shape,
+    pub delivery: Delivery,
     /// The longest that a request may be held.
     pub timeout: Duration,
     /// The time within which an answer (a stream's first event) is wanted.
@@ -83,15 +83,15 @@
     /// Milliseconds that 1,000 tokens of context of a writing request add to a step.
     pub per_context_ms: f64,
     /// Prompt tokens read in a millisecond.
-    pub read_per_ms: f64,
+    pub prefill_tokens_per_ms: f64,
     /// Milliseconds for a million pairs of a token and an earlier one.
-    pub pairs_ms: f64,
+    pub ms_per_million_pairs: f64,
     /// Steps in one pass while some request writes.
     pub stride: u32,
     /// Prompt tokens that one step reads at most.
     pub chunk: u32,
     /// The mean answer, in tokens.
-    pub usual_answer: Tokens,
+    pub mean_answer: Tokens,
 }
 
 /// A service: the upstreams that run the same program.
@@ -134,7 +134,7 @@
 pub struct Table {
     number: u64,
     bounds: Bounds,
-    keyed: bool,
+    requires_key: bool,
     hosts: HashMap<String, Vec<Arc<Route>>>,
     services: HashMap<String, Arc<Service>>,
     organisations: Vec<Arc<Organisation>>,
@@ -147,7 +147,7 @@
         Builder(Table {
             number,
             bounds,
-            keyed: false,
+            requires_key: false,
             hosts: HashMap::new(),
             services: HashMap::new(),
             organisations: Vec::new(),
@@ -191,8 +191,8 @@
     }
 
     /// Whether requests need a key, except on public routes.
-    pub fn keyed(&self) -> bool {
-        self.keyed
+    pub fn requires_key(&self) -> bool {
+        self.requires_key
     }
 
     /// The organisation that holds a key.
@@ -227,7 +227,7 @@
         let index = self.0.organisations.len();
         self.0.keys.extend(keys.into_iter().map(|key| (key, index)));
         self.0.organisations.push(Arc::new(organisation));
-        self.0.keyed = true;
+        self.0.requires_key = true;
         self
     }
 
--- a/version/tests/routes.rs
+++ b/version/tests/routes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use foldlock_version::routes::{
-    Bounds, Builder, Organisation, Repeat, Route, Service, Shape, Table, Target,
+    Bounds, Builder, Delivery, Organisation, Retry, Route, Service, Table, Target,
 };
 use proptest::prelude::*;
 
@@ -21,8 +21,8 @@
         name: format!("{host}{prefix}"),
         host: host.to_owned(),
         prefix: prefix.to_owned(),
-        repeat: Repeat::Safe,
-        shape: Shape::Whole,
+        retry: Retry::Safe,
+        delivery: Delivery::Complete,
         timeout: Duration::from_secs(2),
         objective: Duration::from_millis(300),
         priority: 1,
@@ -70,12 +70,12 @@
 
 #[test]
 fn keys_are_needed_once_there_is_an_organisation() {
-    assert!(!builder().build().keyed());
+    assert!(!builder().build().requires_key());
     let table = builder()
         .organisation(organisation("one"), ["k1".to_owned(), "k2".to_owned()])
         .organisation(organisation("two"), ["k3".to_owned()])
         .build();
-    assert!(table.keyed());
+    assert!(table.requires_key());
     let name = |key: &str| table.organisation(key).map(|o| o.name.clone());
     assert_eq!(name("k2").as_deref(), Some("one"));
     assert_eq!(name("k3").as_deref(), Some("two"));
@@ -85,7 +85,7 @@
 #[test]
 fn an_organisation_without_keys_still_asks_for_them() {
     let table = builder().organisation(organisation("one"), []).build();
-    assert!(table.keyed());
+    assert!(table.requires_key());
     assert!(table.organisation("").is_none());
 }
 
