--- a/version/src/head.rs
+++ b/version/src/head.rs
@@ -11,7 +11,7 @@
 pub const KEY: &str = "settings/head";
 
 /// How many changes the head's tail holds. A writer whose answer was lost finds its change there.
-pub const TAIL_LEN: usize = 64;
+pub const MAX_TAIL_LEN: usize = 64;
 
 /// The content hash of a branch's text.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -58,10 +58,10 @@
     /// The head after a change that leads to `branches`.
     pub fn next(&self, id: &str, author: &str, branches: BTreeMap<Name, Hash>) -> Head {
         let version = self.version + 1;
-        let changed = differing(&self.branches, &branches);
+        let changed = changed_branches(&self.branches, &branches);
         let change =
             Change { version, id: id.to_owned(), author: author.to_owned(), branches: changed };
-        let keep = self.tail.len().saturating_sub(TAIL_LEN - 1);
+        let keep = self.tail.len().saturating_sub(MAX_TAIL_LEN - 1);
         let tail = self.tail[keep..].iter().cloned().chain([change]).collect();
         Head { version, branches, tail }
     }
@@ -82,7 +82,7 @@
 }
 
 /// The branches that differ between two versions.
-pub fn differing(a: &BTreeMap<Name, Hash>, b: &BTreeMap<Name, Hash>) -> Vec<Name> {
+pub fn changed_branches(a: &BTreeMap<Name, Hash>, b: &BTreeMap<Name, Hash>) -> Vec<Name> {
     let mut names: Vec<Name> = a.keys().chain(b.keys()).cloned().collect();
     names.sort();
     names.dedup();
--- a/version/src/publish.rs
+++ b/version/src/publish.rs
@@ -136,7 +136,7 @@
     pub async fn run(&self, base: &Base, texts: &Texts) -> Result<Outcome, Refusal> {
         let wanted: BTreeMap<Name, Hash> =
             texts.iter().map(|(n, t)| (n.clone(), Hash::of(t))).collect();
-        let touched = head::differing(&base.branches, &wanted);
+        let touched = head::changed_branches(&base.branches, &wanted);
         let mut doubtful = None;
         for _ in 0..ATTEMPTS {
             let (head, revision) = match read_head(self.store).await {
@@ -198,7 +198,7 @@
         merged: &BTreeMap<Name, Hash>,
         texts: &Texts,
     ) -> Result<(), Refusal> {
-        for name in head::differing(&head.branches, merged) {
+        for name in head::changed_branches(&head.branches, merged) {
             let (Some(hash), Some(text)) = (merged.get(&name), texts.get(&name)) else { continue };
             match self.write_text(hash, text).await {
                 Ok(_) | Err(Failure::Conflict) => {}
--- a/version/tests/head.rs
+++ b/version/tests/head.rs
@@ -132,7 +132,7 @@
             head = head.next(&format!("c{i}"), "a", branches);
         }
         prop_assert_eq!(head.version, u64::from(changes));
-        prop_assert!(head.tail.len() <= head::TAIL_LEN);
+        prop_assert!(head.tail.len() <= head::MAX_TAIL_LEN);
         prop_assert_eq!(head.tail.last().unwrap().version, head.version);
     }
 }
