--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use foldlock_version::check::Fault;
-use foldlock_version::publish::Refusal;
+use foldlock_version::publish::Rejection;
 use foldlock_version::store::Failure;
 
 /// Why a command failed.
@@ -17,7 +17,7 @@
     /// The settings have faults.
     Faults(Vec<Fault>),
     /// The change was not accepted.
-    Refused(Refusal),
+    Refused(Rejection),
     /// The key-value service.
     Store(Failure),
     /// A VM does not answer, or not as it should.
@@ -32,8 +32,8 @@
         ExitCode::from(match self {
             Error::File(..) | Error::Store(_) | Error::Vm(_) => 1,
             Error::Usage(_) => 2,
-            Error::Faults(_) | Error::Refused(Refusal::Faults(_)) => 3,
-            Error::Refused(Refusal::Raced(_)) => 4,
+            Error::Faults(_) | Error::Refused(Rejection::Invalid(_)) => 3,
+            Error::Refused(Rejection::Conflict(_)) => 4,
             Error::Refused(_) => 1,
             Error::NotFound(_) => 5,
         })
--- a/daemon/tests/settings.rs
+++ b/daemon/tests/settings.rs
@@ -6,7 +6,7 @@
 
 use common::{ask, plan, prompt, send};
 use foldlock_version::branch::Name;
-use foldlock_version::publish::{Base, Refusal, read_head};
+use foldlock_version::publish::{Base, Rejection, read_head};
 use foldlock_version::tree::Texts;
 use nix::sys::signal::Signal;
 use standin::fleet::{Fleet, Plan, wait_for};
@@ -63,7 +63,7 @@
         (Err(refusal), Ok(version)) => (("ben", version), refusal),
         other => panic!("one wins: {other:?}"),
     };
-    let Refusal::Raced(changes) = lost else { panic!("told of the race: {lost:?}") };
+    let Rejection::Conflict(changes) = lost else { panic!("told of the race: {lost:?}") };
     assert_eq!(changes.len(), 1);
     assert_eq!((changes[0].author.as_str(), changes[0].version), won);
     assert_eq!(changes[0].branches, [Name::Organisation("org-0".parse().unwrap())]);
--- a/standin/src/fleet.rs
+++ b/standin/src/fleet.rs
@@ -12,7 +12,7 @@
 use foldlock_connection::kv::HttpStore;
 use foldlock_connection::vms::{Listed, Listing};
 use foldlock_version::branch::Name;
-use foldlock_version::publish::{Base, Outcome, Publish, Refusal, read_head};
+use foldlock_version::publish::{Base, Outcome, Publish, Rejection, read_head};
 use foldlock_version::tree::{Texts, hash_of_key};
 use hyper::Request;
 use nix::sys::signal::{Signal, kill};
@@ -269,9 +269,9 @@
     }
 
     /// Applies settings on top of the accepted ones.
-    pub async fn publish(&self, author: &str, texts: &Texts) -> Result<u64, Refusal> {
+    pub async fn publish(&self, author: &str, texts: &Texts) -> Result<u64, Rejection> {
         let store = self.store();
-        let (head, _) = read_head(&store).await.map_err(Refusal::Store)?;
+        let (head, _) = read_head(&store).await.map_err(Rejection::Store)?;
         self.publish_from(author, &Base::from(&head), texts).await
     }
 
@@ -281,7 +281,7 @@
         author: &str,
         base: &Base,
         texts: &Texts,
-    ) -> Result<u64, Refusal> {
+    ) -> Result<u64, Rejection> {
         let store = self.store();
         let id = format!("{author}-{:x}", rand::random::<u64>());
         let publish = Publish { store: &store, id, author: author.to_owned() };
--- a/version/src/publish.rs
+++ b/version/src/publish.rs
@@ -15,11 +15,11 @@
 use crate::tree::{Texts, Tree};
 
 /// How often a swap is tried again after an unrelated change or a lost answer.
-const ATTEMPTS: usize = 16;
+const MAX_ATTEMPTS: usize = 16;
 
 /// How long a write that was over the store's rate is waited after, and how often at most.
-const PACE: Duration = Duration::from_millis(100);
-const PACED: usize = 100;
+const RATE_LIMIT_WAIT: Duration = Duration::from_millis(100);
+const MAX_RATE_LIMIT_WAITS: usize = 100;
 
 /// The version that an operator's edit began from.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -47,42 +47,42 @@
 
 /// Why a change was not accepted. Nothing of it is in force.
 #[derive(Debug)]
-pub enum Refusal {
+pub enum Rejection {
     /// The settings have faults.
-    Faults(Vec<Fault>),
+    Invalid(Vec<Fault>),
     /// Another change to the same branches came first.
-    Raced(Vec<Change>),
+    Conflict(Vec<Change>),
     /// The store does not answer; the change was not begun.
     Store(Failure),
     /// The store stopped answering before it was known whether the change is accepted.
-    Unsettled(Failure),
+    Unconfirmed(Failure),
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refusal::Faults(faults) => {
+            Rejection::Invalid(faults) => {
                 for fault in faults {
                     writeln!(f, "{fault}")?;
                 }
                 write!(f, "{} fault(s); nothing was changed", faults.len())
             }
-            Refusal::Raced(changes) => {
+            Rejection::Conflict(changes) => {
                 for c in changes {
                     let names: Vec<String> = c.branches.iter().map(Name::to_string).collect();
                     writeln!(f, "version {} by {}: {}", c.version, c.author, names.join(", "))?;
                 }
                 write!(f, "the branches above changed since your version; fetch, then apply again")
             }
-            Refusal::Store(e) => write!(f, "{e}; nothing was changed"),
-            Refusal::Unsettled(e) => {
+            Rejection::Store(e) => write!(f, "{e}; nothing was changed"),
+            Rejection::Unconfirmed(e) => {
                 write!(f, "{e}; whether the change was accepted is not known: see `status`")
             }
         }
     }
 }
 
-impl std::error::Error for Refusal {}
+impl std::error::Error for Rejection {}
 
 /// Reads the head with its revision; an empty head at revision 0 where there is none.
 pub async fn read_head<S: Store>(store: &S) -> Result<(Head, u64), Failure> {
@@ -133,16 +133,16 @@
 impl<S: Store> Publish<'_, S> {
     /// Leads from `base` to `texts`. Branches that others changed meanwhile and this change does
     /// not touch are kept; the whole is checked before it is accepted.
-    pub async fn run(&self, base: &Base, texts: &Texts) -> Result<Outcome, Refusal> {
+    pub async fn run(&self, base: &Base, texts: &Texts) -> Result<Outcome, Rejection> {
         let wanted: BTreeMap<Name, Hash> =
             texts.iter().map(|(n, t)| (n.clone(), Hash::of(t))).collect();
         let touched = head::changed_branches(&base.branches, &wanted);
-        let mut doubtful = None;
-        for _ in 0..ATTEMPTS {
+        let mut unconfirmed = None;
+        for _ in 0..MAX_ATTEMPTS {
             let (head, revision) = match read_head(self.store).await {
                 Ok(read) => read,
-                Err(e) if doubtful.is_some() => return Err(Refusal::Unsettled(e)),
-                Err(e) => return Err(Refusal::Store(e)),
+                Err(e) if unconfirmed.is_some() => return Err(Rejection::Unconfirmed(e)),
+                Err(e) => return Err(Rejection::Store(e)),
             };
             if head.change(&self.id).is_some() {
                 return Ok(Outcome::Accepted(head));
@@ -158,11 +158,11 @@
             match self.store.swap(head::KEY, revision, value).await {
                 Ok(_) => return Ok(Outcome::Accepted(next)),
                 Err(Failure::Conflict) => {}
-                Err(e) => doubtful = Some(e),
+                Err(e) => unconfirmed = Some(e),
             }
         }
-        let last = doubtful.unwrap_or(Failure::Conflict);
-        Err(Refusal::Unsettled(last))
+        let last = unconfirmed.unwrap_or(Failure::Conflict);
+        Err(Rejection::Unconfirmed(last))
     }
 
     /// Checks the merged whole.
@@ -171,22 +171,22 @@
         head: &Head,
         merged: &BTreeMap<Name, Hash>,
         texts: &Texts,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), Rejection> {
         let own = texts.values().map(|t| (Hash::of(t), t.clone())).collect();
         let whole = Head { branches: merged.clone(), ..head.clone() };
-        let whole = read_texts(self.store, &whole, &own).await.map_err(Refusal::Store)?;
-        Tree::build(&whole).map(|_| ()).map_err(Refusal::Faults)
+        let whole = read_texts(self.store, &whole, &own).await.map_err(Rejection::Store)?;
+        Tree::build(&whole).map(|_| ()).map_err(Rejection::Invalid)
     }
 
     /// Writes one text, as fast as the store's rate allows.
     async fn write_text(&self, hash: &Hash, text: &str) -> Result<u64, Failure> {
         let mut result = Err(Failure::RateLimited);
-        for _ in 0..PACED {
+        for _ in 0..MAX_RATE_LIMIT_WAITS {
             result = self.store.swap(&hash.key(), 0, text.as_bytes().to_vec()).await;
             if result != Err(Failure::RateLimited) {
                 break;
             }
-            tokio::time::sleep(PACE).await;
+            tokio::time::sleep(RATE_LIMIT_WAIT).await;
         }
         result
     }
@@ -197,15 +197,15 @@
         head: &Head,
         merged: &BTreeMap<Name, Hash>,
         texts: &Texts,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), Rejection> {
         for name in head::changed_branches(&head.branches, merged) {
             let (Some(hash), Some(text)) = (merged.get(&name), texts.get(&name)) else { continue };
             match self.write_text(hash, text).await {
                 Ok(_) | Err(Failure::Conflict) => {}
                 Err(Failure::Unavailable(_)) => {
-                    read_text(self.store, hash).await.map_err(Refusal::Store)?;
+                    read_text(self.store, hash).await.map_err(Rejection::Store)?;
                 }
-                Err(e) => return Err(Refusal::Store(e)),
+                Err(e) => return Err(Rejection::Store(e)),
             }
         }
         Ok(())
@@ -218,15 +218,15 @@
     head: &Head,
     wanted: &BTreeMap<Name, Hash>,
     touched: &[Name],
-) -> Result<BTreeMap<Name, Hash>, Refusal> {
+) -> Result<BTreeMap<Name, Hash>, Rejection> {
     let mut merged = head.branches.clone();
-    let mut raced: Vec<Change> = Vec::new();
+    let mut conflicts: Vec<Change> = Vec::new();
     for name in touched {
         let current = head.branches.get(name);
         if current != base.branches.get(name) && current != wanted.get(name) {
-            raced.extend(head.since(base.version, name).cloned());
-            if raced.is_empty() {
-                raced.push(forgotten(head, name));
+            conflicts.extend(head.since(base.version, name).cloned());
+            if conflicts.is_empty() {
+                conflicts.push(unlisted_change(head, name));
             }
         }
         match wanted.get(name) {
@@ -234,12 +234,12 @@
             None => merged.remove(name),
         };
     }
-    raced.dedup();
-    if raced.is_empty() { Ok(merged) } else { Err(Refusal::Raced(raced)) }
+    conflicts.dedup();
+    if conflicts.is_empty() { Ok(merged) } else { Err(Rejection::Conflict(conflicts)) }
 }
 
 /// Stands for a change that is older than the head's tail.
-fn forgotten(head: &Head, name: &Name) -> Change {
+fn unlisted_change(head: &Head, name: &Name) -> Change {
     Change {
         version: head.version,
         id: String::new(),
--- a/version/tests/head.rs
+++ b/version/tests/head.rs
@@ -6,7 +6,7 @@
 
 use foldlock_version::branch::Name;
 use foldlock_version::head::{self, Hash, Head};
-use foldlock_version::publish::{Base, Outcome, Publish, Refusal, read_head};
+use foldlock_version::publish::{Base, Outcome, Publish, Rejection, read_head};
 use foldlock_version::store::{Entry, Failure, Store};
 use foldlock_version::tree::Texts;
 use proptest::prelude::*;
@@ -107,7 +107,7 @@
                 match result {
                     Ok(Outcome::Accepted(_)) => *won.entry(*branch).or_default() += 1,
                     Ok(Outcome::Unchanged(_)) => panic!("each change differs"),
-                    Err(Refusal::Raced(changes)) => assert!(!changes.is_empty()),
+                    Err(Rejection::Conflict(changes)) => assert!(!changes.is_empty()),
                     Err(e) => panic!("{e}"),
                 }
             }
