--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -132,9 +132,9 @@
 fn read_file(path: &Path) -> Result<File, Invalid> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| Invalid::File(name.clone(), e))?;
-    let source = Source::parse(&text).map_err(|broken| {
-        let place = format!("{name}:{}:{}", broken.place.line, broken.place.column);
-        Invalid::Text(place, broken.why)
+    let source = Source::parse(&text).map_err(|failure| {
+        let place = format!("{name}:{}:{}", failure.position.line, failure.position.column);
+        Invalid::Text(place, failure.reason)
     })?;
     serde_json::from_value(source.value()).map_err(|e| Invalid::Text(name, e.to_string()))
 }
--- a/version/src/check.rs
+++ b/version/src/check.rs
@@ -10,13 +10,13 @@
 
 use crate::branch::Name;
 use crate::schema;
-use crate::source::{Place, Source};
+use crate::source::{Position, Source};
 
 /// A name at most this many edits away is offered as the one that was meant.
-const NEAREST_DISTANCE: usize = 3;
+const MAX_SUGGESTION_DISTANCE: usize = 3;
 
 /// The longest value that is quoted in a fault, characters.
-const QUOTED_LEN: usize = 60;
+const MAX_QUOTED_CHARS: usize = 60;
 
 /// One fault of a source.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -24,24 +24,24 @@
     /// The branch.
     pub branch: Name,
     /// The place in its source.
-    pub place: Place,
+    pub position: Position,
     /// The path of names to the value.
     pub path: Vec<String>,
     /// The value.
     pub value: String,
     /// What is wrong and what is allowed.
-    pub why: String,
+    pub reason: String,
     /// The known name that was perhaps meant.
     pub nearest: Option<String>,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}:{}: ", self.branch.path(), self.place.line, self.place.column)?;
+        write!(f, "{}:{}:{}: ", self.branch.path(), self.position.line, self.position.column)?;
         if !self.path.is_empty() {
             write!(f, "{}: ", self.path.join("."))?;
         }
-        f.write_str(&self.why)?;
+        f.write_str(&self.reason)?;
         match &self.nearest {
             Some(name) => write!(f, "; did you mean `{name}`?"),
             None => Ok(()),
@@ -54,7 +54,7 @@
     known
         .into_iter()
         .map(|k| (strsim::damerau_levenshtein(name, k), k))
-        .filter(|(distance, _)| *distance <= NEAREST_DISTANCE)
+        .filter(|(distance, _)| *distance <= MAX_SUGGESTION_DISTANCE)
         .min()
         .map(|(_, k)| k.to_owned())
 }
@@ -62,10 +62,10 @@
 /// A value as text, cut to a length that a line can show.
 pub fn quote(value: &Value) -> String {
     let text = value.to_string();
-    if text.chars().count() <= QUOTED_LEN {
+    if text.chars().count() <= MAX_QUOTED_CHARS {
         return text;
     }
-    text.chars().take(QUOTED_LEN).chain("…".chars()).collect()
+    text.chars().take(MAX_QUOTED_CHARS).chain("…".chars()).collect()
 }
 
 /// A compiled schema with its source, in which known names are looked up.
@@ -82,7 +82,7 @@
     }
 
     /// The property names that are known at an instance path.
-    fn known(&self, path: &[String]) -> Vec<&str> {
+    fn property_names(&self, path: &[String]) -> Vec<&str> {
         let mut at = &self.value;
         for step in path {
             at = self.resolve(at);
@@ -123,16 +123,16 @@
     let value = source.value();
     let mut faults = Vec::new();
     for error in schema.validator.iter_errors(&value) {
-        let path = steps(&error.instance_path.to_string());
+        let path = pointer_segments(&error.instance_path.to_string());
         match &error.kind {
             ValidationErrorKind::AdditionalProperties { unexpected } => {
                 for name in unexpected {
-                    faults.push(unknown(branch, source, schema, &path, name));
+                    faults.push(unknown_name(branch, source, schema, &path, name));
                 }
             }
             kind => faults.push(Fault {
                 branch: branch.clone(),
-                place: source.place(&path),
+                position: source.position(&path),
                 nearest: match kind {
                     ValidationErrorKind::Enum { options } => {
                         nearest_option(&error.instance, options)
@@ -141,30 +141,30 @@
                 },
                 path,
                 value: quote(&error.instance),
-                why: error.to_string(),
+                reason: error.to_string(),
             }),
         }
     }
-    faults.sort_by_key(|f| f.place);
+    faults.sort_by_key(|f| f.position);
     faults
 }
 
-fn unknown(
+fn unknown_name(
     branch: &Name,
     source: &Source<'_>,
     schema: &Schema,
     path: &[String],
     name: &str,
 ) -> Fault {
-    let known = schema.known(path);
+    let known = schema.property_names(path);
     let mut inner = path.to_vec();
     inner.push(name.to_owned());
     Fault {
         branch: branch.clone(),
-        place: source.place(&inner),
+        position: source.position(&inner),
         path: inner,
         value: name.to_owned(),
-        why: format!("unknown name `{name}`; known here: {}", known.join(", ")),
+        reason: format!("unknown name `{name}`; known here: {}", known.join(", ")),
         nearest: nearest(name, known),
     }
 }
@@ -175,6 +175,6 @@
 }
 
 /// The names and indexes of a JSON pointer.
-fn steps(pointer: &str) -> Vec<String> {
+fn pointer_segments(pointer: &str) -> Vec<String> {
     pointer.split('/').skip(1).map(|s| s.replace("~1", "/").replace("~0", "~")).collect()
 }
--- a/version/src/source.rs
+++ b/version/src/source.rs
@@ -7,30 +7,30 @@
 
 /// A place in a source, counted from 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct Position {
     /// The line.
     pub line: usize,
     /// The column, in characters.
     pub column: usize,
 }
 
-impl Place {
+impl Position {
     /// The place of a byte offset.
-    pub fn of(text: &str, offset: usize) -> Place {
+    pub fn of(text: &str, offset: usize) -> Position {
         let before = text.get(..offset).unwrap_or(text);
         let line = before.matches('\n').count() + 1;
         let start = before.rfind('\n').map_or(0, |newline| newline + 1);
-        Place { line, column: before[start..].chars().count() + 1 }
+        Position { line, column: before[start..].chars().count() + 1 }
     }
 }
 
 /// A text that is not JSON with comments.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Broken {
+pub struct Failure {
     /// Where it breaks.
-    pub place: Place,
+    pub position: Position,
     /// Why.
-    pub why: String,
+    pub reason: String,
 }
 
 /// Strict JSON, but for comments and trailing commas.
@@ -48,18 +48,19 @@
 
 impl<'a> Source<'a> {
     /// Parses a text.
-    pub fn parse(text: &'a str) -> Result<Source<'a>, Broken> {
-        let parsed =
-            jsonc_parser::parse_to_ast(text, &CollectOptions::default(), &OPTIONS).map_err(
-                |e| Broken { place: Place::of(text, e.range().start), why: e.kind().to_string() },
-            )?;
-        let root = parsed.value.ok_or(Broken {
-            place: Place { line: 1, column: 1 },
-            why: "the source is empty".to_owned(),
+    pub fn parse(text: &'a str) -> Result<Source<'a>, Failure> {
+        let parsed = jsonc_parser::parse_to_ast(text, &CollectOptions::default(), &OPTIONS)
+            .map_err(|e| Failure {
+                position: Position::of(text, e.range().start),
+                reason: e.kind().to_string(),
+            })?;
+        let root = parsed.value.ok_or(Failure {
+            position: Position { line: 1, column: 1 },
+            reason: "the source is empty".to_owned(),
         })?;
-        if let Some((offset, name)) = duplicate(&root) {
-            let why = format!("{name:?} stands twice in the same object");
-            return Err(Broken { place: Place::of(text, offset), why });
+        if let Some((offset, name)) = find_duplicate_name(&root) {
+            let reason = format!("{name:?} stands twice in the same object");
+            return Err(Failure { position: Position::of(text, offset), reason });
         }
         Ok(Source { text, root })
     }
@@ -70,7 +71,7 @@
     }
 
     /// The place of the value at a path of names and indexes, or of the nearest one around it.
-    pub fn place(&self, path: &[String]) -> Place {
+    pub fn position(&self, path: &[String]) -> Position {
         let mut value = &self.root;
         let mut offset = value.range().start;
         for step in path {
@@ -91,12 +92,12 @@
             offset = start;
             value = inner;
         }
-        Place::of(self.text, offset)
+        Position::of(self.text, offset)
     }
 }
 
 /// The first name that stands twice in one object, with its offset.
-fn duplicate(value: &ast::Value<'_>) -> Option<(usize, String)> {
+fn find_duplicate_name(value: &ast::Value<'_>) -> Option<(usize, String)> {
     match value {
         ast::Value::Object(object) => {
             let mut seen = std::collections::HashSet::new();
@@ -104,10 +105,10 @@
                 if !seen.insert(p.name.as_str()) {
                     return Some((p.range.start, p.name.as_str().to_owned()));
                 }
-                duplicate(&p.value)
+                find_duplicate_name(&p.value)
             })
         }
-        ast::Value::Array(array) => array.elements.iter().find_map(duplicate),
+        ast::Value::Array(array) => array.elements.iter().find_map(find_duplicate_name),
         _ => None,
     }
 }
--- a/version/src/tree.rs
+++ b/version/src/tree.rs
@@ -12,7 +12,7 @@
 use crate::check::{self, Fault};
 use crate::policy::Policy;
 use crate::schema;
-use crate::source::{Place, Source};
+use crate::source::{Position, Source};
 
 /// Where an effective value comes from.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -117,7 +117,7 @@
     [hash[0], hash[1], hash[2], hash[3]]
 }
 
-fn unhex(text: &str) -> Vec<u8> {
+fn decode_hex(text: &str) -> Vec<u8> {
     (0..text.len() / 2)
         .filter_map(|i| u8::from_str_radix(text.get(2 * i..2 * i + 2)?, 16).ok())
         .collect()
@@ -137,7 +137,7 @@
             self.parse(name, text, &mut sources);
         }
         if !texts.contains_key(&Name::Fleet) {
-            self.missing_fleet();
+            self.add_missing_fleet_fault();
         }
         if !self.faults.is_empty() {
             return Err(self.faults);
@@ -159,24 +159,24 @@
                 self.faults.extend(check::source(name, &source));
                 sources.insert(name.clone(), source);
             }
-            Err(broken) => self.faults.push(Fault {
+            Err(failure) => self.faults.push(Fault {
                 branch: name.clone(),
-                place: broken.place,
+                position: failure.position,
                 path: Vec::new(),
                 value: String::new(),
-                why: broken.why,
+                reason: failure.reason,
                 nearest: None,
             }),
         }
     }
 
-    fn missing_fleet(&mut self) {
+    fn add_missing_fleet_fault(&mut self) {
         self.faults.push(Fault {
             branch: Name::Fleet,
-            place: Place { line: 1, column: 1 },
+            position: Position { line: 1, column: 1 },
             path: Vec::new(),
             value: String::new(),
-            why: "the root branch is missing".to_owned(),
+            reason: "the root branch is missing".to_owned(),
             nearest: None,
         });
     }
@@ -184,26 +184,26 @@
     fn fleet(&mut self, source: &Source<'_>) {
         let fleet: schema::Fleet = match serde_json::from_value(source.value()) {
             Ok(fleet) => fleet,
-            Err(e) => return self.fault(&Name::Fleet, source, &[], e.to_string(), None),
+            Err(e) => return self.add_fault(&Name::Fleet, source, &[], e.to_string(), None),
         };
         for (id, engine) in &fleet.engines {
             let at = ["engines", id.as_str()];
-            self.reference(source, &at, "hall", engine.hall.as_str(), &fleet.halls);
+            self.check_reference(source, &at, "hall", engine.hall.as_str(), &fleet.halls);
             for model in &engine.models {
-                self.reference(source, &at, "models", model.as_str(), &fleet.models);
+                self.check_reference(source, &at, "models", model.as_str(), &fleet.models);
             }
         }
         for (id, service) in &fleet.services {
             for (server, entry) in &service.servers {
                 let at = ["services", id.as_str(), "servers", server.as_str()];
-                self.reference(source, &at, "hall", entry.hall.as_str(), &fleet.halls);
+                self.check_reference(source, &at, "hall", entry.hall.as_str(), &fleet.halls);
             }
         }
         self.tree.fleet = fleet;
     }
 
     /// Checks that a name refers to something that is there.
-    fn reference<K: AsRef<str> + Ord, V>(
+    fn check_reference<K: AsRef<str> + Ord, V>(
         &mut self,
         source: &Source<'_>,
         at: &[&str],
@@ -217,47 +217,59 @@
         let mut path = at.to_vec();
         path.push(field);
         let names: Vec<&str> = known.keys().map(AsRef::as_ref).collect();
-        let why = format!("`{name}` is not one of: {}", names.join(", "));
+        let reason = format!("`{name}` is not one of: {}", names.join(", "));
         let nearest = check::nearest(name, names);
-        self.fault(&Name::Fleet, source, &path, why, nearest);
+        self.add_fault(&Name::Fleet, source, &path, reason, nearest);
     }
 
     fn organisation(&mut self, name: &Name, id: &id::Organisation, source: &Source<'_>) {
         let entry: schema::Organisation = match serde_json::from_value(source.value()) {
             Ok(entry) => entry,
-            Err(e) => return self.fault(name, source, &[], e.to_string(), None),
+            Err(e) => return self.add_fault(name, source, &[], e.to_string(), None),
         };
-        self.keys(name, id, source, &entry.keys);
+        self.add_keys(name, id, source, &entry.keys);
         let root = self.tree.fleet.policy.clone();
         let fleet = (Origin::Branch(Name::Fleet), &root);
         let own = (Origin::Branch(name.clone()), &entry.policy);
         let base = match resolve(&[fleet.clone(), own.clone()]) {
             Ok(base) => base,
-            Err(e) => return self.fault(name, source, &["policy"], e, None),
+            Err(e) => return self.add_fault(name, source, &["policy"], e, None),
         };
         let mut kinds = BTreeMap::new();
         for (kind, settings) in &entry.kinds {
             let leaf = (Origin::Kind(id.clone(), kind.clone()), &settings.policy);
             match resolve(&[fleet.clone(), own.clone(), leaf]) {
                 Ok(effective) => {
-                    self.totals(name, source, kind, &base.policy, &effective.policy);
+                    self.check_organisation_limits(
+                        name,
+                        source,
+                        kind,
+                        &base.policy,
+                        &effective.policy,
+                    );
                     kinds.insert(kind.clone(), effective);
                 }
-                Err(e) => self.fault(name, source, &["kinds", kind.as_str()], e, None),
+                Err(e) => self.add_fault(name, source, &["kinds", kind.as_str()], e, None),
             }
         }
         self.tree.organisations.insert(id.clone(), Organisation { base, kinds });
     }
 
-    fn keys(&mut self, name: &Name, id: &id::Organisation, source: &Source<'_>, keys: &[String]) {
+    fn add_keys(
+        &mut self,
+        name: &Name,
+        id: &id::Organisation,
+        source: &Source<'_>,
+        keys: &[String],
+    ) {
         for (i, key) in keys.iter().enumerate() {
-            let hash = unhex(key);
+            let hash = decode_hex(key);
             let bucket = self.tree.keys.entry(prefix(&hash)).or_default();
             let holder = bucket.iter().find(|(known, _)| *known == hash).map(|(_, o)| o.clone());
             match holder {
                 Some(other) => {
-                    let why = format!("the key is organisation {other}'s already");
-                    self.fault(name, source, &["keys", &i.to_string()], why, None);
+                    let reason = format!("the key is organisation {other}'s already");
+                    self.add_fault(name, source, &["keys", &i.to_string()], reason, None);
                 }
                 None => bucket.push((hash, id.clone())),
             }
@@ -265,7 +277,7 @@
     }
 
     /// A kind's limit cannot be above the limit of its organisation, which counts it too.
-    fn totals(
+    fn check_organisation_limits(
         &mut self,
         name: &Name,
         source: &Source<'_>,
@@ -280,28 +292,28 @@
         ];
         for (field, whole, part) in pairs {
             if whole != 0 && part > whole {
-                let why = format!("{part} is above the organisation's {whole}");
+                let reason = format!("{part} is above the organisation's {whole}");
                 let path = ["kinds", kind.as_str(), "policy", field];
-                self.fault(name, source, &path, why, None);
+                self.add_fault(name, source, &path, reason, None);
             }
         }
     }
 
-    fn fault(
+    fn add_fault(
         &mut self,
         branch: &Name,
         source: &Source<'_>,
         path: &[&str],
-        why: String,
+        reason: String,
         nearest: Option<String>,
     ) {
         let path: Vec<String> = path.iter().map(|s| (*s).to_owned()).collect();
         self.faults.push(Fault {
             branch: branch.clone(),
-            place: source.place(&path),
+            position: source.position(&path),
             path,
             value: String::new(),
-            why,
+            reason,
             nearest,
         });
     }
--- a/version/tests/check.rs
+++ b/version/tests/check.rs
@@ -118,7 +118,7 @@
     fn any_text(text in "\\PC*|[\\[\\]{}\":,a-z0-9 \n/*]*") {
         if let Err(faults) = Tree::build(&texts(FLEET, &text)) {
             for fault in faults {
-                prop_assert!(fault.place.line <= text.lines().count().max(1) + 1);
+                prop_assert!(fault.position.line <= text.lines().count().max(1) + 1);
             }
         }
     }
