--- a/connection/src/channel.rs
+++ b/connection/src/channel.rs
@@ -20,10 +20,10 @@
 use crate::http::chain;
 
 /// Idle connections that are kept to one upstream.
-const MOST_IDLE: usize = 8;
+const MAX_IDLE_PER_UPSTREAM: usize = 8;
 
 /// The largest head of an answer, and so the read buffer of a connection, bytes.
-const READ_BUFFER: usize = 64 << 10;
+const MAX_READ_BUFFER_BYTES: usize = 64 << 10;
 
 /// Why an attempt brought no answer.
 #[derive(Debug)]
@@ -56,12 +56,12 @@
 impl Channel {
     /// Connects to `address` within `timeout`.
     pub async fn open(address: &str, timeout: Duration) -> Result<Channel, Failure> {
-        let connected = async {
+        let connect = async {
             let stream = TcpStream::connect(address).await?;
             stream.set_nodelay(true)?;
             Ok::<_, std::io::Error>(stream)
         };
-        let stream = match tokio::time::timeout(timeout, connected).await {
+        let stream = match tokio::time::timeout(timeout, connect).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => {
                 return Err(Failure::Refused(e.to_string()));
@@ -73,7 +73,7 @@
             }
         };
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(READ_BUFFER)
+            .max_buf_size(MAX_READ_BUFFER_BYTES)
             .handshake(TokioIo::new(stream))
             .await
             .map_err(|e| Failure::Unsent(chain(&e)))?;
@@ -89,50 +89,66 @@
     ) -> Result<Response<Incoming>, Failure> {
         self.sender.try_send_request(request).await.map_err(|mut e| {
             let unsent = e.take_message().is_some();
-            let why = chain(e.error());
-            if unsent { Failure::Unsent(why) } else { Failure::Broken(why) }
+            let reason = chain(e.error());
+            if unsent { Failure::Unsent(reason) } else { Failure::Broken(reason) }
         })
     }
 
-    fn usable(&self) -> bool {
+    fn is_usable(&self) -> bool {
         self.sender.is_ready() && !self.sender.is_closed()
     }
 }
 
 impl Pool {
     /// An idle connection that has rested for less than `rest`; the one that rested least.
-    pub fn take(&self, upstream: &id::Upstream, rest: Duration, now: Instant) -> Option<Channel> {
+    pub fn take(
+        &self,
+        upstream: &id::Upstream,
+        max_idle: Duration,
+        now: Instant,
+    ) -> Option<Channel> {
         let mut idle = self.idle.lock().unwrap();
-        let kept = idle.get_mut(upstream)?;
-        kept.retain(|i| i.until > now && i.channel.usable());
-        let last = kept.pop_if(|i| now.saturating_duration_since(i.since) < rest);
-        if kept.is_empty() {
+        let connections = idle.get_mut(upstream)?;
+        connections.retain(|i| i.until > now && i.channel.is_usable());
+        let last = connections.pop_if(|i| now.saturating_duration_since(i.since) < max_idle);
+        if connections.is_empty() {
             idle.remove(upstream);
         }
         last.map(|i| i.channel)
     }
 
     /// The upstreams to which a connection is kept that rested for less than `rest`.
-    pub fn kept(&self, rest: Duration, now: Instant) -> Vec<id::Upstream> {
+    pub fn idle_upstreams(&self, max_idle: Duration, now: Instant) -> Vec<id::Upstream> {
         let idle = self.idle.lock().unwrap();
-        let serves = |i: &Idle| {
-            i.until > now && now.saturating_duration_since(i.since) < rest && i.channel.usable()
+        let is_candidate = |i: &Idle| {
+            i.until > now
+                && now.saturating_duration_since(i.since) < max_idle
+                && i.channel.is_usable()
         };
-        idle.iter().filter(|(_, kept)| kept.iter().any(serves)).map(|(id, _)| id.clone()).collect()
+        idle.iter()
+            .filter(|(_, connections)| connections.iter().any(is_candidate))
+            .map(|(id, _)| id.clone())
+            .collect()
     }
 
     /// Keeps a connection whose answer was read to its end, for `keep` at most.
-    pub fn keep(&self, upstream: &id::Upstream, channel: Channel, keep: Duration, now: Instant) {
+    pub fn put(
+        &self,
+        upstream: &id::Upstream,
+        channel: Channel,
+        idle_timeout: Duration,
+        now: Instant,
+    ) {
         let mut idle = self.idle.lock().unwrap();
-        let kept = idle.entry(upstream.clone()).or_default();
-        kept.retain(|i| i.until > now && !i.channel.sender.is_closed());
-        if kept.len() < MOST_IDLE && !channel.sender.is_closed() {
-            kept.push(Idle { channel, since: now, until: now + keep });
+        let connections = idle.entry(upstream.clone()).or_default();
+        connections.retain(|i| i.until > now && !i.channel.sender.is_closed());
+        if connections.len() < MAX_IDLE_PER_UPSTREAM && !channel.sender.is_closed() {
+            connections.push(Idle { channel, since: now, until: now + idle_timeout });
         }
     }
 
     /// Closes the idle connections to an upstream.
-    pub fn forget(&self, upstream: &id::Upstream) {
+    pub fn remove(&self, upstream: &id::Upstream) {
         self.idle.lock().unwrap().remove(upstream);
     }
 
@@ -142,10 +158,10 @@
     }
 
     /// Closes what has rested too long.
-    pub fn sweep(&self, now: Instant) {
-        self.idle.lock().unwrap().retain(|_, kept| {
-            kept.retain(|i| i.until > now && !i.channel.sender.is_closed());
-            !kept.is_empty()
+    pub fn remove_expired(&self, now: Instant) {
+        self.idle.lock().unwrap().retain(|_, connections| {
+            connections.retain(|i| i.until > now && !i.channel.sender.is_closed());
+            !connections.is_empty()
         });
     }
 
--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -309,7 +309,7 @@
     };
     let now = job.process.now();
     if declared && !rest.is_zero() {
-        job.process.pool.keep(&upstream, channel, rest, now);
+        job.process.pool.put(&upstream, channel, rest, now);
     }
     if head.status.is_server_error() {
         note(job, &upstream, Cause::ServerError);
--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -289,13 +289,13 @@
         return;
     }
     if restarted {
-        process.pool.forget(&id);
+        process.pool.remove(&id);
         change_log.add(Event::UpstreamRestarted, format!("{id}, by its entry"));
     }
     let event = if leaving { Event::UpstreamLeaving } else { Event::UpstreamListed };
     change_log.add(event, what);
     if leaving {
-        process.pool.forget(&id);
+        process.pool.remove(&id);
     }
     process.room.notify_one();
 }
@@ -354,6 +354,6 @@
     why: &str,
     change_log: &mut ChangeLog,
 ) {
-    process.pool.forget(id);
+    process.pool.remove(id);
     change_log.add(Event::UpstreamGone, format!("{id}: {why}"));
 }
--- a/daemon/src/fleet/ending.rs
+++ b/daemon/src/fleet/ending.rs
@@ -48,7 +48,7 @@
         Err(Failure::Unsent(_) | Failure::Broken(_)) => {}
         Ok(channel) => {
             job.process.metrics.connections.inc();
-            job.process.pool.keep(upstream, channel, KEPT, job.process.now());
+            job.process.pool.put(upstream, channel, KEPT, job.process.now());
         }
     }
 }
@@ -66,7 +66,7 @@
     let known = cluster.quarantine.crash_count(job.fingerprint) as u32;
     drop(cluster);
     tell::tell_scheduler(&job.process);
-    job.process.pool.forget(&upstream);
+    job.process.pool.remove(&upstream);
     job.process.metrics.ended_under.inc();
     job.record(Decision::Crashed { upstream, crashes: known, isolated: alone });
     if let Some(held) = held {
--- a/daemon/src/fleet/job.rs
+++ b/daemon/src/fleet/job.rs
@@ -98,7 +98,7 @@
         if self.service.engine.is_some() {
             return Vec::new();
         }
-        let kept = self.process.pool.kept(self.most_rest(), self.process.now());
+        let kept = self.process.pool.idle_upstreams(self.most_rest(), self.process.now());
         let cluster = self.process.cluster.lock().unwrap();
         let of_service = |id: &id::Upstream| {
             let known = cluster.get(id).filter(|u| u.listed.service == self.service.name)?;
--- a/daemon/src/fleet/notices.rs
+++ b/daemon/src/fleet/notices.rs
@@ -55,7 +55,7 @@
 pub fn leaves<D: Dialect>(process: &Process<D>, start: Tag, heard_by: &id::Vm) {
     // Unknown here, or known to leave.
     let Some(upstream) = process.cluster.lock().unwrap().mark_leaving(start) else { return };
-    process.pool.forget(&upstream);
+    process.pool.remove(&upstream);
     let what = format!("{upstream}, by its answer to {heard_by}");
     log::event(&process.log, Event::UpstreamLeaving, what);
     process.tell_all();
--- a/daemon/src/fleet/outcome.rs
+++ b/daemon/src/fleet/outcome.rs
@@ -19,7 +19,7 @@
 pub fn note<D: Dialect>(job: &Job<D>, upstream: &id::Upstream, failure: Failure) {
     tell(job, upstream, Outcome::Failed(failure));
     if failure == Failure::Unresponsive {
-        job.process.pool.forget(upstream);
+        job.process.pool.remove(upstream);
     }
 }
 
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -398,6 +398,6 @@
 pub async fn sweep<D: Dialect>(process: Arc<Process<D>>) {
     while !process.stopping.is_cancelled() {
         tokio::time::sleep(SWEEP).await;
-        process.pool.sweep(process.now());
+        process.pool.remove_expired(process.now());
     }
 }
--- a/daemon/src/fleet/reports.rs
+++ b/daemon/src/fleet/reports.rs
@@ -124,7 +124,7 @@
     if !process.cluster.lock().unwrap().observe_restart(upstream, born, process.now()) {
         return;
     }
-    process.pool.forget(upstream);
+    process.pool.remove(upstream);
     let what = format!("{upstream} at {born}, heard by {from}");
     log::event(&process.log, Event::UpstreamRestarted, what);
     process.tell_all();
--- a/daemon/src/fleet/source.rs
+++ b/daemon/src/fleet/source.rs
@@ -88,7 +88,7 @@
         let upstream = &self.flight.upstream;
         tell(job, upstream, Outcome::Answered);
         if !self.rest.is_zero() {
-            job.process.pool.keep(upstream, self.channel, self.rest, now);
+            job.process.pool.put(upstream, self.channel, self.rest, now);
         }
     }
 
