--- a/connection/src/engine.rs
+++ b/connection/src/engine.rs
@@ -32,7 +32,7 @@
     /// Milliseconds for which a stream without a reader is kept.
     pub const LINGER: &str = "x-linger-ms";
     /// The hold whose memory the request uses.
-    pub const HOLD: &str = "x-hold";
+    pub const RESERVATION: &str = "x-hold";
     /// Tokens of the segments before this one, on other engines.
     pub const CONTEXT_TOKENS: &str = "x-context-tokens";
     /// The exported state of the segments before this one.
@@ -65,14 +65,14 @@
     /// How long the engine keeps the stream once its reader is gone.
     pub linger: Duration,
     /// The hold of memory and what stands before this segment, for a prompt over several engines.
-    pub hold: Option<Held>,
+    pub segment: Option<Segment>,
 }
 
 /// A segment of a prompt that lies in a hold.
 #[derive(Debug, Clone)]
-pub struct Held {
+pub struct Segment {
     /// The hold.
-    pub hold: id::Hold,
+    pub reservation: id::Hold,
     /// The segments before this one.
     pub context: Context,
 }
@@ -139,7 +139,7 @@
 impl std::error::Error for Failure {}
 
 impl Failure {
-    fn unconnected(why: String) -> Failure {
+    fn not_connected(why: String) -> Failure {
         Failure::NotRun { proof: Refusal::not_connected(), leaving: false, why }
     }
 }
@@ -147,7 +147,7 @@
 impl From<Http> for Failure {
     fn from(failure: Http) -> Failure {
         match failure {
-            Http::Connect(why) => Failure::unconnected(why),
+            Http::Connect(why) => Failure::not_connected(why),
             Http::Broken(why) => Failure::Broken(why),
         }
     }
@@ -185,21 +185,21 @@
     fn report(&self) -> impl Future<Output = Result<Report, Failure>> + Send;
 
     /// Holds memory for a time. Asking again with the same id renews the hold.
-    fn hold(
+    fn reserve(
         &self,
-        hold: &id::Hold,
+        reservation: &id::Hold,
         tokens: Tokens,
         ttl: Duration,
     ) -> impl Future<Output = Result<(), Failure>> + Send;
 
     /// Gives a hold back.
-    fn release(&self, hold: &id::Hold) -> impl Future<Output = Result<(), Failure>> + Send;
+    fn release(&self, reservation: &id::Hold) -> impl Future<Output = Result<(), Failure>> + Send;
 
     /// Computes a segment of a prompt into a hold and exports its state.
     fn prefill(
         &self,
         job: &Job,
-        held: &Held,
+        segment: &Segment,
     ) -> impl Future<Output = Result<Context, Failure>> + Send;
 }
 
@@ -249,16 +249,16 @@
         let request = build(request, body)?;
         let answer = self.client.send(request).await?;
         if answer.status() != 200 {
-            return Err(refusal(answer).await);
+            return Err(read_failure(answer).await);
         }
-        let id = text(&answer, header::STREAM).unwrap_or_default().to_owned();
-        let cached = text(&answer, header::CACHED).and_then(|v| v.parse().ok()).unwrap_or(0);
+        let id = header_text(&answer, header::STREAM).unwrap_or_default().to_owned();
+        let cached = header_text(&answer, header::CACHED).and_then(|v| v.parse().ok()).unwrap_or(0);
         Ok(HttpStream { id, cached: Tokens(cached), body: answer.into_body() })
     }
 
     async fn call(&self, request: http::request::Builder, body: Bytes) -> Result<Bytes, Failure> {
         let answer = self.client.call(build(request, body)?, CALL_TIMEOUT).await?;
-        accepted(answer)
+        check_status(answer)
     }
 }
 
@@ -266,31 +266,31 @@
     request: http::request::Builder,
     bytes: Bytes,
 ) -> Result<Request<http_body_util::Full<Bytes>>, Failure> {
-    request.body(body(bytes)).map_err(|e| Failure::unconnected(e.to_string()))
+    request.body(body(bytes)).map_err(|e| Failure::not_connected(e.to_string()))
 }
 
-fn held(request: http::request::Builder, held: &Held) -> http::request::Builder {
+fn segment_headers(request: http::request::Builder, segment: &Segment) -> http::request::Builder {
     request
-        .header(header::HOLD, held.hold.as_str())
-        .header(header::CONTEXT_TOKENS, held.context.tokens.0)
-        .header(header::CONTEXT_STATE, held.context.state.as_str())
+        .header(header::RESERVATION, segment.reservation.as_str())
+        .header(header::CONTEXT_TOKENS, segment.context.tokens.0)
+        .header(header::CONTEXT_STATE, segment.context.state.as_str())
 }
 
-fn text<'a, B>(answer: &'a Response<B>, name: &str) -> Option<&'a str> {
+fn header_text<'a, B>(answer: &'a Response<B>, name: &str) -> Option<&'a str> {
     answer.headers().get(name)?.to_str().ok()
 }
 
 /// Reads an answer that is not a success.
-async fn refusal(answer: Response<Incoming>) -> Failure {
+async fn read_failure(answer: Response<Incoming>) -> Failure {
     let (head, body) = answer.into_parts();
     let body = body.collect().await.map(|b| b.to_bytes()).unwrap_or_default();
-    match accepted(Response::from_parts(head, body)) {
+    match check_status(Response::from_parts(head, body)) {
         Err(failure) => failure,
         Ok(_) => Failure::Broken("an unexpected status".to_owned()),
     }
 }
 
-fn accepted(answer: Response<Bytes>) -> Result<Bytes, Failure> {
+fn check_status(answer: Response<Bytes>) -> Result<Bytes, Failure> {
     let status = answer.status().as_u16();
     if status < 300 {
         return Ok(answer.into_body());
@@ -299,9 +299,9 @@
         return Err(Failure::Gone);
     }
     let why = format!("status {status}: {}", String::from_utf8_lossy(answer.body()).trim());
-    match Refusal::read(status, text(&answer, Refusal::HEADER)) {
+    match Refusal::read(status, header_text(&answer, Refusal::HEADER)) {
         Some(proof) => {
-            let leaving = text(&answer, header::LEAVING) == Some("true");
+            let leaving = header_text(&answer, header::LEAVING) == Some("true");
             Err(Failure::NotRun { proof, leaving, why })
         }
         None => Err(Failure::Broken(why)),
@@ -337,8 +337,8 @@
 
     async fn generate(&self, job: &Job) -> Result<HttpStream, Failure> {
         let mut request = self.job("/v1/generate", job);
-        if let Some(segment) = &job.hold {
-            request = held(request, segment);
+        if let Some(segment) = &job.segment {
+            request = segment_headers(request, segment);
         }
         self.stream(request, job.prompt.clone()).await
     }
@@ -358,21 +358,26 @@
         serde_json::from_slice(&bytes).map_err(|e| Failure::Broken(e.to_string()))
     }
 
-    async fn hold(&self, hold: &id::Hold, tokens: Tokens, ttl: Duration) -> Result<(), Failure> {
-        let path = format!("/v1/holds/{hold}?tokens={tokens}&ttl_ms={}", ttl.as_millis());
+    async fn reserve(
+        &self,
+        reservation: &id::Hold,
+        tokens: Tokens,
+        ttl: Duration,
+    ) -> Result<(), Failure> {
+        let path = format!("/v1/holds/{reservation}?tokens={tokens}&ttl_ms={}", ttl.as_millis());
         self.call(self.request(Method::PUT, &path), Bytes::new()).await.map(drop)
     }
 
-    async fn release(&self, hold: &id::Hold) -> Result<(), Failure> {
-        let path = format!("/v1/holds/{hold}");
+    async fn release(&self, reservation: &id::Hold) -> Result<(), Failure> {
+        let path = format!("/v1/holds/{reservation}");
         self.call(self.request(Method::DELETE, &path), Bytes::new()).await.map(drop)
     }
 
-    async fn prefill(&self, job: &Job, segment: &Held) -> Result<Context, Failure> {
-        let request = held(self.job("/v1/prefill", job), segment);
+    async fn prefill(&self, job: &Job, segment: &Segment) -> Result<Context, Failure> {
+        let request = segment_headers(self.job("/v1/prefill", job), segment);
         let request = build(request, job.prompt.clone())?;
         let answer = self.client.call(request, job.deadline).await?;
-        let bytes = accepted(answer)?;
+        let bytes = check_status(answer)?;
         serde_json::from_slice(&bytes).map_err(|e| Failure::Broken(e.to_string()))
     }
 }
--- a/daemon/src/group.rs
+++ b/daemon/src/group.rs
@@ -11,7 +11,7 @@
 use foldlock_base::clock::{Clock, System};
 use foldlock_base::prelude::*;
 use foldlock_connection::engine::{
-    Context, Engine as _, Failure, Held, HttpEngine, HttpStream, Job as Order,
+    self, Context, Engine as _, Failure, HttpEngine, HttpStream, Job as Order,
 };
 use foldlock_connection::wire::{self, Grant, Load, Segment};
 use foldlock_request::decision::Decision;
@@ -147,7 +147,7 @@
     loop {
         tokio::time::sleep(RENEW_INTERVAL).await;
         for (engine, hold) in &reservations {
-            let _ = engine.hold(hold, Tokens(0), RESERVATION_TTL).await;
+            let _ = engine.reserve(hold, Tokens(0), RESERVATION_TTL).await;
         }
     }
 }
@@ -165,7 +165,7 @@
     let last = group.segments.len() - 1;
     for (i, segment) in group.segments.iter().enumerate() {
         let hold = segment.hold.clone().ok_or(Failure::Gone)?;
-        let held = Held { hold, context: context.clone() };
+        let held = engine::Segment { reservation: hold, context: context.clone() };
         let bytes = (segment.tokens.0 * u64::from(job.bytes_per_token)) as usize;
         let end = if i == last { order.prompt.len() } else { at + bytes };
         let part = Order {
@@ -175,7 +175,7 @@
         };
         let client = &group.flights[i].client;
         if i == last {
-            return client.generate(&Order { hold: Some(held), ..part }).await;
+            return client.generate(&Order { segment: Some(held), ..part }).await;
         }
         context = client.prefill(&part, &held).await?;
         group.flights[i].on_prefill_done();
@@ -296,7 +296,7 @@
         else {
             break;
         };
-        if engine.hold(hold, segment.tokens, RESERVATION_TTL).await.is_err() {
+        if engine.reserve(hold, segment.tokens, RESERVATION_TTL).await.is_err() {
             break;
         }
         reserved.push((engine, hold.clone()));
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -126,7 +126,7 @@
             first_index: progress.tokens,
             deadline: self.left(),
             linger: Duration::from_millis(self.policy.resume_window_ms),
-            hold: None,
+            segment: None,
         }
     }
 
--- a/standin/examples/load/overhead.rs
+++ b/standin/examples/load/overhead.rs
@@ -81,7 +81,7 @@
         first_index: 0,
         deadline: Duration::from_secs(60),
         linger: Duration::ZERO,
-        hold: None,
+        segment: None,
     }
 }
 
--- a/standin/src/engine_http.rs
+++ b/standin/src/engine_http.rs
@@ -129,7 +129,7 @@
 
 async fn ask(request: Request<Incoming>) -> Ask {
     let context: String = header(&request, name::CONTEXT_STATE).unwrap_or_default();
-    let hold: Option<String> = header(&request, name::HOLD);
+    let hold: Option<String> = header(&request, name::RESERVATION);
     Ask {
         request: header(&request, name::REQUEST).unwrap_or_default(),
         model: header(&request, name::MODEL).unwrap_or_default(),
