--- a/connection/src/events.rs
+++ b/connection/src/events.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 
 /// The longest event, bytes. A stream with a longer one is broken.
-const MAX_EVENT: usize = 64 << 10;
+const MAX_EVENT_BYTES: usize = 64 << 10;
 
 /// One event as an engine sends it: `data: {"r":…,"i":…,"t":…}` and an empty line.
 #[derive(Debug, Serialize, Deserialize)]
@@ -45,7 +45,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
     /// An event of another request.
-    Crossed(String),
+    WrongRequest(String),
     /// An index ahead of the next one: something is missing.
     Gap {
         /// The index that should have come.
@@ -60,7 +60,7 @@
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Crossed(other) => write!(f, "an event of request {other} came"),
+            Fault::WrongRequest(other) => write!(f, "an event of request {other} came"),
             Fault::Gap { expected, got } => write!(f, "index {got} came in place of {expected}"),
             Fault::Malformed(why) => write!(f, "not an event: {why}"),
         }
@@ -73,13 +73,13 @@
     request: String,
     next: u64,
     buffer: BytesMut,
-    doubled: u64,
+    duplicates: u64,
 }
 
 impl Checker {
     /// A checker of the answer to `request`, whose next token has index `next`.
     pub fn new(request: &str, next: u64) -> Checker {
-        Checker { request: request.to_owned(), next, buffer: BytesMut::new(), doubled: 0 }
+        Checker { request: request.to_owned(), next, buffer: BytesMut::new(), duplicates: 0 }
     }
 
     /// The index of the next token.
@@ -88,8 +88,8 @@
     }
 
     /// Events that came twice and were dropped.
-    pub fn doubled(&self) -> u64 {
-        self.doubled
+    pub fn duplicates(&self) -> u64 {
+        self.duplicates
     }
 
     /// Takes bytes and hands each event that they complete to `sink`.
@@ -103,17 +103,17 @@
             };
             self.buffer.advance(end + SEPARATOR.len());
             match event {
-                Checked::Fresh(event) => {
+                Checked::New(event) => {
                     if matches!(event, Event::Token { .. }) {
                         self.next += 1;
                     }
                     sink(event);
                 }
-                Checked::Doubled => self.doubled += 1,
+                Checked::Duplicate => self.duplicates += 1,
             }
         }
-        if self.buffer.len() > MAX_EVENT {
-            return Err(Fault::Malformed(format!("longer than {MAX_EVENT} bytes")));
+        if self.buffer.len() > MAX_EVENT_BYTES {
+            return Err(Fault::Malformed(format!("longer than {MAX_EVENT_BYTES} bytes")));
         }
         Ok(())
     }
@@ -126,8 +126,8 @@
 }
 
 enum Checked {
-    Fresh(Event),
-    Doubled,
+    New(Event),
+    Duplicate,
 }
 
 fn check(line: &str, request: &str, next: u64) -> Result<Checked, Fault> {
@@ -136,19 +136,19 @@
         .ok_or_else(|| Fault::Malformed(line.chars().take(40).collect()))?;
     let raw: Raw<'_> = serde_json::from_str(data).map_err(|e| Fault::Malformed(e.to_string()))?;
     if raw.r != request {
-        return Err(Fault::Crossed(raw.r.into_owned()));
+        return Err(Fault::WrongRequest(raw.r.into_owned()));
     }
     if raw.i > next {
         return Err(Fault::Gap { expected: next, got: raw.i });
     }
     match (raw.t, raw.end) {
         (_, Some(reason)) if raw.i == next => {
-            Ok(Checked::Fresh(Event::End { reason: reason.into_owned() }))
+            Ok(Checked::New(Event::End { reason: reason.into_owned() }))
         }
         (_, Some(_)) => Err(Fault::Gap { expected: next, got: raw.i }),
-        (Some(_), None) if raw.i < next => Ok(Checked::Doubled),
+        (Some(_), None) if raw.i < next => Ok(Checked::Duplicate),
         (Some(text), None) => {
-            Ok(Checked::Fresh(Event::Token { index: raw.i, text: text.into_owned() }))
+            Ok(Checked::New(Event::Token { index: raw.i, text: text.into_owned() }))
         }
         (None, None) => Err(Fault::Malformed("neither token nor end".to_owned())),
     }
