--- a/connection/src/sse.rs
+++ b/connection/src/sse.rs
@@ -3,10 +3,10 @@
 use bytes::{Bytes, BytesMut};
 
 /// The longest event, bytes. A stream with a longer one is broken.
-const MAX_EVENT: usize = 256 << 10;
+const MAX_EVENT_BYTES: usize = 256 << 10;
 
 /// The line break pair that ends an event.
-const END: &[u8] = b"\n\n";
+const SEPARATOR: &[u8] = b"\n\n";
 
 /// One whole event.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -23,32 +23,32 @@
 
 /// Cuts bytes into events.
 #[derive(Debug, Default)]
-pub struct Cutter {
+pub struct Decoder {
     buffer: BytesMut,
     searched: usize,
 }
 
-impl Cutter {
+impl Decoder {
     /// Takes more bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
     /// The next whole event.
-    pub fn cut(&mut self) -> Result<Option<Event>, TooLong> {
-        let from = self.searched.saturating_sub(END.len() - 1);
-        let found = self.buffer[from..].windows(END.len()).position(|pair| pair == END);
+    pub fn next_event(&mut self) -> Result<Option<Event>, TooLong> {
+        let from = self.searched.saturating_sub(SEPARATOR.len() - 1);
+        let found = self.buffer[from..].windows(SEPARATOR.len()).position(|pair| pair == SEPARATOR);
         let Some(at) = found else {
             self.searched = self.buffer.len();
-            return if self.buffer.len() > MAX_EVENT { Err(TooLong) } else { Ok(None) };
+            return if self.buffer.len() > MAX_EVENT_BYTES { Err(TooLong) } else { Ok(None) };
         };
         self.searched = 0;
-        let bytes = self.buffer.split_to(from + at + END.len()).freeze();
+        let bytes = self.buffer.split_to(from + at + SEPARATOR.len()).freeze();
         Ok(Some(Event { id: read_id(&bytes), bytes }))
     }
 
     /// Bytes of an event that has not ended.
-    pub fn rest(&self) -> usize {
+    pub fn buffered(&self) -> usize {
         self.buffer.len()
     }
 }
--- a/connection/tests/sse.rs
+++ b/connection/tests/sse.rs
@@ -1,39 +1,39 @@
 //! Events are cut out of any bytes, however they arrive.
 
-use foldlock_connection::sse::{Cutter, Event, TooLong};
+use foldlock_connection::sse::{Decoder, Event, TooLong};
 use proptest::prelude::*;
 
-fn cut(chunks: &[&[u8]]) -> (Vec<Event>, usize) {
-    let (mut cutter, mut events) = (Cutter::default(), Vec::new());
+fn decode(chunks: &[&[u8]]) -> (Vec<Event>, usize) {
+    let (mut decoder, mut events) = (Decoder::default(), Vec::new());
     for chunk in chunks {
-        cutter.push(chunk);
-        while let Ok(Some(event)) = cutter.cut() {
+        decoder.push(chunk);
+        while let Ok(Some(event)) = decoder.next_event() {
             events.push(event);
         }
     }
-    (events, cutter.rest())
+    (events, decoder.buffered())
 }
 
 #[test]
 fn an_event_keeps_its_bytes_and_tells_its_id() {
-    let (events, rest) = cut(&[b"versions: 2\nid: 7\ndata: a b\n\nid: 8\nda"]);
+    let (events, buffered) = decode(&[b"versions: 2\nid: 7\ndata: a b\n\nid: 8\nda"]);
     assert_eq!(events.len(), 1);
     assert_eq!(events[0].id, Some(7));
     assert_eq!(&events[0].bytes[..], b"versions: 2\nid: 7\ndata: a b\n\n");
-    assert_eq!(rest, 8, "an event that has not ended");
+    assert_eq!(buffered, 8, "bytes of an incomplete event");
 }
 
 #[test]
 fn an_event_without_a_number_has_no_id() {
-    let (events, _) = cut(&[b"data: x\n\nid: y\n\n"]);
+    let (events, _) = decode(&[b"data: x\n\nid: y\n\n"]);
     assert_eq!(events.iter().map(|e| e.id).collect::<Vec<_>>(), [None, None]);
 }
 
 #[test]
 fn an_event_without_end_is_too_long_at_some_point() {
-    let mut cutter = Cutter::default();
-    cutter.push(&vec![b'x'; 300 << 10]);
-    assert_eq!(cutter.cut(), Err(TooLong));
+    let mut decoder = Decoder::default();
+    decoder.push(&vec![b'x'; 300 << 10]);
+    assert_eq!(decoder.next_event(), Err(TooLong));
 }
 
 proptest! {
@@ -51,7 +51,7 @@
             rest = after;
         }
         chunks.push(rest);
-        let (events, left) = cut(&chunks);
+        let (events, left) = decode(&chunks);
         prop_assert_eq!(left, 0);
         let read: Vec<u64> = events.iter().filter_map(|e| e.id).collect();
         prop_assert_eq!(read, ids);
@@ -61,8 +61,8 @@
 
     #[test]
     fn any_bytes_are_read_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let (events, rest) = cut(&[&bytes]);
+        let (events, buffered) = decode(&[&bytes]);
         let taken: usize = events.iter().map(|e| e.bytes.len()).sum();
-        prop_assert_eq!(taken + rest, bytes.len());
+        prop_assert_eq!(taken + buffered, bytes.len());
     }
 }
--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -7,7 +7,7 @@
 use foldlock_base::prelude::*;
 use foldlock_connection::channel::{Channel, Failure};
 use foldlock_connection::http::chain;
-use foldlock_connection::sse::Cutter;
+use foldlock_connection::sse::Decoder;
 use foldlock_request::dialect::Dialect;
 use foldlock_request::flight::Flight;
 use foldlock_request::notice::RateLimit;
@@ -197,7 +197,7 @@
         channel,
         rest,
         body,
-        cutter: Cutter::default(),
+        decoder: Decoder::default(),
     };
     if head.status.is_success() && matches!(job.route.delivery, Delivery::Streaming { .. }) {
         first(job, head, source).await
--- a/daemon/src/fleet/source.rs
+++ b/daemon/src/fleet/source.rs
@@ -4,7 +4,7 @@
 
 use foldlock_connection::channel::Channel;
 use foldlock_connection::http::chain;
-use foldlock_connection::sse::{Cutter, Event as Part};
+use foldlock_connection::sse::{Decoder, Event as Part};
 use foldlock_request::dialect::Dialect;
 use foldlock_request::flight::Flight;
 use foldlock_request::suspicion::{Failure, Outcome};
@@ -43,7 +43,7 @@
     pub(super) channel: Channel,
     pub(super) rest: Duration,
     pub(super) body: Incoming,
-    pub(super) cutter: Cutter,
+    pub(super) decoder: Decoder,
 }
 
 /// What comes next in a stream.
@@ -63,14 +63,14 @@
             let frame = match self.body.frame().await {
                 Some(Ok(frame)) => frame,
                 Some(Err(e)) => return Next::Broken(chain(&e)),
-                None if self.cutter.rest() == 0 => return Next::End,
+                None if self.decoder.buffered() == 0 => return Next::End,
                 None => return Next::Broken("it ended inside an event".to_owned()),
             };
             let Ok(bytes) = frame.into_data() else { continue };
-            self.cutter.push(&bytes);
+            self.decoder.push(&bytes);
             let mut parts = Vec::new();
             loop {
-                match self.cutter.cut() {
+                match self.decoder.next_event() {
                     Ok(Some(part)) => parts.push(part),
                     Ok(None) => break,
                     Err(_) => return Next::Broken("an event is too long".to_owned()),
