--- a/connection/src/engine.rs
+++ b/connection/src/engine.rs
@@ -187,13 +187,13 @@
     /// Holds memory for a time. Asking again with the same id renews the hold.
     fn reserve(
         &self,
-        reservation: &id::Hold,
+        hold: &id::Hold,
         tokens: Tokens,
         ttl: Duration,
     ) -> impl Future<Output = Result<(), Failure>> + Send;
 
     /// Gives a hold back.
-    fn release(&self, reservation: &id::Hold) -> impl Future<Output = Result<(), Failure>> + Send;
+    fn release(&self, hold: &id::Hold) -> impl Future<Output = Result<(), Failure>> + Send;
 
     /// Computes a segment of a prompt into a hold and exports its state.
     fn prefill(
@@ -358,18 +358,13 @@
         serde_json::from_slice(&bytes).map_err(|e| Failure::Broken(e.to_string()))
     }
 
-    async fn reserve(
-        &self,
-        reservation: &id::Hold,
-        tokens: Tokens,
-        ttl: Duration,
-    ) -> Result<(), Failure> {
-        let path = format!("/v1/holds/{reservation}?tokens={tokens}&ttl_ms={}", ttl.as_millis());
+    async fn reserve(&self, hold: &id::Hold, tokens: Tokens, ttl: Duration) -> Result<(), Failure> {
+        let path = format!("/v1/holds/{hold}?tokens={tokens}&ttl_ms={}", ttl.as_millis());
         self.call(self.request(Method::PUT, &path), Bytes::new()).await.map(drop)
     }
 
-    async fn release(&self, reservation: &id::Hold) -> Result<(), Failure> {
-        let path = format!("/v1/holds/{reservation}");
+    async fn release(&self, hold: &id::Hold) -> Result<(), Failure> {
+        let path = format!("/v1/holds/{hold}");
         self.call(self.request(Method::DELETE, &path), Bytes::new()).await.map(drop)
     }
 
