--- a/connection/src/wire.rs
+++ b/connection/src/wire.rs
@@ -117,7 +117,8 @@
     /// The work that all VMs gave to it, by their last announcements.
     pub load: Load,
     /// The receiver's own part of `load`.
-    pub yours: Load,
+    #[serde(rename = "yours")]
+    pub receiver_load: Load,
     /// Whether it gets no new work.
     pub leaving: bool,
 }
@@ -146,7 +147,7 @@
 
 /// A heartbeat with the soft state that the receiver needs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The sender.
     pub from: Member,
     /// The settings version in force at the sender.
@@ -167,7 +168,7 @@
 
 /// Asks the home of a shard for a place for a long prompt.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct GrantRequest {
     /// The VM that asks.
     pub vm: id::Vm,
     /// The request.
@@ -193,11 +194,12 @@
     pub hold: Option<id::Hold>,
 }
 
-/// A home's answer to an [`Ask`].
+/// A home's answer to a [`GrantRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Grant {
     /// The engines, in the order of the segments: one, or a group whose memory is held.
-    Given(Vec<Segment>),
+    #[serde(rename = "Given")]
+    Granted(Vec<Segment>),
     /// No place now; ask again after these milliseconds.
     Wait(u64),
     /// The answerer is not the home, or knows no engine for it.
@@ -212,12 +214,13 @@
     /// The attempt's own number.
     pub nonce: u128,
     /// What is said.
-    pub word: Word,
+    #[serde(rename = "word")]
+    pub action: Action,
 }
 
 /// What a claim entry says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Action {
     /// The attempt wants to run.
     Claim,
     /// The attempt was never sent: the key is free again.
@@ -252,9 +255,9 @@
 #[tarpc::service]
 pub trait Peer {
     /// Exchanges heartbeats.
-    async fn exchange(beat: Beat) -> Beat;
+    async fn exchange(beat: Heartbeat) -> Heartbeat;
     /// Asks the home of a shard for a place.
-    async fn grant(shard: String, ask: Ask) -> Grant;
+    async fn grant(shard: String, ask: GrantRequest) -> Grant;
     /// Asks the writer of a shard of claims to write a batch.
     async fn claim(shard: u32, claims: Vec<Claim>) -> Vec<Verdict>;
     /// Asks for the settings in force, less the texts that are known.
--- a/connection/tests/events.rs
+++ b/connection/tests/events.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use foldlock_connection::events::{Checker, Event};
-use foldlock_connection::wire::{Claim, Word};
+use foldlock_connection::wire::{Action, Claim};
 use proptest::prelude::*;
 
 fn line(request: &str, index: u64) -> String {
@@ -51,7 +51,7 @@
     /// Numbers of 128 bits survive the encoding between VMs.
     #[test]
     fn claims_are_encoded(key: u128, nonce: u128) {
-        let claim = Claim { key, nonce, word: Word::Release };
+        let claim = Claim { key, nonce, action: Action::Release };
         let bytes = rmp_serde::to_vec(&claim).unwrap();
         prop_assert_eq!(rmp_serde::from_slice::<Claim>(&bytes).unwrap(), claim);
     }
--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -11,7 +11,7 @@
 use foldlock_base::clock::{Clock, System};
 use foldlock_base::id;
 use foldlock_connection::kv::HttpStore;
-use foldlock_connection::wire::{Claim, Member, Verdict, Word};
+use foldlock_connection::wire::{Action, Claim, Member, Verdict};
 use foldlock_request::claim::{self, Log};
 use foldlock_version::store::{Entry, Failure, Store};
 use tarpc::context::Context;
@@ -77,11 +77,11 @@
     /// Records that the attempt ran to its end.
     pub fn done(&mut self) {
         self.sent = true;
-        self.settle(Word::Done);
+        self.settle(Action::Done);
     }
 
-    fn settle(&self, word: Word) {
-        let claim = Claim { key: self.key, nonce: self.nonce, word };
+    fn settle(&self, action: Action) {
+        let claim = Claim { key: self.key, nonce: self.nonce, action };
         self.process.claims.settlements.lock().unwrap().push(claim);
     }
 }
@@ -89,7 +89,7 @@
 impl Drop for KeyClaim {
     fn drop(&mut self) {
         if !self.sent {
-            self.settle(Word::Release);
+            self.settle(Action::Release);
         }
     }
 }
@@ -111,7 +111,7 @@
     pub async fn claim(process: &Arc<Process>, key: u128) -> Result<KeyClaim, Verdict> {
         let nonce = rand::random();
         let mut key_claim = KeyClaim { process: process.clone(), key, nonce, sent: false };
-        let claim = Claim { key, nonce, word: Word::Claim };
+        let claim = Claim { key, nonce, action: Action::Claim };
         match send(process, vec![claim]).await.first() {
             Some(Verdict::Won) => Ok(key_claim),
             Some(Verdict::Unavailable) | None => Err(Verdict::Unavailable),
--- a/daemon/src/engines.rs
+++ b/daemon/src/engines.rs
@@ -413,7 +413,7 @@
     fn fleet(&self, now: Instant) -> Load {
         match &self.home {
             Some((state, at)) if now < *at + HOME_STATE_TTL => {
-                state.load.minus(state.yours).plus(self.own)
+                state.load.minus(state.receiver_load).plus(self.own)
             }
             _ => self.own,
         }
--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -248,7 +248,7 @@
     let requirements = job.requirements(progress);
     let shards = job.process.shards();
     let shard = shards.iter().find(|s| s.engines.contains(chosen))?;
-    let ask = wire::Ask {
+    let ask = wire::GrantRequest {
         vm: job.process.config.vm.clone(),
         request: job.request.clone(),
         model: job.prompt.model.clone(),
@@ -257,7 +257,7 @@
         avoid: progress.avoid.clone(),
     };
     match request_grant(job, shard, ask, GRANT_TIMEOUT).await {
-        Some(Grant::Given(segments)) => segments.first().map(|s| s.engine.clone()),
+        Some(Grant::Granted(segments)) => segments.first().map(|s| s.engine.clone()),
         _ => None,
     }
 }
@@ -266,7 +266,7 @@
 pub async fn request_grant(
     job: &Job,
     shard: &home::Shard,
-    ask: wire::Ask,
+    ask: wire::GrantRequest,
     timeout: Duration,
 ) -> Option<Grant> {
     let process: &Arc<_> = &job.process;
--- a/daemon/src/group.rs
+++ b/daemon/src/group.rs
@@ -112,7 +112,7 @@
 }
 
 async fn try_shard(job: &Job, requirements: &Requirements, shard: &Shard) -> Option<Group> {
-    let ask = wire::Ask {
+    let ask = wire::GrantRequest {
         vm: job.process.config.vm.clone(),
         request: job.request.clone(),
         model: job.prompt.model.clone(),
@@ -121,7 +121,7 @@
         avoid: Vec::new(),
     };
     let grant = request_grant(job, shard, ask, SEARCH_TIMEOUT * 2).await?;
-    let Grant::Given(segments) = grant else { return None };
+    let Grant::Granted(segments) = grant else { return None };
     let flights: Vec<Flight<System>> = segments.iter().filter_map(|s| flight(job, s)).collect();
     if flights.len() != segments.len() || flights.is_empty() {
         return None;
@@ -191,7 +191,7 @@
 
 /// Handles a grant request as the home of a shard: finds one engine for a long prompt, or reserves
 /// a group.
-pub async fn grant(process: &Arc<Process>, shard: &str, ask: &wire::Ask) -> Grant {
+pub async fn grant(process: &Arc<Process>, shard: &str, ask: &wire::GrantRequest) -> Grant {
     let shards = process.shards();
     let Some(shard) = shards.iter().find(|s| s.name == shard) else { return Grant::Unknown };
     let lock = LOCKS.lock().unwrap().entry(shard.name.clone()).or_default().clone();
@@ -205,12 +205,16 @@
         }
     };
     match tokio::time::timeout(SEARCH_TIMEOUT, search).await {
-        Ok(segments) => Grant::Given(segments),
+        Ok(segments) => Grant::Granted(segments),
         Err(_) => Grant::Wait(POLL_INTERVAL.as_millis() as u64),
     }
 }
 
-async fn find(process: &Arc<Process>, shard: &Shard, ask: &wire::Ask) -> Option<Vec<Segment>> {
+async fn find(
+    process: &Arc<Process>,
+    shard: &Shard,
+    ask: &wire::GrantRequest,
+) -> Option<Vec<Segment>> {
     let policy = Policy { route: Route::LengthAware, ..Policy::default() };
     let requirements =
         Requirements { prompt: ask.prompt, memory: Tokens(0), class: policy.class(ask.prompt) };
@@ -244,7 +248,7 @@
 /// Reserves memory on as many engines as needed, those with most free memory first; all or nothing.
 async fn reserve_group(
     process: &Arc<Process>,
-    ask: &wire::Ask,
+    ask: &wire::GrantRequest,
     mut candidates: Vec<Candidate>,
 ) -> Option<Vec<Segment>> {
     let free = |c: &Candidate| c.memory - used(process, c);
--- a/daemon/src/home.rs
+++ b/daemon/src/home.rs
@@ -196,14 +196,14 @@
 impl Inner {
     fn state(&self, engine: &id::Upstream, receiver: &id::Vm, now: Instant) -> State {
         let mut load = Load::default();
-        let mut yours = Load::default();
+        let mut receiver_load = Load::default();
         for (vm, announced) in self.announced.get(engine).into_iter().flatten() {
             if now >= announced.at + ANNOUNCEMENT_TTL {
                 continue;
             }
             load = load.plus(announced.load);
             if vm == receiver {
-                yours = announced.load;
+                receiver_load = announced.load;
             }
         }
         for granted in self.granted.iter().filter(|g| g.engine == *engine && g.vm != *receiver) {
@@ -218,7 +218,7 @@
                 used: r.used,
             }),
             load,
-            yours,
+            receiver_load,
             leaving: self.leaving.get(engine).is_some_and(|at| now < *at + LEAVING_TTL),
         }
     }
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -8,7 +8,9 @@
 use foldlock_base::event::Event;
 use foldlock_base::id;
 use foldlock_connection::peer::{self, Connection};
-use foldlock_connection::wire::{Ask, Beat, Claim, Grant, Member, Peer, Settings, Verdict};
+use foldlock_connection::wire::{
+    Claim, Grant, GrantRequest, Heartbeat, Member, Peer, Settings, Verdict,
+};
 use foldlock_version::head::Hash;
 use futures::StreamExt;
 use tarpc::context::Context;
@@ -170,13 +172,13 @@
 }
 
 impl Peer for Server {
-    async fn exchange(self, _: Context, heartbeat: Beat) -> Beat {
+    async fn exchange(self, _: Context, heartbeat: Heartbeat) -> Heartbeat {
         let connection = self.process.peers.get(&heartbeat.from.vm);
         self.process.on_heartbeat(&heartbeat, connection.as_ref());
         self.process.heartbeat(&heartbeat.from.vm)
     }
 
-    async fn grant(self, _: Context, shard: String, ask: Ask) -> Grant {
+    async fn grant(self, _: Context, shard: String, ask: GrantRequest) -> Grant {
         crate::group::grant(&self.process, &shard, &ask).await
     }
 
@@ -197,7 +199,7 @@
 
 impl Process {
     /// The heartbeat for a peer.
-    pub fn heartbeat(&self, to: &id::Vm) -> Beat {
+    pub fn heartbeat(&self, to: &id::Vm) -> Heartbeat {
         let live = self.members.live();
         let shards = self.shards();
         let homed_at = |vm: &id::Vm| -> Vec<&Shard> {
@@ -210,7 +212,7 @@
         loads.retain(|engine, _| theirs.contains(&engine));
         let demand = self.limits.demand();
         let demand = demand.into_iter().filter(|(n, _)| self.limit_home(n).as_ref() == Some(to));
-        Beat {
+        Heartbeat {
             from: self.members.own(),
             version: self.current.number(),
             members: self.members.announcements(),
@@ -233,7 +235,7 @@
     }
 
     /// Handles a peer's heartbeat.
-    pub fn on_heartbeat(self: &Arc<Self>, heartbeat: &Beat, connection: Option<&Connection>) {
+    pub fn on_heartbeat(self: &Arc<Self>, heartbeat: &Heartbeat, connection: Option<&Connection>) {
         let from = &heartbeat.from.vm;
         if let Some(transition) = self.members.on_heartbeat(&heartbeat.from) {
             self.log_transition(&transition);
--- a/request/src/claim.rs
+++ b/request/src/claim.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use foldlock_base::id;
-use foldlock_connection::wire::{Claim, Verdict, Word};
+use foldlock_connection::wire::{Action, Claim, Verdict};
 use sha2::{Digest, Sha256};
 
 /// Number of slots in a ring.
@@ -161,9 +161,9 @@
 
     fn apply(&mut self, claim: &Claim, seq: u64) {
         let current = self.owners.get(&claim.key).copied().flatten();
-        let change = match (claim.word, current) {
+        let change = match (claim.action, current) {
             // The entry of the claim itself was in a slot that has been overwritten.
-            (Word::Done, None) => Some(Some(Owner { nonce: claim.nonce, ran: true, seq })),
+            (Action::Done, None) => Some(Some(Owner { nonce: claim.nonce, ran: true, seq })),
             _ => decide(current, claim, seq).1,
         };
         if let Some(next) = change {
@@ -246,40 +246,40 @@
 /// The verdict on a claim entry, and the change that it makes to the owner of its key, if any.
 fn decide(current: Option<Owner>, claim: &Claim, seq: u64) -> (Verdict, Change) {
     let own = current.is_some_and(|h| h.nonce == claim.nonce);
-    match (claim.word, current) {
-        (Word::Claim, None) => {
+    match (claim.action, current) {
+        (Action::Claim, None) => {
             (Verdict::Won, Some(Some(Owner { nonce: claim.nonce, ran: false, seq })))
         }
-        (Word::Claim, Some(owner)) if own && !owner.ran => (Verdict::Won, None),
-        (Word::Claim, Some(owner)) if owner.ran => (Verdict::Ran, None),
-        (Word::Claim, Some(_)) => (Verdict::Taken, None),
-        (Word::Release, Some(owner)) if own && !owner.ran => (Verdict::Won, Some(None)),
-        (Word::Done, Some(owner)) if own && !owner.ran => {
+        (Action::Claim, Some(owner)) if own && !owner.ran => (Verdict::Won, None),
+        (Action::Claim, Some(owner)) if owner.ran => (Verdict::Ran, None),
+        (Action::Claim, Some(_)) => (Verdict::Taken, None),
+        (Action::Release, Some(owner)) if own && !owner.ran => (Verdict::Won, Some(None)),
+        (Action::Done, Some(owner)) if own && !owner.ran => {
             (Verdict::Won, Some(Some(Owner { ran: true, seq, ..owner })))
         }
-        (Word::Release | Word::Done, _) => (Verdict::Won, None),
+        (Action::Release | Action::Done, _) => (Verdict::Won, None),
     }
 }
 
 fn write(text: &mut String, claim: &Claim, at_ms: u64) {
-    let word = match claim.word {
-        Word::Claim => 'c',
-        Word::Release => 'r',
-        Word::Done => 'd',
+    let action = match claim.action {
+        Action::Claim => 'c',
+        Action::Release => 'r',
+        Action::Done => 'd',
     };
-    let _ = writeln!(text, "{word} {:032x} {:032x} {at_ms}", claim.key, claim.nonce);
+    let _ = writeln!(text, "{action} {:032x} {:032x} {at_ms}", claim.key, claim.nonce);
 }
 
 fn parse(line: &str) -> Option<(Claim, u64)> {
     let mut fields = line.split(' ');
-    let word = match fields.next()? {
-        "c" => Word::Claim,
-        "r" => Word::Release,
-        "d" => Word::Done,
+    let action = match fields.next()? {
+        "c" => Action::Claim,
+        "r" => Action::Release,
+        "d" => Action::Done,
         _ => return None,
     };
     let key = u128::from_str_radix(fields.next()?, 16).ok()?;
     let nonce = u128::from_str_radix(fields.next()?, 16).ok()?;
     let at_ms = fields.next()?.parse().ok()?;
-    Some((Claim { key, nonce, word }, at_ms))
+    Some((Claim { key, nonce, action }, at_ms))
 }
--- a/request/tests/claim.rs
+++ b/request/tests/claim.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use foldlock_connection::wire::{Claim, Verdict, Word};
+use foldlock_connection::wire::{Action, Claim, Verdict};
 use foldlock_request::claim::{Log, SLOTS};
 use proptest::prelude::*;
 
@@ -94,7 +94,7 @@
 
     fn claim(&mut self, writer: usize, key: u8, lost: bool) {
         self.nonce += 1;
-        let claim = Claim { key: key.into(), nonce: self.nonce, word: Word::Claim };
+        let claim = Claim { key: key.into(), nonce: self.nonce, action: Action::Claim };
         if self.write(writer, &claim, lost) == Verdict::Won {
             self.holders.entry(key.into()).or_default().push(self.nonce);
         }
@@ -103,11 +103,11 @@
     fn settle(&mut self, writer: usize, key: u8, done: bool) {
         let holders = self.holders.entry(key.into()).or_default();
         let Some(nonce) = holders.last().copied() else { return };
-        let word = if done { Word::Done } else { Word::Release };
+        let action = if done { Action::Done } else { Action::Release };
         if !done {
             holders.pop();
         }
-        self.write(writer, &Claim { key: key.into(), nonce, word }, false);
+        self.write(writer, &Claim { key: key.into(), nonce, action }, false);
         if done {
             // The attempt ran to its end, so the key cannot be released any more.
             self.holders.insert(key.into(), vec![nonce, 0]);
@@ -158,14 +158,14 @@
     let mut key = 0;
     loop {
         let claims: Vec<Claim> =
-            (0..1_000).map(|i| Claim { key: key + i, nonce: 1, word: Word::Claim }).collect();
+            (0..1_000).map(|i| Claim { key: key + i, nonce: 1, action: Action::Claim }).collect();
         let Ok(batch) = log.prepare(&claims, now_ms) else { break };
         key += 1_000;
         revision += 1;
         log.commit(&batch, revision);
     }
     assert_eq!(log.len() as u128, key);
-    let again = Claim { key: 5, nonce: 2, word: Word::Claim };
+    let again = Claim { key: 5, nonce: 2, action: Action::Claim };
     assert!(log.prepare(std::slice::from_ref(&again), now_ms).is_err());
     // Once the oldest claims are past retention, new ones are accepted.
     assert!(log.prepare(&[again], now_ms + 4_000_000).is_ok());
