--- a/connection/src/http.rs
+++ b/connection/src/http.rs
@@ -18,7 +18,7 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// How many idle connections are kept to one address.
-const IDLE_PER_ADDRESS: usize = 256;
+const MAX_IDLE_PER_ADDRESS: usize = 256;
 
 /// Why a call brought no answer.
 #[derive(Debug)]
@@ -56,7 +56,7 @@
         let pool = Pool::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(IDLE_TIMEOUT)
-            .pool_max_idle_per_host(IDLE_PER_ADDRESS)
+            .pool_max_idle_per_host(MAX_IDLE_PER_ADDRESS)
             .retry_canceled_requests(true)
             .build(connector);
         Client { pool }
