--- a/connection/src/peer.rs
+++ b/connection/src/peer.rs
@@ -22,7 +22,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The longest message. Settings of a whole fleet fit.
-const MAX_MESSAGE: usize = 32 << 20;
+const MAX_MESSAGE_BYTES: usize = 32 << 20;
 
 /// A connection to a peer. Cheap to clone; calls share the connection.
 pub type Connection = PeerClient;
@@ -58,10 +58,10 @@
     Ok(PeerClient::new(tarpc::client::Config::default(), transport).spawn())
 }
 
-fn framed(upgraded: Upgraded) -> tokio_util::codec::Framed<Counted, LengthDelimitedCodec> {
+fn framed(upgraded: Upgraded) -> tokio_util::codec::Framed<CountedStream, LengthDelimitedCodec> {
     let read = InspectReader::new(TokioIo::new(upgraded), count_received as fn(&[u8]));
     let counted = InspectWriter::new(read, count_sent as fn(&[u8]));
-    LengthDelimitedCodec::builder().max_frame_length(MAX_MESSAGE).new_framed(counted)
+    LengthDelimitedCodec::builder().max_frame_length(MAX_MESSAGE_BYTES).new_framed(counted)
 }
 
 /// Whether a request asks for a connection between VMs.
@@ -73,19 +73,19 @@
 /// The accepted side of a connection, ready to execute calls.
 pub type Served = BaseChannel<PeerRequest, PeerResponse, Transport>;
 
-type Inward = tarpc::ClientMessage<PeerRequest>;
-type Outward = tarpc::Response<PeerResponse>;
-type Format = tokio_serde::formats::MessagePack<Inward, Outward>;
-type Transport = tarpc::serde_transport::Transport<Counted, Inward, Outward, Format>;
+type Inbound = tarpc::ClientMessage<PeerRequest>;
+type Outbound = tarpc::Response<PeerResponse>;
+type Format = tokio_serde::formats::MessagePack<Inbound, Outbound>;
+type Transport = tarpc::serde_transport::Transport<CountedStream, Inbound, Outbound, Format>;
 
 /// A connection whose bytes are counted.
-type Counted = InspectWriter<InspectReader<TokioIo<Upgraded>, fn(&[u8])>, fn(&[u8])>;
+type CountedStream = InspectWriter<InspectReader<TokioIo<Upgraded>, fn(&[u8])>, fn(&[u8])>;
 
 static RECEIVED: AtomicU64 = AtomicU64::new(0);
 static SENT: AtomicU64 = AtomicU64::new(0);
 
 /// Bytes that this process received from and sent to peers so far.
-pub fn bytes() -> (u64, u64) {
+pub fn transferred_bytes() -> (u64, u64) {
     (RECEIVED.load(Ordering::Relaxed), SENT.load(Ordering::Relaxed))
 }
 
--- a/daemon/src/operators.rs
+++ b/daemon/src/operators.rs
@@ -110,7 +110,7 @@
         incarnation: own.incarnation,
         members: process.members.dump(),
         peers: process.peers.count(),
-        peer_bytes: foldlock_connection::peer::bytes(),
+        peer_bytes: foldlock_connection::peer::transferred_bytes(),
         shards: shards.iter().map(shard).collect(),
         engines: process.engines.dump(),
         demand: process.limits.demand(),
