--- a/connection/src/engine.rs
+++ b/connection/src/engine.rs
@@ -247,18 +247,19 @@
         body: Bytes,
     ) -> Result<HttpStream, Failure> {
         let request = build(request, body)?;
-        let answer = self.client.send(request).await?;
-        if answer.status() != 200 {
-            return Err(read_failure(answer).await);
+        let response = self.client.send(request).await?;
+        if response.status() != 200 {
+            return Err(read_failure(response).await);
         }
-        let id = header_text(&answer, header::STREAM).unwrap_or_default().to_owned();
-        let cached = header_text(&answer, header::CACHED).and_then(|v| v.parse().ok()).unwrap_or(0);
-        Ok(HttpStream { id, cached: Tokens(cached), body: answer.into_body() })
+        let id = header_text(&response, header::STREAM).unwrap_or_default().to_owned();
+        let cached =
+            header_text(&response, header::CACHED).and_then(|v| v.parse().ok()).unwrap_or(0);
+        Ok(HttpStream { id, cached: Tokens(cached), body: response.into_body() })
     }
 
     async fn call(&self, request: http::request::Builder, body: Bytes) -> Result<Bytes, Failure> {
-        let answer = self.client.call(build(request, body)?, CALL_TIMEOUT).await?;
-        check_status(answer)
+        let response = self.client.call(build(request, body)?, CALL_TIMEOUT).await?;
+        check_status(response)
     }
 }
 
@@ -276,13 +277,13 @@
         .header(header::CONTEXT_STATE, segment.context.state.as_str())
 }
 
-fn header_text<'a, B>(answer: &'a Response<B>, name: &str) -> Option<&'a str> {
-    answer.headers().get(name)?.to_str().ok()
+fn header_text<'a, B>(response: &'a Response<B>, name: &str) -> Option<&'a str> {
+    response.headers().get(name)?.to_str().ok()
 }
 
 /// Reads an answer that is not a success.
-async fn read_failure(answer: Response<Incoming>) -> Failure {
-    let (head, body) = answer.into_parts();
+async fn read_failure(response: Response<Incoming>) -> Failure {
+    let (head, body) = response.into_parts();
     let body = body.collect().await.map(|b| b.to_bytes()).unwrap_or_default();
     match check_status(Response::from_parts(head, body)) {
         Err(failure) => failure,
@@ -290,18 +291,18 @@
     }
 }
 
-fn check_status(answer: Response<Bytes>) -> Result<Bytes, Failure> {
-    let status = answer.status().as_u16();
+fn check_status(response: Response<Bytes>) -> Result<Bytes, Failure> {
+    let status = response.status().as_u16();
     if status < 300 {
-        return Ok(answer.into_body());
+        return Ok(response.into_body());
     }
     if status == 404 || status == 410 {
         return Err(Failure::Gone);
     }
-    let why = format!("status {status}: {}", String::from_utf8_lossy(answer.body()).trim());
-    match Refusal::read(status, header_text(&answer, Refusal::HEADER)) {
+    let why = format!("status {status}: {}", String::from_utf8_lossy(response.body()).trim());
+    match Refusal::read(status, header_text(&response, Refusal::HEADER)) {
         Some(proof) => {
-            let leaving = header_text(&answer, header::LEAVING) == Some("true");
+            let leaving = header_text(&response, header::LEAVING) == Some("true");
             Err(Failure::NotRun { proof, leaving, why })
         }
         None => Err(Failure::Broken(why)),
@@ -371,8 +372,8 @@
     async fn prefill(&self, job: &Job, segment: &Segment) -> Result<Context, Failure> {
         let request = segment_headers(self.job("/v1/prefill", job), segment);
         let request = build(request, job.prompt.clone())?;
-        let answer = self.client.call(request, job.deadline).await?;
-        let bytes = check_status(answer)?;
+        let response = self.client.call(request, job.deadline).await?;
+        let bytes = check_status(response)?;
         serde_json::from_slice(&bytes).map_err(|e| Failure::Broken(e.to_string()))
     }
 }
--- a/connection/src/http.rs
+++ b/connection/src/http.rs
@@ -84,7 +84,7 @@
             Ok(Response::from_parts(head, body.to_bytes()))
         };
         match tokio::time::timeout(timeout, whole).await {
-            Ok(answer) => answer,
+            Ok(response) => response,
             Err(_) => Err(Failure::Broken(format!("no answer in {} ms", timeout.as_millis()))),
         }
     }
--- a/connection/src/kv.rs
+++ b/connection/src/kv.rs
@@ -69,10 +69,10 @@
         let request = request
             .body(body(value))
             .map_err(|e| Failure::Unavailable(format!("bad key {key:?}: {e}")))?;
-        let answer = self.client.call(request, timeout).await;
-        let answer = answer.map_err(|e| Failure::Unavailable(e.to_string()));
-        let result = answer.and_then(|answer| match answer.status().as_u16() {
-            200 | 304 | 404 => Ok(answer),
+        let response = self.client.call(request, timeout).await;
+        let response = response.map_err(|e| Failure::Unavailable(e.to_string()));
+        let result = response.and_then(|response| match response.status().as_u16() {
+            200 | 304 | 404 => Ok(response),
             409 => Err(Failure::Conflict),
             429 => Err(Failure::RateLimited),
             status => Err(Failure::Unavailable(format!("status {status}"))),
@@ -84,8 +84,8 @@
     }
 }
 
-fn revision(answer: &Response<Bytes>) -> Result<u64, Failure> {
-    answer
+fn revision(response: &Response<Bytes>) -> Result<u64, Failure> {
+    response
         .headers()
         .get(REVISION)
         .and_then(|v| v.to_str().ok())
@@ -93,12 +93,12 @@
         .ok_or_else(|| Failure::Unavailable("the answer names no revision".to_owned()))
 }
 
-fn entry(answer: Response<Bytes>) -> Result<Option<Entry>, Failure> {
-    if answer.status().as_u16() != 200 {
+fn entry(response: Response<Bytes>) -> Result<Option<Entry>, Failure> {
+    if response.status().as_u16() != 200 {
         return Ok(None);
     }
-    let revision = revision(&answer)?;
-    Ok(Some(Entry { value: answer.into_body().to_vec(), revision }))
+    let revision = revision(&response)?;
+    Ok(Some(Entry { value: response.into_body().to_vec(), revision }))
 }
 
 impl Store for HttpStore {
@@ -107,8 +107,8 @@
     }
 
     async fn swap(&self, key: &str, expected: u64, value: Vec<u8>) -> Result<u64, Failure> {
-        let answer = self.call(Method::PUT, key, "", Some(expected), value, CALL_TIMEOUT).await?;
-        revision(&answer)
+        let response = self.call(Method::PUT, key, "", Some(expected), value, CALL_TIMEOUT).await?;
+        revision(&response)
     }
 
     async fn delete(&self, key: &str, expected: u64) -> Result<(), Failure> {
--- a/connection/src/peer.rs
+++ b/connection/src/peer.rs
@@ -48,11 +48,11 @@
         .header(UPGRADE, PROTOCOL)
         .body(Empty::<Bytes>::new())
         .map_err(|e| Failure::Connect(e.to_string()))?;
-    let answer = sender.send_request(request).await.map_err(|e| Failure::Connect(chain(&e)))?;
-    if answer.status() != StatusCode::SWITCHING_PROTOCOLS {
+    let response = sender.send_request(request).await.map_err(|e| Failure::Connect(chain(&e)))?;
+    if response.status() != StatusCode::SWITCHING_PROTOCOLS {
         return Err(Failure::Connect(format!("the peer does not speak {PROTOCOL}")));
     }
-    let upgraded = hyper::upgrade::on(answer).await.map_err(|e| Failure::Connect(chain(&e)))?;
+    let upgraded = hyper::upgrade::on(response).await.map_err(|e| Failure::Connect(chain(&e)))?;
     let transport =
         tarpc::serde_transport::new(framed(upgraded), tokio_serde::formats::MessagePack::default());
     Ok(PeerClient::new(tarpc::client::Config::default(), transport).spawn())
@@ -110,9 +110,9 @@
             run(BaseChannel::with_defaults(transport)).await;
         }
     });
-    let mut answer = Response::new(Full::default());
-    *answer.status_mut() = StatusCode::SWITCHING_PROTOCOLS;
-    answer.headers_mut().insert(CONNECTION, hyper::header::HeaderValue::from_static("upgrade"));
-    answer.headers_mut().insert(UPGRADE, hyper::header::HeaderValue::from_static(PROTOCOL));
-    answer
+    let mut response = Response::new(Full::default());
+    *response.status_mut() = StatusCode::SWITCHING_PROTOCOLS;
+    response.headers_mut().insert(CONNECTION, hyper::header::HeaderValue::from_static("upgrade"));
+    response.headers_mut().insert(UPGRADE, hyper::header::HeaderValue::from_static(PROTOCOL));
+    response
 }
--- a/connection/src/vms.rs
+++ b/connection/src/vms.rs
@@ -61,8 +61,8 @@
     async fn read(&self) -> Result<Listing, Failure> {
         let request =
             Request::get(&self.url).body(body("")).map_err(|e| Failure::Connect(e.to_string()))?;
-        let answer = self.client.call(request, CALL_TIMEOUT).await?;
-        serde_json::from_slice(answer.body())
+        let response = self.client.call(request, CALL_TIMEOUT).await?;
+        serde_json::from_slice(response.body())
             .map_err(|e| Failure::Broken(format!("the list cannot be read: {e}")))
     }
 }
