--- a/connection/tests/events.rs
+++ b/connection/tests/events.rs
@@ -12,7 +12,7 @@
 proptest! {
     /// Late, doubled, crossed, skipped and reordered events, cut into any pieces.
     #[test]
-    fn only_a_prefix_of_the_own_answer_passes(
+    fn only_a_prefix_of_the_own_response_passes(
         events in prop::collection::vec((0u8..10, 0u64..30), 0..60),
         piece in 1usize..50,
     ) {
@@ -43,14 +43,14 @@
 
     /// Any bytes at all: an error or nothing, never a panic.
     #[test]
-    fn any_bytes(bytes: Vec<u8>) {
+    fn any_bytes_do_not_panic(bytes: Vec<u8>) {
         let mut checker = Checker::new("own", 0);
         let _ = checker.push(bytes.into(), |_| {});
     }
 
     /// Numbers of 128 bits survive the encoding between VMs.
     #[test]
-    fn claims_are_encoded(key: u128, nonce: u128) {
+    fn claims_survive_the_encoding(key: u128, nonce: u128) {
         let claim = Claim { key, nonce, action: Action::Release };
         let bytes = rmp_serde::to_vec(&claim).unwrap();
         prop_assert_eq!(rmp_serde::from_slice::<Claim>(&bytes).unwrap(), claim);
--- a/connection/tests/sse.rs
+++ b/connection/tests/sse.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn an_event_keeps_its_bytes_and_tells_its_id() {
+fn an_event_keeps_its_bytes_and_id() {
     let (events, buffered) = decode(&[b"versions: 2\nid: 7\ndata: a b\n\nid: 8\nda"]);
     assert_eq!(events.len(), 1);
     assert_eq!(events[0].id, Some(7));
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn an_event_without_end_is_too_long_at_some_point() {
+fn an_overlong_event_is_rejected() {
     let mut decoder = Decoder::default();
     decoder.push(&vec![b'x'; 300 << 10]);
     assert_eq!(decoder.next_event(), Err(TooLong));
@@ -38,7 +38,7 @@
 
 proptest! {
     #[test]
-    fn the_cuts_of_the_network_change_nothing(
+    fn events_do_not_depend_on_chunk_boundaries(
         ids in prop::collection::vec(0u64..1_000_000, 0..12),
         cuts in prop::collection::vec(1usize..30, 0..40),
     ) {
@@ -60,7 +60,7 @@
     }
 
     #[test]
-    fn any_bytes_are_read_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let (events, buffered) = decode(&[&bytes]);
         let taken: usize = events.iter().map(|e| e.bytes.len()).sum();
         prop_assert_eq!(taken + buffered, bytes.len());
--- a/version/tests/check.rs
+++ b/version/tests/check.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_broken_text() {
+fn a_syntax_error_is_reported() {
     faults(
         "{ \"policy\": ",
         "{}",
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_name_twice() {
+fn a_duplicate_name_is_reported() {
     faults(
         FLEET,
         "{ \"keys\": [],\n  \"keys\": [] }",
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn an_unknown_name_with_the_nearest() {
+fn an_unknown_name_suggests_the_nearest() {
     faults(
         FLEET,
         "{\n  \"policy\": { \"timeout_s\": 3 }\n}",
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn values_out_of_range_and_of_other_types() {
+fn values_out_of_range_or_of_the_wrong_type_are_reported() {
     faults(
         FLEET,
         r#"{ "policy": { "priority": 10, "weight": "big", "route": "length" } }"#,
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_reference_to_what_is_not_there() {
+fn a_dangling_reference_is_reported() {
     let fleet = FLEET.replace("\"hall\": \"ariana\"", "\"hall\": \"arianna\"");
     faults(
         &fleet,
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_kind_over_its_organisation() {
+fn a_kind_may_not_exceed_its_organisation() {
     faults(
         FLEET,
         r#"{ "policy": { "concurrency": 5 }, "kinds": { "x": { "policy": { "concurrency": 6 } } } }"#,
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn values_are_inherited_and_keys_found() {
+fn values_are_inherited_and_keys_resolved() {
     let hash = hash_of_key("open sesame");
     let organisation = format!(
         r#"{{ "keys": ["{hash}"], "policy": {{ "weight": 3 }},
@@ -115,7 +115,7 @@
 proptest! {
     /// Any text is accepted or refused with a place inside it, never a panic.
     #[test]
-    fn any_text(text in "\\PC*|[\\[\\]{}\":,a-z0-9 \n/*]*") {
+    fn arbitrary_text_does_not_panic(text in "\\PC*|[\\[\\]{}\":,a-z0-9 \n/*]*") {
         if let Err(faults) = Tree::build(&texts(FLEET, &text)) {
             for fault in faults {
                 prop_assert!(fault.position.line <= text.lines().count().max(1) + 1);
--- a/version/tests/examples.rs
+++ b/version/tests/examples.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn tunis() {
+fn the_tunis_example_is_accepted() {
     let tree = tree("tunis");
     assert_eq!(tree.fleet.engines.len(), 20);
     let member = tree.organisation_of("member-a-key").unwrap();
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn hcm() {
+fn the_hcm_example_is_accepted() {
     let tree = tree("hcm");
     let school = tree.organisation_of("school-key").unwrap();
     let textbook = tree.effective(school, Some(&"textbook".parse().unwrap())).unwrap();
@@ -38,6 +38,6 @@
 }
 
 #[test]
-fn tour() {
+fn the_tour_example_is_accepted() {
     assert_eq!(tree("tour").fleet.engines.len(), 4);
 }
--- a/version/tests/head.rs
+++ b/version/tests/head.rs
@@ -79,7 +79,7 @@
     /// Operators who all begin from the same version and each change one branch, with answers
     /// lost: of those on one branch exactly one wins, the others are told; nothing stands twice.
     #[test]
-    fn each_change_counts_once(
+    fn each_change_is_applied_once(
         branches in prop::collection::vec(0usize..3, 1..8),
         lose in prop::collection::vec(1u64..30, 0..6),
     ) {
--- a/version/tests/routes.rs
+++ b/version/tests/routes.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn keys_are_needed_once_there_is_an_organisation() {
+fn keys_are_required_once_there_is_an_organisation() {
     assert!(!builder().build().requires_key());
     let table = builder()
         .organisation(organisation("one"), ["k1".to_owned(), "k2".to_owned()])
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn an_organisation_without_keys_still_asks_for_them() {
+fn an_organisation_without_keys_still_requires_them() {
     let table = builder().organisation(organisation("one"), []).build();
     assert!(table.requires_key());
     assert!(table.organisation("").is_none());
@@ -107,7 +107,7 @@
 
 proptest! {
     #[test]
-    fn what_is_found_is_the_longest_that_begins_the_path(
+    fn the_route_with_the_longest_matching_prefix_is_found(
         prefixes in prop::collection::btree_set(prefix(), 0..12),
         path in prefix(),
     ) {
