--- a/connection/src/wire.rs
+++ b/connection/src/wire.rs
@@ -1,6 +1,6 @@
-//! Messages between VMs: typed structures in MessagePack over a connection that an HTTP upgrade
-//! opened. Each field list only grows at its end, behind a default; a release that must change
-//! one takes a new protocol name.
+//! Messages between VMs, encoded as MessagePack over a connection that is opened by an HTTP
+//! upgrade. Fields may only be added at the end of a structure and with a default, since they are
+//! encoded by position. A release that has to make any other change uses a new protocol name.
 
 use std::collections::BTreeMap;
 
@@ -10,22 +10,22 @@
 use foldlock_version::policy::Class;
 use serde::{Deserialize, Serialize};
 
-/// The protocol's name in the HTTP upgrade.
+/// Protocol name in the HTTP upgrade.
 pub const PROTOCOL: &str = "foldlock/1";
 
-/// The path of the upgrade request.
+/// Path of the upgrade request.
 pub const PATH: &str = "/peer";
 
-/// Work that has been given to an engine and is not finished.
+/// Load of an engine: requests that were sent to it and are not finished.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests.
+    /// Number of requests.
     pub requests: u32,
-    /// Long requests among them.
+    /// Number of these that have long prompts.
     pub long: u32,
-    /// Prompt tokens of requests whose first token has not come, by class of length.
+    /// Prompt tokens of requests without a first token yet, by prompt length class.
     pub prefill: [Tokens; Class::COUNT],
-    /// Memory for prompts and answers.
+    /// Memory for prompts and answers, tokens.
     pub memory: Tokens,
 }
 
@@ -38,27 +38,27 @@
         load
     }
 
-    /// Only the prompt tokens.
+    /// This load with its prompt tokens only.
     pub fn prefill_only(self) -> Load {
         Load { prefill: self.prefill, ..Load::default() }
     }
 
-    /// Prompt tokens that go before a request of this class, or beside it.
+    /// Prompt tokens of this class and of all classes that go before it.
     pub fn ahead(&self, class: Class) -> Tokens {
         self.prefill[..=class.index()].iter().copied().sum()
     }
 
-    /// Prompt tokens of all classes.
+    /// Prompt tokens of all classes together.
     pub fn queued(&self) -> Tokens {
         self.prefill.iter().copied().sum()
     }
 
-    /// Whether the prompt of a long request is being computed.
+    /// Whether a long prompt waits for its prefill or is in it.
     pub fn has_long_prefill(&self) -> bool {
         self.prefill[1..].iter().any(|t| t.0 > 0)
     }
 
-    /// The sum with another load.
+    /// Adds another load.
     pub fn plus(self, other: Load) -> Load {
         Load {
             requests: self.requests + other.requests,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// What is left without another load.
+    /// Subtracts another load.
     pub fn minus(self, other: Load) -> Load {
         Load {
             requests: self.requests.saturating_sub(other.requests),
@@ -79,187 +79,187 @@
     }
 }
 
-/// A VM as its peers know it.
+/// Membership entry of a VM.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// Id of the VM.
     pub vm: id::Vm,
-    /// Its data hall.
+    /// Data hall of the VM.
     pub hall: id::Hall,
-    /// Its control address.
+    /// Control address of the VM.
     pub address: String,
-    /// Grows with each start of the process.
+    /// Incarnation number, which grows with each start of the process.
     pub incarnation: u64,
-    /// Whether it is stopping.
+    /// Whether the VM is shutting down.
     pub leaving: bool,
-    /// Whether it is no longer heard. The member itself undoes this with a higher incarnation.
+    /// Whether the VM is considered down. Only the VM itself reverts this, by a higher incarnation.
     pub down: bool,
 }
 
-/// The load of an engine by its own report, which lags.
+/// Load of an engine according to its own report, which lags.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reported {
-    /// Prompt tokens to be computed.
+    /// Prompt tokens whose prefill is not finished.
     pub prefill: Tokens,
-    /// Requests running and waiting.
+    /// Number of running and waiting requests.
     pub requests: u32,
-    /// Memory in use.
+    /// Memory in use, tokens.
     pub used: Tokens,
 }
 
-/// What the home of an engine knows of it.
+/// State of an engine, announced by its home.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct State {
-    /// The engine.
+    /// Id of the engine.
     pub engine: id::Upstream,
-    /// Its load by its newest report, if it answered one of late.
+    /// Load according to its latest report, if there is a recent one.
     pub reported: Option<Reported>,
-    /// The work that all VMs gave to it, by their last announcements.
+    /// Load from all VMs, according to their last announcements.
     pub load: Load,
-    /// The receiver's own part of `load`.
+    /// Share of `load` that comes from the receiver of this message.
     #[serde(rename = "yours")]
     pub receiver_load: Load,
-    /// Whether it gets no new work.
+    /// Whether the engine is shutting down and gets no new requests.
     pub leaving: bool,
 }
 
-/// One VM's demand of an organisation, or of a kind of request in it.
+/// Demand at one VM from an organisation, or from one kind of its requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Requests at the moment, waiting ones among them.
+    /// Current number of requests, including queued ones.
     pub concurrency: u32,
-    /// Requests a second, lately.
+    /// Recent rate of requests per second.
     pub requests_per_s: f32,
-    /// Prompt tokens a second, lately.
+    /// Recent rate of prompt tokens per second.
     pub prompt_tokens_per_s: f32,
 }
 
-/// The part of a limit that a VM may use for a while.
+/// Share of a limit that a VM may use for some time.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
-    /// Of the concurrency, in requests.
+    /// Maximum number of concurrent requests.
     pub concurrency: u32,
-    /// The share of the requests a second.
+    /// Share of the limit on requests per second.
     pub requests: f32,
-    /// The share of the prompt tokens a second.
+    /// Share of the limit on prompt tokens per second.
     pub prompt_tokens: f32,
 }
 
-/// A heartbeat with the soft state that the receiver needs.
+/// A heartbeat, with the soft state that the receiver needs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender.
+    /// Membership entry of the sender.
     pub from: Member,
-    /// The settings version in force at the sender.
+    /// Settings version in force at the sender.
     pub version: u64,
-    /// Members that the sender heard of, a few at a time.
+    /// Some of the membership entries that the sender has, a few per heartbeat.
     pub members: Vec<Member>,
-    /// The sender's work on the engines whose home the receiver is.
+    /// Load from the sender on the engines whose home is the receiver.
     pub loads: BTreeMap<id::Upstream, Load>,
-    /// The engines whose home the sender is and which the receiver uses.
+    /// Engines whose home is the sender and which the receiver uses.
     pub states: Vec<State>,
-    /// The sender's demand of the limits whose home the receiver is.
+    /// Demand at the sender for the limits whose home is the receiver.
     pub demand: BTreeMap<String, Demand>,
-    /// The receiver's quota of the limits whose home the sender is.
+    /// Quotas of the receiver for the limits whose home is the sender.
     pub quota: BTreeMap<String, Quota>,
-    /// Upstreams of plain services that refused work because they leave.
+    /// Servers of plain services that refused requests because they are shutting down.
     pub leaving: Vec<id::Upstream>,
 }
 
-/// Asks the home of a shard for a place for a long prompt.
+/// Asks the home of a shard to place a long prompt.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GrantRequest {
-    /// The VM that asks.
+    /// Id of the requesting VM.
     pub vm: id::Vm,
-    /// The request.
+    /// Id of the request.
     pub request: id::Request,
-    /// The model.
+    /// Id of the model.
     pub model: id::Model,
-    /// The prompt's tokens.
+    /// Number of prompt tokens.
     pub prompt: Tokens,
-    /// Memory for prompt and answer.
+    /// Memory for prompt and answer, tokens.
     pub memory: Tokens,
-    /// Engines that failed it before.
+    /// Engines at which earlier attempts of the request failed.
     pub avoid: Vec<id::Upstream>,
 }
 
-/// A segment of a prompt and the engine that holds memory for it.
+/// A segment of a prompt and the engine that it is placed on.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Segment {
-    /// The engine.
+    /// Id of the engine.
     pub engine: id::Upstream,
-    /// The tokens of the segment.
+    /// Number of tokens in the segment.
     pub tokens: Tokens,
-    /// The hold; absent where the prompt fits one engine.
+    /// Id of the memory reservation; absent if the prompt fits on one engine.
     pub hold: Option<id::Hold>,
 }
 
-/// A home's answer to a [`GrantRequest`].
+/// Reply of a home to a [`GrantRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Grant {
-    /// The engines, in the order of the segments: one, or a group whose memory is held.
+    /// The segments of the prompt in order: one, or several on engines that have reserved memory.
     #[serde(rename = "Given")]
     Granted(Vec<Segment>),
-    /// No place now; ask again after these milliseconds.
+    /// There is no room now; the request may be repeated after this many milliseconds.
     Wait(u64),
-    /// The answerer is not the home, or knows no engine for it.
+    /// The receiver is not the home of the shard, or has no engine for the request.
     Unknown,
 }
 
-/// Asks for a claim of an idempotency key, or says what became of one.
+/// Claims an idempotency key for an attempt, or settles such a claim.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The hash of organisation and key.
+    /// Hash of organisation and idempotency key.
     pub key: u128,
-    /// The attempt's own number.
+    /// Number that identifies the attempt.
     pub nonce: u128,
-    /// What is said.
+    /// Whether the key is claimed, released or marked as done.
     #[serde(rename = "word")]
     pub action: Action,
 }
 
-/// What a claim entry says.
+/// Action on a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Action {
-    /// The attempt wants to run.
+    /// Claims the key, before the attempt is sent.
     Claim,
-    /// The attempt was never sent: the key is free again.
+    /// Releases the key: the attempt was never sent.
     Release,
-    /// The attempt ran to its end.
+    /// Marks the claim as done: the attempt has completed.
     Done,
 }
 
-/// What became of a claim.
+/// Outcome of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// The attempt holds the key, and it alone.
+    /// The attempt holds the key exclusively.
     Won,
-    /// Another attempt holds it, and what became of that one is not known.
+    /// Another attempt holds the key, and its outcome is unknown.
     Taken,
-    /// Another attempt ran to its end.
+    /// Another attempt has completed.
     Ran,
-    /// The store cannot be reached; nothing is known to be claimed.
+    /// The store is unavailable; whether the key is claimed is unknown.
     Unavailable,
 }
 
-/// The head of the settings with the branch texts that the asker lacks.
+/// The settings head, with the branch texts that the requesting VM lacks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// The head.
+    /// Head of the settings.
     pub head: Head,
-    /// Texts by hash.
+    /// Branch texts by hash.
     pub texts: BTreeMap<String, String>,
 }
 
-/// The calls between VMs.
+/// RPC interface between VMs.
 #[tarpc::service]
 pub trait Peer {
     /// Exchanges heartbeats.
     async fn exchange(beat: Heartbeat) -> Heartbeat;
-    /// Asks the home of a shard for a place.
+    /// Asks the home of a shard to place a request.
     async fn grant(shard: String, ask: GrantRequest) -> Grant;
-    /// Asks the writer of a shard of claims to write a batch.
+    /// Asks the VM that writes a shard of the claims to write a batch.
     async fn claim(shard: u32, claims: Vec<Claim>) -> Vec<Verdict>;
-    /// Asks for the settings in force, less the texts that are known.
+    /// Returns the settings in force, without the texts whose hashes are in `known`.
     async fn settings(known: Vec<String>) -> Settings;
 }
