--- a/connection/src/engine.rs
+++ b/connection/src/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines: the interface that requests use, and its adapter over HTTP.
+//! Interface to model engines, and its implementation over HTTP.
 
 use std::fmt;
 use std::future::Future;
@@ -15,114 +15,114 @@
 
 use crate::http::{Client, Failure as Http, body, chain};
 
-/// Names of the headers of the engines' protocol, described in docs/UPSTREAMS.md.
+/// Header names of the engine protocol, which docs/UPSTREAMS.md describes.
 pub mod header {
-    /// The request's id.
+    /// Id of the request.
     pub const REQUEST: &str = "x-request";
-    /// The model.
+    /// Id of the model.
     pub const MODEL: &str = "x-model";
-    /// The most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub const MAX_TOKENS: &str = "x-max-tokens";
-    /// The priority; lower goes first.
+    /// Priority; lower values go first.
     pub const PRIORITY: &str = "x-priority";
-    /// The index that the first token gets.
+    /// Index of the first generated token.
     pub const FIRST_INDEX: &str = "x-first-index";
-    /// Milliseconds until the engine may drop the request by itself.
+    /// Milliseconds after which the engine may abort the request by itself.
     pub const DEADLINE: &str = "x-deadline-ms";
-    /// Milliseconds for which a stream without a reader is kept.
+    /// Milliseconds for which the engine keeps a stream whose reader has disconnected.
     pub const LINGER: &str = "x-linger-ms";
-    /// The hold whose memory the request uses.
+    /// Id of the memory reservation that the request uses.
     pub const RESERVATION: &str = "x-hold";
-    /// Tokens of the segments before this one, on other engines.
+    /// Number of tokens in the previous segments of the prompt, which are on other engines.
     pub const CONTEXT_TOKENS: &str = "x-context-tokens";
-    /// The exported state of the segments before this one.
+    /// Exported state of the previous segments.
     pub const CONTEXT_STATE: &str = "x-context-state";
-    /// In answers: prompt tokens found in the prefix cache.
+    /// Response header: number of prompt tokens found in the prefix cache.
     pub const CACHED: &str = "x-cached-tokens";
-    /// In refusals: whether the engine takes no more new work.
+    /// Header of a refusal: whether the engine is shutting down and accepts no new requests.
     pub const LEAVING: &str = "x-leaving";
-    /// In answers: the stream's id, for resuming and cancelling.
+    /// Response header: id of the stream, by which it is resumed or cancelled.
     pub const STREAM: &str = "x-stream";
 }
 
-/// What an engine is asked to generate.
+/// A generation job for an engine.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// The request.
+    /// Id of the request.
     pub request: id::Request,
-    /// The model.
+    /// Id of the model.
     pub model: id::Model,
     /// The prompt, or its last segment.
     pub prompt: Bytes,
-    /// The most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u64,
-    /// The priority; lower goes first.
+    /// Priority; lower values go first.
     pub priority: u8,
-    /// The index of the first token: not 0 where an answer goes on.
+    /// Index of the first token; above 0 if a previous attempt generated part of the answer.
     pub first_index: u64,
-    /// How long the engine works on it at most.
+    /// Time after which the engine may abort the request.
     pub deadline: Duration,
-    /// How long the engine keeps the stream once its reader is gone.
+    /// How long the engine keeps the stream after its reader has disconnected.
     pub linger: Duration,
-    /// The hold of memory and what stands before this segment, for a prompt over several engines.
+    /// Reservation and context of this segment, for a prompt that is split over several engines.
     pub segment: Option<Segment>,
 }
 
-/// A segment of a prompt that lies in a hold.
+/// A segment of a prompt, in memory that an engine has reserved for it.
 #[derive(Debug, Clone)]
 pub struct Segment {
-    /// The hold.
+    /// Id of the reservation.
     pub reservation: id::Hold,
-    /// The segments before this one.
+    /// State of the previous segments.
     pub context: Context,
 }
 
-/// The exported state of the segments before one.
+/// Exported state of the segments before a given one.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Context {
-    /// Their tokens.
+    /// Number of tokens in these segments.
     pub tokens: Tokens,
-    /// What the next engine imports. Opaque; empty before the first segment.
+    /// Opaque state that the next engine imports; empty before the first segment.
     pub state: String,
 }
 
-/// What an engine says of itself, some time ago.
+/// A load report of an engine. It lags behind the actual state.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Grows with each report; a lower one is old.
+    /// Sequence number, which grows with each report; a report with a lower one is stale.
     pub seq: u64,
-    /// The models that it serves now.
+    /// Models that the engine serves.
     pub models: Vec<id::Model>,
-    /// Whether it takes no new work.
+    /// Whether the engine is shutting down and accepts no new requests.
     #[serde(default)]
     pub leaving: bool,
-    /// Requests that are being answered.
+    /// Requests in prefill or decode.
     pub running: u32,
-    /// Requests whose prefill has not begun.
+    /// Requests whose prefill has not started.
     pub waiting: u32,
-    /// Prompt tokens still to be computed.
+    /// Prompt tokens whose prefill is not finished.
     pub prefill: Tokens,
-    /// Tokens that the memory holds.
+    /// Memory capacity, tokens.
     pub memory: Tokens,
-    /// Tokens of memory in use by streams and holds.
+    /// Memory in use by streams and reservations, tokens.
     pub used: Tokens,
 }
 
-/// Why an engine did not do as asked.
+/// Why a call to an engine failed.
 #[derive(Debug)]
 pub enum Failure {
-    /// It did not run.
+    /// The request did not run.
     NotRun {
-        /// The proof.
+        /// Evidence that the request did not run.
         proof: Refusal,
-        /// Whether the engine says that it is leaving.
+        /// Whether the engine reported that it is shutting down.
         leaving: bool,
-        /// Why.
+        /// Reason, for logs and errors.
         why: String,
     },
-    /// It may have run.
+    /// The request may have run.
     Broken(String),
-    /// What was asked for is not there any more.
+    /// The stream or reservation no longer exists.
     Gone,
 }
 
@@ -153,38 +153,38 @@
     }
 }
 
-/// An answer that has begun.
+/// A response stream of an engine.
 pub trait Stream: Send {
-    /// The stream's id at the engine.
+    /// Id of the stream at the engine.
     fn id(&self) -> &str;
-    /// Prompt tokens that the engine found in its cache.
+    /// Number of prompt tokens that the engine found in its prefix cache.
     fn cached(&self) -> Tokens;
-    /// The next bytes of events; none at the end of the connection.
+    /// Next bytes of the event stream; none at its end.
     fn next(&mut self) -> impl Future<Output = Result<Option<Bytes>, Failure>> + Send;
 }
 
 /// A model engine.
 pub trait Engine: Clone + Send + Sync + 'static {
-    /// Its streams.
+    /// Type of the response streams.
     type Stream: Stream;
 
-    /// Begins an answer.
+    /// Starts a generation.
     fn generate(&self, job: &Job) -> impl Future<Output = Result<Self::Stream, Failure>> + Send;
 
-    /// Goes on with a stream that lost its reader, from token `index`.
+    /// Resumes a stream whose reader has disconnected, from token `index`.
     fn resume(
         &self,
         stream: &str,
         index: u64,
     ) -> impl Future<Output = Result<Self::Stream, Failure>> + Send;
 
-    /// Ends a stream and frees its memory.
+    /// Cancels a stream and frees its memory.
     fn cancel(&self, stream: &str) -> impl Future<Output = Result<(), Failure>> + Send;
 
-    /// Reads the report.
+    /// Reads the load report.
     fn report(&self) -> impl Future<Output = Result<Report, Failure>> + Send;
 
-    /// Holds memory for a time. Asking again with the same id renews the hold.
+    /// Reserves memory for `ttl`. A further call with the same id renews the reservation.
     fn reserve(
         &self,
         hold: &id::Hold,
@@ -192,10 +192,10 @@
         ttl: Duration,
     ) -> impl Future<Output = Result<(), Failure>> + Send;
 
-    /// Gives a hold back.
+    /// Releases a reservation.
     fn release(&self, hold: &id::Hold) -> impl Future<Output = Result<(), Failure>> + Send;
 
-    /// Computes a segment of a prompt into a hold and exports its state.
+    /// Runs the prefill of a segment into its reservation and exports the resulting state.
     fn prefill(
         &self,
         job: &Job,
@@ -217,11 +217,11 @@
     body: Incoming,
 }
 
-/// How long a short call to an engine takes at most.
+/// Timeout of calls other than generation and prefill.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
 impl HttpEngine {
-    /// An engine at `address`, `IP:port`.
+    /// Creates a client of the engine at `address` (`IP:port`).
     pub fn new(client: Client, address: &str) -> HttpEngine {
         HttpEngine { client, address: address.into() }
     }
@@ -281,13 +281,13 @@
     response.headers().get(name)?.to_str().ok()
 }
 
-/// Reads an answer that is not a success.
+/// Reads the body of an unsuccessful response and returns the failure.
 async fn read_failure(response: Response<Incoming>) -> Failure {
     let (head, body) = response.into_parts();
     let body = body.collect().await.map(|b| b.to_bytes()).unwrap_or_default();
     match check_status(Response::from_parts(head, body)) {
         Err(failure) => failure,
-        Ok(_) => Failure::Broken("an unexpected status".to_owned()),
+        Ok(_) => Failure::Broken("unexpected status".to_owned()),
     }
 }
 
