--- a/connection/src/channel.rs
+++ b/connection/src/channel.rs
@@ -1,7 +1,7 @@
-//! Connections to upstreams, kept by instance: a connection to one instance is never used for
+//! Connections to upstreams, pooled by upstream id: a connection to one upstream is never used for
 //! another that has taken over its address.
 //!
-//! Nothing is sent again by itself here, and each failure says whether the request can have left.
+//! Requests are never retried here. Each failure says whether the request may have been sent.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -19,20 +19,20 @@
 
 use crate::http::chain;
 
-/// Idle connections that are kept to one upstream.
+/// Maximum number of idle connections to one upstream.
 const MAX_IDLE_PER_UPSTREAM: usize = 8;
 
-/// The largest head of an answer, and so the read buffer of a connection, bytes.
+/// Size limit of a connection's read buffer, and so of a response head, bytes.
 const MAX_READ_BUFFER_BYTES: usize = 64 << 10;
 
-/// Why an attempt brought no answer.
+/// Why an attempt got no response.
 #[derive(Debug)]
 pub enum Failure {
-    /// Nothing listens at the address: the process that did has ended.
+    /// Connection refused: the process that listened at the address has ended.
     Refused(String),
-    /// No byte of the request was sent.
+    /// No byte of the request was sent, so it can be retried safely.
     Unsent(String),
-    /// The request may have arrived.
+    /// The connection failed after the request may have been sent.
     Broken(String),
 }
 
@@ -47,7 +47,7 @@
     until: Instant,
 }
 
-/// The idle connections.
+/// A pool of idle connections.
 #[derive(Default)]
 pub struct Pool {
     idle: Mutex<HashMap<id::Upstream, Vec<Idle>>>,
@@ -69,7 +69,7 @@
             Ok(Err(e)) => return Err(Failure::Unsent(e.to_string())),
             Err(_) => {
                 let ms = timeout.as_millis();
-                return Err(Failure::Unsent(format!("no connection in {ms} ms")));
+                return Err(Failure::Unsent(format!("connection timed out after {ms} ms")));
             }
         };
         let (sender, connection) = http1::Builder::new()
@@ -77,12 +77,12 @@
             .handshake(TokioIo::new(stream))
             .await
             .map_err(|e| Failure::Unsent(chain(&e)))?;
-        // Ends with the connection; what went wrong reaches the request that uses it.
+        // The task ends with the connection; errors are returned to the request that uses it.
         tokio::spawn(connection);
         Ok(Channel { sender })
     }
 
-    /// Sends a request and gives the answer once its head is there.
+    /// Sends a request and returns the response once its head has been received.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -100,7 +100,7 @@
 }
 
 impl Pool {
-    /// An idle connection that has rested for less than `rest`; the one that rested least.
+    /// Takes the most recently used connection, if it has been idle for less than `max_idle`.
     pub fn take(
         &self,
         upstream: &id::Upstream,
@@ -117,7 +117,7 @@
         last.map(|i| i.channel)
     }
 
-    /// The upstreams to which a connection is kept that rested for less than `rest`.
+    /// The upstreams with a connection that has been idle for less than `max_idle`.
     pub fn idle_upstreams(&self, max_idle: Duration, now: Instant) -> Vec<id::Upstream> {
         let idle = self.idle.lock().unwrap();
         let is_candidate = |i: &Idle| {
@@ -131,7 +131,8 @@
             .collect()
     }
 
-    /// Keeps a connection whose answer was read to its end, for `keep` at most.
+    /// Returns a connection whose response was read to its end; it is kept for at most
+    /// `idle_timeout`.
     pub fn put(
         &self,
         upstream: &id::Upstream,
@@ -157,7 +158,7 @@
         self.idle.lock().unwrap().clear();
     }
 
-    /// Closes what has rested too long.
+    /// Closes the connections whose idle timeout has passed.
     pub fn remove_expired(&self, now: Instant) {
         self.idle.lock().unwrap().retain(|_, connections| {
             connections.retain(|i| i.until > now && !i.channel.sender.is_closed());
@@ -165,12 +166,12 @@
         });
     }
 
-    /// The number of idle connections.
+    /// Number of idle connections.
     pub fn len(&self) -> usize {
         self.idle.lock().unwrap().values().map(Vec::len).sum()
     }
 
-    /// Whether there is no idle connection.
+    /// Whether the pool has no idle connection.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/connection/src/http.rs
+++ b/connection/src/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP client that the adapters share.
+//! The HTTP client shared by the clients of engines and of the platform.
 
 use std::fmt;
 use std::time::Duration;
@@ -11,28 +11,28 @@
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 
-/// How long a connection attempt takes at most.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long an idle connection is kept.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How many idle connections are kept to one address.
+/// Maximum number of idle connections to one address.
 const MAX_IDLE_PER_ADDRESS: usize = 256;
 
-/// Why a call brought no answer.
+/// Why a call got no response.
 #[derive(Debug)]
 pub enum Failure {
-    /// No connection: nothing was sent.
+    /// The connection could not be opened; nothing was sent.
     Connect(String),
-    /// The connection broke, or no answer came in time: the call may have run.
+    /// The connection failed or the call timed out; the call may have run.
     Broken(String),
 }
 
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Failure::Connect(why) => write!(f, "no connection: {why}"),
+            Failure::Connect(why) => write!(f, "cannot connect: {why}"),
             Failure::Broken(why) => write!(f, "connection broken: {why}"),
         }
     }
@@ -40,9 +40,9 @@
 
 impl std::error::Error for Failure {}
 
-/// A client with a pool of connections. A request is sent again by itself only where the pool
-/// finds its connection closed before a byte was written. A connection whose answer was not read to its end is
-/// closed, never reused.
+/// A client with a connection pool. It retries a request only if the pooled connection turns out to
+/// be closed before a byte was written. A connection whose response was not read to its end is
+/// closed and never reused.
 #[derive(Clone)]
 pub struct Client {
     pool: Pool<HttpConnector, Full<Bytes>>,
@@ -64,7 +64,7 @@
 }
 
 impl Client {
-    /// Sends a request and gives the answer once its headers are there.
+    /// Sends a request and returns the response once its headers have been received.
     pub async fn send(&self, request: Request<Full<Bytes>>) -> Result<Response<Incoming>, Failure> {
         self.pool.request(request).await.map_err(|e| {
             let why = chain(&e);
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Sends a request and gives the answer whole, all within `timeout`.
+    /// Sends a request and returns the complete response, all within `timeout`.
     pub async fn call(
         &self,
         request: Request<Full<Bytes>>,
@@ -85,12 +85,14 @@
         };
         match tokio::time::timeout(timeout, whole).await {
             Ok(response) => response,
-            Err(_) => Err(Failure::Broken(format!("no answer in {} ms", timeout.as_millis()))),
+            Err(_) => {
+                Err(Failure::Broken(format!("no response within {} ms", timeout.as_millis())))
+            }
         }
     }
 }
 
-/// An error with its causes on one line.
+/// Formats an error and its causes on one line.
 pub fn chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
@@ -102,7 +104,7 @@
     text
 }
 
-/// A body from anything that turns into bytes.
+/// Creates a request body.
 pub fn body(bytes: impl Into<Bytes>) -> Full<Bytes> {
     Full::new(bytes.into())
 }
