--- a/connection/src/events.rs
+++ b/connection/src/events.rs
@@ -1,73 +1,75 @@
-//! Events of an engine's stream, and the checks that each one passes before a caller sees it.
+//! Events of an engine's stream, and the checks on each event before it is passed to the caller.
 
 use bytes::{Buf, Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 use std::fmt;
 
-/// The longest event, bytes. A stream with a longer one is broken.
+/// Maximum size of an event. A stream with a longer one is treated as failed.
 const MAX_EVENT_BYTES: usize = 64 << 10;
 
-/// One event as an engine sends it: `data: {"r":…,"i":…,"t":…}` and an empty line.
+/// An event as an engine sends it: `data: {"r":…,"i":…,"t":…}` and an empty line.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Raw<'a> {
-    /// The request that the event belongs to.
+    /// Id of the request that the event belongs to.
     #[serde(borrow)]
     pub r: Cow<'a, str>,
-    /// The index of the token, contiguous from 0.
+    /// Index of the token; indexes are contiguous from 0.
     pub i: u64,
-    /// The token's text; absent in the last event.
+    /// Text of the token; absent in the last event.
     #[serde(borrow, default, skip_serializing_if = "Option::is_none")]
     pub t: Option<Cow<'a, str>>,
-    /// Why the answer ends, in the last event, whose index is the count of tokens.
+    /// Finish reason, in the last event only; the index of that event is the number of tokens.
     #[serde(borrow, default, skip_serializing_if = "Option::is_none")]
     pub end: Option<Cow<'a, str>>,
 }
 
-/// A checked event.
+/// An event that passed the checks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// A token.
+    /// A generated token.
     Token {
-        /// Its index.
+        /// Index of the token.
         index: u64,
-        /// Its text.
+        /// Text of the token.
         text: String,
     },
-    /// The end of the answer.
+    /// End of the answer.
     End {
-        /// Why it ends: `stop` or `length`.
+        /// Finish reason: `stop` or `length`.
         reason: String,
     },
 }
 
-/// Why a stream cannot be trusted any further.
+/// Why the rest of a stream must not be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Fault {
-    /// An event of another request.
+    /// An event belongs to another request, whose id this is.
     WrongRequest(String),
-    /// An index ahead of the next one: something is missing.
+    /// An index is not the expected one: events are missing, or the end came at the wrong index.
     Gap {
-        /// The index that should have come.
+        /// Index that was expected.
         expected: u64,
-        /// The index that came.
+        /// Index that was received.
         got: u64,
     },
-    /// Not an event.
+    /// The bytes are not a valid event.
     Malformed(String),
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::WrongRequest(other) => write!(f, "an event of request {other} came"),
-            Fault::Gap { expected, got } => write!(f, "index {got} came in place of {expected}"),
-            Fault::Malformed(why) => write!(f, "not an event: {why}"),
+            Fault::WrongRequest(other) => write!(f, "received an event of request {other}"),
+            Fault::Gap { expected, got } => {
+                write!(f, "received event index {got}, expected {expected}")
+            }
+            Fault::Malformed(why) => write!(f, "malformed event: {why}"),
         }
     }
 }
 
-/// Cuts a byte stream into events and checks request and index of each.
+/// Splits a byte stream into events and checks the request id and index of each.
 #[derive(Debug)]
 pub struct Checker {
     request: String,
@@ -77,22 +79,22 @@
 }
 
 impl Checker {
-    /// A checker of the answer to `request`, whose next token has index `next`.
+    /// Creates a checker for a stream of `request` whose next token has index `next`.
     pub fn new(request: &str, next: u64) -> Checker {
         Checker { request: request.to_owned(), next, buffer: BytesMut::new(), duplicates: 0 }
     }
 
-    /// The index of the next token.
+    /// Index of the next token.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Events that came twice and were dropped.
+    /// Number of duplicate events, which were dropped.
     pub fn duplicates(&self) -> u64 {
         self.duplicates
     }
 
-    /// Takes bytes and hands each event that they complete to `sink`.
+    /// Appends received bytes and passes each event that is now complete to `sink`.
     pub fn push(&mut self, bytes: Bytes, mut sink: impl FnMut(Event)) -> Result<(), Fault> {
         self.buffer.extend_from_slice(&bytes);
         while let Some(end) = find_end(&self.buffer) {
@@ -150,6 +152,6 @@
         (Some(text), None) => {
             Ok(Checked::New(Event::Token { index: raw.i, text: text.into_owned() }))
         }
-        (None, None) => Err(Fault::Malformed("neither token nor end".to_owned())),
+        (None, None) => Err(Fault::Malformed("neither a token nor an end".to_owned())),
     }
 }
--- a/connection/src/sse.rs
+++ b/connection/src/sse.rs
@@ -1,27 +1,27 @@
-//! Server-sent events, cut out of a stream of bytes and passed on as they are.
+//! Splits a byte stream into server-sent events, which are passed on unchanged.
 
 use bytes::{Bytes, BytesMut};
 
-/// The longest event, bytes. A stream with a longer one is broken.
+/// Maximum size of an event. A stream with a longer one is treated as failed.
 const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// The line break pair that ends an event.
+/// The empty line that ends an event.
 const SEPARATOR: &[u8] = b"\n\n";
 
-/// One whole event.
+/// A complete event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Its id, where it has one.
+    /// The event's id, if it has a numeric one.
     pub id: Option<u64>,
-    /// Its bytes, with the empty line that ends it.
+    /// The event's bytes, including the empty line that ends it.
     pub bytes: Bytes,
 }
 
-/// An event is longer than any that is allowed.
+/// An event exceeds the maximum size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TooLong;
 
-/// Cuts bytes into events.
+/// Incremental decoder of events.
 #[derive(Debug, Default)]
 pub struct Decoder {
     buffer: BytesMut,
@@ -29,12 +29,12 @@
 }
 
 impl Decoder {
-    /// Takes more bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// Returns the next complete event, if there is one.
     pub fn next_event(&mut self) -> Result<Option<Event>, TooLong> {
         let from = self.searched.saturating_sub(SEPARATOR.len() - 1);
         let found = self.buffer[from..].windows(SEPARATOR.len()).position(|pair| pair == SEPARATOR);
@@ -47,7 +47,7 @@
         Ok(Some(Event { id: read_id(&bytes), bytes }))
     }
 
-    /// Bytes of an event that has not ended.
+    /// Number of buffered bytes of an incomplete event.
     pub fn buffered(&self) -> usize {
         self.buffer.len()
     }
--- a/connection/tests/events.rs
+++ b/connection/tests/events.rs
@@ -1,4 +1,4 @@
-//! Events are checked: whatever an engine sends, a caller sees a prefix of its own answer.
+//! Whatever an engine sends, the caller receives a prefix of the response to its own request.
 
 use bytes::Bytes;
 use foldlock_connection::events::{Checker, Event};
@@ -10,7 +10,8 @@
 }
 
 proptest! {
-    /// Late, doubled, crossed, skipped and reordered events, cut into any pieces.
+    /// Late, duplicate, missing and reordered events and events of other requests, in chunks of
+    /// any size.
     #[test]
     fn only_a_prefix_of_the_own_response_passes(
         events in prop::collection::vec((0u8..10, 0u64..30), 0..60),
@@ -41,14 +42,14 @@
         }
     }
 
-    /// Any bytes at all: an error or nothing, never a panic.
+    /// Arbitrary bytes may give an error but never a panic.
     #[test]
     fn any_bytes_do_not_panic(bytes: Vec<u8>) {
         let mut checker = Checker::new("own", 0);
         let _ = checker.push(bytes.into(), |_| {});
     }
 
-    /// Numbers of 128 bits survive the encoding between VMs.
+    /// 128-bit numbers survive the encoding of messages between VMs.
     #[test]
     fn claims_survive_the_encoding(key: u128, nonce: u128) {
         let claim = Claim { key, nonce, action: Action::Release };
--- a/connection/tests/sse.rs
+++ b/connection/tests/sse.rs
@@ -1,4 +1,4 @@
-//! Events are cut out of any bytes, however they arrive.
+//! Events are decoded independently of how their bytes are split into chunks.
 
 use foldlock_connection::sse::{Decoder, Event, TooLong};
 use proptest::prelude::*;
