--- a/connection/src/kv.rs
+++ b/connection/src/kv.rs
@@ -1,4 +1,4 @@
-//! The adapter to the platform's key-value service.
+//! HTTP client of the platform's key-value service.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,23 +10,23 @@
 
 use crate::http::{Client, body};
 
-/// The header with a key's revision in answers.
+/// Response header with the revision of a key.
 pub const REVISION: &str = "x-revision";
 
-/// The header with the revision that a write expects.
+/// Request header with the revision that a write expects the key to be at.
 pub const EXPECT: &str = "x-expect";
 
-/// How long a call waits for its answer.
+/// Timeout of a call, apart from the wait time of a watch.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Counts of the calls made, for metrics and for tests that bound them.
+/// Counters of calls, for metrics and for tests that bound the number of calls.
 #[derive(Debug, Default)]
 pub struct Calls {
-    /// Reads, watches among them.
+    /// Reads, including watches.
     pub reads: AtomicU64,
-    /// Writes.
+    /// Writes and deletions.
     pub writes: AtomicU64,
-    /// Calls that failed.
+    /// Calls that failed or were rate limited; revision conflicts are not counted.
     pub failures: AtomicU64,
 }
 
@@ -39,12 +39,12 @@
 }
 
 impl HttpStore {
-    /// A store at `address`, `IP:port`.
+    /// Creates a client of the service at `address` (`IP:port`).
     pub fn new(client: Client, address: &str) -> HttpStore {
         HttpStore { client, address: address.into(), calls: Arc::default() }
     }
 
-    /// The calls made so far.
+    /// Counters of the calls made so far.
     pub fn calls(&self) -> &Calls {
         &self.calls
     }
@@ -90,7 +90,7 @@
         .get(REVISION)
         .and_then(|v| v.to_str().ok())
         .and_then(|v| v.parse().ok())
-        .ok_or_else(|| Failure::Unavailable("the answer names no revision".to_owned()))
+        .ok_or_else(|| Failure::Unavailable("the response has no revision header".to_owned()))
 }
 
 fn entry(response: Response<Bytes>) -> Result<Option<Entry>, Failure> {
--- a/connection/src/lib.rs
+++ b/connection/src/lib.rs
@@ -1,4 +1,4 @@
-//! Connections out of a VM: to engines and plain services, to the platform, and to other VMs.
+//! Outgoing connections of a VM: to engines and plain services, to the platform, and to other VMs.
 
 pub mod channel;
 pub mod engine;
--- a/connection/src/peer.rs
+++ b/connection/src/peer.rs
@@ -1,4 +1,4 @@
-//! Opening and serving connections between VMs.
+//! Client and server side of the RPC connections between VMs.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -18,16 +18,16 @@
 use crate::http::{Failure, chain};
 use crate::wire::{PATH, PROTOCOL, PeerClient, PeerRequest, PeerResponse};
 
-/// How long it takes at most to open a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The longest message. Settings of a whole fleet fit.
+/// Maximum size of a message, large enough for the settings of a whole fleet.
 const MAX_MESSAGE_BYTES: usize = 32 << 20;
 
-/// A connection to a peer. Cheap to clone; calls share the connection.
+/// A connection to a peer. It is cheap to clone; concurrent calls share it.
 pub type Connection = PeerClient;
 
-/// Opens a connection to a peer's control address.
+/// Opens a connection to the control address of a peer.
 pub async fn connect(address: &str) -> Result<Connection, Failure> {
     match tokio::time::timeout(CONNECT_TIMEOUT, open(address)).await {
         Ok(connection) => connection,
@@ -50,7 +50,7 @@
         .map_err(|e| Failure::Connect(e.to_string()))?;
     let response = sender.send_request(request).await.map_err(|e| Failure::Connect(chain(&e)))?;
     if response.status() != StatusCode::SWITCHING_PROTOCOLS {
-        return Err(Failure::Connect(format!("the peer does not speak {PROTOCOL}")));
+        return Err(Failure::Connect(format!("the peer does not support {PROTOCOL}")));
     }
     let upgraded = hyper::upgrade::on(response).await.map_err(|e| Failure::Connect(chain(&e)))?;
     let transport =
@@ -64,13 +64,13 @@
     LengthDelimitedCodec::builder().max_frame_length(MAX_MESSAGE_BYTES).new_framed(counted)
 }
 
-/// Whether a request asks for a connection between VMs.
+/// Whether an HTTP request is an upgrade to the RPC protocol between VMs.
 pub fn is_upgrade(request: &Request<Incoming>) -> bool {
     request.uri().path() == PATH
         && request.headers().get(UPGRADE).is_some_and(|v| v.as_bytes() == PROTOCOL.as_bytes())
 }
 
-/// The accepted side of a connection, ready to execute calls.
+/// The server side of a connection, which executes the calls of the peer.
 pub type Served = BaseChannel<PeerRequest, PeerResponse, Transport>;
 
 type Inbound = tarpc::ClientMessage<PeerRequest>;
@@ -78,13 +78,13 @@
 type Format = tokio_serde::formats::MessagePack<Inbound, Outbound>;
 type Transport = tarpc::serde_transport::Transport<CountedStream, Inbound, Outbound, Format>;
 
-/// A connection whose bytes are counted.
+/// A stream that counts the bytes received and sent.
 type CountedStream = InspectWriter<InspectReader<TokioIo<Upgraded>, fn(&[u8])>, fn(&[u8])>;
 
 static RECEIVED: AtomicU64 = AtomicU64::new(0);
 static SENT: AtomicU64 = AtomicU64::new(0);
 
-/// Bytes that this process received from and sent to peers so far.
+/// Number of bytes that this process has received from its peers and sent to them.
 pub fn transferred_bytes() -> (u64, u64) {
     (RECEIVED.load(Ordering::Relaxed), SENT.load(Ordering::Relaxed))
 }
@@ -97,7 +97,7 @@
     SENT.fetch_add(bytes.len() as u64, Ordering::Relaxed);
 }
 
-/// Accepts an upgrade; `run` gets the connection and serves the peer's calls until it ends.
+/// Accepts an upgrade request; `run` then serves the calls of the peer until the connection ends.
 pub fn accept<F, R>(request: Request<Incoming>, run: F) -> Response<Full<Bytes>>
 where
     F: FnOnce(Served) -> R + Send + 'static,
--- a/connection/src/vms.rs
+++ b/connection/src/vms.rs
@@ -1,4 +1,4 @@
-//! The adapter to the platform's list of VMs, which lags.
+//! Client of the platform's list of VMs. The list lags behind the actual state.
 
 use std::future::Future;
 use std::time::Duration;
@@ -9,41 +9,41 @@
 
 use crate::http::{Client, Failure, body};
 
-/// How long a call waits for its answer.
+/// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One VM or upstream in the list.
+/// A VM or an upstream in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
-    /// Its name.
+    /// Name of the VM or upstream.
     pub name: String,
-    /// The control address of an entry VM, `IP:port`; empty for upstreams.
+    /// Control address (`IP:port`) of a VM; empty for upstreams.
     #[serde(default)]
     pub address: String,
-    /// The data hall.
+    /// Data hall that it is in.
     pub hall: id::Hall,
-    /// Whether it is being taken away.
+    /// Whether the platform is removing it.
     #[serde(default)]
     pub leaving: bool,
 }
 
-/// The list as it was some time ago.
+/// A copy of the list, which may be stale.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
-    /// The entry VMs.
+    /// The VMs of the serving layer.
     pub vms: Vec<Listed>,
-    /// The upstreams that the platform says something of.
+    /// The upstreams that the platform lists.
     #[serde(default)]
     pub upstreams: Vec<Listed>,
 }
 
-/// The platform's list.
+/// Access to the platform's list.
 pub trait List: Clone + Send + Sync + 'static {
-    /// Reads the list.
+    /// Reads the current list.
     fn read(&self) -> impl Future<Output = Result<Listing, Failure>> + Send;
 }
 
-/// The list over HTTP.
+/// Reads the list over HTTP.
 #[derive(Clone)]
 pub struct HttpList {
     client: Client,
@@ -51,7 +51,7 @@
 }
 
 impl HttpList {
-    /// A list at `address`, `IP:port`.
+    /// Creates a client of the list at `address` (`IP:port`).
     pub fn new(client: Client, address: &str) -> HttpList {
         HttpList { client, url: format!("http://{address}/vms") }
     }
@@ -63,6 +63,6 @@
             Request::get(&self.url).body(body("")).map_err(|e| Failure::Connect(e.to_string()))?;
         let response = self.client.call(request, CALL_TIMEOUT).await?;
         serde_json::from_slice(response.body())
-            .map_err(|e| Failure::Broken(format!("the list cannot be read: {e}")))
+            .map_err(|e| Failure::Broken(format!("cannot decode the list of VMs: {e}")))
     }
 }
