--- a/version/src/policy.rs
+++ b/version/src/policy.rs
@@ -1,4 +1,4 @@
-//! The settings of a request, which branches inherit and override value by value.
+//! Settings of a request, which branches inherit and override value by value.
 
 use std::time::Duration;
 
@@ -6,26 +6,27 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// How an upstream is chosen.
+/// Policy by which an upstream is selected.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, JsonSchema,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Route {
-    /// Each upstream in turn.
+    /// Upstreams in turn.
     RoundRobin,
-    /// The fewest of this VM's own requests outstanding.
+    /// The upstream with the fewest outstanding requests of the own VM.
     LeastOutstanding,
-    /// The less loaded of two at random, by the lagged reports.
+    /// The less loaded of two random upstreams, according to their reports, which lag.
     TwoChoices,
-    /// As `two_choices`, with the work in flight that all VMs announce in place of reports.
+    /// As `two_choices`, with the in-flight load that all VMs announce in place of the reports.
     Shared,
-    /// The least predicted time to first token plus delay put on others; long prompts by grant.
+    /// The upstream with the lowest sum of predicted time to first token and added delay of other
+    /// requests; long prompts are placed by grants.
     LengthAware,
 }
 
 impl Route {
-    /// Each route.
+    /// All policies.
     pub const ALL: &'static [Route] = &[
         Route::RoundRobin,
         Route::LeastOutstanding,
@@ -35,21 +36,22 @@
     ];
 }
 
-/// A class of prompt lengths: 0 for short ones, then up to 4 and 16 times the length at which a
-/// prompt counts as long, then all others. A lower class goes first.
+/// Class of a prompt by its length: 0 for short prompts, 1 for less than 4 times and 2 for less
+/// than 16 times the length from which a prompt counts as long, 3 for all others. Lower classes go
+/// first.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Class(u8);
 
 impl Class {
-    /// How many there are.
+    /// Number of classes.
     pub const COUNT: usize = 4;
 
-    /// Its number.
+    /// Number of this class.
     pub fn index(self) -> usize {
         usize::from(self.0)
     }
 
-    /// Whether its prompts are long.
+    /// Whether prompts of this class are long.
     pub fn is_long(self) -> bool {
         self.0 > 0
     }
@@ -61,48 +63,50 @@
     }
 }
 
-/// The settings of a request. A branch may set any of them; what it leaves out it inherits, at
-/// last from the defaults built in here.
+/// Settings of a request. A branch may set any of them. Others are inherited from the parent
+/// branch, and finally from the built-in defaults.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Policy {
-    /// How an upstream is chosen.
+    /// Policy by which an upstream is selected.
     pub route: Route,
-    /// The time-out of a request that names none, and the cap for one that does, milliseconds.
+    /// Timeout of requests that do not specify one, and upper limit for those that do, in
+    /// milliseconds.
     #[schemars(range(min = 1, max = 86_400_000))]
     pub timeout_ms: u64,
-    /// The engine priority of short requests; lower goes first.
+    /// Engine priority of requests with short prompts. Lower values go first.
     #[schemars(range(min = 0, max = 9))]
     pub priority: u8,
-    /// A prompt of at least this many tokens counts as long.
+    /// Prompts of at least this many tokens count as long.
     #[schemars(range(min = 1, max = 10_000_000))]
     pub long_tokens: u64,
-    /// The largest body, bytes.
+    /// Maximum size of a request body, in bytes.
     #[schemars(range(min = 1, max = 67_108_864))]
     pub max_body_bytes: usize,
-    /// The most tokens of an answer.
+    /// Maximum number of tokens in an answer.
     #[schemars(range(min = 1, max = 1_000_000))]
     pub max_answer_tokens: u64,
-    /// Whether a request may run more than once.
+    /// Whether a request may be run more than once.
     pub repeatable: bool,
-    /// Whether a broken answer goes on at another engine from the tokens so far.
+    /// Whether an interrupted answer is continued on another engine, after the tokens generated so
+    /// far.
     pub resume: bool,
-    /// The most times a request is sent again.
+    /// Maximum number of retries of a request.
     #[schemars(range(min = 0, max = 10))]
     pub retries: u32,
-    /// The share of recent requests that may be sent again, percent.
+    /// Maximum share of recent requests that may be retried, in percent.
     #[schemars(range(min = 0, max = 100))]
     pub retry_budget_percent: u8,
-    /// The weight of the organisation where requests wait for engines.
+    /// Weight of the organisation when queued requests are scheduled.
     #[schemars(range(min = 1, max = 1000))]
     pub weight: u32,
-    /// The most requests at a time over the whole fleet; 0 for no limit.
+    /// Maximum number of concurrent requests over the whole fleet; 0 means no limit.
     pub concurrency: u32,
-    /// The most requests a second over the whole fleet; 0 for no limit.
+    /// Maximum number of requests per second over the whole fleet; 0 means no limit.
     pub requests_per_s: u32,
-    /// The most prompt tokens a second over the whole fleet; 0 for no limit.
+    /// Maximum number of prompt tokens per second over the whole fleet; 0 means no limit.
     pub prompt_tokens_per_s: u64,
-    /// How long an engine keeps a stream whose reader is gone, milliseconds.
+    /// Time for which an engine keeps a stream after its reader has disconnected, in milliseconds.
     #[schemars(range(min = 0, max = 600_000))]
     pub resume_window_ms: u64,
 }
@@ -130,13 +134,13 @@
 }
 
 impl Policy {
-    /// The time a request has: what the caller asks for, capped by the settings.
+    /// Timeout of a request: the one that the caller requested, limited by `timeout_ms`.
     pub fn timeout(&self, asked: Option<Duration>) -> Duration {
         let cap = Duration::from_millis(self.timeout_ms);
         asked.map_or(cap, |asked| asked.min(cap))
     }
 
-    /// The class of a prompt of this length.
+    /// Class of a prompt of this length.
     pub fn class(&self, prompt: Tokens) -> Class {
         let ratio = prompt.0 / self.long_tokens.max(1);
         Class(match ratio {
--- a/version/src/schema.rs
+++ b/version/src/schema.rs
@@ -1,5 +1,5 @@
-//! The shape of a branch's source. The JSON schema that sources are checked against is derived
-//! from these types.
+//! Structure of the sources of branches. The JSON schemas against which sources are validated are
+//! derived from these types.
 
 use std::collections::BTreeMap;
 
@@ -10,22 +10,22 @@
 
 use crate::policy::Policy;
 
-/// The root branch.
+/// Settings of the whole fleet (the root branch).
 #[derive(Debug, Clone, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
-    /// What each request inherits.
+    /// Settings that all requests inherit.
     #[schemars(with = "Policy")]
     pub policy: Map<String, Value>,
-    /// The data halls.
+    /// Data halls, by name.
     pub halls: BTreeMap<id::Hall, Hall>,
-    /// The models.
+    /// Models, by name.
     pub models: BTreeMap<id::Model, Model>,
-    /// The model engines.
+    /// Model engines, by id.
     pub engines: BTreeMap<id::Upstream, Engine>,
-    /// The plain services.
+    /// Plain services, by name.
     pub services: BTreeMap<id::Service, Service>,
-    /// The secret that signs the cursors of streams; the same on each VM.
+    /// Secret with which stream cursors are signed; the same on all VMs.
     pub cursor_secret: String,
 }
 
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Hall {
-    /// The region that the hall is in.
+    /// Region of the data hall.
     pub region: String,
 }
 
@@ -41,10 +41,10 @@
 #[derive(Debug, Clone, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// Bytes of text a token, for estimates.
+    /// Average number of bytes of text per token, for estimates.
     #[schemars(range(min = 1, max = 64))]
     pub bytes_per_token: u32,
-    /// The longest prompt with its answer that the model takes, tokens.
+    /// Maximum length of a prompt together with its answer, in tokens.
     #[schemars(range(min = 1, max = 100_000_000))]
     pub context_tokens: u64,
 }
@@ -53,14 +53,14 @@
 #[derive(Debug, Clone, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Engine {
-    /// `IP:port`.
+    /// Address of the engine, `IP:port`.
     #[schemars(regex(pattern = r"^[0-9a-fA-F.:\[\]]+:[0-9]{1,5}$"))]
     pub address: String,
-    /// The data hall that it is in.
+    /// Data hall of the engine.
     pub hall: id::Hall,
-    /// The models that it serves.
+    /// Models that the engine serves.
     pub models: Vec<id::Model>,
-    /// The tokens that its memory holds.
+    /// Memory capacity of the engine, in tokens.
     #[schemars(range(min = 1, max = 100_000_000))]
     pub memory_tokens: u64,
 }
@@ -69,12 +69,12 @@
 #[derive(Debug, Clone, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// The path that its calls begin with.
+    /// Path prefix of the service's calls.
     #[schemars(regex(pattern = r"^/[a-z0-9._/-]+$"))]
     pub path: String,
-    /// Its servers.
+    /// Servers of the service, by id.
     pub servers: BTreeMap<id::Upstream, Server>,
-    /// Paths below `path` whose calls may not be repeated, for any method.
+    /// Paths below `path` whose calls must not be retried, regardless of the method.
     #[serde(default)]
     pub once: Vec<String>,
 }
@@ -83,32 +83,32 @@
 #[derive(Debug, Clone, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Server {
-    /// `IP:port`.
+    /// Address of the server, `IP:port`.
     #[schemars(regex(pattern = r"^[0-9a-fA-F.:\[\]]+:[0-9]{1,5}$"))]
     pub address: String,
-    /// The data hall that it is in.
+    /// Data hall of the server.
     pub hall: id::Hall,
 }
 
-/// An organisation's branch.
+/// Settings of an organisation (its branch).
 #[derive(Debug, Clone, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Organisation {
-    /// SHA-256 hashes of its bearer keys, hexadecimal.
+    /// SHA-256 hashes of the organisation's bearer keys, hexadecimal.
     #[schemars(inner(regex(pattern = r"^[0-9a-f]{64}$")))]
     pub keys: Vec<String>,
-    /// What the organisation overrides.
+    /// Settings that the organisation overrides.
     #[schemars(with = "Policy")]
     pub policy: Map<String, Value>,
-    /// Its kinds of request.
+    /// Kinds of requests of the organisation, by name.
     pub kinds: BTreeMap<id::Kind, Kind>,
 }
 
-/// A kind of request.
+/// A kind of requests.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Kind {
-    /// What the kind overrides.
+    /// Settings that this kind overrides.
     #[schemars(with = "Policy")]
     pub policy: Map<String, Value>,
 }
