--- a/version/src/check.rs
+++ b/version/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a branch against the schema, with errors that name the place and what is allowed.
+//! Validates branches against their JSON schema. Faults give the position and what is allowed.
 
 use std::fmt;
 use std::sync::LazyLock;
@@ -12,26 +12,26 @@
 use crate::schema;
 use crate::source::{Position, Source};
 
-/// A name at most this many edits away is offered as the one that was meant.
+/// Maximum edit distance at which a valid name is suggested for an unknown one.
 const MAX_SUGGESTION_DISTANCE: usize = 3;
 
-/// The longest value that is quoted in a fault, characters.
+/// Maximum length of a value quoted in a fault, characters.
 const MAX_QUOTED_CHARS: usize = 60;
 
-/// One fault of a source.
+/// A fault in a source.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// The branch.
+    /// Branch that has the fault.
     pub branch: Name,
-    /// The place in its source.
+    /// Position in the source of the branch.
     pub position: Position,
-    /// The path of names to the value.
+    /// Path to the value, as names and indexes.
     pub path: Vec<String>,
-    /// The value.
+    /// The faulty value, truncated; empty if there is none.
     pub value: String,
-    /// What is wrong and what is allowed.
+    /// Description of what is wrong and what is allowed.
     pub reason: String,
-    /// The known name that was perhaps meant.
+    /// Valid name that was possibly meant.
     pub nearest: Option<String>,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// The known name nearest to `name`, if one is near.
+/// The name in `known` that is closest to `name`, if its edit distance is small enough.
 pub fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<String> {
     known
         .into_iter()
@@ -59,7 +59,7 @@
         .map(|(_, k)| k.to_owned())
 }
 
-/// A value as text, cut to a length that a line can show.
+/// Formats a value as text, truncated to fit on a line.
 pub fn quote(value: &Value) -> String {
     let text = value.to_string();
     if text.chars().count() <= MAX_QUOTED_CHARS {
@@ -68,7 +68,7 @@
     text.chars().take(MAX_QUOTED_CHARS).chain("…".chars()).collect()
 }
 
-/// A compiled schema with its source, in which known names are looked up.
+/// A compiled schema, and its JSON form in which valid property names are looked up.
 struct Schema {
     value: Value,
     validator: Validator,
@@ -81,7 +81,7 @@
         Schema { value, validator }
     }
 
-    /// The property names that are known at an instance path.
+    /// Valid property names at an instance path.
     fn property_names(&self, path: &[String]) -> Vec<&str> {
         let mut at = &self.value;
         for step in path {
@@ -105,7 +105,7 @@
 static FLEET: LazyLock<Schema> = LazyLock::new(Schema::of::<schema::Fleet>);
 static ORGANISATION: LazyLock<Schema> = LazyLock::new(Schema::of::<schema::Organisation>);
 
-/// The JSON schema of a branch's source.
+/// JSON schema for the source of a branch.
 pub fn schema(branch: &Name) -> &'static Value {
     &schema_of(branch).value
 }
@@ -117,7 +117,7 @@
     }
 }
 
-/// Checks one branch by itself. References to other branches are the tree's to check.
+/// Validates a branch by itself. References between branches are checked by the tree.
 pub fn source(branch: &Name, source: &Source<'_>) -> Vec<Fault> {
     let schema = schema_of(branch);
     let value = source.value();
@@ -164,7 +164,7 @@
         position: source.position(&inner),
         path: inner,
         value: name.to_owned(),
-        reason: format!("unknown name `{name}`; known here: {}", known.join(", ")),
+        reason: format!("unknown name `{name}`; allowed names: {}", known.join(", ")),
         nearest: nearest(name, known),
     }
 }
@@ -174,7 +174,7 @@
     nearest(value.as_str()?, names)
 }
 
-/// The names and indexes of a JSON pointer.
+/// Splits a JSON pointer into names and indexes.
 fn pointer_segments(pointer: &str) -> Vec<String> {
     pointer.split('/').skip(1).map(|s| s.replace("~1", "/").replace("~0", "~")).collect()
 }
--- a/version/src/source.rs
+++ b/version/src/source.rs
@@ -1,21 +1,21 @@
-//! A branch's source: JSON with comments, with the place of each value.
+//! Parser of branch sources (JSON with comments) that keeps the position of each value.
 
 use jsonc_parser::ast;
 use jsonc_parser::common::Ranged;
 use jsonc_parser::{CollectOptions, ParseOptions};
 use serde_json::Value;
 
-/// A place in a source, counted from 1.
+/// Position in a source, counted from 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
-    /// The line.
+    /// Line number.
     pub line: usize,
-    /// The column, in characters.
+    /// Column number, in characters.
     pub column: usize,
 }
 
 impl Position {
-    /// The place of a byte offset.
+    /// Position of a byte offset.
     pub fn of(text: &str, offset: usize) -> Position {
         let before = text.get(..offset).unwrap_or(text);
         let line = before.matches('\n').count() + 1;
@@ -24,16 +24,16 @@
     }
 }
 
-/// A text that is not JSON with comments.
+/// A syntax error, or a duplicate name in an object.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Failure {
-    /// Where it breaks.
+    /// Position of the error.
     pub position: Position,
-    /// Why.
+    /// Description of the error.
     pub reason: String,
 }
 
-/// Strict JSON, but for comments and trailing commas.
+/// Strict JSON, except that comments and trailing commas are allowed.
 const OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
@@ -47,7 +47,7 @@
 }
 
 impl<'a> Source<'a> {
-    /// Parses a text.
+    /// Parses a text and rejects duplicate names.
     pub fn parse(text: &'a str) -> Result<Source<'a>, Failure> {
         let parsed = jsonc_parser::parse_to_ast(text, &CollectOptions::default(), &OPTIONS)
             .map_err(|e| Failure {
@@ -59,18 +59,19 @@
             reason: "the source is empty".to_owned(),
         })?;
         if let Some((offset, name)) = find_duplicate_name(&root) {
-            let reason = format!("{name:?} stands twice in the same object");
+            let reason = format!("duplicate name {name:?} in the same object");
             return Err(Failure { position: Position::of(text, offset), reason });
         }
         Ok(Source { text, root })
     }
 
-    /// The value as plain JSON.
+    /// The parsed value, without comments.
     pub fn value(&self) -> Value {
         self.root.clone().into()
     }
 
-    /// The place of the value at a path of names and indexes, or of the nearest one around it.
+    /// Position of the value at a path of names and indexes, or of the innermost value on that path
+    /// that exists.
     pub fn position(&self, path: &[String]) -> Position {
         let mut value = &self.root;
         let mut offset = value.range().start;
@@ -96,7 +97,7 @@
     }
 }
 
-/// The first name that stands twice in one object, with its offset.
+/// Finds the first duplicate name in an object, with its byte offset.
 fn find_duplicate_name(value: &ast::Value<'_>) -> Option<(usize, String)> {
     match value {
         ast::Value::Object(object) => {
--- a/version/src/tree.rs
+++ b/version/src/tree.rs
@@ -1,4 +1,4 @@
-//! A whole version of the settings: all branches, checked together and resolved.
+//! A complete version of the settings: all branches, validated together and resolved.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -14,14 +14,14 @@
 use crate::schema;
 use crate::source::{Position, Source};
 
-/// Where an effective value comes from.
+/// Origin of an effective value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Origin {
-    /// The defaults of this release.
+    /// The built-in defaults of this release.
     Default,
     /// A branch.
     Branch(Name),
-    /// A kind of request in an organisation's branch.
+    /// A kind of requests in the branch of an organisation.
     Kind(id::Organisation, id::Kind),
 }
 
@@ -35,45 +35,45 @@
     }
 }
 
-/// The effective settings of a leaf, with the origin of each value.
+/// Effective settings of an organisation or of one kind of its requests, with their origins.
 #[derive(Debug, Clone)]
 pub struct Effective {
-    /// The settings.
+    /// Effective settings.
     pub policy: Arc<Policy>,
-    /// Where each value comes from, by name.
+    /// Origin of each value, by name.
     pub origins: BTreeMap<String, Origin>,
 }
 
-/// An organisation, resolved.
+/// Resolved settings of an organisation.
 #[derive(Debug, Clone)]
 pub struct Organisation {
-    /// The settings of a request that names no kind.
+    /// Settings of requests that specify no kind.
     pub base: Effective,
-    /// The settings of each kind.
+    /// Settings of each kind of requests.
     pub kinds: BTreeMap<id::Kind, Effective>,
 }
 
-/// The texts of all branches.
+/// Source texts of all branches.
 pub type Texts = BTreeMap<Name, Arc<str>>;
 
-/// A checked and resolved version.
+/// A validated and resolved version of the settings.
 #[derive(Debug, Clone, Default)]
 pub struct Tree {
-    /// The root branch.
+    /// Root branch.
     pub fleet: schema::Fleet,
-    /// The organisations.
+    /// Resolved organisations.
     pub organisations: BTreeMap<id::Organisation, Organisation>,
     keys: HashMap<[u8; 4], Vec<(Vec<u8>, id::Organisation)>>,
 }
 
 impl Tree {
-    /// Checks and resolves the texts of all branches, or gives every fault found.
+    /// Validates and resolves the texts of all branches, or returns all faults found.
     pub fn build(texts: &Texts) -> Result<Tree, Vec<Fault>> {
         Builder::default().build(texts)
     }
 
-    /// The organisation whose key this is. Takes the same time for any wrong key with the same
-    /// first bytes of its hash.
+    /// The organisation that a key belongs to. Hashes are compared in constant time, so the
+    /// duration for a wrong key depends on the first 4 bytes of its hash only.
     pub fn organisation_of(&self, key: &str) -> Option<&id::Organisation> {
         let hash = Sha256::digest(key.as_bytes());
         let bucket = self.keys.get(&prefix(&hash))?;
@@ -86,7 +86,7 @@
         found
     }
 
-    /// The settings of a kind, or of a request that names none.
+    /// Settings of a kind of requests, or of requests that specify none.
     pub fn effective(
         &self,
         organisation: &id::Organisation,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The plain service whose path a call begins with.
+    /// The plain service whose path is a prefix of the path of a call.
     pub fn service_of(&self, path: &str) -> Option<(&id::Service, &schema::Service)> {
         self.fleet.services.iter().find(|(_, service)| {
             path.strip_prefix(service.path.as_str())
@@ -108,7 +108,7 @@
     }
 }
 
-/// The hash of a bearer key, as settings hold it.
+/// Hash of a bearer key, in the form used in the settings.
 pub fn hash_of_key(key: &str) -> String {
     Sha256::digest(key.as_bytes()).iter().map(|b| format!("{b:02x}")).collect()
 }
@@ -123,7 +123,7 @@
         .collect()
 }
 
-/// Collects faults while a tree is built.
+/// Builds a tree and collects the faults.
 #[derive(Default)]
 struct Builder {
     faults: Vec<Fault>,
@@ -202,7 +202,7 @@
         self.tree.fleet = fleet;
     }
 
-    /// Checks that a name refers to something that is there.
+    /// Checks that a referenced name is defined.
     fn check_reference<K: AsRef<str> + Ord, V>(
         &mut self,
         source: &Source<'_>,
@@ -268,7 +268,7 @@
             let holder = bucket.iter().find(|(known, _)| *known == hash).map(|(_, o)| o.clone());
             match holder {
                 Some(other) => {
-                    let reason = format!("the key is organisation {other}'s already");
+                    let reason = format!("the key already belongs to organisation {other}");
                     self.add_fault(name, source, &["keys", &i.to_string()], reason, None);
                 }
                 None => bucket.push((hash, id.clone())),
@@ -276,7 +276,8 @@
         }
     }
 
-    /// A kind's limit cannot be above the limit of its organisation, which counts it too.
+    /// Checks that no limit of a kind exceeds that of its organisation, since the requests of a
+    /// kind count towards both.
     fn check_organisation_limits(
         &mut self,
         name: &Name,
@@ -292,7 +293,7 @@
         ];
         for (field, whole, part) in pairs {
             if whole != 0 && part > whole {
-                let reason = format!("{part} is above the organisation's {whole}");
+                let reason = format!("{part} exceeds the organisation's limit of {whole}");
                 let path = ["kinds", kind.as_str(), "policy", field];
                 self.add_fault(name, source, &path, reason, None);
             }
@@ -319,7 +320,7 @@
     }
 }
 
-/// Merges what each branch sets, the root first, over the defaults.
+/// Merges the settings of the branches over the defaults, the root branch first.
 fn resolve(branches: &[(Origin, &Map<String, Value>)]) -> Result<Effective, String> {
     let defaults = serde_json::to_value(Policy::default()).map_err(|e| e.to_string())?;
     let Value::Object(mut merged) = defaults else { return Err("not an object".to_owned()) };
--- a/version/tests/check.rs
+++ b/version/tests/check.rs
@@ -1,4 +1,4 @@
-//! Settings are checked as a whole, with errors that say where and what is allowed.
+//! Settings are validated as a whole; faults give the position and what is allowed.
 
 use std::sync::Arc;
 
@@ -44,7 +44,7 @@
     faults(
         FLEET,
         "{ \"keys\": [],\n  \"keys\": [] }",
-        expect![[r#"organisation/acme.jsonc:2:3: "keys" stands twice in the same object"#]],
+        expect![[r#"organisation/acme.jsonc:2:3: duplicate name "keys" in the same object"#]],
     );
 }
 
@@ -54,7 +54,7 @@
         FLEET,
         "{\n  \"policy\": { \"timeout_s\": 3 }\n}",
         expect![[
-            r#"organisation/acme.jsonc:2:15: policy.timeout_s: unknown name `timeout_s`; known here: route, timeout_ms, priority, long_tokens, max_body_bytes, max_answer_tokens, repeatable, resume, retries, retry_budget_percent, weight, concurrency, requests_per_s, prompt_tokens_per_s, resume_window_ms; did you mean `timeout_ms`?"#
+            r#"organisation/acme.jsonc:2:15: policy.timeout_s: unknown name `timeout_s`; allowed names: route, timeout_ms, priority, long_tokens, max_body_bytes, max_answer_tokens, repeatable, resume, retries, retry_budget_percent, weight, concurrency, requests_per_s, prompt_tokens_per_s, resume_window_ms; did you mean `timeout_ms`?"#
         ]],
     );
 }
@@ -89,7 +89,7 @@
         FLEET,
         r#"{ "policy": { "concurrency": 5 }, "kinds": { "x": { "policy": { "concurrency": 6 } } } }"#,
         expect![
-            "organisation/acme.jsonc:1:65: kinds.x.policy.concurrency: 6 is above the organisation's 5"
+            "organisation/acme.jsonc:1:65: kinds.x.policy.concurrency: 6 exceeds the organisation's limit of 5"
         ],
     );
 }
@@ -113,7 +113,7 @@
 }
 
 proptest! {
-    /// Any text is accepted or refused with a place inside it, never a panic.
+    /// Any text is accepted, or rejected with a position inside it; it never causes a panic.
     #[test]
     fn arbitrary_text_does_not_panic(text in "\\PC*|[\\[\\]{}\":,a-z0-9 \n/*]*") {
         if let Err(faults) = Tree::build(&texts(FLEET, &text)) {
--- a/version/tests/examples.rs
+++ b/version/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The example trees are accepted.
+//! The settings in `examples/` are valid.
 
 use std::path::Path;
 use std::sync::Arc;
