--- a/version/src/head.rs
+++ b/version/src/head.rs
@@ -1,4 +1,4 @@
-//! The head: the one key that says which version of the settings is accepted.
+//! The head: the key in the store that determines which version of the settings is in force.
 
 use std::collections::BTreeMap;
 
@@ -7,55 +7,56 @@
 
 use crate::branch::Name;
 
-/// The key of the head in the store.
+/// Key of the head in the store.
 pub const KEY: &str = "settings/head";
 
-/// How many changes the head's tail holds. A writer whose answer was lost finds its change there.
+/// Maximum number of changes in the tail of the head. A writer that got no response to its write
+/// looks its change up there.
 pub const MAX_TAIL_LEN: usize = 64;
 
-/// The content hash of a branch's text.
+/// Content hash of the text of a branch.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Hash(pub String);
 
 impl Hash {
-    /// The hash of a text: the first 16 bytes of its SHA-256, hexadecimal.
+    /// Hash of a text: the first 16 bytes of its SHA-256, hexadecimal.
     pub fn of(text: &str) -> Hash {
         Hash(Sha256::digest(text.as_bytes())[..16].iter().map(|b| format!("{b:02x}")).collect())
     }
 
-    /// The key of the text in the store. What stands there never changes.
+    /// Key of the text in the store. The value of this key never changes.
     pub fn key(&self) -> String {
         format!("settings/branch/{}", self.0)
     }
 }
 
-/// One accepted change.
+/// An accepted change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The version it made.
+    /// Version that it created.
     pub version: u64,
-    /// Its id, unique to the attempt.
+    /// Id, unique to the attempt to publish.
     pub id: String,
-    /// Who made it.
+    /// Operator that made the change.
     pub author: String,
-    /// The branches it changed.
+    /// Branches that it changed.
     pub branches: Vec<Name>,
 }
 
 /// An accepted version.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// Grows by one with each accepted change.
+    /// Version number; increases by one with each accepted change.
     pub version: u64,
-    /// The text of each branch, by hash.
+    /// Hash of the text of each branch.
     pub branches: BTreeMap<Name, Hash>,
-    /// The newest changes, oldest first.
+    /// Most recent changes, oldest first.
     pub tail: Vec<Change>,
 }
 
 impl Head {
-    /// The head after a change that leads to `branches`.
+    /// The next head, in which the branches are `branches`.
     pub fn next(&self, id: &str, author: &str, branches: BTreeMap<Name, Hash>) -> Head {
         let version = self.version + 1;
         let changed = changed_branches(&self.branches, &branches);
@@ -66,12 +67,12 @@
         Head { version, branches, tail }
     }
 
-    /// The change with this id, if it was accepted of late.
+    /// The change with this id, if it is among the most recent ones.
     pub fn change(&self, id: &str) -> Option<&Change> {
         self.tail.iter().find(|c| c.id == id)
     }
 
-    /// The changes after `version` that touched `branch`.
+    /// The recent changes after `version` that changed `branch`.
     pub fn since<'a>(
         &'a self,
         version: u64,
--- a/version/src/publish.rs
+++ b/version/src/publish.rs
@@ -1,5 +1,7 @@
-//! Accepting a change: the branches' texts under their hashes, then one compare-and-swap of the
-//! head. A race is told to the loser; a lost answer is settled by the change's own id.
+//! Publishes a change of the settings: writes the texts of the branches under their hashes, then
+//! replaces the head by compare-and-swap. Of two concurrent changes to a branch the later is
+//! rejected, with an error that names the other. If the response to a write is lost, the id of the
+//! change in the head's tail shows whether it was accepted.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -14,19 +16,21 @@
 use crate::store::{Failure, Store};
 use crate::tree::{Texts, Tree};
 
-/// How often a swap is tried again after an unrelated change or a lost answer.
+/// Maximum number of attempts to replace the head; an attempt is repeated after an unrelated change
+/// and after a lost response.
 const MAX_ATTEMPTS: usize = 16;
 
-/// How long a write that was over the store's rate is waited after, and how often at most.
+/// Wait after a write that the store rejected because of its rate limit, and the maximum number of
+/// such waits.
 const RATE_LIMIT_WAIT: Duration = Duration::from_millis(100);
 const MAX_RATE_LIMIT_WAITS: usize = 100;
 
-/// The version that an operator's edit began from.
+/// Version on which the edit of an operator is based.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Base {
-    /// The version.
+    /// Number of the version.
     pub version: u64,
-    /// The texts it had.
+    /// Hashes of the texts in that version.
     pub branches: BTreeMap<Name, Hash>,
 }
 
@@ -36,25 +40,26 @@
     }
 }
 
-/// What came of a change.
+/// Outcome of a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was accepted and made this head.
+    /// The change was accepted; this is the new head.
     Accepted(Head),
-    /// There was nothing to change.
+    /// There was nothing to change; this is the current head.
     Unchanged(Head),
 }
 
-/// Why a change was not accepted. Nothing of it is in force.
+/// Why a change was not accepted. Unless it is `Unconfirmed`, no part of it is in force.
 #[derive(Debug)]
 pub enum Rejection {
-    /// The settings have faults.
+    /// The settings are invalid.
     Invalid(Vec<Fault>),
-    /// Another change to the same branches came first.
+    /// The same branches were changed by these other changes in the meantime.
     Conflict(Vec<Change>),
-    /// The store does not answer; the change was not begun.
+    /// The store is unavailable; the change was not made.
     Store(Failure),
-    /// The store stopped answering before it was known whether the change is accepted.
+    /// The store became unavailable before the outcome was known; the change may have been
+    /// accepted.
     Unconfirmed(Failure),
 }
 
@@ -76,7 +81,7 @@
             }
             Rejection::Store(e) => write!(f, "{e}; nothing was changed"),
             Rejection::Unconfirmed(e) => {
-                write!(f, "{e}; whether the change was accepted is not known: see `status`")
+                write!(f, "{e}; it is unknown whether the change was accepted: see `status`")
             }
         }
     }
@@ -84,15 +89,16 @@
 
 impl std::error::Error for Rejection {}
 
-/// Reads the head with its revision; an empty head at revision 0 where there is none.
+/// Reads the head and its revision; returns an empty head at revision 0 if there is none.
 pub async fn read_head<S: Store>(store: &S) -> Result<(Head, u64), Failure> {
     let Some(entry) = store.get(head::KEY).await? else { return Ok((Head::default(), 0)) };
-    let head = serde_json::from_slice(&entry.value)
-        .map_err(|e| Failure::Unavailable(format!("the head cannot be read: {e}")))?;
+    let head = serde_json::from_slice(&entry.value).map_err(|e| {
+        Failure::Unavailable(format!("cannot decode the head of the settings: {e}"))
+    })?;
     Ok((head, entry.revision))
 }
 
-/// Reads the texts of a head, taking those that are known already from `known`.
+/// Reads the texts of a head, except those that are in `known`.
 pub async fn read_texts<S: Store>(
     store: &S,
     head: &Head,
@@ -113,26 +119,26 @@
     let entry = store.get(&hash.key()).await?;
     let entry = entry.ok_or_else(|| Failure::Unavailable(format!("{} is missing", hash.key())))?;
     let text = String::from_utf8(entry.value)
-        .map_err(|_| Failure::Unavailable(format!("{} is not text", hash.key())))?;
+        .map_err(|_| Failure::Unavailable(format!("{} is not valid UTF-8", hash.key())))?;
     if Hash::of(&text) != *hash {
         return Err(Failure::Unavailable(format!("{} does not match its hash", hash.key())));
     }
     Ok(text.into())
 }
 
-/// A change on its way.
+/// A change to be published.
 pub struct Publish<'a, S> {
-    /// The store.
+    /// Store that holds the settings.
     pub store: &'a S,
-    /// Unique to this attempt.
+    /// Id, unique to this attempt to publish.
     pub id: String,
-    /// Who makes the change.
+    /// Operator that makes the change.
     pub author: String,
 }
 
 impl<S: Store> Publish<'_, S> {
-    /// Leads from `base` to `texts`. Branches that others changed meanwhile and this change does
-    /// not touch are kept; the whole is checked before it is accepted.
+    /// Publishes the differences between `base` and `texts`. Concurrent changes by others to other
+    /// branches are kept. All branches are validated together before the change is accepted.
     pub async fn run(&self, base: &Base, texts: &Texts) -> Result<Outcome, Rejection> {
         let wanted: BTreeMap<Name, Hash> =
             texts.iter().map(|(n, t)| (n.clone(), Hash::of(t))).collect();
@@ -165,7 +171,7 @@
         Err(Rejection::Unconfirmed(last))
     }
 
-    /// Checks the merged whole.
+    /// Validates all branches after the merge.
     async fn check(
         &self,
         head: &Head,
@@ -178,7 +184,7 @@
         Tree::build(&whole).map(|_| ()).map_err(Rejection::Invalid)
     }
 
-    /// Writes one text, as fast as the store's rate allows.
+    /// Writes a text, and waits if the store's rate limit is exceeded.
     async fn write_text(&self, hash: &Hash, text: &str) -> Result<u64, Failure> {
         let mut result = Err(Failure::RateLimited);
         for _ in 0..MAX_RATE_LIMIT_WAITS {
@@ -191,7 +197,8 @@
         result
     }
 
-    /// Writes the texts that the store lacks. A text that is there already is the same text.
+    /// Writes the texts that the store lacks. Keys are content hashes, so a text that exists
+    /// already is the same.
     async fn write_texts(
         &self,
         head: &Head,
@@ -212,7 +219,7 @@
     }
 }
 
-/// The branches after this change: those it touches as wanted, the others as the head has them.
+/// Merges the branches that this change touches into those of the head.
 fn merge(
     base: &Base,
     head: &Head,
@@ -238,12 +245,12 @@
     if conflicts.is_empty() { Ok(merged) } else { Err(Rejection::Conflict(conflicts)) }
 }
 
-/// Stands for a change that is older than the head's tail.
+/// Placeholder for a change that is too old to be in the tail of the head.
 fn unlisted_change(head: &Head, name: &Name) -> Change {
     Change {
         version: head.version,
         id: String::new(),
-        author: "an operator (older than the head's tail)".to_owned(),
+        author: "unknown (older than the tail of the head)".to_owned(),
         branches: vec![name.clone()],
     }
 }
--- a/version/src/store.rs
+++ b/version/src/store.rs
@@ -1,10 +1,10 @@
-//! What foldlock asks of the platform's key-value service.
+//! The interface to the platform's key-value service.
 
 use std::fmt;
 use std::future::Future;
 use std::time::Duration;
 
-/// A value with its revision. Revisions of a key only grow; 0 stands for an absent key.
+/// A value and its revision. Revisions of a key only increase; 0 stands for an absent key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
     /// The value.
@@ -13,12 +13,12 @@
     pub revision: u64,
 }
 
-/// Why a call to the store brought nothing.
+/// Why a call to the store failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Failure {
-    /// No answer, or none that makes sense. A write may have taken effect.
+    /// No response, or an invalid one. A write may have taken effect.
     Unavailable(String),
-    /// The store refused the call for its rate; it had no effect.
+    /// The store rejected the call because of its rate limit; the call had no effect.
     RateLimited,
     /// The key is at another revision; the write had no effect.
     Conflict,
@@ -27,21 +27,23 @@
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Failure::Unavailable(why) => write!(f, "the key-value service gave no answer: {why}"),
-            Failure::RateLimited => write!(f, "the key-value service is at its rate limit"),
-            Failure::Conflict => write!(f, "another write came first"),
+            Failure::Unavailable(why) => write!(f, "the key-value service is unavailable: {why}"),
+            Failure::RateLimited => {
+                write!(f, "the key-value service rejected the call: rate limit exceeded")
+            }
+            Failure::Conflict => write!(f, "the key was changed by another write"),
         }
     }
 }
 
 impl std::error::Error for Failure {}
 
-/// The key-value service: compare-and-swap, leases and watches.
+/// A key-value store with compare-and-swap and watches.
 pub trait Store: Clone + Send + Sync + 'static {
     /// Reads a key.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Entry>, Failure>> + Send;
 
-    /// Writes a key that is at revision `expected` (0: absent) and gives the new revision.
+    /// Writes a key if it is at revision `expected` (0: absent), and returns the new revision.
     fn swap(
         &self,
         key: &str,
@@ -49,10 +51,11 @@
         value: Vec<u8>,
     ) -> impl Future<Output = Result<u64, Failure>> + Send;
 
-    /// Deletes a key that is at revision `expected`.
+    /// Deletes a key if it is at revision `expected`.
     fn delete(&self, key: &str, expected: u64) -> impl Future<Output = Result<(), Failure>> + Send;
 
-    /// Waits until the key is past revision `after`, for at most `wait`; none where it is not.
+    /// Waits for at most `wait` until the key has a revision above `after`; returns none if it has
+    /// not by then.
     fn watch(
         &self,
         key: &str,
--- a/version/tests/head.rs
+++ b/version/tests/head.rs
@@ -1,4 +1,5 @@
-//! Versions only grow, and each change is applied once, over any interleaving of operators.
+//! Version numbers only increase, and each change is applied once, for any interleaving of
+//! operators.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -19,13 +20,13 @@
     lose: Vec<u64>,
 }
 
-/// A store in memory whose writes of certain numbers lose their answers.
+/// An in-memory store that applies the writes with the given numbers but returns an error for them.
 #[derive(Clone, Default)]
 struct Memory(Arc<Mutex<Inner>>);
 
 impl Store for Memory {
     async fn get(&self, key: &str) -> Result<Option<Entry>, Failure> {
-        // Lets other operators run between calls.
+        // Lets the tasks of other operators run between calls.
         tokio::task::yield_now().await;
         let inner = self.0.lock().unwrap();
         let entry = inner.values.get(key);
@@ -76,8 +77,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
 
-    /// Operators who all begin from the same version and each change one branch, with answers
-    /// lost: of those on one branch exactly one wins, the others are told; nothing stands twice.
+    /// Operators that start from the same version change one branch each, while some responses are
+    /// lost. Exactly one change per branch is accepted, the others get a conflict, and no change is
+    /// in the tail twice.
     #[test]
     fn each_change_is_applied_once(
         branches in prop::collection::vec(0usize..3, 1..8),
@@ -123,7 +125,7 @@
         });
     }
 
-    /// The tail stays bounded and ends with the newest change.
+    /// The tail has a bounded length and ends with the latest change.
     #[test]
     fn the_tail_is_bounded(changes in 1u32..200) {
         let mut head = Head::default();
