--- a/version/src/branch.rs
+++ b/version/src/branch.rs
@@ -1,4 +1,4 @@
-//! Names of branches, each of which has a source of its own.
+//! Names of branches of the settings. Each branch has its own source file.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,23 +6,23 @@
 use foldlock_base::id;
 use serde::{Deserialize, Serialize};
 
-/// The file ending of a branch's source.
+/// File extension of the source of a branch.
 pub const EXTENSION: &str = "jsonc";
 
 const ORGANISATION: &str = "organisation/";
 
-/// The name of a branch. Kinds of request are inside their organisation's branch.
+/// Name of a branch. The kinds of requests of an organisation are part of its branch.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum Name {
-    /// The root: what holds for the whole fleet.
+    /// The root branch, which applies to the whole fleet.
     Fleet,
-    /// One organisation, with its kinds of request.
+    /// The branch of an organisation, with its kinds of requests.
     Organisation(id::Organisation),
 }
 
 impl Name {
-    /// The path of the source below the settings directory.
+    /// Path of the source, relative to the settings directory.
     pub fn path(&self) -> String {
         format!("{self}.{EXTENSION}")
     }
--- a/version/src/lib.rs
+++ b/version/src/lib.rs
@@ -1,5 +1,5 @@
-//! One version of the settings: the branches' sources, their checks and inheritance, and the head
-//! by which a version is accepted in the key-value service.
+//! Versions of the settings: sources of the branches, their validation and inheritance, and the
+//! head in the key-value service, whose update puts a version in force.
 
 pub mod branch;
 pub mod check;
--- a/version/src/routes.rs
+++ b/version/src/routes.rs
@@ -1,8 +1,7 @@
-//! The routing table of a settings version: which service a request goes to, under which terms,
-//! and which organisation a key belongs to.
+//! The routing table of a settings version: which service a request is sent to, with which timeouts
+//! and retries, and which organisation a key belongs to.
 //!
-//! A table is read whole and never changed; processes only ever move to a table with a higher
-//! number.
+//! A table is immutable. A process replaces its table only by one with a higher number.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,25 +9,25 @@
 
 use foldlock_base::prelude::*;
 
-/// What may be done with a request of a route when an attempt has failed.
+/// Whether requests of a route may be retried after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Retry {
-    /// It may run any number of times.
+    /// A request may run any number of times.
     Safe,
-    /// It runs at most once for each request of a caller.
+    /// A request runs at most once.
     Never,
-    /// Its stream may go on at another upstream after the last event that was delivered.
+    /// A stream may be resumed at another upstream, after the last event that was delivered.
     Resume,
 }
 
-/// How a route's answers are shaped.
+/// How the responses of a route are delivered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
-    /// One body.
+    /// As one body.
     Complete,
-    /// A stream of events.
+    /// As a stream of events.
     Streaming {
-        /// The longest pause between two events with which an answer is still in time.
+        /// Longest pause between two events that still meets the objective.
         max_pause: Duration,
     },
 }
@@ -36,100 +35,101 @@
 /// A service that gets a share of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Target {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// Its share, relative to the other targets.
+    /// Share of the requests, relative to the weights of the other targets.
     pub weight: u32,
 }
 
-/// A route: requests to a host whose path begins with a prefix.
+/// A route, for requests to a host whose path begins with a prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Name of the route, for logs.
     pub name: String,
-    /// The host, in lower case.
+    /// Host, in lower case.
     pub host: String,
-    /// The prefix, with a slash at both ends.
+    /// Path prefix, with a slash at both ends.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be retried.
     pub retry: Retry,
-    /// How answers look.
+    /// How responses are delivered.
     pub delivery: Delivery,
-    /// The longest that a request may be held.
+    /// Timeout of a request, from its arrival.
     pub timeout: Duration,
-    /// The time within which an answer (a stream's first event) is wanted.
+    /// Latency target for the response, or for the first event of a stream.
     pub objective: Duration,
-    /// The rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Where requests go.
+    /// Services that requests are sent to.
     pub targets: Vec<Target>,
-    /// The most upstreams that one request is sent to.
+    /// Maximum number of upstreams that a request is sent to.
     pub attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub public: bool,
 }
 
-/// An engine's figures, as its operator states them.
+/// Performance figures of an engine, as stated by its operator.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Engine {
-    /// Requests that it works on at once.
+    /// Maximum number of requests that the engine processes at the same time.
     pub slots: u32,
-    /// Its memory, in tokens of prompt and answer.
+    /// Memory capacity, in tokens of prompts and answers.
     pub memory: Tokens,
-    /// Milliseconds of a step that yields one token for each request that writes.
+    /// Base duration of a decode step, which yields one token per decoding request, milliseconds.
     pub step_ms: f64,
-    /// Milliseconds that each writing request adds to a step.
+    /// Milliseconds that each decoding request adds to a step.
     pub per_request_ms: f64,
-    /// Milliseconds that 1,000 tokens of context of a writing request add to a step.
+    /// Milliseconds that 1,000 tokens of context of decoding requests add to a step.
     pub per_context_ms: f64,
-    /// Prompt tokens read in a millisecond.
+    /// Prefill rate, prompt tokens per millisecond.
     pub prefill_tokens_per_ms: f64,
-    /// Milliseconds for a million pairs of a token and an earlier one.
+    /// Milliseconds of prefill per million pairs of a token and an earlier one (attention).
     pub ms_per_million_pairs: f64,
-    /// Steps in one pass while some request writes.
+    /// Number of decode steps in a pass while any request is decoding.
     pub stride: u32,
-    /// Prompt tokens that one step reads at most.
+    /// Maximum number of prompt tokens that are prefilled in one step.
     pub chunk: u32,
-    /// The mean answer, in tokens.
+    /// Mean length of an answer, tokens.
     pub mean_answer: Tokens,
 }
 
-/// A service: the upstreams that run the same program.
+/// A service: a set of upstreams that run the same program.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Connections that one upstream accepts from all callers together.
+    /// Number of connections that one upstream accepts from all clients together.
     pub connections: u32,
-    /// The figures of its engines, where it is a model service.
+    /// Performance figures of its engines, if this is a model service.
     pub engine: Option<Engine>,
-    /// Requests a second that one of its upstreams bears while it is cold; none where it does not matter.
+    /// Requests per second that one upstream sustains while it is cold; none if a cold start makes
+    /// no difference.
     pub cold_per_s: Option<f64>,
 }
 
 /// An organisation and its keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Organisation {
-    /// Its name.
+    /// Name of the organisation.
     pub name: String,
-    /// Its rank, before the route's.
+    /// Priority, which is compared before that of the route.
     pub priority: u8,
 }
 
-/// What callers may send and how long they may take.
+/// Limits on the size and duration of what callers send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// The longest head of a request, bytes.
+    /// Maximum size of a request head, bytes.
     pub header_bytes: usize,
-    /// The longest body, bytes.
+    /// Maximum size of a request body, bytes.
     pub body_bytes: usize,
-    /// How long a head may take to arrive.
+    /// Timeout for receiving a request head.
     pub header_time: Duration,
-    /// How long a connection may rest between requests.
+    /// Time after which an idle connection is closed.
     pub idle_time: Duration,
 }
 
-/// The whole table of one settings version.
+/// The routing table of a settings version.
 #[derive(Debug, Clone)]
 pub struct Table {
     number: u64,
@@ -142,7 +142,7 @@
 }
 
 impl Table {
-    /// Starts a table with this number; see [`Builder`].
+    /// Returns a [`Builder`] of a table with this version number.
     pub fn builder(number: u64, bounds: Bounds) -> Builder {
         Builder(Table {
             number,
@@ -155,17 +155,17 @@
         })
     }
 
-    /// The version's number.
+    /// Number of the settings version.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// The bounds on callers.
+    /// Limits on what callers send.
     pub fn bounds(&self) -> &Bounds {
         &self.bounds
     }
 
-    /// The route with the longest prefix that begins `path`, among those of `host`.
+    /// The route of `host` with the longest prefix that matches `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.split(':').next().unwrap_or(host);
         let routes = match self.hosts.get(host) {
@@ -175,7 +175,7 @@
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// All routes, in no order.
+    /// All routes, in no particular order.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.hosts.values().flatten()
     }
@@ -185,23 +185,23 @@
         self.services.get(name)
     }
 
-    /// All services, in no order.
+    /// All services, in no particular order.
     pub fn services(&self) -> impl Iterator<Item = &Arc<Service>> {
         self.services.values()
     }
 
-    /// Whether requests need a key, except on public routes.
+    /// Whether requests need an API key, except on public routes.
     pub fn requires_key(&self) -> bool {
         self.requires_key
     }
 
-    /// The organisation that holds a key.
+    /// The organisation that a key belongs to.
     pub fn organisation(&self, key: &str) -> Option<&Arc<Organisation>> {
         self.keys.get(key).map(|index| &self.organisations[*index])
     }
 }
 
-/// Puts a [`Table`] together.
+/// Builder of a [`Table`].
 pub struct Builder(Table);
 
 impl Builder {
@@ -218,7 +218,7 @@
         self
     }
 
-    /// Adds an organisation with its keys. From then on requests need a key.
+    /// Adds an organisation with its keys. A table with an organisation requires keys.
     pub fn organisation(
         mut self,
         organisation: Organisation,
@@ -231,7 +231,7 @@
         self
     }
 
-    /// The table.
+    /// Builds the table.
     pub fn build(mut self) -> Table {
         for routes in self.0.hosts.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
--- a/version/tests/routes.rs
+++ b/version/tests/routes.rs
@@ -1,4 +1,4 @@
-//! The routing table: the longest prefix wins, keys lead to organisations.
+//! Routes are found by their longest prefix, organisations by their keys.
 
 use std::time::Duration;
 
