--- a/version/tests/head.rs
+++ b/version/tests/head.rs
@@ -17,7 +17,7 @@
     values: BTreeMap<String, (Vec<u8>, u64)>,
     revision: u64,
     calls: u64,
-    lose: Vec<u64>,
+    lost_responses: Vec<u64>,
 }
 
 /// An in-memory store that applies the writes with the given numbers but returns an error for them.
@@ -44,7 +44,7 @@
         inner.revision += 1;
         let revision = inner.revision;
         inner.values.insert(key.to_owned(), (value, revision));
-        if inner.lose.contains(&inner.calls) {
+        if inner.lost_responses.contains(&inner.calls) {
             return Err(Failure::Unavailable("lost".to_owned()));
         }
         Ok(revision)
@@ -83,7 +83,7 @@
     #[test]
     fn each_change_is_applied_once(
         branches in prop::collection::vec(0usize..3, 1..8),
-        lose in prop::collection::vec(1u64..30, 0..6),
+        lost_responses in prop::collection::vec(1u64..30, 0..6),
     ) {
         let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
         runtime.block_on(async {
@@ -91,7 +91,7 @@
             let first = texts(&[0, 0, 0]);
             let publish = Publish { store: &store, id: "first".to_owned(), author: "a".to_owned() };
             publish.run(&Base::default(), &first).await.unwrap();
-            store.0.lock().unwrap().lose = lose;
+            store.0.lock().unwrap().lost_responses = lost_responses;
             let base = base_of(&first, 1);
             let operators = branches.iter().enumerate().map(|(i, branch)| {
                 let (store, base) = (store.clone(), base.clone());
