--- a/daemon/src/fleet/admit.rs
+++ b/daemon/src/fleet/admit.rs
@@ -134,7 +134,7 @@
         service: service.clone(),
         organisation,
         version: table.number(),
-        body_bytes: table.bounds().body_bytes,
+        body_bytes: table.bounds().max_body_bytes,
     })
 }
 
--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -117,7 +117,7 @@
     if placement.flight.has_reservations() {
         return job.process.config.fleet.held_silence();
     }
-    let last = tries.ran + 1 >= job.route.attempts || placement.candidates < 2;
+    let last = tries.ran + 1 >= job.route.max_attempts || placement.candidates < 2;
     if last || !job.repeatable() {
         return job.left();
     }
--- a/daemon/src/fleet/callers.rs
+++ b/daemon/src/fleet/callers.rs
@@ -71,8 +71,8 @@
         }
     });
     let bounds = process.settings().map(|s| *s.table.bounds());
-    let buffer = bounds.map_or(USUAL_BUFFER, |b| b.header_bytes * 2).max(LEAST_BUFFER);
-    let idle = bounds.map_or(USUAL_IDLE, |b| b.idle_time);
+    let buffer = bounds.map_or(USUAL_BUFFER, |b| b.max_header_bytes * 2).max(LEAST_BUFFER);
+    let idle = bounds.map_or(USUAL_IDLE, |b| b.idle_timeout);
     let connection = http1::Builder::new()
         .max_buf_size(buffer)
         .serve_connection(TokioIo::new(Box::pin(stream)), service);
--- a/daemon/src/fleet/serve.rs
+++ b/daemon/src/fleet/serve.rs
@@ -203,7 +203,7 @@
 /// How long a request waits that all upstreams refused which it was sent to, while its answer can still
 /// be in time: that a few tries failed does not say that there is no room.
 fn pause<D: Dialect>(job: &Job<D>, tries: &Tries) -> Option<Duration> {
-    let more = tries.refused.checked_sub(job.route.attempts + REFUSED_MORE)?;
+    let more = tries.refused.checked_sub(job.route.max_attempts + REFUSED_MORE)?;
     let pause = REFUSED_PAUSE * 2_u32.checked_pow(more)?;
     let waits = tries.ran == 0
         && job.held() + pause < job.route.objective.mul_f64(REFUSED_HELD)
--- a/daemon/src/fleet/tries.rs
+++ b/daemon/src/fleet/tries.rs
@@ -92,8 +92,8 @@
 pub fn may_repeat<D: Dialect>(job: &Job<D>, tries: &Tries, not_run: bool) -> bool {
     (not_run || job.repeatable())
         && tries.unsent <= MOST_UNSENT
-        && tries.ran < job.route.attempts
-        && tries.ran + tries.refused < job.route.attempts + REFUSED_MORE
+        && tries.ran < job.route.max_attempts
+        && tries.ran + tries.refused < job.route.max_attempts + REFUSED_MORE
         && !job.left().is_zero()
         && !job.process.ending.is_cancelled()
 }
--- a/request/tests/cold.rs
+++ b/request/tests/cold.rs
@@ -23,12 +23,13 @@
 const COLD: Duration = Duration::from_secs(3);
 
 fn service() -> Service {
-    Service { name: "plain".to_owned(), connections: 99, engine: None, cold_per_s: Some(PER_S) }
+    Service { name: "plain".to_owned(), max_connections: 99, engine: None, cold_per_s: Some(PER_S) }
 }
 
 fn table() -> Table {
     let time = Duration::from_secs(9);
-    let bounds = Bounds { header_bytes: 9, body_bytes: 9, header_time: time, idle_time: time };
+    let bounds =
+        Bounds { max_header_bytes: 9, max_body_bytes: 9, header_timeout: time, idle_timeout: time };
     Table::builder(1, bounds).service(service()).build()
 }
 
--- a/request/tests/line.rs
+++ b/request/tests/line.rs
@@ -69,7 +69,12 @@
 }
 
 fn service() -> Service {
-    Service { name: "model".to_owned(), connections: 100, engine: Some(ENGINE), cold_per_s: None }
+    Service {
+        name: "model".to_owned(),
+        max_connections: 100,
+        engine: Some(ENGINE),
+        cold_per_s: None,
+    }
 }
 
 fn upstream(i: usize) -> id::Upstream {
--- a/request/tests/patterns/crash.rs
+++ b/request/tests/patterns/crash.rs
@@ -71,7 +71,7 @@
     fn new() -> Fleet {
         let service = Service {
             name: "model".to_owned(),
-            connections: 9,
+            max_connections: 9,
             engine: Some(ENGINE),
             cold_per_s: None,
         };
--- a/request/tests/patterns/simulation.rs
+++ b/request/tests/patterns/simulation.rs
@@ -99,12 +99,17 @@
     pub(crate) fn new(engines: usize, figures: Figures) -> Simulation {
         let service = Service {
             name: "model".to_owned(),
-            connections: 9,
+            max_connections: 9,
             engine: Some(figures),
             cold_per_s: None,
         };
         let time = Duration::from_secs(9);
-        let bounds = Bounds { header_bytes: 9, body_bytes: 9, header_time: time, idle_time: time };
+        let bounds = Bounds {
+            max_header_bytes: 9,
+            max_body_bytes: 9,
+            header_timeout: time,
+            idle_timeout: time,
+        };
         let mut cluster = Cluster::default();
         let id = |i: usize| -> id::Upstream { format!("i-{i:03}").parse().unwrap() };
         for i in 0..engines {
--- a/request/tests/placement.rs
+++ b/request/tests/placement.rs
@@ -40,7 +40,7 @@
 const LONG: Route = Route { objective: 2_500, pause: 1_000 };
 
 fn service(engine: Option<Engine>) -> Service {
-    Service { name: "model".to_owned(), connections: 100, engine, cold_per_s: None }
+    Service { name: "model".to_owned(), max_connections: 100, engine, cold_per_s: None }
 }
 
 fn upstream(i: usize) -> id::Upstream {
--- a/request/tests/rate_limits/fleet.rs
+++ b/request/tests/rate_limits/fleet.rs
@@ -50,12 +50,13 @@
 }
 
 fn service() -> Service {
-    Service { name: "plain".to_owned(), connections: 99, engine: None, cold_per_s: None }
+    Service { name: "plain".to_owned(), max_connections: 99, engine: None, cold_per_s: None }
 }
 
 pub(crate) fn table() -> Table {
     let time = Duration::from_secs(9);
-    let bounds = Bounds { header_bytes: 9, body_bytes: 9, header_time: time, idle_time: time };
+    let bounds =
+        Bounds { max_header_bytes: 9, max_body_bytes: 9, header_timeout: time, idle_timeout: time };
     Table::builder(1, bounds).service(service()).build()
 }
 
--- a/request/tests/scheduler.rs
+++ b/request/tests/scheduler.rs
@@ -31,14 +31,14 @@
 
 fn table() -> Table {
     let bounds = Bounds {
-        header_bytes: 16_384,
-        body_bytes: 4_096,
-        header_time: Duration::from_secs(3),
-        idle_time: Duration::from_secs(15),
+        max_header_bytes: 16_384,
+        max_body_bytes: 4_096,
+        header_timeout: Duration::from_secs(3),
+        idle_timeout: Duration::from_secs(15),
     };
     let service = |name: &str, engine| Service {
         name: name.to_owned(),
-        connections: 9,
+        max_connections: 9,
         engine,
         cold_per_s: None,
     };
--- a/version/src/routes.rs
+++ b/version/src/routes.rs
@@ -63,7 +63,7 @@
     /// Services that requests are sent to.
     pub targets: Vec<Target>,
     /// Maximum number of upstreams that a request is sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether requests need no API key.
     pub public: bool,
 }
@@ -99,7 +99,7 @@
     /// Name of the service.
     pub name: String,
     /// Number of connections that one upstream accepts from all clients together.
-    pub connections: u32,
+    pub max_connections: u32,
     /// Performance figures of its engines, if this is a model service.
     pub engine: Option<Engine>,
     /// Requests per second that one upstream sustains while it is cold; none if a cold start makes
@@ -120,13 +120,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
     /// Maximum size of a request head, bytes.
-    pub header_bytes: usize,
+    pub max_header_bytes: usize,
     /// Maximum size of a request body, bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Timeout for receiving a request head.
-    pub header_time: Duration,
+    pub header_timeout: Duration,
     /// Time after which an idle connection is closed.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 /// The routing table of a settings version.
--- a/version/tests/routes.rs
+++ b/version/tests/routes.rs
@@ -9,10 +9,10 @@
 
 fn bounds() -> Bounds {
     Bounds {
-        header_bytes: 16 << 10,
-        body_bytes: 4 << 20,
-        header_time: Duration::from_secs(3),
-        idle_time: Duration::from_secs(15),
+        max_header_bytes: 16 << 10,
+        max_body_bytes: 4 << 20,
+        header_timeout: Duration::from_secs(3),
+        idle_timeout: Duration::from_secs(15),
     }
 }
 
@@ -27,7 +27,7 @@
         objective: Duration::from_millis(300),
         priority: 1,
         targets: vec![Target { service: "plain".to_owned(), weight: 1 }],
-        attempts: 2,
+        max_attempts: 2,
         public: false,
     }
 }
@@ -92,7 +92,7 @@
 #[test]
 fn services_are_found_by_name() {
     let plain =
-        Service { name: "plain".to_owned(), connections: 96, engine: None, cold_per_s: None };
+        Service { name: "plain".to_owned(), max_connections: 96, engine: None, cold_per_s: None };
     let table = builder().service(plain.clone()).build();
     assert_eq!(table.service("plain").map(|s| s.as_ref()), Some(&plain));
     assert!(table.service("other").is_none());
