--- a/connection/src/kv.rs
+++ b/connection/src/kv.rs
@@ -1,4 +1,4 @@
-//! The adapter to the platform's key-value service.
+//! HTTP client of the platform's key-value service.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,23 +10,23 @@
 
 use crate::http::{Client, body};
 
-/// The header with a key's revision in answers.
+/// Response header with the revision of a key.
 pub const REVISION: &str = "x-revision";
 
-/// The header with the revision that a write expects.
+/// Request header with the revision that a write expects the key to be at.
 pub const EXPECT: &str = "x-expect";
 
-/// How long a call waits for its answer.
+/// Timeout of a call, apart from the wait time of a watch.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Counts of the calls made, for metrics and for tests that bound them.
+/// Counters of calls, for metrics and for tests that bound the number of calls.
 #[derive(Debug, Default)]
 pub struct Calls {
-    /// Reads, watches among them.
+    /// Reads, including watches.
     pub reads: AtomicU64,
-    /// Writes.
+    /// Writes and deletions.
     pub writes: AtomicU64,
-    /// Calls that failed.
+    /// Calls that failed or were rate limited; revision conflicts are not counted.
     pub failures: AtomicU64,
 }
 
@@ -39,12 +39,12 @@
 }
 
 impl HttpStore {
-    /// A store at `address`, `IP:port`.
+    /// Creates a client of the service at `address` (`IP:port`).
     pub fn new(client: Client, address: &str) -> HttpStore {
         HttpStore { client, address: address.into(), calls: Arc::default() }
     }
 
-    /// The calls made so far.
+    /// Counters of the calls made so far.
     pub fn calls(&self) -> &Calls {
         &self.calls
     }
@@ -69,36 +69,36 @@
         let request = request
             .body(body(value))
             .map_err(|e| Failure::Unavailable(format!("bad key {key:?}: {e}")))?;
-        let answer = self.client.call(request, timeout).await;
-        let answer = answer.map_err(|e| Failure::Unavailable(e.to_string()));
-        let result = answer.and_then(|answer| match answer.status().as_u16() {
-            200 | 304 | 404 => Ok(answer),
+        let response = self.client.call(request, timeout).await;
+        let response = response.map_err(|e| Failure::Unavailable(e.to_string()));
+        let result = response.and_then(|response| match response.status().as_u16() {
+            200 | 304 | 404 => Ok(response),
             409 => Err(Failure::Conflict),
-            429 => Err(Failure::Limited),
+            429 => Err(Failure::RateLimited),
             status => Err(Failure::Unavailable(format!("status {status}"))),
         });
-        if matches!(result, Err(Failure::Unavailable(_) | Failure::Limited)) {
+        if matches!(result, Err(Failure::Unavailable(_) | Failure::RateLimited)) {
             self.calls.failures.fetch_add(1, Ordering::Relaxed);
         }
         result
     }
 }
 
-fn revision(answer: &Response<Bytes>) -> Result<u64, Failure> {
-    answer
+fn revision(response: &Response<Bytes>) -> Result<u64, Failure> {
+    response
         .headers()
         .get(REVISION)
         .and_then(|v| v.to_str().ok())
         .and_then(|v| v.parse().ok())
-        .ok_or_else(|| Failure::Unavailable("the answer names no revision".to_owned()))
+        .ok_or_else(|| Failure::Unavailable("the response has no revision header".to_owned()))
 }
 
-fn entry(answer: Response<Bytes>) -> Result<Option<Entry>, Failure> {
-    if answer.status().as_u16() != 200 {
+fn entry(response: Response<Bytes>) -> Result<Option<Entry>, Failure> {
+    if response.status().as_u16() != 200 {
         return Ok(None);
     }
-    let revision = revision(&answer)?;
-    Ok(Some(Entry { value: answer.into_body().to_vec(), revision }))
+    let revision = revision(&response)?;
+    Ok(Some(Entry { value: response.into_body().to_vec(), revision }))
 }
 
 impl Store for HttpStore {
@@ -107,8 +107,8 @@
     }
 
     async fn swap(&self, key: &str, expected: u64, value: Vec<u8>) -> Result<u64, Failure> {
-        let answer = self.call(Method::PUT, key, "", Some(expected), value, CALL_TIMEOUT).await?;
-        revision(&answer)
+        let response = self.call(Method::PUT, key, "", Some(expected), value, CALL_TIMEOUT).await?;
+        revision(&response)
     }
 
     async fn delete(&self, key: &str, expected: u64) -> Result<(), Failure> {
--- a/daemon/src/fleet/admit.rs
+++ b/daemon/src/fleet/admit.rs
@@ -141,7 +141,7 @@
         service: service.clone(),
         organisation,
         version: table.number(),
-        body_bytes: table.bounds().body_bytes,
+        body_bytes: table.bounds().max_body_bytes,
     })
 }
 
@@ -151,7 +151,7 @@
     route: &Route,
     terms: &Terms,
 ) -> Result<Option<Arc<Organisation>>, Error> {
-    if !table.keyed() || route.public {
+    if !table.requires_key() || route.public {
         return Ok(None);
     }
     let organisation = terms.api_key.as_deref().and_then(|key| table.organisation(key));
--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -7,7 +7,7 @@
 use foldlock_base::prelude::*;
 use foldlock_connection::channel::{Channel, Failure};
 use foldlock_connection::http::chain;
-use foldlock_connection::sse::Cutter;
+use foldlock_connection::sse::Decoder;
 use foldlock_request::dialect::Dialect;
 use foldlock_request::flight::Flight;
 use foldlock_request::notice::RateLimit;
@@ -15,7 +15,7 @@
 use foldlock_request::suspicion::{Failure as Cause, Outcome};
 use foldlock_request::tag::Tag;
 use foldlock_request::terms::{self, Helper, Verdict};
-use foldlock_version::routes::Shape;
+use foldlock_version::routes::Delivery;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header;
 use hyper::{Request, Response, StatusCode, Uri};
@@ -121,13 +121,13 @@
     if placement.flight.has_reservations() {
         return job.process.config.fleet.reserved_silence_timeout();
     }
-    let last = history.ran + 1 >= job.route.attempts || placement.candidates < 2;
+    let last = history.ran + 1 >= job.route.max_attempts || placement.candidates < 2;
     if last || !job.is_retryable() {
         return job.remaining();
     }
-    match job.route.shape {
-        Shape::Whole => job.route.objective.mul_f64(COMPLETE_TIMEOUT_SHARE),
-        Shape::Events { .. } => {
+    match job.route.delivery {
+        Delivery::Complete => job.route.objective.mul_f64(COMPLETE_TIMEOUT_SHARE),
+        Delivery::Streaming { .. } => {
             let ms = placement.predicted_ms * FIRST_EVENT_TIMEOUT_RATIO + FIRST_EVENT_SLACK_MS;
             Duration::from_secs_f64(ms / 1e3)
                 .max(job.route.objective.mul_f64(MIN_FIRST_EVENT_OBJECTIVES))
@@ -204,9 +204,9 @@
         channel,
         idle_timeout,
         body,
-        cutter: Cutter::default(),
+        decoder: Decoder::default(),
     };
-    if head.status.is_success() && matches!(job.route.shape, Shape::Events { .. }) {
+    if head.status.is_success() && matches!(job.route.delivery, Delivery::Streaming { .. }) {
         read_first_events(job, head, stream).await
     } else {
         read_complete(job, head, stream, has_length).await
@@ -325,7 +325,7 @@
     };
     let now = job.process.now();
     if has_length && !idle_timeout.is_zero() {
-        job.process.pool.keep(&upstream, channel, idle_timeout, now);
+        job.process.pool.put(&upstream, channel, idle_timeout, now);
     }
     if head.status.is_server_error() {
         record_failure(job, &upstream, Cause::ServerError);
--- a/daemon/src/fleet/callers.rs
+++ b/daemon/src/fleet/callers.rs
@@ -71,8 +71,9 @@
         }
     });
     let bounds = process.settings().map(|s| *s.table.bounds());
-    let buffer = bounds.map_or(DEFAULT_BUFFER_BYTES, |b| b.header_bytes * 2).max(MIN_BUFFER_BYTES);
-    let idle_timeout = bounds.map_or(DEFAULT_IDLE_TIMEOUT, |b| b.idle_time);
+    let buffer =
+        bounds.map_or(DEFAULT_BUFFER_BYTES, |b| b.max_header_bytes * 2).max(MIN_BUFFER_BYTES);
+    let idle_timeout = bounds.map_or(DEFAULT_IDLE_TIMEOUT, |b| b.idle_timeout);
     let connection = http1::Builder::new()
         .max_buf_size(buffer)
         .serve_connection(TokioIo::new(Box::pin(stream)), service);
--- a/daemon/src/fleet/events.rs
+++ b/daemon/src/fleet/events.rs
@@ -8,7 +8,7 @@
 use foldlock_connection::sse;
 use foldlock_request::decision::Decision;
 use foldlock_request::dialect::Dialect;
-use foldlock_version::routes::Repeat;
+use foldlock_version::routes::Retry;
 use hyper::Response;
 use hyper::header;
 
@@ -207,8 +207,8 @@
 
 /// Time without an event after which the upstream of a stream counts as unresponsive.
 fn silence_timeout<D: Dialect>(job: &Job<D>, stream: &Stream<D>) -> Duration {
-    let timeout = match (job.pause(), job.route.repeat) {
-        (Some(pause), Repeat::Resume) => (pause * SILENCE_TIMEOUT_PAUSES).max(MIN_SILENCE_TIMEOUT),
+    let timeout = match (job.pause(), job.route.retry) {
+        (Some(pause), Retry::Resume) => (pause * SILENCE_TIMEOUT_PAUSES).max(MIN_SILENCE_TIMEOUT),
         _ => job.remaining(),
     };
     if stream.reservations.is_empty() {
@@ -230,7 +230,7 @@
     let mut why = why.to_owned();
     let last = progress.last_id?;
     loop {
-        if job.route.repeat != Repeat::Resume || !retry::may_retry(job, history, false) {
+        if job.route.retry != Retry::Resume || !retry::may_retry(job, history, false) {
             return None;
         }
         history.failure = Some(Failure { upstream: from, why });
--- a/daemon/src/fleet/job.rs
+++ b/daemon/src/fleet/job.rs
@@ -13,7 +13,7 @@
 use foldlock_request::ring::Entry;
 use foldlock_request::tag::Tag;
 use foldlock_request::terms::Terms;
-use foldlock_version::routes::{Organisation, Repeat, Route, Service};
+use foldlock_version::routes::{Organisation, Retry, Route, Service};
 
 use crate::fleet::process::Process;
 
@@ -71,7 +71,7 @@
 
     /// Whether it may be sent to another upstream after an attempt that may have run.
     pub fn is_retryable(&self) -> bool {
-        self.route.repeat != Repeat::Never
+        self.route.retry != Retry::Never
     }
 
     /// Longest pause between events that meets the objective; none if the response is not streamed.
@@ -82,16 +82,16 @@
     /// Engine memory for prompt and response. If the caller sets no limit, the response is assumed to
     /// have the usual length.
     fn memory(&self) -> Tokens {
-        let usual = self.service.engine.as_ref().map_or(Tokens(0), |engine| engine.usual_answer);
+        let usual = self.service.engine.as_ref().map_or(Tokens(0), |engine| engine.mean_answer);
         let answer = if self.terms.max_answer.0 > 0 { self.terms.max_answer } else { usual };
         self.terms.prompt + answer
     }
 
     /// Maximum idle time of a connection that may carry the request.
     pub fn max_connection_idle(&self) -> Duration {
-        match self.route.repeat {
-            Repeat::Never => NON_RETRYABLE_MAX_IDLE,
-            Repeat::Safe | Repeat::Resume => Duration::MAX,
+        match self.route.retry {
+            Retry::Never => NON_RETRYABLE_MAX_IDLE,
+            Retry::Safe | Retry::Resume => Duration::MAX,
         }
     }
 
@@ -100,7 +100,7 @@
         if self.service.engine.is_some() {
             return Vec::new();
         }
-        let kept = self.process.pool.kept(self.max_connection_idle(), self.process.now());
+        let kept = self.process.pool.idle_upstreams(self.max_connection_idle(), self.process.now());
         let cluster = self.process.cluster.lock().unwrap();
         let of_service = |id: &id::Upstream| {
             let upstream = cluster.get(id).filter(|u| u.listed.service == self.service.name)?;
--- a/daemon/src/fleet/queue.rs
+++ b/daemon/src/fleet/queue.rs
@@ -156,8 +156,8 @@
 /// The response length that the caller expects is capped at the usual length: it is often far too
 /// high, and prompts would be rejected while engines are free.
 fn service_time<D: Dialect>(job: &Job<D>, engine: &Engine, prefill_ms: f64) -> Duration {
-    let expected = job.terms.expected_answer.unwrap_or(engine.usual_answer);
-    let answer = expected.min(engine.usual_answer);
+    let expected = job.terms.expected_answer.unwrap_or(engine.mean_answer);
+    let answer = expected.min(engine.mean_answer);
     let passes = answer.0 as f64 / f64::from(engine.stride.max(1));
     let pass_ms = forecast::pass_ms(engine, EXPECTED_DECODING, engine.memory.0 / 2);
     Duration::from_secs_f64(
--- a/daemon/src/fleet/reports.rs
+++ b/daemon/src/fleet/reports.rs
@@ -125,7 +125,7 @@
     if !process.cluster.lock().unwrap().observe_restart(upstream, born, process.now()) {
         return;
     }
-    process.pool.forget(upstream);
+    process.pool.remove(upstream);
     let what = format!("{upstream} at {born}, reported by {from}");
     log::event(&process.log, Event::UpstreamRestarted, what);
     process.announce_to_all();
--- a/daemon/src/fleet/retry.rs
+++ b/daemon/src/fleet/retry.rs
@@ -93,8 +93,8 @@
 pub fn may_retry<D: Dialect>(job: &Job<D>, history: &History, not_run: bool) -> bool {
     (not_run || job.is_retryable())
         && history.unsent <= MAX_UNSENT
-        && history.ran < job.route.attempts
-        && history.ran + history.refused < job.route.attempts + MAX_EXTRA_ATTEMPTS
+        && history.ran < job.route.max_attempts
+        && history.ran + history.refused < job.route.max_attempts + MAX_EXTRA_ATTEMPTS
         && !job.remaining().is_zero()
         && !job.process.aborting.is_cancelled()
 }
--- a/daemon/src/fleet/serve.rs
+++ b/daemon/src/fleet/serve.rs
@@ -214,7 +214,7 @@
 /// Delay before the next attempt of a request that was refused wherever it was sent, if its response
 /// can still meet the objective: a few refusals do not mean that there is no capacity.
 fn refusal_delay<D: Dialect>(job: &Job<D>, history: &History) -> Option<Duration> {
-    let excess = history.refused.checked_sub(job.route.attempts + MAX_EXTRA_ATTEMPTS)?;
+    let excess = history.refused.checked_sub(job.route.max_attempts + MAX_EXTRA_ATTEMPTS)?;
     let delay = REFUSAL_RETRY_DELAY * 2_u32.checked_pow(excess)?;
     let may_wait = history.ran == 0
         && job.elapsed() + delay < job.route.objective.mul_f64(MAX_REFUSED_WAIT_SHARE)
--- a/daemon/src/group.rs
+++ b/daemon/src/group.rs
@@ -11,7 +11,7 @@
 use foldlock_base::clock::{Clock, System};
 use foldlock_base::prelude::*;
 use foldlock_connection::engine::{
-    Context, Engine as _, Failure, Held, HttpEngine, HttpStream, Job as Order,
+    self, Context, Engine as _, Failure, HttpEngine, HttpStream, Job as Order,
 };
 use foldlock_connection::wire::{self, Grant, Load, Segment};
 use foldlock_request::decision::Decision;
@@ -112,7 +112,7 @@
 }
 
 async fn try_shard(job: &Job, requirements: &Requirements, shard: &Shard) -> Option<Group> {
-    let ask = wire::Ask {
+    let ask = wire::GrantRequest {
         vm: job.process.config.vm.clone(),
         request: job.request.clone(),
         model: job.prompt.model.clone(),
@@ -121,7 +121,7 @@
         avoid: Vec::new(),
     };
     let grant = request_grant(job, shard, ask, SEARCH_TIMEOUT * 2).await?;
-    let Grant::Given(segments) = grant else { return None };
+    let Grant::Granted(segments) = grant else { return None };
     let flights: Vec<Flight<System>> = segments.iter().filter_map(|s| flight(job, s)).collect();
     if flights.len() != segments.len() || flights.is_empty() {
         return None;
@@ -147,7 +147,7 @@
     loop {
         tokio::time::sleep(RENEW_INTERVAL).await;
         for (engine, hold) in &reservations {
-            let _ = engine.hold(hold, Tokens(0), RESERVATION_TTL).await;
+            let _ = engine.reserve(hold, Tokens(0), RESERVATION_TTL).await;
         }
     }
 }
@@ -165,7 +165,7 @@
     let last = group.segments.len() - 1;
     for (i, segment) in group.segments.iter().enumerate() {
         let hold = segment.hold.clone().ok_or(Failure::Gone)?;
-        let held = Held { hold, context: context.clone() };
+        let held = engine::Segment { reservation: hold, context: context.clone() };
         let bytes = (segment.tokens.0 * u64::from(job.bytes_per_token)) as usize;
         let end = if i == last { order.prompt.len() } else { at + bytes };
         let part = Order {
@@ -175,7 +175,7 @@
         };
         let client = &group.flights[i].client;
         if i == last {
-            return client.generate(&Order { hold: Some(held), ..part }).await;
+            return client.generate(&Order { segment: Some(held), ..part }).await;
         }
         context = client.prefill(&part, &held).await?;
         group.flights[i].on_prefill_done();
@@ -191,7 +191,7 @@
 
 /// Handles a grant request as the home of a shard: finds one engine for a long prompt, or reserves
 /// a group.
-pub async fn grant(process: &Arc<Process>, shard: &str, ask: &wire::Ask) -> Grant {
+pub async fn grant(process: &Arc<Process>, shard: &str, ask: &wire::GrantRequest) -> Grant {
     let shards = process.shards();
     let Some(shard) = shards.iter().find(|s| s.name == shard) else { return Grant::Unknown };
     let lock = LOCKS.lock().unwrap().entry(shard.name.clone()).or_default().clone();
@@ -205,12 +205,16 @@
         }
     };
     match tokio::time::timeout(SEARCH_TIMEOUT, search).await {
-        Ok(segments) => Grant::Given(segments),
+        Ok(segments) => Grant::Granted(segments),
         Err(_) => Grant::Wait(POLL_INTERVAL.as_millis() as u64),
     }
 }
 
-async fn find(process: &Arc<Process>, shard: &Shard, ask: &wire::Ask) -> Option<Vec<Segment>> {
+async fn find(
+    process: &Arc<Process>,
+    shard: &Shard,
+    ask: &wire::GrantRequest,
+) -> Option<Vec<Segment>> {
     let policy = Policy { route: Route::LengthAware, ..Policy::default() };
     let requirements =
         Requirements { prompt: ask.prompt, memory: Tokens(0), class: policy.class(ask.prompt) };
@@ -244,7 +248,7 @@
 /// Reserves memory on as many engines as needed, those with most free memory first; all or nothing.
 async fn reserve_group(
     process: &Arc<Process>,
-    ask: &wire::Ask,
+    ask: &wire::GrantRequest,
     mut candidates: Vec<Candidate>,
 ) -> Option<Vec<Segment>> {
     let free = |c: &Candidate| c.memory - used(process, c);
@@ -296,7 +300,7 @@
         else {
             break;
         };
-        if engine.hold(hold, segment.tokens, RESERVATION_TTL).await.is_err() {
+        if engine.reserve(hold, segment.tokens, RESERVATION_TTL).await.is_err() {
             break;
         }
         reserved.push((engine, hold.clone()));
--- a/request/tests/scheduler.rs
+++ b/request/tests/scheduler.rs
@@ -22,23 +22,23 @@
     step_ms: 1.02,
     per_request_ms: 0.00226,
     per_context_ms: 0.00431,
-    read_per_ms: 206.0,
-    pairs_ms: 0.138,
+    prefill_tokens_per_ms: 206.0,
+    ms_per_million_pairs: 0.138,
     stride: 68,
     chunk: 2_048,
-    usual_answer: Tokens(1_500),
+    mean_answer: Tokens(1_500),
 };
 
 fn table() -> Table {
     let bounds = Bounds {
-        header_bytes: 16_384,
-        body_bytes: 4_096,
-        header_time: Duration::from_secs(3),
-        idle_time: Duration::from_secs(15),
+        max_header_bytes: 16_384,
+        max_body_bytes: 4_096,
+        header_timeout: Duration::from_secs(3),
+        idle_timeout: Duration::from_secs(15),
     };
     let service = |name: &str, engine| Service {
         name: name.to_owned(),
-        connections: 9,
+        max_connections: 9,
         engine,
         cold_per_s: None,
     };
--- a/version/tests/check.rs
+++ b/version/tests/check.rs
@@ -1,4 +1,4 @@
-//! Settings are checked as a whole, with errors that say where and what is allowed.
+//! Settings are validated as a whole; faults give the position and what is allowed.
 
 use std::sync::Arc;
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_broken_text() {
+fn a_syntax_error_is_reported() {
     faults(
         "{ \"policy\": ",
         "{}",
@@ -40,27 +40,27 @@
 }
 
 #[test]
-fn a_name_twice() {
+fn a_duplicate_name_is_reported() {
     faults(
         FLEET,
         "{ \"keys\": [],\n  \"keys\": [] }",
-        expect![[r#"organisation/acme.jsonc:2:3: "keys" stands twice in the same object"#]],
+        expect![[r#"organisation/acme.jsonc:2:3: duplicate name "keys" in the same object"#]],
     );
 }
 
 #[test]
-fn an_unknown_name_with_the_nearest() {
+fn an_unknown_name_suggests_the_nearest() {
     faults(
         FLEET,
         "{\n  \"policy\": { \"timeout_s\": 3 }\n}",
         expect![[
-            r#"organisation/acme.jsonc:2:15: policy.timeout_s: unknown name `timeout_s`; known here: route, timeout_ms, priority, long_tokens, max_body_bytes, max_answer_tokens, repeatable, resume, retries, retry_budget_percent, weight, concurrency, requests_per_s, prompt_tokens_per_s, resume_window_ms; did you mean `timeout_ms`?"#
+            r#"organisation/acme.jsonc:2:15: policy.timeout_s: unknown name `timeout_s`; allowed names: route, timeout_ms, priority, long_tokens, max_body_bytes, max_answer_tokens, repeatable, resume, retries, retry_budget_percent, weight, concurrency, requests_per_s, prompt_tokens_per_s, resume_window_ms; did you mean `timeout_ms`?"#
         ]],
     );
 }
 
 #[test]
-fn values_out_of_range_and_of_other_types() {
+fn values_out_of_range_or_of_the_wrong_type_are_reported() {
     faults(
         FLEET,
         r#"{ "policy": { "priority": 10, "weight": "big", "route": "length" } }"#,
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_reference_to_what_is_not_there() {
+fn a_dangling_reference_is_reported() {
     let fleet = FLEET.replace("\"hall\": \"ariana\"", "\"hall\": \"arianna\"");
     faults(
         &fleet,
@@ -84,18 +84,18 @@
 }
 
 #[test]
-fn a_kind_over_its_organisation() {
+fn a_kind_may_not_exceed_its_organisation() {
     faults(
         FLEET,
         r#"{ "policy": { "concurrency": 5 }, "kinds": { "x": { "policy": { "concurrency": 6 } } } }"#,
         expect![
-            "organisation/acme.jsonc:1:65: kinds.x.policy.concurrency: 6 is above the organisation's 5"
+            "organisation/acme.jsonc:1:65: kinds.x.policy.concurrency: 6 exceeds the organisation's limit of 5"
         ],
     );
 }
 
 #[test]
-fn values_are_inherited_and_keys_found() {
+fn values_are_inherited_and_keys_resolved() {
     let hash = hash_of_key("open sesame");
     let organisation = format!(
         r#"{{ "keys": ["{hash}"], "policy": {{ "weight": 3 }},
@@ -113,12 +113,12 @@
 }
 
 proptest! {
-    /// Any text is accepted or refused with a place inside it, never a panic.
+    /// Any text is accepted, or rejected with a position inside it; it never causes a panic.
     #[test]
-    fn any_text(text in "\\PC*|[\\[\\]{}\":,a-z0-9 \n/*]*") {
+    fn arbitrary_text_does_not_panic(text in "\\PC*|[\\[\\]{}\":,a-z0-9 \n/*]*") {
         if let Err(faults) = Tree::build(&texts(FLEET, &text)) {
             for fault in faults {
-                prop_assert!(fault.place.line <= text.lines().count().max(1) + 1);
+                prop_assert!(fault.position.line <= text.lines().count().max(1) + 1);
             }
         }
     }
--- a/version/tests/head.rs
+++ b/version/tests/head.rs
@@ -1,4 +1,5 @@
-//! Versions only grow, and each change is applied once, over any interleaving of operators.
+//! Version numbers only increase, and each change is applied once, for any interleaving of
+//! operators.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -6,7 +7,7 @@
 
 use foldlock_version::branch::Name;
 use foldlock_version::head::{self, Hash, Head};
-use foldlock_version::publish::{Base, Outcome, Publish, Refusal, read_head};
+use foldlock_version::publish::{Base, Outcome, Publish, Rejection, read_head};
 use foldlock_version::store::{Entry, Failure, Store};
 use foldlock_version::tree::Texts;
 use proptest::prelude::*;
@@ -16,16 +17,16 @@
     values: BTreeMap<String, (Vec<u8>, u64)>,
     revision: u64,
     calls: u64,
-    lose: Vec<u64>,
+    lost_responses: Vec<u64>,
 }
 
-/// A store in memory whose writes of certain numbers lose their answers.
+/// An in-memory store that applies the writes with the given numbers but returns an error for them.
 #[derive(Clone, Default)]
 struct Memory(Arc<Mutex<Inner>>);
 
 impl Store for Memory {
     async fn get(&self, key: &str) -> Result<Option<Entry>, Failure> {
-        // Lets other operators run between calls.
+        // Lets the tasks of other operators run between calls.
         tokio::task::yield_now().await;
         let inner = self.0.lock().unwrap();
         let entry = inner.values.get(key);
@@ -43,7 +44,7 @@
         inner.revision += 1;
         let revision = inner.revision;
         inner.values.insert(key.to_owned(), (value, revision));
-        if inner.lose.contains(&inner.calls) {
+        if inner.lost_responses.contains(&inner.calls) {
             return Err(Failure::Unavailable("lost".to_owned()));
         }
         Ok(revision)
@@ -76,12 +77,13 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
 
-    /// Operators who all begin from the same version and each change one branch, with answers
-    /// lost: of those on one branch exactly one wins, the others are told; nothing stands twice.
+    /// Operators that start from the same version change one branch each, while some responses are
+    /// lost. Exactly one change per branch is accepted, the others get a conflict, and no change is
+    /// in the tail twice.
     #[test]
-    fn each_change_counts_once(
+    fn each_change_is_applied_once(
         branches in prop::collection::vec(0usize..3, 1..8),
-        lose in prop::collection::vec(1u64..30, 0..6),
+        lost_responses in prop::collection::vec(1u64..30, 0..6),
     ) {
         let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
         runtime.block_on(async {
@@ -89,7 +91,7 @@
             let first = texts(&[0, 0, 0]);
             let publish = Publish { store: &store, id: "first".to_owned(), author: "a".to_owned() };
             publish.run(&Base::default(), &first).await.unwrap();
-            store.0.lock().unwrap().lose = lose;
+            store.0.lock().unwrap().lost_responses = lost_responses;
             let base = base_of(&first, 1);
             let operators = branches.iter().enumerate().map(|(i, branch)| {
                 let (store, base) = (store.clone(), base.clone());
@@ -107,7 +109,7 @@
                 match result {
                     Ok(Outcome::Accepted(_)) => *won.entry(*branch).or_default() += 1,
                     Ok(Outcome::Unchanged(_)) => panic!("each change differs"),
-                    Err(Refusal::Raced(changes)) => assert!(!changes.is_empty()),
+                    Err(Rejection::Conflict(changes)) => assert!(!changes.is_empty()),
                     Err(e) => panic!("{e}"),
                 }
             }
@@ -123,7 +125,7 @@
         });
     }
 
-    /// The tail stays bounded and ends with the newest change.
+    /// The tail has a bounded length and ends with the latest change.
     #[test]
     fn the_tail_is_bounded(changes in 1u32..200) {
         let mut head = Head::default();
@@ -132,7 +134,7 @@
             head = head.next(&format!("c{i}"), "a", branches);
         }
         prop_assert_eq!(head.version, u64::from(changes));
-        prop_assert!(head.tail.len() <= head::TAIL_LEN);
+        prop_assert!(head.tail.len() <= head::MAX_TAIL_LEN);
         prop_assert_eq!(head.tail.last().unwrap().version, head.version);
     }
 }
