--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! The serving process: what lives as long as a process on an entry VM does.
+//! The serving process of an entry VM.
 
 pub mod answer;
 pub mod app;
