--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The serving process of an entry VM.
+//! The `foldlockd` binary.
 
 use std::process::ExitCode;
 
@@ -10,7 +10,7 @@
 use foldlockd::{drain, fleet, log, process};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// The exit code for a bad configuration.
+/// Exit code for a bad configuration; clap uses the same for a bad command line.
 const BAD_CONFIG: u8 = 2;
 
 fn main() -> ExitCode {
@@ -56,7 +56,8 @@
     runtime.enable_all().build()?.block_on(serve(config))
 }
 
-/// A fleet's VMs have a part of one core: a second thread would only cost switches.
+/// Serves as a VM of a fleet. Such a VM has a share of one core, so a second thread would only add
+/// context switches.
 fn on_one_thread(config: fleet::config::Config) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let log = log::root(config.vm.as_str(), &config.log_level);
