--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -1,4 +1,4 @@
-//! The process's own configuration: a file, overridden by flags.
+//! Configuration of the process: a file, overridden by flags.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,17 +12,17 @@
 use crate::app::App;
 use crate::fleet::config::{self as fleet, Fleet};
 
-/// How long callers are served after the signal to stop, unless configured.
+/// Default time for which new requests are served after the signal to stop, in milliseconds.
 const DRAIN_MS: u64 = 3_000;
 
-/// Why there is no configuration.
+/// Why the configuration cannot be used.
 #[derive(Debug)]
 pub enum Invalid {
     /// The file cannot be read.
     File(String, std::io::Error),
-    /// The file's text is wrong.
+    /// The file is not valid.
     Text(String, String),
-    /// A value is missing.
+    /// A required value is missing.
     Missing(&'static str),
 }
 
@@ -32,7 +32,7 @@
             Invalid::File(path, e) => write!(f, "{path}: {e}"),
             Invalid::Text(path, why) => write!(f, "{path}: {why}"),
             Invalid::Missing(name) => {
-                write!(f, "`{name}` is missing: give it as a flag or in the configuration file")
+                write!(f, "`{name}` is missing: set it by a flag or in the configuration file")
             }
         }
     }
@@ -40,7 +40,7 @@
 
 impl std::error::Error for Invalid {}
 
-/// The file's shape.
+/// The contents of the configuration file.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct File {
@@ -56,40 +56,40 @@
     fleet: Option<Fleet>,
 }
 
-/// How a process serves.
+/// How the process gets its settings.
 #[derive(Debug, Clone)]
 pub enum Mode {
-    /// With the settings tree in a key-value service.
+    /// From the settings tree in a key-value service.
     Tree(Config),
-    /// As a VM of a fleet with a directory.
+    /// From the directory of a fleet, of which it is a VM.
     Fleet(fleet::Config),
 }
 
-/// What a process is.
+/// Configuration of a process with settings in a key-value service.
 #[derive(Debug, Clone, Serialize)]
 pub struct Config {
-    /// The name of this VM.
+    /// Name of this VM.
     pub vm: id::Vm,
-    /// Its data hall.
+    /// Data hall of this VM.
     pub hall: id::Hall,
-    /// Where callers connect.
+    /// Listen address for callers.
     pub listen: SocketAddr,
-    /// Where peers and operators connect.
+    /// Listen address for peers and operators.
     pub control: SocketAddr,
-    /// The key-value service.
+    /// Address of the key-value service.
     pub kv: SocketAddr,
-    /// The list of VMs.
+    /// Address of the VM list.
     pub vms: SocketAddr,
-    /// How long callers are served after the signal to stop.
+    /// How long new requests are served after the signal to stop.
     pub drain: Duration,
-    /// Threads that serve.
+    /// Number of worker threads; one per core if not set.
     pub threads: Option<usize>,
-    /// The lowest level that is logged.
+    /// Lowest level that is logged.
     pub log_level: String,
 }
 
 impl Config {
-    /// Reads the file, if one is named, and lays the flags over it.
+    /// Reads the configuration file, if one is given. Flags override its values.
     pub fn read(app: App) -> Result<Mode, Invalid> {
         let file = app.config.as_deref().map_or(Ok(File::default()), read_file)?;
         match file.fleet.clone() {
