--- a/daemon/src/current.rs
+++ b/daemon/src/current.rs
@@ -1,4 +1,4 @@
-//! The settings version in force: it only ever moves up.
+//! The settings version in force. Its number only increases.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, RwLock};
@@ -9,15 +9,15 @@
 use foldlock_version::tree::{Texts, Tree};
 use tokio::sync::watch;
 
-/// A version with all that is derived from it.
+/// A settings version and what is derived from it.
 pub struct Version {
-    /// The head.
+    /// The head of this version.
     pub head: Head,
-    /// The branches' texts.
+    /// The texts of the branches.
     pub texts: Texts,
     /// The resolved settings.
     pub tree: Tree,
-    /// The key of cursors.
+    /// The key that signs cursors.
     pub key: Key,
 }
 
@@ -31,25 +31,25 @@
         }
     }
 
-    /// The texts by hash.
+    /// The texts of the branches, by hash.
     pub fn by_hash(&self) -> BTreeMap<Hash, Arc<str>> {
         let named = |(name, text): (_, &Arc<str>)| (self.head.branches.get(name), text.clone());
         self.texts.iter().map(named).filter_map(|(h, t)| Some((h?.clone(), t))).collect()
     }
 }
 
-/// What came of a version that was heard of.
+/// Result of an attempt to put a version in force.
 #[derive(Debug)]
 pub enum Moved {
-    /// It is in force.
+    /// The version is in force.
     Up,
-    /// It is not newer than the one in force.
+    /// The version is not newer than the one in force, or was refused before.
     Old,
-    /// It has faults by this release's checks; the former one stays.
+    /// The version has faults by the checks of this release; the previous one stays in force.
     Refused(Vec<Fault>),
 }
 
-/// The holder of the version in force.
+/// Holds the version in force.
 pub struct Current {
     version: RwLock<Arc<Version>>,
     refused: RwLock<u64>,
@@ -77,22 +77,22 @@
         *self.number.borrow()
     }
 
-    /// Tells of each version that comes into force.
+    /// A receiver for the number of each version that comes into force.
     pub fn watch(&self) -> watch::Receiver<u64> {
         self.number.subscribe()
     }
 
-    /// The newest version that this release refused; 0 for none.
+    /// Number of the newest version that this release refused; 0 if there is none.
     pub fn refused(&self) -> u64 {
         *self.refused.read().unwrap()
     }
 
-    /// Whether a version of this number is worth fetching.
+    /// Whether a version is newer than both the one in force and the newest refused one.
     pub fn wants(&self, number: u64) -> bool {
         number > self.number() && number > self.refused()
     }
 
-    /// Puts a version in force, if it is newer and free of faults.
+    /// Puts a version in force if it is newer and has no faults.
     pub fn advance(&self, head: Head, texts: Texts) -> Moved {
         if !self.wants(head.version) {
             return Moved::Old;
