--- a/daemon/src/drain.rs
+++ b/daemon/src/drain.rs
@@ -1,5 +1,5 @@
-//! A planned stop: not ready, no parts, but callers are served until the balancer has noticed and
-//! each request has ended.
+//! Graceful shutdown. The VM reports that it is not ready and gives up its shards, but serves new
+//! requests until the load balancer has noticed, and then finishes each request.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -12,10 +12,10 @@
 use crate::log;
 use crate::process::Process;
 
-/// How long a caller has to read the rest of an answer from a process that stops.
+/// Maximum time for callers to read the rest of their responses once each request has ended.
 const SLOWEST_READER: Duration = Duration::from_secs(30);
 
-/// The state of a stop.
+/// State of the shutdown.
 #[derive(Default)]
 pub struct Drain {
     stopping: AtomicBool,
@@ -26,7 +26,7 @@
     close: Notify,
 }
 
-/// Counts a request until dropped.
+/// Counts a request as in progress until dropped.
 pub struct Busy {
     process: Arc<Process>,
 }
@@ -39,7 +39,7 @@
     }
 }
 
-/// Counts a caller's connection until dropped.
+/// Counts a caller's connection as open until dropped.
 pub struct Connected {
     process: Arc<Process>,
 }
@@ -53,17 +53,17 @@
 }
 
 impl Drain {
-    /// Whether the process is to stop.
+    /// Whether the shutdown has begun.
     pub fn stopping(&self) -> bool {
         self.stopping.load(Ordering::Acquire)
     }
 
-    /// Whether new requests are refused.
+    /// Whether new requests are rejected.
     pub fn closed(&self) -> bool {
         self.closed.load(Ordering::Acquire)
     }
 
-    /// Requests that are being served.
+    /// Number of requests in progress.
     pub fn requests(&self) -> usize {
         self.requests.load(Ordering::Acquire)
     }
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Waits until no new connections are to be taken.
+    /// Waits until new connections are no longer accepted.
     pub async fn wait_closed(&self) {
         loop {
             let close = self.close.notified();
@@ -90,22 +90,26 @@
     }
 }
 
-/// Counts a request that is being served.
+/// Counts a request as in progress.
 pub fn busy(process: &Arc<Process>) -> Busy {
     process.drain.requests.fetch_add(1, Ordering::AcqRel);
     Busy { process: process.clone() }
 }
 
-/// Counts a caller's connection.
+/// Counts a caller's connection as open.
 pub fn connected(process: &Arc<Process>) -> Connected {
     process.drain.connections.fetch_add(1, Ordering::AcqRel);
     Connected { process: process.clone() }
 }
 
-/// Stops: first callers are served on while peers and the balancer learn of it, then what has
-/// begun is finished.
+/// Shuts the process down. New requests are served for the configured time, until peers and the load
+/// balancer have noticed; then the requests in progress are finished.
 pub async fn stop(process: &Arc<Process>) {
-    log::event(&process.log, Event::Stopping, format!("{} requests", process.drain.requests()));
+    log::event(
+        &process.log,
+        Event::Stopping,
+        format!("{} requests in progress", process.drain.requests()),
+    );
     process.drain.stopping.store(true, Ordering::Release);
     process.members.leave();
     process.peers.exchange_now();
@@ -113,9 +117,9 @@
     process.drain.closed.store(true, Ordering::Release);
     process.drain.close.notify_waiters();
     process.drain.wait_for(|d| d.requests() == 0).await;
-    // What has been answered may still be on its way to a caller who reads slowly.
+    // A slow caller may not have received the end of its response yet.
     let written = process.drain.wait_for(|d| d.connections.load(Ordering::Acquire) == 0);
     let _ = tokio::time::timeout(SLOWEST_READER, written).await;
     process.claims.flush().await;
-    log::event(&process.log, Event::Stopped, "each request has ended");
+    log::event(&process.log, Event::Stopped, "no requests in progress");
 }
