--- a/daemon/src/follow.rs
+++ b/daemon/src/follow.rs
@@ -1,5 +1,5 @@
-//! Following the settings: a few VMs of each hall watch the head in the key-value service, the
-//! others hear of it from peers.
+//! Distribution of settings. A few VMs of each data hall watch the head in the key-value service; the
+//! others fetch new versions from peers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,28 +19,28 @@
 use crate::log;
 use crate::process::Process;
 
-/// VMs of a hall that watch the head.
+/// Maximum number of VMs of a data hall that watch the head.
 const WATCHERS: usize = 2;
 
-/// How long one watch waits.
+/// Timeout of one watch call.
 const WATCH: Duration = Duration::from_secs(10);
 
-/// How long a VM that does not watch waits until it asks whether it should.
+/// How often a VM that does not watch checks whether it should.
 const LOOK: Duration = Duration::from_millis(500);
 
-/// How long a failed call is waited after, at first and at most.
+/// Delay after a failed call: the first and the maximum.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(3));
 
-/// How long a call for settings to a peer takes at most.
+/// Timeout of a call to a peer for settings.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Whether a fetch from a peer is on its way.
+/// Fetches settings from peers, one call at a time.
 #[derive(Default)]
 pub struct Follow {
     fetching: AtomicBool,
 }
 
-/// Watches the head whenever it is this VM's to do.
+/// Watches the head while this VM is one of the watchers.
 pub async fn run(process: Arc<Process>) {
     let mut revision = 0;
     let mut backoff = BACKOFF.0;
@@ -67,14 +67,16 @@
     }
 }
 
-/// Waits a jittered time that doubles, so that VMs do not all call at once after an outage.
+/// Waits for the backoff time and doubles it. Jitter keeps VMs from all calling at once after an
+/// outage.
 async fn pause(backoff: &mut Duration) {
     let jitter = rand::random_range(0.5..1.5);
     tokio::time::sleep(backoff.mul_f64(jitter)).await;
     *backoff = (*backoff * 2).min(BACKOFF.1);
 }
 
-/// Whether this VM watches: one of the first of its hall, or one that has no settings yet.
+/// Whether this VM is a watcher: one of the first of its data hall by rendezvous hashing, or one that
+/// has no settings yet.
 fn watches(process: &Process) -> bool {
     if process.current.number() == 0 {
         return true;
@@ -126,7 +128,7 @@
 }
 
 impl Follow {
-    /// Fetches the settings of a peer that has newer ones.
+    /// Fetches settings from a peer that has a newer version, unless a fetch is in progress.
     pub fn fetch(&self, process: &Arc<Process>, connection: Connection) {
         if self.fetching.swap(true, Ordering::AcqRel) {
             return;
@@ -151,8 +153,8 @@
     }
 }
 
-/// The texts of a head from those that are known and those that came; none where one is missing
-/// or is not what its hash says.
+/// The texts of a head, from the local ones and those received; `None` if one is missing or does not
+/// match its hash.
 fn assemble(
     head: &Head,
     known: &BTreeMap<Hash, Arc<str>>,
@@ -169,7 +171,7 @@
     Some(texts)
 }
 
-/// Makes sure that what follows from a version is taken, whoever put it in force.
+/// Applies each version that comes into force, whichever task put it in force.
 pub async fn apply(process: Arc<Process>) {
     let mut versions = process.current.watch();
     while versions.changed().await.is_ok() {
