--- a/daemon/src/limits.rs
+++ b/daemon/src/limits.rs
@@ -1,4 +1,5 @@
-//! The limits of organisations and kinds at this VM, and the splitting of those whose home it is.
+//! Limits of organisations and kinds on this VM. For limits whose home is this VM, it also allocates
+//! the quotas of all VMs.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
@@ -12,7 +13,7 @@
 use foldlock_version::policy::Policy;
 use foldlock_version::tree::Tree;
 
-/// The name of a limit: an organisation, or `ORGANISATION/KIND`.
+/// The name of a limit: `ORGANISATION` or `ORGANISATION/KIND`.
 pub fn name(organisation: &id::Organisation, kind: Option<&id::Kind>) -> String {
     match kind {
         Some(kind) => format!("{organisation}/{kind}"),
@@ -20,7 +21,7 @@
     }
 }
 
-/// The settings behind a limit's name.
+/// The policy that a limit belongs to.
 fn policy<'a>(tree: &'a Tree, name: &str) -> Option<&'a Arc<Policy>> {
     let (organisation, kind) = match name.split_once('/') {
         Some((organisation, kind)) => (organisation, Some(kind.parse().ok()?)),
@@ -30,12 +31,12 @@
     Some(&effective.policy)
 }
 
-/// Whether the settings limit anything.
+/// Whether a policy sets any limit.
 fn limits(policy: &Policy) -> bool {
     policy.concurrency > 0 || policy.requests_per_s > 0 || policy.prompt_tokens_per_s > 0
 }
 
-/// The limits.
+/// The limits in use on this VM, and the ledgers of those whose home it is.
 pub struct Limits<C: Clock> {
     clock: C,
     own: Mutex<HashMap<String, Arc<Limit<C>>>>,
@@ -43,12 +44,12 @@
 }
 
 impl<C: Clock> Limits<C> {
-    /// None used yet.
+    /// Creates an empty set of limits.
     pub fn new(clock: C) -> Limits<C> {
         Limits { clock, own: Mutex::default(), ledgers: Mutex::default() }
     }
 
-    /// Lets a request in under a limit; nothing to hold where the settings have none.
+    /// Admits a request under a limit. Returns no permit if the policy sets no limit.
     pub fn admit(
         &self,
         name: &str,
@@ -74,13 +75,13 @@
         }
     }
 
-    /// This VM's demand, by limit.
+    /// The demand of this VM, by name of the limit.
     pub fn demand(&self) -> BTreeMap<String, Demand> {
         let own = self.own.lock().unwrap();
         own.iter().filter_map(|(name, limit)| Some((name.clone(), limit.demand()?))).collect()
     }
 
-    /// Takes quotas from a limit's home.
+    /// Sets the quotas received from the homes of limits.
     pub fn told(&self, quotas: &BTreeMap<String, Quota>) {
         let own = self.own.lock().unwrap();
         for (name, quota) in quotas {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// As the home of limits: takes a VM's demand and gives its quotas.
+    /// As the home of limits: records the demand of a VM and returns its quotas.
     pub fn split(
         &self,
         tree: &Tree,
