--- a/daemon/src/listen.rs
+++ b/daemon/src/listen.rs
@@ -1,4 +1,4 @@
-//! Listeners: one task for each connection.
+//! Listeners for callers and for control connections; each connection has its own task.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -14,16 +14,16 @@
 use crate::process::Process;
 use crate::{complete, drain, log, operators};
 
-/// How long a caller has to send the headers of a request.
+/// Maximum time to receive the headers of a request.
 const HEADERS: Duration = Duration::from_secs(10);
 
-/// How long a failed accept is waited after, so that a lack of files does not spin.
+/// Delay after a failed accept, so that the loop does not spin when file descriptors run out.
 const PAUSE: Duration = Duration::from_millis(50);
 
-/// The most streams of one HTTP/2 connection.
+/// Maximum number of concurrent streams of an HTTP/2 connection.
 const STREAMS: u32 = 1024;
 
-/// Accepts callers until the process stops.
+/// Accepts connections of callers until shutdown closes the listener.
 pub async fn callers(process: Arc<Process>, listener: TcpListener) {
     loop {
         let stream = tokio::select! {
@@ -69,7 +69,7 @@
     let _ = connection.await;
 }
 
-/// Accepts peers and operators, until the process ends.
+/// Accepts connections of peers and operators until the process exits.
 pub async fn control(process: Arc<Process>, listener: TcpListener) {
     loop {
         let stream = accept(&process, &listener).await;
