--- a/daemon/src/log.rs
+++ b/daemon/src/log.rs
@@ -1,13 +1,13 @@
-//! Structured logs: numbered events as JSON lines on standard output.
+//! Structured logging: numbered events as JSON lines on standard output.
 
 use foldlock_base::prelude::*;
 use foldlock_request::decision;
 use slog::{Drain, Level, LevelFilter, Logger, o};
 
-/// Events that wait to be written; beyond that they are dropped and counted.
+/// Maximum number of events waiting to be written; further ones are dropped and counted.
 const QUEUE: usize = 4096;
 
-/// The root logger of a process.
+/// Creates the root logger of the process.
 pub fn root(vm: &str, level: &str) -> Logger {
     let level = level.parse().unwrap_or(Level::Info);
     let json = slog_json::Json::new(std::io::stdout()).add_default_keys().build().ignore_res();
@@ -20,7 +20,7 @@
     Logger::root(drain, o!("vm" => vm.to_owned()))
 }
 
-/// Logs an event with a free text of its particulars.
+/// Logs an event with its details as free text.
 pub fn event(log: &Logger, event: Event, particulars: impl std::fmt::Display) {
     let number = event.number();
     match event.level() {
@@ -37,8 +37,8 @@
     }
 }
 
-/// Logs a decision on a request with the inputs that led to it, and how many lines were left out
-/// before it for their number.
+/// Logs a decision on a request with its inputs, and how many lines were dropped before it because
+/// there were too many.
 pub fn decision(
     log: &Logger,
     request: &id::Request,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Logs the refusal of a request that was not admitted.
+/// Logs that a request was rejected before it was admitted.
 pub fn refused(log: &Logger, request: &id::Request, error: &Error) {
     let event = Event::Refused;
     slog::info!(log, "{}", event.text(); "event" => event.number(), "request" => request.as_str(),
