--- a/daemon/src/metrics.rs
+++ b/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics, with units in their names.
+//! Prometheus metrics; their names include the unit.
 
 use foldlock_base::error::Kind;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -8,49 +8,49 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// The label of an organisation.
+/// Label: organisation.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ByOrganisation {
-    /// The organisation.
+    /// Id of the organisation.
     pub organisation: String,
 }
 
-/// The label of an error kind.
+/// Label: kind of error.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ByKind {
-    /// The kind.
+    /// The kind, as in the body of the response.
     pub kind: &'static str,
 }
 
-/// The label of a band of prompt lengths.
+/// Label: band of prompt lengths.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ByLength {
-    /// The band's upper end, tokens.
+    /// Upper bound of the band, in tokens.
     pub prompt_tokens: &'static str,
 }
 
-/// The metrics of a process.
+/// Metrics of the process.
 pub struct Metrics {
     registry: Registry,
-    /// Requests that arrived.
+    /// Number of requests received.
     pub requests: Family<ByOrganisation, Counter>,
-    /// Answers that are not a success.
+    /// Number of error responses.
     pub errors: Family<ByKind, Counter>,
-    /// Tokens sent to callers.
+    /// Number of tokens sent to callers.
     pub tokens: Counter,
-    /// Streams open to callers.
+    /// Number of open streams to callers.
     pub streams: Gauge,
-    /// Seconds to the first token, by prompt length.
+    /// Time to first token in seconds, by prompt length.
     pub first_token: Family<ByLength, Histogram>,
-    /// Predicted over real time to the first token.
+    /// Predicted over actual time to first token.
     pub prediction: Histogram,
-    /// Requests sent again.
+    /// Number of retries.
     pub retries: Counter,
-    /// Answers that went on elsewhere.
+    /// Number of answers resumed on another upstream.
     pub resumed: Counter,
-    /// Bytes sent and received between VMs, estimated from messages.
+    /// Number of calls to peers.
     pub peer_calls: Counter,
-    /// The settings version in force.
+    /// Number of the settings version in force.
     pub version: Gauge,
 }
 
@@ -105,18 +105,18 @@
         r.register("settings_version", "The settings version in force", self.version.clone());
     }
 
-    /// Counts an answer that is not a success.
+    /// Counts an error response.
     pub fn error(&self, kind: Kind) {
         self.errors.get_or_create(&ByKind { kind: kind.as_str() }).inc();
     }
 
-    /// Observes a time to the first token.
+    /// Observes a time to first token.
     pub fn first_token(&self, prompt_tokens: u64, seconds: f64) {
         let band = ByLength { prompt_tokens: band(prompt_tokens) };
         self.first_token.get_or_create(&band).observe(seconds);
     }
 
-    /// The metrics as text, in the OpenMetrics format.
+    /// Encodes all metrics in the OpenMetrics text format.
     pub fn encode(&self) -> String {
         let mut text = String::new();
         let encoded = prometheus_client::encoding::text::encode(&mut text, &self.registry);
@@ -125,7 +125,7 @@
     }
 }
 
-/// The band of prompt lengths that the users measure by.
+/// The band of a prompt length. The bands are those by which users specify latency.
 pub fn band(prompt_tokens: u64) -> &'static str {
     match prompt_tokens {
         0..=4_000 => "4k",
