--- a/daemon/src/operators.rs
+++ b/daemon/src/operators.rs
@@ -1,4 +1,5 @@
-//! What operators read: readiness, metrics, a dump of the state, records and live decisions.
+//! HTTP endpoints for operators: readiness, metrics, a dump of the state, decision records and a live
+//! stream of decisions.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -15,10 +16,10 @@
 use crate::home;
 use crate::process::Process;
 
-/// Records that a dump holds.
+/// Maximum number of decision records in a dump.
 const RECORDS: usize = 20;
 
-/// Lines that may wait for a slow watcher.
+/// Maximum number of lines queued for a slow client of the decision stream.
 const LINES: usize = 64;
 
 #[derive(Serialize)]
@@ -57,10 +58,10 @@
     failures: u64,
 }
 
-/// Answers an operator.
+/// Handles an operator's request.
 pub async fn answer(process: Arc<Process>, request: Request<Incoming>) -> Response<Body> {
     if request.method() != Method::GET {
-        return answer::text(StatusCode::METHOD_NOT_ALLOWED, "only GET\n");
+        return answer::text(StatusCode::METHOD_NOT_ALLOWED, "method not allowed; use GET\n");
     }
     let path = request.uri().path();
     match path {
@@ -124,7 +125,7 @@
     }
 }
 
-/// Streams decisions as JSON lines until the watcher leaves or the process stops.
+/// Streams decisions as JSON lines until the client disconnects or the process exits.
 fn decisions(process: &Arc<Process>) -> Response<Body> {
     let (lines, receiver) = mpsc::channel(LINES);
     tokio::spawn(feed(process.ring.subscribe(), lines));
