--- a/daemon/src/plain.rs
+++ b/daemon/src/plain.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services: routed by path, repeated only where that is allowed.
+//! Calls to plain services: routed by path, and retried only where the service and policy allow it.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -22,10 +22,10 @@
 use crate::claims::KeyClaim;
 use crate::complete::{Caller, IDEMPOTENCY_KEY, reject};
 
-/// Headers that are passed on.
+/// Request headers that are forwarded.
 const PASSED: [hyper::header::HeaderName; 2] = [CONTENT_TYPE, ACCEPT];
 
-/// A sign that a server is leaving counts for this long.
+/// How long a server is considered leaving after a response that said so.
 const LEAVING_KEPT: Duration = Duration::from_secs(30);
 
 #[derive(Default)]
@@ -35,13 +35,13 @@
     leaving_at: Option<Instant>,
 }
 
-/// The servers of plain services as this VM knows them.
+/// State of the servers of plain services, as observed by this VM.
 #[derive(Default)]
 pub struct Servers {
     table: Mutex<HashMap<id::Upstream, Local>>,
 }
 
-/// A call that counts at a server until dropped.
+/// Counts a call as in flight on a server until dropped.
 struct Flight<'a> {
     servers: &'a Servers,
     server: id::Upstream,
@@ -58,7 +58,7 @@
         f(self.table.lock().unwrap().entry(server.clone()).or_default())
     }
 
-    /// The server with the fewest calls outstanding, of those that can be used.
+    /// Chooses the usable server with the fewest calls in flight, at random between equals.
     fn choose(
         &self,
         service: &Service,
@@ -84,7 +84,7 @@
     }
 }
 
-/// A call on its way.
+/// An admitted call.
 struct Call {
     caller: Caller,
     entry: Entry,
@@ -103,7 +103,7 @@
     Broken(String),
 }
 
-/// Answers a call to a plain service.
+/// Handles a call to a plain service and returns its response.
 pub async fn answer(
     mut caller: Caller,
     request: Request<Incoming>,
@@ -181,7 +181,8 @@
             let now = process.clock.now();
             let unusable = |s: &id::Upstream| tried.contains(s) || process.is_listed_leaving(s);
             let Some(flight) = process.servers.choose(&self.service, now, unusable) else {
-                let error = proof.error(Kind::NoUpstream, "no server can take the call", false);
+                let error =
+                    proof.error(Kind::NoUpstream, "no server of the service is available", false);
                 return Err(error.retry_after(Duration::from_secs(1)));
             };
             self.caller.step(
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Decides whether a failed attempt is followed by another one.
+    /// Decides whether a failed attempt is retried.
     fn after(
         &mut self,
         end: End,
@@ -223,7 +224,7 @@
         let (proof, why) = match end {
             End::NotRun { proof, why } => (attempt.refused(proof), why),
             End::Broken(why) => (attempt.unknown(), why),
-            End::Answered(_) => unreachable!("an answer ends the call"),
+            End::Answered(_) => unreachable!("a response ends the call"),
         };
         let not_run = matches!(proof, Proof::NotRun(_));
         if let Some(claim) = &mut self.claim
@@ -291,9 +292,9 @@
     }
 }
 
-const LEAVING: &str = "it is leaving";
+const LEAVING: &str = "the server is leaving";
 
-/// Tells a refusal from an answer.
+/// Tells a server's refusal from a response of the service.
 fn judged(answer: Response<Bytes>) -> End {
     let header = |name: &str| answer.headers().get(name).and_then(|v| v.to_str().ok());
     match Refusal::read(answer.status().as_u16(), header(Refusal::HEADER)) {
