--- a/daemon/src/process.rs
+++ b/daemon/src/process.rs
@@ -1,4 +1,4 @@
-//! The process: what all tasks share, and how it starts.
+//! The serving process: its shared state and its start.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -33,79 +33,79 @@
 use crate::peers::{self, Peers};
 use crate::{follow, listen};
 
-/// How often the list of VMs is read.
+/// Interval at which the VM list is read.
 const LIST_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How often a home reads the reports of its engines.
+/// Interval at which a home polls its engines' reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long an engine may be silent before it is logged.
+/// Number of consecutive failed polls after which an engine is logged as silent.
 const REPORT_SILENT: u32 = 3;
 
-/// The queues in which requests wait, by model and class of length, so that a long prompt that
-/// waits holds up no shorter one.
+/// The request queues, by model and class of prompt length, so that a queued long prompt does not
+/// block shorter ones.
 type Queues = HashMap<(id::Model, Class), Arc<Queue>>;
 
-/// What all tasks of a process share.
+/// The state shared by all tasks of the process.
 pub struct Process {
-    /// What it is.
+    /// Configuration of the process.
     pub config: Config,
-    /// The clock.
+    /// The system clock.
     pub clock: System,
-    /// The log.
+    /// The root logger.
     pub log: Logger,
-    /// The metrics.
+    /// Metrics of the process.
     pub metrics: Metrics,
-    /// The client of all connections to upstreams.
+    /// The HTTP client for all connections to upstreams.
     pub client: Client,
-    /// The key-value service.
+    /// Client of the key-value service.
     pub store: HttpStore,
-    /// The settings in force.
+    /// The settings version in force.
     pub current: Current,
-    /// Following the settings.
+    /// Fetches settings from peers.
     pub follow: Follow,
-    /// The VMs.
+    /// The members: this VM and those it received heartbeats or announcements of.
     pub members: Members<System>,
-    /// The connections to them.
+    /// Connections to peers.
     pub peers: Peers,
-    /// The engines.
+    /// The engines and their state.
     pub engines: Arc<Engines<System>>,
-    /// What this VM knows as the home of shards.
+    /// State of this VM as the home of shards.
     pub home: Home<System>,
-    /// The limits.
+    /// Limits of organisations and kinds.
     pub limits: Limits<System>,
-    /// Quotas that go out with the next heartbeats.
+    /// Quotas to send with the next heartbeat, by VM.
     pub quotas: Mutex<HashMap<id::Vm, BTreeMap<String, Quota>>>,
-    /// The claims of idempotency keys.
+    /// Claims of idempotency keys.
     pub claims: Claims,
-    /// The servers of plain services.
+    /// State of the servers of plain services.
     pub servers: crate::plain::Servers,
-    /// The records of requests.
+    /// The most recent decision records.
     pub ring: Ring,
-    /// The budget of retries.
+    /// The retry budget.
     pub budget: Budget<System>,
-    /// Stopping.
+    /// State of the shutdown.
     pub drain: Drain,
     shards: RwLock<Arc<Vec<Shard>>>,
     queues: Mutex<Queues>,
     next_request: AtomicU64,
     listed_leaving: Mutex<Vec<id::Upstream>>,
     store_down: AtomicBool,
-    /// Whether the first settings have reached all parts that follow from them.
+    /// Whether the first settings have been applied to engines and shards.
     applied: AtomicBool,
 }
 
-/// A process that serves.
+/// A started process and its bound addresses.
 pub struct Running {
-    /// What its tasks share.
+    /// The state shared by its tasks.
     pub process: Arc<Process>,
-    /// Where callers connect.
+    /// Bound address for callers.
     pub listen: std::net::SocketAddr,
-    /// Where peers and operators connect.
+    /// Bound address for peers and operators.
     pub control: std::net::SocketAddr,
 }
 
-/// Starts a process: binds its listeners and spawns its tasks.
+/// Binds the listeners and spawns the tasks of a process.
 pub async fn start(config: Config, log: Logger) -> std::io::Result<Running> {
     let callers = TcpListener::bind(config.listen).await?;
     let control = TcpListener::bind(config.control).await?;
@@ -173,7 +173,7 @@
         self.shards.read().unwrap().clone()
     }
 
-    /// Takes what follows from a settings version.
+    /// Applies the settings in force to engines, shards and metrics.
     pub fn apply(&self) {
         let version = self.current.get();
         self.engines.apply(&version.tree);
@@ -184,7 +184,7 @@
         }
     }
 
-    /// A new request id, unique over VMs and restarts.
+    /// A new request id, unique across VMs and restarts.
     pub fn request_id(&self) -> id::Request {
         let next = self.next_request.fetch_add(1, Ordering::Relaxed);
         let own = self.members.own();
@@ -192,12 +192,12 @@
         id.parse().expect("made of allowed characters")
     }
 
-    /// The queue of a model.
+    /// The queue for a model and class of prompt length.
     pub fn queue(&self, model: &id::Model, class: Class) -> Arc<Queue> {
         self.queues.lock().unwrap().entry((model.clone(), class)).or_default().clone()
     }
 
-    /// Logs when the key-value service stops or begins to answer.
+    /// Records whether the key-value service responds, and logs changes.
     pub fn store_answers(&self, answers: bool) {
         if self.store_down.swap(!answers, Ordering::Relaxed) == answers {
             let event = if answers { Event::StoreUp } else { Event::StoreDown };
@@ -205,18 +205,18 @@
         }
     }
 
-    /// Whether this VM can serve: its settings are applied and it is not stopping.
+    /// Whether this VM can serve: its settings are applied and it is not shutting down.
     pub fn ready(&self) -> bool {
         self.applied.load(Ordering::Acquire) && !self.drain.stopping()
     }
 
-    /// Whether a server of a plain service is listed as leaving.
+    /// Whether the platform's VM list marks an upstream as leaving.
     pub fn is_listed_leaving(&self, upstream: &id::Upstream) -> bool {
         self.listed_leaving.lock().unwrap().contains(upstream)
     }
 }
 
-/// Reads the platform's list again and again.
+/// Polls the platform's VM list.
 async fn read_list(process: Arc<Process>) {
     let list = HttpList::new(process.client.clone(), &process.config.vms.to_string());
     loop {
@@ -238,7 +238,7 @@
     }
 }
 
-/// As a home, reads the reports of the engines of its shards, one task for each engine.
+/// As a home, polls the reports of the engines of its shards, with one task per engine.
 async fn read_reports(process: Arc<Process>) {
     let mut tasks: HashMap<id::Upstream, tokio::task::JoinHandle<()>> = HashMap::new();
     loop {
@@ -290,7 +290,8 @@
     }
 }
 
-/// A VM is a user of the shards and limits whose home it is: it exchanges with itself.
+/// Exchanges loads, states, demand and quotas with this VM itself, which is also a user of the shards
+/// and limits whose home it is.
 async fn tell_self(process: Arc<Process>) {
     loop {
         let own = process.members.own();
