--- a/daemon/src/pump.rs
+++ b/daemon/src/pump.rs
@@ -1,4 +1,5 @@
-//! Writing an answer to its caller: as events while it comes, or whole.
+//! Sinks that send an answer to its caller: as server-sent events while it is generated, or as one
+//! response at its end.
 
 use std::fmt::Write as _;
 
@@ -14,18 +15,18 @@
 use crate::answer;
 use crate::serve::{Job, Sink};
 
-/// Batches of events that may wait for a slow caller.
+/// Maximum number of batches of events queued for a slow caller.
 pub const BACKLOG: usize = 32;
 
-/// The usual length of an event, bytes.
+/// Typical length of an encoded event in bytes, for the capacity of buffers.
 const EVENT: usize = 320;
 
-/// Collects an answer.
+/// Collects an answer for a response without streaming.
 #[derive(Default)]
 pub struct Whole {
-    /// The text so far.
+    /// The text received so far.
     pub text: String,
-    /// Why it ended.
+    /// The finish reason, once the answer has ended.
     pub reason: Option<String>,
 }
 
@@ -43,35 +44,35 @@
     }
 
     async fn caller_gone(&self) {
-        // A caller who leaves drops the whole request.
+        // When the caller disconnects, hyper drops the future of the whole request.
         std::future::pending().await
     }
 }
 
-/// Writes parts of an answer as server-sent events.
+/// Encodes parts of an answer as server-sent events.
 pub struct Lines {
     cursor: Option<CursorWriter>,
     head: String,
     style: Style,
 }
 
-/// Sends an answer to its caller as server-sent events.
+/// Streams an answer to its caller as server-sent events.
 pub struct Events {
     parts: mpsc::Sender<Bytes>,
     started: Option<oneshot::Sender<Result<(), Error>>>,
     lines: Lines,
 }
 
-/// What a caller waits for: the beginning of the answer, then its parts.
+/// The receiving end of [`Events`]: the start of the answer, then its events.
 pub struct Waiting {
-    /// The beginning, or the error in its place.
+    /// Receives the start of the answer, or the error in its place.
     pub started: oneshot::Receiver<Result<(), Error>>,
-    /// The parts.
+    /// Receives batches of encoded events.
     pub parts: mpsc::Receiver<Bytes>,
 }
 
 impl Events {
-    /// A sink for the answer to a request, and what its caller waits for.
+    /// Creates a sink for the answer to a request, and its receiving end.
     pub fn new(request: &id::Request, model: &id::Model, style: Style) -> (Events, Waiting) {
         let (parts, receiver) = mpsc::channel(BACKLOG);
         let (started, start) = oneshot::channel();
@@ -80,7 +81,7 @@
         (events, Waiting { started: start, parts: receiver })
     }
 
-    /// Writes an error in place of the rest of the answer.
+    /// Sends an error in place of the rest of the answer.
     pub async fn fail(mut self, error: Error, request: &id::Request) {
         match self.started.take() {
             Some(started) => {
@@ -93,13 +94,13 @@
     }
 }
 
-/// An error in place of the rest of an answer.
+/// Encodes an error event, which ends a stream.
 pub fn error_event(error: &Error, request: &id::Request) -> Bytes {
     let shape = serde_json::to_string(&answer::error_body(error, request)).expect("plain data");
     format!("event: error\ndata: {shape}\n\n").into()
 }
 
-/// What each event of an answer begins with.
+/// The JSON that each event of an answer begins with.
 fn head(request: &id::Request, model: &str, style: Style) -> String {
     let object = match style {
         Style::Completion => "text_completion",
@@ -112,12 +113,12 @@
 }
 
 impl Lines {
-    /// A writer for a stream that is gone on with.
+    /// Creates an encoder for a stream that is resumed at a cursor.
     pub fn new(request: &id::Request, model: &str, style: Style, key: &Key, at: &Cursor) -> Lines {
         Lines { cursor: Some(CursorWriter::new(key, at)), head: head(request, model, style), style }
     }
 
-    /// Writes parts.
+    /// Encodes parts as events.
     pub fn write_all(&self, parts: &[Part]) -> String {
         let mut out = String::with_capacity(parts.len() * EVENT);
         for part in parts {
@@ -159,7 +160,7 @@
     }
 }
 
-/// A text as a JSON string.
+/// Displays a text as a JSON string, without a serializer if no character needs an escape.
 struct Quoted<'a>(&'a str);
 
 impl std::fmt::Display for Quoted<'_> {
@@ -197,7 +198,7 @@
     }
 }
 
-/// The whole answer, in the style that the caller expects.
+/// Body of a response without streaming, in the style of the caller's request.
 #[derive(Serialize)]
 pub struct Completion<'a> {
     id: &'a str,
@@ -229,7 +230,7 @@
     total_tokens: u64,
 }
 
-/// Makes the whole answer.
+/// Builds the body of a response without streaming.
 pub fn completion<'a>(job: &'a Job, whole: &'a Whole, tokens: u64) -> Completion<'a> {
     let (object, content) = match job.prompt.style {
         Style::Completion => ("text_completion", Content::Text(&whole.text)),
