--- a/daemon/src/resume.rs
+++ b/daemon/src/resume.rs
@@ -1,4 +1,5 @@
-//! Going on with a stream for a caller who was cut off: from the cursor alone, through any VM.
+//! Resumes a stream for a caller whose connection was lost. The cursor is enough, so that any VM can
+//! do it.
 
 use foldlock_base::error::{Error, Unsent};
 use foldlock_base::prelude::*;
@@ -16,7 +17,7 @@
 use crate::drain;
 use crate::pump::{self, Lines};
 
-/// A stream that is gone on with.
+/// A stream that is being resumed.
 struct Resumed {
     caller: Caller,
     cursor: Cursor,
@@ -24,7 +25,7 @@
     lines: Lines,
 }
 
-/// Answers a caller who has a cursor.
+/// Handles a request with a cursor and returns the rest of the stream.
 pub async fn answer(
     caller: Caller,
     request: &Request<Incoming>,
@@ -34,7 +35,7 @@
     let cursor = Cursor::verify(&caller.version.key, text)
         .map_err(|e| reject(Kind::BadRequest, format!("`{LAST_EVENT}`: {e}")))?;
     if cursor.organisation != caller.organisation {
-        return Err(reject(Kind::Unauthorized, "the stream is another organisation's"));
+        return Err(reject(Kind::Unauthorized, "the stream belongs to another organisation"));
     }
     let engine = caller.process.engines.client(&cursor.engine).ok_or_else(gone)?;
     let stream = open(&caller, &engine, &cursor).await?;
@@ -54,7 +55,7 @@
 
 fn gone() -> Error {
     let sent = Unsent::arrived().send();
-    Error::sent(Kind::StreamGone, "the stream is gone; ask again", sent, true)
+    Error::sent(Kind::StreamGone, "the stream no longer exists; send the request again", sent, true)
 }
 
 async fn open(caller: &Caller, engine: &HttpEngine, cursor: &Cursor) -> Result<HttpStream, Error> {
@@ -92,7 +93,10 @@
             let bytes = self.stream.next().await;
             let bytes = bytes.map_err(|e| broken(Kind::UpstreamFailed, &e.to_string()))?;
             let Some(bytes) = bytes else {
-                return Err(broken(Kind::UpstreamFailed, "the answer ended early"));
+                return Err(broken(
+                    Kind::UpstreamFailed,
+                    "the upstream closed the stream before its end",
+                ));
             };
             let pushed = checker.push(bytes, |part| parts.push(part));
             pushed.map_err(|e| broken(Kind::UpstreamFailed, &e.to_string()))?;
