--- a/daemon/tests/common/mod.rs
+++ b/daemon/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests with real processes share.
+//! Helpers of the tests with real processes.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::time::Duration;
@@ -12,13 +12,13 @@
     Plan::small(env!("CARGO_BIN_EXE_foldlockd"))
 }
 
-/// A plan with a kind `paid`, which may not be repeated, in each organisation.
+/// A plan where each organisation has a kind `paid`, whose requests must not be retried.
 pub(crate) fn paid_plan() -> Plan {
     let organisation = json!({ "kinds": { "paid": { "policy": { "repeatable": false } } } });
     Plan { organisation, ..plan() }
 }
 
-/// A prompt of so many tokens.
+/// A prompt with the given number of tokens.
 pub(crate) fn prompt(tokens: usize) -> String {
     (0..tokens).map(|i| format!("{:03} ", i % 1000)).collect()
 }
@@ -41,7 +41,7 @@
     client::ask(&fleet.client, fleet.vms[vm].listen, ask).await
 }
 
-/// Checks that an answer is whole and its prompt's.
+/// Asserts that an answer is complete and belongs to its prompt.
 pub(crate) fn assert_whole(answer: &Answer, ask: &Ask) {
     assert_eq!(answer.status, 200, "{answer:?}");
     assert!(answer.complete, "{answer:?}");
