--- a/daemon/tests/deadline.rs
+++ b/daemon/tests/deadline.rs
@@ -1,4 +1,4 @@
-//! Each admitted request finishes or fails within its time, and leaves no memory behind.
+//! Each admitted request ends by its deadline and frees the engine memory that it used.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use standin::fault::{Fault, Kind};
 use standin::fleet::{Fleet, Plan, wait_for};
 
-/// How late an answer may be on a busy CI machine. Figures come from the load tool.
+/// Tolerance for late responses on a busy CI machine. Latency itself is measured by the load tool.
 const SLACK: Duration = Duration::from_secs(2);
 
 async fn frozen_at(at: u64, resume: bool) {
