--- a/daemon/tests/deploy.rs
+++ b/daemon/tests/deploy.rs
@@ -1,5 +1,5 @@
-//! The files under `deploy/`: the template, filled in as the platform does it, is a configuration that
-//! foldlock's own checks take.
+//! Tests of the files under `deploy/`: the template, rendered as the platform does it, is a valid
+//! configuration.
 
 use std::path::{Path, PathBuf};
 
@@ -30,12 +30,13 @@
     })
 }
 
-/// Fills gaps in, `{{a.b}}` and the sections `{{#a}} .. {{/a}}` of true or false values.
+/// Renders a template: variables `{{a.b}}` and conditional sections `{{#a}} .. {{/a}}`.
 fn render(template: &str, fields: &Value) -> String {
     let Some((before, rest)) = template.split_once("{{") else { return template.to_owned() };
-    let (gap, rest) = rest.split_once("}}").expect("a gap ends");
+    let (gap, rest) = rest.split_once("}}").expect("unterminated variable");
     if let Some(name) = gap.strip_prefix('#') {
-        let (inner, after) = rest.split_once(&format!("{{{{/{name}}}}}")).expect("a section ends");
+        let (inner, after) =
+            rest.split_once(&format!("{{{{/{name}}}}}")).expect("unterminated section");
         let stands = value(fields, name).is_some_and(|v| *v != json!(false));
         let inner = if stands { render(inner, fields) } else { String::new() };
         return format!("{before}{inner}{}", render(after, fields));
@@ -58,7 +59,7 @@
 
 #[test]
 fn the_filled_template_is_a_configuration() {
-    let Mode::Fleet(config) = read(&sample()) else { panic!("not a fleet's") };
+    let Mode::Fleet(config) = read(&sample()) else { panic!("not the configuration of a fleet") };
     assert_eq!(config.vm.as_str(), "front-a-1");
     assert_eq!(config.listen.to_string(), "10.1.0.40:8227");
     assert_eq!(config.fleet.peers.to_string(), "10.1.0.40:7340");
@@ -74,7 +75,7 @@
 fn without_a_bound_on_keys_settings_may_be_of_any_age() {
     let mut fields = sample();
     fields["Bounds"]["StrictRevoke"] = json!(false);
-    let Mode::Fleet(config) = read(&fields) else { panic!("not a fleet's") };
+    let Mode::Fleet(config) = read(&fields) else { panic!("not the configuration of a fleet") };
     assert_eq!(config.fleet.settings_age(), None);
 }
 
@@ -82,7 +83,7 @@
 fn without_a_bound_on_memory_the_usual_one_holds() {
     let mut fields = sample();
     fields["Bounds"].as_object_mut().unwrap().remove("ReleaseMs");
-    let Mode::Fleet(config) = read(&fields) else { panic!("not a fleet's") };
+    let Mode::Fleet(config) = read(&fields) else { panic!("not the configuration of a fleet") };
     assert_eq!(config.fleet.memory_release_ms, 4_000);
 }
 
