--- a/daemon/tests/layers.rs
+++ b/daemon/tests/layers.rs
@@ -1,11 +1,11 @@
-//! The modules of a fleet's VM import each other one way: what a request goes through stands above what it needs,
-//! and the state of the process above nothing that takes it.
+//! The modules of `src/fleet` have no import cycles: those that handle requests import those that they
+//! use, and the module of the process state imports none that uses it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::path::Path;
 
-/// The modules of `src/fleet`, each with those of them that it imports.
+/// The modules of `src/fleet`, each with the modules of the folder that it imports.
 fn modules() -> BTreeMap<String, BTreeSet<String>> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/fleet");
     let files = fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path());
@@ -21,7 +21,7 @@
     modules
 }
 
-/// The first names behind `crate::fleet::`, those in braces among them.
+/// The first path segments after `crate::fleet::`, including those in braces.
 fn imports(source: &str) -> BTreeSet<String> {
     let code: String = source.lines().filter(|line| !line.trim_start().starts_with("//")).collect();
     let mut found = BTreeSet::new();
@@ -42,7 +42,7 @@
     let mut modules = modules();
     assert!(modules.len() > 30, "{modules:?}");
     assert!(modules["serve"].contains("gate") && modules["grant_requests"].contains("tell"));
-    // Takes off those that import nothing that is left, until all are gone.
+    // Topological sort: removes a module without remaining imports until none is left.
     while let Some(free) =
         modules.iter().find(|(_, of)| of.is_empty()).map(|(name, _)| name.clone())
     {
@@ -51,5 +51,5 @@
             of.remove(&free);
         });
     }
-    assert!(modules.is_empty(), "these import each other: {modules:#?}");
+    assert!(modules.is_empty(), "import cycle between: {modules:#?}");
 }
