--- a/daemon/tests/leaving.rs
+++ b/daemon/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! An upstream that is leaving gets no new work, and a planned stop cuts no request.
+//! An upstream that is leaving gets no new requests, and the graceful shutdown of a VM aborts none.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use standin::client::{self, Answer, Ask};
 use standin::fleet::{Fleet, Plan, wait_for};
 
-/// Sends requests through all VMs until no engine but the leaving one gets any.
+/// Sends requests through all VMs. Returns how many of them the engine at `index` began.
 async fn begun_after(fleet: &Fleet, index: usize) -> u64 {
     let before = fleet.engines[index].engine.stats().begun;
     for i in 0..30 {
@@ -22,7 +22,7 @@
 
 async fn gets_no_new_work(fleet: &Fleet, index: usize) {
     let name = format!("engine-{index}");
-    wait_for("each VM to know", async || {
+    wait_for("each VM to record that the engine is leaving", async || {
         for vm in &fleet.vms {
             let dump = fleet.dump(vm).await.unwrap();
             if dump["engines"][&name]["leaving"] != true {
@@ -49,7 +49,7 @@
     let fleet = Fleet::start(plan).await;
     fleet.kv.kv.adjust(|s| s.down = true);
     fleet.engines[2].engine.leave(true);
-    // One VM finds out by a refusal; the caller does not notice.
+    // One VM receives a refusal and retries; the caller does not notice.
     wait_for("a refusal", async || {
         let ask = ask(prompt(70), 2);
         common::assert_whole(&send(&fleet, 0, &ask).await, &ask);
@@ -90,11 +90,11 @@
     fleet.engines[1].engine.leave(true);
     gets_no_new_work(&fleet, 1).await;
     fleet.engines[1].engine.leave(false);
-    wait_for("work for the engine", async || begun_after(&fleet, 1).await > 0).await;
+    wait_for("the engine to get requests", async || begun_after(&fleet, 1).await > 0).await;
 }
 
-/// Sends requests to a VM that is being stopped, as a balancer does that has not noticed, until
-/// it is not ready any more; each must be answered whole.
+/// Sends requests to a VM that is shutting down until it is no longer ready, like a load balancer
+/// that has not noticed yet. Each response must be complete.
 async fn keep_sending(
     client: foldlock_connection::http::Client,
     vm: (std::net::SocketAddr, std::net::SocketAddr),
@@ -133,18 +133,18 @@
         }
         let until = Instant::now() + standin::fleet::PATIENCE;
         while fleet.vms[0].ended().is_none() {
-            assert!(Instant::now() < until, "the VM does not end");
+            assert!(Instant::now() < until, "the VM does not exit");
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         assert_eq!(fleet.vms[0].ended(), Some(true));
         fleet.vms.remove(0);
-        // The store is down: the new VM has its settings from peers.
+        // The store is down, so the new VM fetches its settings from peers.
         fleet.add_vm();
         fleet.wait_ready().await;
     }
 }
 
-/// Waits until all requests run; one that ends before is shown with the state of its VMs.
+/// Waits until all requests run. If one ends before, panics with the state of all VMs.
 async fn run_at_once(fleet: &Fleet, begun: &[tokio::task::JoinHandle<Answer>]) {
     let all_run = async || fleet.runs().len() == begun.len();
     let one_ended = || begun.iter().any(|request| request.is_finished());
