--- a/daemon/tests/members.rs
+++ b/daemon/tests/members.rs
@@ -1,4 +1,4 @@
-//! Membership by heartbeats and hearsay, with the clock passed in.
+//! Membership by heartbeats and by the announcements of peers, with a manual clock.
 
 use std::time::Duration;
 
@@ -66,7 +66,7 @@
 }
 
 proptest! {
-    /// The peers of a VM are bounded, whatever the fleet.
+    /// The number of peers of a VM is bounded for any size of fleet.
     #[test]
     fn peers_are_bounded(count in 1usize..400) {
         let clock = Manual::default();
@@ -79,7 +79,7 @@
         prop_assert!(members.announcements().len() <= 16);
     }
 
-    /// Each shard has one home, of its own hall where that has a VM; all VMs name the same one.
+    /// Each shard has one home, in its own data hall if that has a VM, and all VMs compute the same.
     #[test]
     fn a_shard_has_one_home(vms in 1usize..60, hall in 0usize..3) {
         let mut members: Vec<Member> = (0..vms).map(|i| member(i, 1)).collect();
@@ -93,13 +93,13 @@
         prop_assert!(vms <= hall || first.hall == shard.hall);
         members.reverse();
         prop_assert_eq!(&first, home_of(&shard, &members).unwrap());
-        // Another VM's death does not move it.
+        // The home does not change when another VM goes down.
         members.retain(|m| m.vm == first.vm || m.vm.as_str().len() % 2 == 0);
         prop_assert_eq!(&first, home_of(&shard, &members).unwrap());
     }
 
-    /// A VM uses a bounded number of shards, of other halls too where there are any; over many VMs
-    /// they are used evenly.
+    /// A VM uses a bounded number of shards, at least one of them of another data hall, and many VMs
+    /// are distributed evenly over the shards.
     #[test]
     fn shards_are_used_evenly(shards_of_hall in 1usize..12) {
         let shards: Vec<Shard> = (0..3 * shards_of_hall)
