--- a/daemon/tests/once.rs
+++ b/daemon/tests/once.rs
@@ -1,4 +1,4 @@
-//! A request that may not be repeated runs at most once; and "not run" is true.
+//! A request that must not be retried runs at most once, and one reported as not run did not run.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use standin::fault::{Fault, Kind};
 use standin::fleet::{Fleet, wait_for};
 
-/// A call that counts, with a key.
+/// Calls a plain service with an idempotency key; its servers count the runs by key.
 async fn pull(fleet: &Fleet, vm: usize, key: &str) -> (u16, String) {
     let request = Request::post(format!("http://{}/registry/pulls", fleet.vms[vm].listen))
         .header("authorization", "Bearer key-0")
@@ -29,7 +29,7 @@
     }
 }
 
-/// How many times each key ran, over all servers.
+/// How many times a key ran, over all servers.
 fn runs(fleet: &Fleet, key: &str) -> u32 {
     fleet.plains.iter().filter_map(|p| p.plain.stats().by_key.get(key).copied()).sum()
 }
@@ -63,7 +63,7 @@
     let fleet = Fleet::start(paid_plan()).await;
     let ask = paid("book");
     common::assert_whole(&send(&fleet, 0, &ask).await, &ask);
-    wait_for("the end to be written", async || {
+    wait_for("the outcome to be written", async || {
         let again = send(&fleet, 1, &ask).await;
         assert_eq!(again.kind.as_deref(), Some("already_claimed"));
         again.ran.as_deref() == Some("yes")
