--- a/daemon/tests/operating.rs
+++ b/daemon/tests/operating.rs
@@ -1,4 +1,4 @@
-//! The page for operators names each setting of a fleet's VM.
+//! `docs/OPERATING.md` describes each setting of a VM of a fleet.
 
 use std::path::Path;
 
@@ -27,6 +27,9 @@
     let section = page.split("## A VM of a fleet").nth(1).unwrap();
     let fields = serde_json::to_value(fleet).unwrap();
     for name in fields.as_object().unwrap().keys() {
-        assert!(section.contains(&format!("`{name}`")), "{name} is not explained");
+        assert!(
+            section.contains(&format!("`{name}`")),
+            "docs/OPERATING.md does not mention {name}"
+        );
     }
 }
