--- a/daemon/tests/path.rs
+++ b/daemon/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path, through real processes.
+//! End-to-end requests through real processes.
 
 mod common;
 
@@ -56,9 +56,9 @@
 async fn a_long_prompt_is_granted_a_place_at_once_at_an_idle_fleet() {
     let mut plan = plan();
     plan.engine.speed = 100.0;
-    // The VM is the home of the shard that its own prompt goes to.
+    // The VM itself is the home of the shard that its prompt is sent to.
     let fleet = Fleet::start(Plan { vms: 1, engines: 1, ..plan }).await;
-    // Well above what it takes, and below the time after which a home gives up searching.
+    // Well above the usual time, and below the time after which a home gives up its search.
     let timeout = Some(std::time::Duration::from_millis(1_800));
     let ask = Ask { timeout, ..ask(prompt(20_000), 3) };
     assert_whole(&send(&fleet, 0, &ask).await, &ask);
