--- a/daemon/tests/peers.rs
+++ b/daemon/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Which VM places the requests of this one, as answers come, come late, or do not come.
+//! Which VM is the scheduler of this one when grant replies arrive, arrive late, or do not arrive.
 
 use std::time::{Duration, Instant};
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// A VM of 120 thousandths that heard a stronger one at that moment.
+/// The peers of a VM with 120 millicores that has just received a heartbeat of a stronger one.
 fn peers(strong: &Member, now: Instant) -> Peers {
     let peers = Peers::new(member("vm-weak", 120), now, System.moment());
     peers.list(strong.clone());
@@ -46,8 +46,8 @@
     peers
 }
 
-/// The pattern: a small VM has its processor for a tenth of each tenth of a second, so an answer lies at its door
-/// when it takes the question for unanswered. It would place by itself until the next beat.
+/// A small VM runs for only a tenth of each 100 ms, so a grant reply may wait in its socket buffer when the
+/// grant request times out. The VM must not stay its own scheduler until the next heartbeat.
 #[test]
 fn an_answer_that_came_late_shows_that_its_vm_lives() {
     let now = System.now();
@@ -61,7 +61,8 @@
     assert_eq!(peers.scheduler(false, now), other);
 }
 
-/// The withdrawal of the start before is carried out late: the VM lists itself again, and goes on as it was.
+/// The withdrawal of the previous incarnation may be applied late: the VM lists itself again and continues as
+/// before.
 #[test]
 fn a_vm_that_lists_itself_again_after_a_late_withdrawal_takes_part() {
     let now = System.now();
@@ -75,10 +76,10 @@
         peers.scheduler(false, now),
         Some(Scheduler::Peer(strong.vm.clone(), strong.address))
     );
-    assert!(peers.list(strong).is_none(), "it says nothing new");
+    assert!(peers.list(strong).is_none(), "listing it again changes nothing");
 }
 
-/// Guards against shares of the fleet's bounds that grow as VMs withdraw which still serve.
+/// Guards against shares of the fleet's limits that grow when VMs withdraw that still serve.
 #[test]
 fn a_vm_that_has_withdrawn_counts_as_running_while_it_is_heard() {
     let now = System.now();
@@ -91,7 +92,7 @@
     assert_eq!(peers.running_count(), 1);
 }
 
-/// A fleet of 1,000 VMs of which all want to hear: what a VM looks at to tell the one that places.
+/// In a fleet of 1,000 VMs that all subscribe to heartbeats, a VM considers only a few to find the scheduler.
 #[test]
 fn who_places_is_told_without_those_that_only_listen() {
     let now = System.now();
@@ -104,5 +105,5 @@
     assert_eq!(peers.listeners(now).len() + peers.schedulers(now).len(), 1_000);
     assert!(peers.schedulers(now).len() <= 6);
     let later = now + Duration::from_secs(30);
-    assert!(peers.listeners(later).is_empty(), "nobody asked of late");
+    assert!(peers.listeners(later).is_empty(), "no recent subscription");
 }
