--- a/daemon/tests/ready.rs
+++ b/daemon/tests/ready.rs
@@ -1,4 +1,5 @@
-//! A VM is ready only once what follows from its settings is known to all its parts.
+//! A VM is ready only once its settings are applied, so that no request is rejected for a lack of
+//! engines.
 
 mod common;
 
@@ -13,7 +14,7 @@
 use foldlockd::process;
 use standin::fleet::{Fleet, MODEL};
 
-/// A VM that is told of no settings by anybody.
+/// The configuration of a VM that gets no settings from peers.
 fn config(fleet: &Fleet) -> Config {
     let any = "127.0.0.1:0".parse().unwrap();
     Config {
