--- a/daemon/tests/route.rs
+++ b/daemon/tests/route.rs
@@ -1,4 +1,4 @@
-//! Routes choose only what is open, and are decided by what they are given.
+//! Routes choose only eligible engines, and depend only on their inputs.
 
 use std::time::Instant;
 
@@ -39,7 +39,7 @@
 }
 
 proptest! {
-    /// No request is given to an engine whose memory it does not fit, by what is known.
+    /// No request is routed to an engine without the memory for it, by the recorded loads.
     #[test]
     fn no_engine_over_its_memory(
         candidates in prop::collection::vec(candidate(), 1..20),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The same candidates and seed give the same choice, by each route.
+    /// Each route makes the same choice for the same candidates and seed.
     #[test]
     fn decisions_are_reproducible(
         candidates in prop::collection::vec(candidate(), 1..20),
@@ -74,8 +74,8 @@
         }
     }
 
-    /// A longer class never goes before a shorter one of the same settings and age, and each
-    /// reaches the priority of short ones before its time is up.
+    /// A longer class never has a higher priority than a shorter one of the same settings and age, and
+    /// each class reaches the base priority before its deadline.
     #[test]
     fn priorities_follow_class_and_age(base in 0u8..9, used in 0.0..1.0f64) {
         let policy = Policy::default();
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The table of prefixes stays bounded and knows what was stored last.
+    /// The table of prefixes stays bounded and contains the newest entry.
     #[test]
     fn prefixes_stay_bounded(prompts in prop::collection::vec(any::<u64>(), 1..600)) {
         let now = Instant::now();
@@ -104,7 +104,7 @@
         }
     }
 
-    /// A cursor is read back as it was, and any change of its text is noticed.
+    /// A signed cursor is read back unchanged, and any change of its text is detected.
     #[test]
     fn cursors_are_genuine(index: u64, flip in 0usize..400, secret: String) {
         let key = Key::new(&secret);
