--- a/daemon/tests/settings.rs
+++ b/daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! An accepted configuration is in force everywhere within seconds and never reverts.
+//! Published settings come into force on all VMs within seconds and are never reverted.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use nix::sys::signal::Signal;
 use standin::fleet::{Fleet, Plan, wait_for};
 
-/// Changes the organisation's text without changing its meaning.
+/// Adds a comment to an organisation's text, which leaves its meaning unchanged.
 fn changed(texts: &Texts, organisation: usize, mark: &str) -> Texts {
     let mut texts = texts.clone();
     let name = Name::Organisation(format!("org-{organisation}").parse().unwrap());
@@ -61,9 +61,9 @@
     let (won, lost) = match (first, second) {
         (Ok(version), Err(refusal)) => (("ann", version), refusal),
         (Err(refusal), Ok(version)) => (("ben", version), refusal),
-        other => panic!("one wins: {other:?}"),
+        other => panic!("exactly one must win: {other:?}"),
     };
-    let Refusal::Raced(changes) = lost else { panic!("told of the race: {lost:?}") };
+    let Refusal::Raced(changes) = lost else { panic!("not reported as a race: {lost:?}") };
     assert_eq!(changes.len(), 1);
     assert_eq!((changes[0].author.as_str(), changes[0].version), won);
     assert_eq!(changes[0].branches, [Name::Organisation("org-0".parse().unwrap())]);
@@ -91,7 +91,7 @@
 async fn a_lost_answer_is_settled_and_nothing_is_applied_twice() {
     let fleet = Fleet::start(plan()).await;
     let texts = changed(&fleet.texts(), 0, "once");
-    // The text's write and the head's write both take effect without an answer.
+    // The writes of the text and of the head both take effect, but their responses are lost.
     fleet.kv.kv.adjust(|s| s.lose_answers = 2);
     let version = fleet.publish("ann", &texts).await.unwrap();
     assert_eq!(version, 2);
@@ -131,7 +131,8 @@
     let mut fleet = Fleet::start(Plan { vms: 4, ..plan() }).await;
     let texts = changed(&fleet.texts(), 0, "two");
     let version = fleet.publish("ann", &texts).await.unwrap();
-    wait_for("one VM to hear", async || versions(&fleet).await.contains(&version)).await;
+    wait_for("one VM to have it in force", async || versions(&fleet).await.contains(&version))
+        .await;
     let heard = versions(&fleet).await.iter().position(|v| *v == version).unwrap();
     fleet.vms[heard].kill();
     fleet.vms.remove(heard);
@@ -142,7 +143,7 @@
 async fn a_version_that_this_release_does_not_know_leaves_the_old_one_serving() {
     let fleet = Fleet::start(plan()).await;
     let store = fleet.store();
-    // As a newer release would: a name that this one does not know, past its own checks.
+    // As a newer release would do it: a name that this release does not support, without its checks.
     let (head, revision) = read_head(&store).await.unwrap();
     let text = r#"{ "policy": { "speculation": true } }"#;
     let hash = foldlock_version::head::Hash::of(text);
@@ -157,7 +158,7 @@
         for vm in &fleet.vms {
             let dump = fleet.dump(vm).await.unwrap();
             let seen = dump["refused_version"] == 2;
-            // A VM that does not watch the store hears of it only from one that has it in force.
+            // A VM that does not watch the store would fetch it only from one that has it in force.
             if dump["version"] != 1 || !seen {
                 return false;
             }
