--- a/daemon/tests/streams.rs
+++ b/daemon/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Each caller gets the whole answer to its own request, whatever happens to engines and VMs.
+//! Each caller receives the complete answer to its own request despite faults of engines and VMs.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use standin::fleet::{Fleet, Plan, wait_for};
 
 async fn with_fault(kind: Kind, at: u64) {
-    // One request may meet the fault at each engine in turn.
+    // One request may hit the fault on each engine in turn.
     let policy = json!({ "retries": 4, "retry_budget_percent": 100 });
     let fleet = Fleet::start(Plan { policy, ..plan() }).await;
     for engine in &fleet.engines {
@@ -107,12 +107,12 @@
     fleet.vms[0].kill();
     let cut = cut.await.unwrap();
     assert!(!cut.complete);
-    let cursor = cut.cursor.expect("some tokens came");
+    let cursor = cut.cursor.expect("some tokens were received");
     let rest = client::resume(&fleet.client, fleet.vms[1].listen, "key-0", &cursor).await;
     assert!(rest.complete, "{rest:?}");
     let whole = standin::answer::whole(ask.prompt.as_bytes(), ask.max_tokens);
     assert_eq!(cut.text + &rest.text, whole);
-    assert_eq!(fleet.runs().values().sum::<u32>(), 1, "nothing was computed again");
+    assert_eq!(fleet.runs().values().sum::<u32>(), 1, "no part was generated again");
     let other = client::resume(&fleet.client, fleet.vms[1].listen, "key-1", &cursor).await;
     assert_eq!(other.kind.as_deref(), Some("unauthorized"));
 }
