--- a/daemon/src/plain.rs
+++ b/daemon/src/plain.rs
@@ -1,4 +1,5 @@
-//! Calls to plain services: routed by path, and retried only where the service and policy allow it.
+//! Calls to plain services, routed by path. A call that may have run is retried only where the service
+//! and the policy allow it.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
