--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -13,7 +13,7 @@
 use crate::fleet::config::{self as fleet, Fleet};
 
 /// Default time for which new requests are served after the signal to stop, in milliseconds.
-const DRAIN_MS: u64 = 3_000;
+const DEFAULT_DRAIN_MS: u64 = 3_000;
 
 /// Why the configuration cannot be used.
 #[derive(Debug)]
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone)]
 pub enum Mode {
     /// From the settings tree in a key-value service.
-    Tree(Config),
+    KeyValue(Config),
     /// From the directory of a fleet, of which it is a VM.
     Fleet(fleet::Config),
 }
@@ -94,7 +94,7 @@
         let file = app.config.as_deref().map_or(Ok(File::default()), read_file)?;
         match file.fleet.clone() {
             Some(fleet) => Ok(Mode::Fleet(Config::fleet(app, file, fleet)?)),
-            None => Ok(Mode::Tree(Config::tree(app, file)?)),
+            None => Ok(Mode::KeyValue(Config::key_value(app, file)?)),
         }
     }
 
@@ -109,7 +109,7 @@
         })
     }
 
-    fn tree(app: App, file: File) -> Result<Config, Invalid> {
+    fn key_value(app: App, file: File) -> Result<Config, Invalid> {
         Ok(Config {
             vm: app.vm.or(file.vm).ok_or(Invalid::Missing("vm"))?,
             hall: app.hall.or(file.hall).ok_or(Invalid::Missing("hall"))?,
@@ -117,7 +117,9 @@
             control: app.control.or(file.control).ok_or(Invalid::Missing("control"))?,
             kv: app.kv.or(file.kv).ok_or(Invalid::Missing("kv"))?,
             vms: app.vms.or(file.vms).ok_or(Invalid::Missing("vms"))?,
-            drain: Duration::from_millis(app.drain_ms.or(file.drain_ms).unwrap_or(DRAIN_MS)),
+            drain: Duration::from_millis(
+                app.drain_ms.or(file.drain_ms).unwrap_or(DEFAULT_DRAIN_MS),
+            ),
             threads: app.threads.or(file.threads),
             log_level: app.log_level.or(file.log_level).unwrap_or_else(|| "info".to_owned()),
         })
@@ -132,9 +134,9 @@
 fn read_file(path: &Path) -> Result<File, Invalid> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| Invalid::File(name.clone(), e))?;
-    let source = Source::parse(&text).map_err(|broken| {
-        let place = format!("{name}:{}:{}", broken.place.line, broken.place.column);
-        Invalid::Text(place, broken.why)
+    let source = Source::parse(&text).map_err(|failure| {
+        let location = format!("{name}:{}:{}", failure.place.line, failure.place.column);
+        Invalid::Text(location, failure.why)
     })?;
     serde_json::from_value(source.value()).map_err(|e| Invalid::Text(name, e.to_string()))
 }
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -28,7 +28,7 @@
         return ExitCode::SUCCESS;
     }
     let served = match mode {
-        Mode::Tree(config) => on_threads(config),
+        Mode::KeyValue(config) => on_threads(config),
         Mode::Fleet(config) => on_one_thread(config),
     };
     match served {
@@ -42,7 +42,7 @@
 
 fn shown(mode: &Mode) -> String {
     let text = match mode {
-        Mode::Tree(config) => serde_json::to_string_pretty(config),
+        Mode::KeyValue(config) => serde_json::to_string_pretty(config),
         Mode::Fleet(config) => serde_json::to_string_pretty(config),
     };
     text.expect("plain data")
