--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -11,7 +11,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Exit code for a bad configuration; clap uses the same for a bad command line.
-const BAD_CONFIG: u8 = 2;
+const EXIT_BAD_CONFIG: u8 = 2;
 
 fn main() -> ExitCode {
     let app = App::parse();
@@ -20,18 +20,18 @@
         Ok(mode) => mode,
         Err(e) => {
             eprintln!("foldlockd: {e}");
-            return ExitCode::from(BAD_CONFIG);
+            return ExitCode::from(EXIT_BAD_CONFIG);
         }
     };
     if check {
-        println!("{}", shown(&mode));
+        println!("{}", to_json(&mode));
         return ExitCode::SUCCESS;
     }
-    let served = match mode {
-        Mode::KeyValue(config) => on_threads(config),
-        Mode::Fleet(config) => on_one_thread(config),
+    let result = match mode {
+        Mode::KeyValue(config) => serve_multi_threaded(config),
+        Mode::Fleet(config) => serve_single_threaded(config),
     };
-    match served {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("foldlockd: {e}");
@@ -40,7 +40,7 @@
     }
 }
 
-fn shown(mode: &Mode) -> String {
+fn to_json(mode: &Mode) -> String {
     let text = match mode {
         Mode::KeyValue(config) => serde_json::to_string_pretty(config),
         Mode::Fleet(config) => serde_json::to_string_pretty(config),
@@ -48,7 +48,7 @@
     text.expect("plain data")
 }
 
-fn on_threads(config: Config) -> std::io::Result<()> {
+fn serve_multi_threaded(config: Config) -> std::io::Result<()> {
     let mut runtime = tokio::runtime::Builder::new_multi_thread();
     if let Some(threads) = config.threads {
         runtime.worker_threads(threads.max(1));
@@ -58,7 +58,7 @@
 
 /// Serves as a VM of a fleet. Such a VM has a share of one core, so a second thread would only add
 /// context switches.
-fn on_one_thread(config: fleet::config::Config) -> std::io::Result<()> {
+fn serve_single_threaded(config: fleet::config::Config) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let log = log::root(config.vm.as_str(), &config.log_level);
     let directory = Directory::new(&config.fleet.directory);
