--- a/daemon/src/current.rs
+++ b/daemon/src/current.rs
@@ -32,19 +32,19 @@
     }
 
     /// The texts of the branches, by hash.
-    pub fn by_hash(&self) -> BTreeMap<Hash, Arc<str>> {
-        let named = |(name, text): (_, &Arc<str>)| (self.head.branches.get(name), text.clone());
-        self.texts.iter().map(named).filter_map(|(h, t)| Some((h?.clone(), t))).collect()
+    pub fn texts_by_hash(&self) -> BTreeMap<Hash, Arc<str>> {
+        let hashed = |(name, text): (_, &Arc<str>)| (self.head.branches.get(name), text.clone());
+        self.texts.iter().map(hashed).filter_map(|(h, t)| Some((h?.clone(), t))).collect()
     }
 }
 
 /// Result of an attempt to put a version in force.
 #[derive(Debug)]
-pub enum Moved {
+pub enum Outcome {
     /// The version is in force.
-    Up,
+    Advanced,
     /// The version is not newer than the one in force, or was refused before.
-    Old,
+    Stale,
     /// The version has faults by the checks of this release; the previous one stays in force.
     Refused(Vec<Fault>),
 }
@@ -52,7 +52,7 @@
 /// Holds the version in force.
 pub struct Current {
     version: RwLock<Arc<Version>>,
-    refused: RwLock<u64>,
+    newest_refused: RwLock<u64>,
     number: watch::Sender<u64>,
 }
 
@@ -60,7 +60,7 @@
     fn default() -> Self {
         Current {
             version: RwLock::new(Arc::new(Version::empty())),
-            refused: RwLock::new(0),
+            newest_refused: RwLock::new(0),
             number: watch::Sender::new(0),
         }
     }
@@ -78,31 +78,31 @@
     }
 
     /// A receiver for the number of each version that comes into force.
-    pub fn watch(&self) -> watch::Receiver<u64> {
+    pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.number.subscribe()
     }
 
     /// Number of the newest version that this release refused; 0 if there is none.
-    pub fn refused(&self) -> u64 {
-        *self.refused.read().unwrap()
+    pub fn newest_refused(&self) -> u64 {
+        *self.newest_refused.read().unwrap()
     }
 
     /// Whether a version is newer than both the one in force and the newest refused one.
-    pub fn wants(&self, number: u64) -> bool {
-        number > self.number() && number > self.refused()
+    pub fn should_fetch(&self, number: u64) -> bool {
+        number > self.number() && number > self.newest_refused()
     }
 
     /// Puts a version in force if it is newer and has no faults.
-    pub fn advance(&self, head: Head, texts: Texts) -> Moved {
-        if !self.wants(head.version) {
-            return Moved::Old;
+    pub fn advance(&self, head: Head, texts: Texts) -> Outcome {
+        if !self.should_fetch(head.version) {
+            return Outcome::Stale;
         }
         let tree = match Tree::build(&texts) {
             Ok(tree) => tree,
             Err(faults) => {
-                let mut refused = self.refused.write().unwrap();
-                *refused = (*refused).max(head.version);
-                return Moved::Refused(faults);
+                let mut newest = self.newest_refused.write().unwrap();
+                *newest = (*newest).max(head.version);
+                return Outcome::Refused(faults);
             }
         };
         let key = Key::new(&tree.fleet.cursor_secret);
@@ -110,7 +110,7 @@
         let next = Arc::new(Version { head, texts, tree, key });
         let mut version = self.version.write().unwrap();
         if version.head.version >= number {
-            return Moved::Old;
+            return Outcome::Stale;
         }
         *version = next;
         drop(version);
@@ -119,6 +119,6 @@
             *n = (*n).max(number);
             newer
         });
-        Moved::Up
+        Outcome::Advanced
     }
 }
--- a/daemon/src/follow.rs
+++ b/daemon/src/follow.rs
@@ -15,7 +15,7 @@
 use foldlock_version::tree::Texts;
 use tarpc::context::Context;
 
-use crate::current::Moved;
+use crate::current::Outcome;
 use crate::log;
 use crate::process::Process;
 
@@ -100,10 +100,10 @@
 async fn take(process: &Arc<Process>, entry: &Entry) -> Result<(), Failure> {
     let head: Head = serde_json::from_slice(&entry.value)
         .map_err(|e| Failure::Unavailable(format!("the head cannot be read: {e}")))?;
-    if !process.current.wants(head.version) {
+    if !process.current.should_fetch(head.version) {
         return Ok(());
     }
-    let known = process.current.get().by_hash();
+    let known = process.current.get().texts_by_hash();
     let texts = read_texts(&process.store, &head, &known).await?;
     advance(process, head, texts, "the key-value service");
     Ok(())
@@ -112,14 +112,14 @@
 fn advance(process: &Arc<Process>, head: Head, texts: Texts, source: &str) {
     let number = head.version;
     match process.current.advance(head, texts) {
-        Moved::Up => {
+        Outcome::Advanced => {
             let what = format!("version {number} from {source}");
             log::event(&process.log, Event::VersionInForce, what);
             process.apply();
             process.peers.exchange_now();
         }
-        Moved::Old => {}
-        Moved::Refused(faults) => {
+        Outcome::Stale => {}
+        Outcome::Refused(faults) => {
             let first = faults.first().map(ToString::to_string).unwrap_or_default();
             let what = format!("version {number}: {first} ({} faults)", faults.len());
             log::event(&process.log, Event::VersionRefused, what);
@@ -142,7 +142,7 @@
 }
 
 async fn fetch(process: &Arc<Process>, connection: &Connection) {
-    let known = process.current.get().by_hash();
+    let known = process.current.get().texts_by_hash();
     let hashes = known.keys().map(|h| h.0.clone()).collect();
     let mut context = Context::current();
     context.deadline = std::time::Instant::now() + FETCH_TIMEOUT;
@@ -173,7 +173,7 @@
 
 /// Applies each version that comes into force, whichever task put it in force.
 pub async fn apply(process: Arc<Process>) {
-    let mut versions = process.current.watch();
+    let mut versions = process.current.subscribe();
     while versions.changed().await.is_ok() {
         process.apply();
     }
--- a/daemon/src/operators.rs
+++ b/daemon/src/operators.rs
@@ -107,7 +107,7 @@
         closed: process.drain.closed(),
         requests: process.drain.requests(),
         version: process.current.number(),
-        refused_version: process.current.refused(),
+        refused_version: process.current.newest_refused(),
         incarnation: own.incarnation,
         members: process.members.dump(),
         peers: process.peers.count(),
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -190,7 +190,7 @@
         let is_missing = |(hash, text): (Hash, Arc<str>)| {
             (!known.contains(&hash)).then(|| (hash.0, text.to_string()))
         };
-        let texts = version.by_hash().into_iter().filter_map(is_missing).collect();
+        let texts = version.texts_by_hash().into_iter().filter_map(is_missing).collect();
         Settings { head: version.head.clone(), texts }
     }
 }
@@ -254,7 +254,7 @@
             self.limits.split(&version.tree, from, &heartbeat.demand)
         };
         self.quotas.lock().unwrap().insert(from.clone(), quota);
-        if self.current.wants(heartbeat.version)
+        if self.current.should_fetch(heartbeat.version)
             && let Some(connection) = connection
         {
             self.follow.fetch(self, connection.clone());
--- a/daemon/tests/ready.rs
+++ b/daemon/tests/ready.rs
@@ -10,7 +10,7 @@
 use foldlock_version::head::Head;
 use foldlock_version::tree::Texts;
 use foldlockd::config::Config;
-use foldlockd::current::Moved;
+use foldlockd::current::Outcome;
 use foldlockd::process;
 use standin::fleet::{Fleet, MODEL};
 
@@ -40,7 +40,7 @@
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let vm = process::start(config(&fleet), log).await.unwrap().process;
     let texts: Texts = fleet.texts();
-    assert!(matches!(vm.current.advance(head(), texts), Moved::Up));
+    assert!(matches!(vm.current.advance(head(), texts), Outcome::Advanced));
     let known = || vm.engines.memory(&MODEL.parse().unwrap()).1 > Tokens(0);
     assert!(!known(), "a request that came now would be refused as too long");
     assert!(!vm.ready());
