--- a/daemon/src/complete.rs
+++ b/daemon/src/complete.rs
@@ -83,12 +83,12 @@
 /// Handles a request and returns the response.
 pub async fn answer(process: Arc<Process>, request: Request<Incoming>) -> Response<Body> {
     let id = process.request_id();
-    let busy = drain::busy(&process);
+    let guard = drain::track_request(&process);
     let result = if process.drain.closed() {
         let error = reject(Kind::Draining, "this VM is stopping");
         Err(error.retry_after(Duration::from_millis(50)))
     } else {
-        route(&process, &id, request, busy).await
+        route(&process, &id, request, guard).await
     };
     let mut answer = result.unwrap_or_else(|error| {
         process.metrics.error(error.kind());
@@ -105,7 +105,7 @@
     process: &Arc<Process>,
     id: &id::Request,
     request: Request<Incoming>,
-    busy: drain::Busy,
+    guard: drain::RequestGuard,
 ) -> Result<Response<Body>, Error> {
     let caller = Caller::from_headers(process, id, request.headers())?;
     let counted = ByOrganisation { organisation: caller.organisation.to_string() };
@@ -113,7 +113,7 @@
     let style = match request.uri().path() {
         "/v1/completions" => Style::Completion,
         "/v1/chat/completions" => Style::Chat,
-        "/v1/streams" => return resume::answer(caller, &request, busy).await,
+        "/v1/streams" => return resume::answer(caller, &request, guard).await,
         path if caller.version.tree.service_of(path).is_some() => {
             return plain::answer(caller, request).await;
         }
@@ -123,10 +123,10 @@
         return Err(reject(Kind::MethodNotAllowed, "a completion is asked for by POST"));
     }
     if request.headers().contains_key(LAST_EVENT) {
-        return resume::answer(caller, &request, busy).await;
+        return resume::answer(caller, &request, guard).await;
     }
     let body = caller.body(request.into_body()).await?;
-    complete(caller, style, &body, busy).await
+    complete(caller, style, &body, guard).await
 }
 
 impl Caller {
@@ -310,7 +310,7 @@
     mut caller: Caller,
     style: Style,
     body: &[u8],
-    busy: drain::Busy,
+    guard: drain::RequestGuard,
 ) -> Result<Response<Body>, Error> {
     let prompt = prompt::parse(style, body).map_err(|e| reject(Kind::BadRequest, e.to_string()))?;
     let models = &caller.version.tree.fleet.models;
@@ -359,7 +359,11 @@
         max_tokens,
         bytes_per_token,
     };
-    if job.prompt.stream { stream(caller, job, claim, busy).await } else { whole(job, claim).await }
+    if job.prompt.stream {
+        stream(caller, job, claim, guard).await
+    } else {
+        whole(job, claim).await
+    }
 }
 
 async fn whole(job: Job, mut claim: Option<KeyClaim>) -> Result<Response<Body>, Error> {
@@ -372,14 +376,14 @@
     caller: Caller,
     job: Job,
     mut claim: Option<KeyClaim>,
-    busy: drain::Busy,
+    guard: drain::RequestGuard,
 ) -> Result<Response<Body>, Error> {
     let (mut sink, waiting) = Events::new(&job.request, &job.prompt.model, job.prompt.style);
     tokio::spawn(async move {
         // Until the stream ends, the request counts against the limits, and a stopping VM waits for
         // it.
         let _caller = caller;
-        let _busy = busy;
+        let _guard = guard;
         job.process.metrics.streams.inc();
         if let Err(error) = serve::run(&job, &mut sink, &mut claim).await {
             sink.fail(error, &job.request).await;
--- a/daemon/src/drain.rs
+++ b/daemon/src/drain.rs
@@ -13,7 +13,7 @@
 use crate::process::Process;
 
 /// Maximum time for callers to read the rest of their responses once each request has ended.
-const SLOWEST_READER: Duration = Duration::from_secs(30);
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// State of the shutdown.
 #[derive(Default)]
@@ -22,33 +22,33 @@
     closed: AtomicBool,
     requests: AtomicUsize,
     connections: AtomicUsize,
-    ended: Notify,
-    close: Notify,
+    count_changed: Notify,
+    close_requested: Notify,
 }
 
 /// Counts a request as in progress until dropped.
-pub struct Busy {
+pub struct RequestGuard {
     process: Arc<Process>,
 }
 
-impl Drop for Busy {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         let drain = &self.process.drain;
         drain.requests.fetch_sub(1, Ordering::AcqRel);
-        drain.ended.notify_waiters();
+        drain.count_changed.notify_waiters();
     }
 }
 
 /// Counts a caller's connection as open until dropped.
-pub struct Connected {
+pub struct ConnectionGuard {
     process: Arc<Process>,
 }
 
-impl Drop for Connected {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         let drain = &self.process.drain;
         drain.connections.fetch_sub(1, Ordering::AcqRel);
-        drain.ended.notify_waiters();
+        drain.count_changed.notify_waiters();
     }
 }
 
@@ -68,38 +68,38 @@
         self.requests.load(Ordering::Acquire)
     }
 
-    async fn wait_for(&self, condition: impl Fn(&Drain) -> bool) {
+    async fn wait_until(&self, condition: impl Fn(&Drain) -> bool) {
         loop {
-            let ended = self.ended.notified();
+            let changed = self.count_changed.notified();
             if condition(self) {
                 return;
             }
-            ended.await;
+            changed.await;
         }
     }
 
     /// Waits until new connections are no longer accepted.
     pub async fn wait_closed(&self) {
         loop {
-            let close = self.close.notified();
+            let requested = self.close_requested.notified();
             if self.closed() {
                 return;
             }
-            close.await;
+            requested.await;
         }
     }
 }
 
 /// Counts a request as in progress.
-pub fn busy(process: &Arc<Process>) -> Busy {
+pub fn track_request(process: &Arc<Process>) -> RequestGuard {
     process.drain.requests.fetch_add(1, Ordering::AcqRel);
-    Busy { process: process.clone() }
+    RequestGuard { process: process.clone() }
 }
 
 /// Counts a caller's connection as open.
-pub fn connected(process: &Arc<Process>) -> Connected {
+pub fn track_connection(process: &Arc<Process>) -> ConnectionGuard {
     process.drain.connections.fetch_add(1, Ordering::AcqRel);
-    Connected { process: process.clone() }
+    ConnectionGuard { process: process.clone() }
 }
 
 /// Shuts the process down. New requests are served for the configured time, until peers and the load
@@ -115,11 +115,11 @@
     process.peers.exchange_now();
     tokio::time::sleep(process.config.drain).await;
     process.drain.closed.store(true, Ordering::Release);
-    process.drain.close.notify_waiters();
-    process.drain.wait_for(|d| d.requests() == 0).await;
+    process.drain.close_requested.notify_waiters();
+    process.drain.wait_until(|d| d.requests() == 0).await;
     // A slow caller may not have received the end of its response yet.
-    let written = process.drain.wait_for(|d| d.connections.load(Ordering::Acquire) == 0);
-    let _ = tokio::time::timeout(SLOWEST_READER, written).await;
+    let disconnected = process.drain.wait_until(|d| d.connections.load(Ordering::Acquire) == 0);
+    let _ = tokio::time::timeout(CONNECTION_TIMEOUT, disconnected).await;
     process.claims.flush().await;
     log::event(&process.log, Event::Stopped, "no requests in progress");
 }
--- a/daemon/src/listen.rs
+++ b/daemon/src/listen.rs
@@ -51,7 +51,7 @@
 
 /// Serves one caller's connection.
 async fn caller(process: Arc<Process>, stream: TcpStream) {
-    let _connected = drain::connected(&process);
+    let _guard = drain::track_connection(&process);
     let mut builder = auto::Builder::new(TokioExecutor::new());
     builder.http1().timer(TokioTimer::new()).header_read_timeout(HEADERS);
     builder.http2().timer(TokioTimer::new()).max_concurrent_streams(STREAMS);
--- a/daemon/src/resume.rs
+++ b/daemon/src/resume.rs
@@ -29,7 +29,7 @@
 pub async fn answer(
     caller: Caller,
     request: &Request<Incoming>,
-    busy: drain::Busy,
+    guard: drain::RequestGuard,
 ) -> Result<Response<Body>, Error> {
     let text = request.headers().get(LAST_EVENT).and_then(|v| v.to_str().ok()).unwrap_or_default();
     let cursor = Cursor::verify(&caller.version.key, text)
@@ -47,7 +47,7 @@
     let (parts, receiver) = mpsc::channel(pump::BACKLOG);
     let resumed = Resumed { caller, cursor, stream, lines };
     tokio::spawn(async move {
-        let _busy = busy;
+        let _guard = guard;
         resumed.copy(parts).await;
     });
     Ok(answer::stream("text/event-stream", receiver))
