--- a/daemon/src/limits.rs
+++ b/daemon/src/limits.rs
@@ -22,7 +22,7 @@
 }
 
 /// The policy that a limit belongs to.
-fn policy<'a>(tree: &'a Tree, name: &str) -> Option<&'a Arc<Policy>> {
+fn policy_of<'a>(tree: &'a Tree, name: &str) -> Option<&'a Arc<Policy>> {
     let (organisation, kind) = match name.split_once('/') {
         Some((organisation, kind)) => (organisation, Some(kind.parse().ok()?)),
         None => (name, None),
@@ -32,21 +32,21 @@
 }
 
 /// Whether a policy sets any limit.
-fn limits(policy: &Policy) -> bool {
+fn has_limit(policy: &Policy) -> bool {
     policy.concurrency > 0 || policy.requests_per_s > 0 || policy.prompt_tokens_per_s > 0
 }
 
 /// The limits in use on this VM, and the ledgers of those whose home it is.
 pub struct Limits<C: Clock> {
     clock: C,
-    own: Mutex<HashMap<String, Arc<Limit<C>>>>,
+    limits: Mutex<HashMap<String, Arc<Limit<C>>>>,
     ledgers: Mutex<HashMap<String, quota::Ledger>>,
 }
 
 impl<C: Clock> Limits<C> {
     /// Creates an empty set of limits.
     pub fn new(clock: C) -> Limits<C> {
-        Limits { clock, own: Mutex::default(), ledgers: Mutex::default() }
+        Limits { clock, limits: Mutex::default(), ledgers: Mutex::default() }
     }
 
     /// Admits a request under a limit. Returns no permit if the policy sets no limit.
@@ -57,19 +57,19 @@
         vms: usize,
         prompt: Tokens,
     ) -> Result<Option<Permit<C>>, Exceeded> {
-        if !limits(policy) {
+        if !has_limit(policy) {
             return Ok(None);
         }
         self.limit(name).admit(policy, vms, prompt).map(Some)
     }
 
     fn limit(&self, name: &str) -> Arc<Limit<C>> {
-        let mut own = self.own.lock().unwrap();
-        match own.get(name) {
+        let mut limits = self.limits.lock().unwrap();
+        match limits.get(name) {
             Some(limit) => limit.clone(),
             None => {
                 let limit = Arc::new(Limit::new(self.clock.clone()));
-                own.insert(name.to_owned(), limit.clone());
+                limits.insert(name.to_owned(), limit.clone());
                 limit
             }
         }
@@ -77,22 +77,22 @@
 
     /// The demand of this VM, by name of the limit.
     pub fn demand(&self) -> BTreeMap<String, Demand> {
-        let own = self.own.lock().unwrap();
-        own.iter().filter_map(|(name, limit)| Some((name.clone(), limit.demand()?))).collect()
+        let limits = self.limits.lock().unwrap();
+        limits.iter().filter_map(|(name, limit)| Some((name.clone(), limit.demand()?))).collect()
     }
 
     /// Sets the quotas received from the homes of limits.
-    pub fn told(&self, quotas: &BTreeMap<String, Quota>) {
-        let own = self.own.lock().unwrap();
+    pub fn set_quotas(&self, quotas: &BTreeMap<String, Quota>) {
+        let limits = self.limits.lock().unwrap();
         for (name, quota) in quotas {
-            if let Some(limit) = own.get(name) {
+            if let Some(limit) = limits.get(name) {
                 limit.set_quota(*quota);
             }
         }
     }
 
     /// As the home of limits: records the demand of a VM and returns its quotas.
-    pub fn split(
+    pub fn allocate(
         &self,
         tree: &Tree,
         vm: &id::Vm,
@@ -102,7 +102,7 @@
         let mut ledgers = self.ledgers.lock().unwrap();
         let mut quotas = BTreeMap::new();
         for (name, demand) in demand {
-            let Some(policy) = policy(tree, name) else { continue };
+            let Some(policy) = policy_of(tree, name) else { continue };
             let limits = quota::Limits { concurrency: policy.concurrency };
             let ledger = ledgers.entry(name.clone()).or_default();
             quotas.insert(name.clone(), ledger.renew(limits, vm, *demand, now));
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -248,10 +248,10 @@
         for engine in &heartbeat.leaving {
             self.home.mark_leaving(engine);
         }
-        self.limits.told(&heartbeat.quota);
+        self.limits.set_quotas(&heartbeat.quota);
         let quota: BTreeMap<_, _> = {
             let version = self.current.get();
-            self.limits.split(&version.tree, from, &heartbeat.demand)
+            self.limits.allocate(&version.tree, from, &heartbeat.demand)
         };
         self.quotas.lock().unwrap().insert(from.clone(), quota);
         if self.current.should_fetch(heartbeat.version)
--- a/daemon/src/process.rs
+++ b/daemon/src/process.rs
@@ -308,8 +308,8 @@
         let demand = process.limits.demand().into_iter();
         let demand = demand.filter(|(n, _)| process.limit_home(n).as_ref() == Some(&own.vm));
         let version = process.current.get();
-        let quotas = process.limits.split(&version.tree, &own.vm, &demand.collect());
-        process.limits.told(&quotas);
+        let quotas = process.limits.allocate(&version.tree, &own.vm, &demand.collect());
+        process.limits.set_quotas(&quotas);
         process.engines.decay_speeds();
         tokio::time::sleep(peers::HEARTBEAT_INTERVAL / 2).await;
     }
