--- a/daemon/src/follow.rs
+++ b/daemon/src/follow.rs
@@ -50,9 +50,9 @@
             continue;
         }
         match next(&process, revision).await {
-            Ok(None) => process.store_answers(true),
+            Ok(None) => process.set_store_available(true),
             Ok(Some(entry)) => {
-                process.store_answers(true);
+                process.set_store_available(true);
                 backoff = BACKOFF.0;
                 match take(&process, &entry).await {
                     Ok(()) => revision = entry.revision,
@@ -60,7 +60,7 @@
                 }
             }
             Err(_) => {
-                process.store_answers(false);
+                process.set_store_available(false);
                 pause(&mut backoff).await;
             }
         }
@@ -115,7 +115,7 @@
         Outcome::Advanced => {
             let what = format!("version {number} from {source}");
             log::event(&process.log, Event::VersionInForce, what);
-            process.apply();
+            process.apply_settings();
             process.peers.exchange_now();
         }
         Outcome::Stale => {}
@@ -175,6 +175,6 @@
 pub async fn apply(process: Arc<Process>) {
     let mut versions = process.current.subscribe();
     while versions.changed().await.is_ok() {
-        process.apply();
+        process.apply_settings();
     }
 }
--- a/daemon/src/process.rs
+++ b/daemon/src/process.rs
@@ -40,7 +40,7 @@
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Number of consecutive failed polls after which an engine is logged as silent.
-const REPORT_SILENT: u32 = 3;
+const MIN_SILENT_POLLS: u32 = 3;
 
 /// The request queues, by model and class of prompt length, so that a queued long prompt does not
 /// block shorter ones.
@@ -90,7 +90,7 @@
     queues: Mutex<Queues>,
     next_request: AtomicU64,
     listed_leaving: Mutex<Vec<id::Upstream>>,
-    store_down: AtomicBool,
+    store_unavailable: AtomicBool,
     /// Whether the first settings have been applied to engines and shards.
     applied: AtomicBool,
 }
@@ -117,12 +117,12 @@
     tokio::spawn(follow::run(process.clone()));
     tokio::spawn(follow::apply(process.clone()));
     tokio::spawn(peers::run(process.clone()));
-    tokio::spawn(read_list(process.clone()));
-    tokio::spawn(read_reports(process.clone()));
-    tokio::spawn(tell_self(process.clone()));
+    tokio::spawn(poll_vms(process.clone()));
+    tokio::spawn(poll_reports(process.clone()));
+    tokio::spawn(exchange_with_self(process.clone()));
     tokio::spawn(crate::claims::run(process.clone()));
-    let what = format!("listen {listen_address}, control {control_address}");
-    log::event(&process.log, Event::Started, what);
+    let addresses = format!("listen {listen_address}, control {control_address}");
+    log::event(&process.log, Event::Started, addresses);
     Ok(Running { process, listen: listen_address, control: control_address })
 }
 
@@ -158,7 +158,7 @@
             queues: Mutex::default(),
             next_request: AtomicU64::new(0),
             listed_leaving: Mutex::default(),
-            store_down: AtomicBool::new(false),
+            store_unavailable: AtomicBool::new(false),
             applied: AtomicBool::new(false),
             config,
             clock,
@@ -174,7 +174,7 @@
     }
 
     /// Applies the settings in force to engines, shards and metrics.
-    pub fn apply(&self) {
+    pub fn apply_settings(&self) {
         let version = self.current.get();
         self.engines.apply(&version.tree);
         *self.shards.write().unwrap() = Arc::new(home::shards(&version.tree.fleet));
@@ -198,9 +198,9 @@
     }
 
     /// Records whether the key-value service responds, and logs changes.
-    pub fn store_answers(&self, answers: bool) {
-        if self.store_down.swap(!answers, Ordering::Relaxed) == answers {
-            let event = if answers { Event::StoreUp } else { Event::StoreDown };
+    pub fn set_store_available(&self, available: bool) {
+        if self.store_unavailable.swap(!available, Ordering::Relaxed) == available {
+            let event = if available { Event::StoreUp } else { Event::StoreDown };
             log::event(&self.log, event, self.config.kv);
         }
     }
@@ -217,7 +217,7 @@
 }
 
 /// Polls the platform's VM list.
-async fn read_list(process: Arc<Process>) {
+async fn poll_vms(process: Arc<Process>) {
     let list = HttpList::new(process.client.clone(), &process.config.vms.to_string());
     loop {
         if let Ok(listing) = list.read().await {
@@ -239,24 +239,25 @@
 }
 
 /// As a home, polls the reports of the engines of its shards, with one task per engine.
-async fn read_reports(process: Arc<Process>) {
+async fn poll_reports(process: Arc<Process>) {
     let mut tasks: HashMap<id::Upstream, tokio::task::JoinHandle<()>> = HashMap::new();
     loop {
         let own = process.members.own().vm;
         let live = process.members.live();
         let shards = process.shards();
-        let homed = shards.iter().filter(|s| home::home_of(s, &live).is_some_and(|m| m.vm == own));
-        let engines: Vec<&id::Upstream> = homed.flat_map(|s| &s.engines).collect();
+        let own_shards =
+            shards.iter().filter(|s| home::home_of(s, &live).is_some_and(|m| m.vm == own));
+        let engines: Vec<&id::Upstream> = own_shards.flat_map(|s| &s.engines).collect();
         tasks.retain(|engine, task| {
-            let kept = engines.contains(&engine) && !task.is_finished();
-            if !kept {
+            let keep = engines.contains(&engine) && !task.is_finished();
+            if !keep {
                 task.abort();
             }
-            kept
+            keep
         });
         for engine in engines {
             if !tasks.contains_key(engine) {
-                let task = tokio::spawn(read_report(process.clone(), engine.clone()));
+                let task = tokio::spawn(poll_engine(process.clone(), engine.clone()));
                 tasks.insert(engine.clone(), task);
             }
         }
@@ -264,24 +265,24 @@
     }
 }
 
-async fn read_report(process: Arc<Process>, engine: id::Upstream) {
+async fn poll_engine(process: Arc<Process>, engine: id::Upstream) {
     use foldlock_connection::engine::Engine as _;
-    let mut silent = 0;
+    let mut failed_polls = 0;
     while let Some(client) = process.engines.client(&engine) {
         match client.report().await {
             Ok(report) => {
-                if silent >= REPORT_SILENT {
+                if failed_polls >= MIN_SILENT_POLLS {
                     log::event(&process.log, Event::UpstreamBack, &engine);
                 }
-                silent = 0;
+                failed_polls = 0;
                 if process.home.on_report(&engine, report) {
                     log::event(&process.log, Event::UpstreamLeaving, &engine);
                     process.peers.exchange_now();
                 }
             }
             Err(e) => {
-                silent += 1;
-                if silent == REPORT_SILENT {
+                failed_polls += 1;
+                if failed_polls == MIN_SILENT_POLLS {
                     log::event(&process.log, Event::UpstreamSilent, format!("{engine}: {e}"));
                 }
             }
@@ -292,7 +293,7 @@
 
 /// Exchanges loads, states, demand and quotas with this VM itself, which is also a user of the shards
 /// and limits whose home it is.
-async fn tell_self(process: Arc<Process>) {
+async fn exchange_with_self(process: Arc<Process>) {
     loop {
         let own = process.members.own();
         let live = process.members.live();
--- a/daemon/tests/ready.rs
+++ b/daemon/tests/ready.rs
@@ -44,7 +44,7 @@
     let known = || vm.engines.memory(&MODEL.parse().unwrap()).1 > Tokens(0);
     assert!(!known(), "a request that came now would be refused as too long");
     assert!(!vm.ready());
-    vm.apply();
+    vm.apply_settings();
     assert!(known());
     assert!(vm.ready());
 }
