--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -257,7 +257,7 @@
         if self.current.should_fetch(heartbeat.version)
             && let Some(connection) = connection
         {
-            self.follow.fetch(self, connection.clone());
+            self.fetcher.fetch(self, connection.clone());
         }
     }
 
--- a/daemon/src/process.rs
+++ b/daemon/src/process.rs
@@ -24,14 +24,14 @@
 use crate::current::Current;
 use crate::drain::Drain;
 use crate::engines::Engines;
-use crate::follow::Follow;
 use crate::home::{self, Home, Shard};
 use crate::limits::Limits;
 use crate::log;
 use crate::members::Members;
 use crate::metrics::Metrics;
 use crate::peers::{self, Peers};
-use crate::{follow, listen};
+use crate::watch::Fetcher;
+use crate::{listen, watch};
 
 /// Interval at which the VM list is read.
 const LIST_INTERVAL: Duration = Duration::from_secs(2);
@@ -63,7 +63,7 @@
     /// The settings version in force.
     pub current: Current,
     /// Fetches settings from peers.
-    pub follow: Follow,
+    pub fetcher: Fetcher,
     /// The members: this VM and those it received heartbeats or announcements of.
     pub members: Members<System>,
     /// Connections to peers.
@@ -114,8 +114,8 @@
     let process = Arc::new(Process::new(config, log, control_address));
     tokio::spawn(listen::callers(process.clone(), callers));
     tokio::spawn(listen::control(process.clone(), control));
-    tokio::spawn(follow::run(process.clone()));
-    tokio::spawn(follow::apply(process.clone()));
+    tokio::spawn(watch::run(process.clone()));
+    tokio::spawn(watch::apply_versions(process.clone()));
     tokio::spawn(peers::run(process.clone()));
     tokio::spawn(poll_vms(process.clone()));
     tokio::spawn(poll_reports(process.clone()));
@@ -142,7 +142,7 @@
         Process {
             metrics: Metrics::default(),
             current: Current::default(),
-            follow: Follow::default(),
+            fetcher: Fetcher::default(),
             members: Members::new(clock, own),
             peers: Peers::default(),
             engines: Arc::new(Engines::new(clock, client.clone())),
--- a/daemon/src/follow.rs
+++ b/daemon/src/watch.rs
@@ -20,13 +20,13 @@
 use crate::process::Process;
 
 /// Maximum number of VMs of a data hall that watch the head.
-const WATCHERS: usize = 2;
+const MAX_WATCHERS: usize = 2;
 
 /// Timeout of one watch call.
-const WATCH: Duration = Duration::from_secs(10);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How often a VM that does not watch checks whether it should.
-const LOOK: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Delay after a failed call: the first and the maximum.
 const BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(3));
@@ -36,7 +36,7 @@
 
 /// Fetches settings from peers, one call at a time.
 #[derive(Default)]
-pub struct Follow {
+pub struct Fetcher {
     fetching: AtomicBool,
 }
 
@@ -45,23 +45,23 @@
     let mut revision = 0;
     let mut backoff = BACKOFF.0;
     loop {
-        if !watches(&process) {
-            tokio::time::sleep(LOOK).await;
+        if !is_watcher(&process) {
+            tokio::time::sleep(POLL_INTERVAL).await;
             continue;
         }
-        match next(&process, revision).await {
+        match next_entry(&process, revision).await {
             Ok(None) => process.set_store_available(true),
             Ok(Some(entry)) => {
                 process.set_store_available(true);
                 backoff = BACKOFF.0;
-                match take(&process, &entry).await {
+                match apply_entry(&process, &entry).await {
                     Ok(()) => revision = entry.revision,
-                    Err(_) => pause(&mut backoff).await,
+                    Err(_) => back_off(&mut backoff).await,
                 }
             }
             Err(_) => {
                 process.set_store_available(false);
-                pause(&mut backoff).await;
+                back_off(&mut backoff).await;
             }
         }
     }
@@ -69,7 +69,7 @@
 
 /// Waits for the backoff time and doubles it. Jitter keeps VMs from all calling at once after an
 /// outage.
-async fn pause(backoff: &mut Duration) {
+async fn back_off(backoff: &mut Duration) {
     let jitter = rand::random_range(0.5..1.5);
     tokio::time::sleep(backoff.mul_f64(jitter)).await;
     *backoff = (*backoff * 2).min(BACKOFF.1);
@@ -77,34 +77,34 @@
 
 /// Whether this VM is a watcher: one of the first of its data hall by rendezvous hashing, or one that
 /// has no settings yet.
-fn watches(process: &Process) -> bool {
+fn is_watcher(process: &Process) -> bool {
     if process.current.number() == 0 {
         return true;
     }
     let live = process.members.live();
     let own = process.members.own();
     let hall = live.iter().filter(|m| m.hall == own.hall).map(|m| &m.vm);
-    hash::ranked("watch", hall).into_iter().take(WATCHERS).any(|vm| *vm == own.vm)
+    hash::ranked("watch", hall).into_iter().take(MAX_WATCHERS).any(|vm| *vm == own.vm)
 }
 
-async fn next(process: &Process, revision: u64) -> Result<Option<Entry>, Failure> {
+async fn next_entry(process: &Process, revision: u64) -> Result<Option<Entry>, Failure> {
     if revision == 0 {
         let entry = process.store.get(head::KEY).await?;
         if entry.is_some() {
             return Ok(entry);
         }
     }
-    process.store.watch(head::KEY, revision, WATCH).await
+    process.store.watch(head::KEY, revision, WATCH_TIMEOUT).await
 }
 
-async fn take(process: &Arc<Process>, entry: &Entry) -> Result<(), Failure> {
+async fn apply_entry(process: &Arc<Process>, entry: &Entry) -> Result<(), Failure> {
     let head: Head = serde_json::from_slice(&entry.value)
         .map_err(|e| Failure::Unavailable(format!("the head cannot be read: {e}")))?;
     if !process.current.should_fetch(head.version) {
         return Ok(());
     }
-    let known = process.current.get().texts_by_hash();
-    let texts = read_texts(&process.store, &head, &known).await?;
+    let local = process.current.get().texts_by_hash();
+    let texts = read_texts(&process.store, &head, &local).await?;
     advance(process, head, texts, "the key-value service");
     Ok(())
 }
@@ -113,21 +113,21 @@
     let number = head.version;
     match process.current.advance(head, texts) {
         Outcome::Advanced => {
-            let what = format!("version {number} from {source}");
-            log::event(&process.log, Event::VersionInForce, what);
+            let details = format!("version {number} from {source}");
+            log::event(&process.log, Event::VersionInForce, details);
             process.apply_settings();
             process.peers.exchange_now();
         }
         Outcome::Stale => {}
         Outcome::Refused(faults) => {
             let first = faults.first().map(ToString::to_string).unwrap_or_default();
-            let what = format!("version {number}: {first} ({} faults)", faults.len());
-            log::event(&process.log, Event::VersionRefused, what);
+            let details = format!("version {number}: {first} ({} faults)", faults.len());
+            log::event(&process.log, Event::VersionRefused, details);
         }
     }
 }
 
-impl Follow {
+impl Fetcher {
     /// Fetches settings from a peer that has a newer version, unless a fetch is in progress.
     pub fn fetch(&self, process: &Arc<Process>, connection: Connection) {
         if self.fetching.swap(true, Ordering::AcqRel) {
@@ -136,19 +136,19 @@
         let process = process.clone();
         tokio::spawn(async move {
             fetch(&process, &connection).await;
-            process.follow.fetching.store(false, Ordering::Release);
+            process.fetcher.fetching.store(false, Ordering::Release);
         });
     }
 }
 
 async fn fetch(process: &Arc<Process>, connection: &Connection) {
-    let known = process.current.get().texts_by_hash();
-    let hashes = known.keys().map(|h| h.0.clone()).collect();
+    let local = process.current.get().texts_by_hash();
+    let hashes = local.keys().map(|h| h.0.clone()).collect();
     let mut context = Context::current();
     context.deadline = std::time::Instant::now() + FETCH_TIMEOUT;
     process.metrics.peer_calls.inc();
     let Ok(settings) = connection.settings(context, hashes).await else { return };
-    if let Some(texts) = assemble(&settings.head, &known, &settings.texts) {
+    if let Some(texts) = assemble(&settings.head, &local, &settings.texts) {
         advance(process, settings.head, texts, "a peer");
     }
 }
@@ -157,14 +157,14 @@
 /// match its hash.
 fn assemble(
     head: &Head,
-    known: &BTreeMap<Hash, Arc<str>>,
-    came: &BTreeMap<String, String>,
+    local: &BTreeMap<Hash, Arc<str>>,
+    received: &BTreeMap<String, String>,
 ) -> Option<Texts> {
     let mut texts = Texts::new();
     for (name, hash) in &head.branches {
-        let text: Arc<str> = match known.get(hash) {
+        let text: Arc<str> = match local.get(hash) {
             Some(text) => text.clone(),
-            None => came.get(&hash.0).filter(|t| Hash::of(t) == *hash)?.as_str().into(),
+            None => received.get(&hash.0).filter(|t| Hash::of(t) == *hash)?.as_str().into(),
         };
         texts.insert(name.clone(), text);
     }
@@ -172,7 +172,7 @@
 }
 
 /// Applies each version that comes into force, whichever task put it in force.
-pub async fn apply(process: Arc<Process>) {
+pub async fn apply_versions(process: Arc<Process>) {
     let mut versions = process.current.subscribe();
     while versions.changed().await.is_ok() {
         process.apply_settings();
