--- a/daemon/src/listen.rs
+++ b/daemon/src/listen.rs
@@ -15,22 +15,22 @@
 use crate::{complete, drain, log, operators};
 
 /// Maximum time to receive the headers of a request.
-const HEADERS: Duration = Duration::from_secs(10);
+const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Delay after a failed accept, so that the loop does not spin when file descriptors run out.
-const PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Maximum number of concurrent streams of an HTTP/2 connection.
-const STREAMS: u32 = 1024;
+const MAX_STREAMS: u32 = 1024;
 
 /// Accepts connections of callers until shutdown closes the listener.
-pub async fn callers(process: Arc<Process>, listener: TcpListener) {
+pub async fn serve_callers(process: Arc<Process>, listener: TcpListener) {
     loop {
         let stream = tokio::select! {
             stream = accept(&process, &listener) => stream,
             () = process.drain.wait_closed() => return,
         };
-        tokio::spawn(caller(process.clone(), stream));
+        tokio::spawn(serve_caller(process.clone(), stream));
     }
 }
 
@@ -43,18 +43,18 @@
             }
             Err(e) => {
                 log::event(&process.log, Event::AcceptFailed, e);
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 /// Serves one caller's connection.
-async fn caller(process: Arc<Process>, stream: TcpStream) {
+async fn serve_caller(process: Arc<Process>, stream: TcpStream) {
     let _guard = drain::track_connection(&process);
     let mut builder = auto::Builder::new(TokioExecutor::new());
-    builder.http1().timer(TokioTimer::new()).header_read_timeout(HEADERS);
-    builder.http2().timer(TokioTimer::new()).max_concurrent_streams(STREAMS);
+    builder.http1().timer(TokioTimer::new()).header_read_timeout(HEADER_TIMEOUT);
+    builder.http2().timer(TokioTimer::new()).max_concurrent_streams(MAX_STREAMS);
     let service = service_fn(|request| {
         let process = process.clone();
         async move { Ok::<_, Infallible>(complete::answer(process, request).await) }
@@ -70,28 +70,28 @@
 }
 
 /// Accepts connections of peers and operators until the process exits.
-pub async fn control(process: Arc<Process>, listener: TcpListener) {
+pub async fn serve_control(process: Arc<Process>, listener: TcpListener) {
     loop {
         let stream = accept(&process, &listener).await;
-        tokio::spawn(controller(process.clone(), stream));
+        tokio::spawn(serve_control_connection(process.clone(), stream));
     }
 }
 
-async fn controller(process: Arc<Process>, stream: TcpStream) {
+async fn serve_control_connection(process: Arc<Process>, stream: TcpStream) {
     let service = service_fn(|request| {
         let process = process.clone();
         async move {
             if foldlock_connection::peer::is_upgrade(&request) {
                 let run = move |channel| crate::peers::serve(process, channel);
-                let answer = foldlock_connection::peer::accept(request, run);
-                return Ok::<_, Infallible>(answer.map(Either::Left));
+                let response = foldlock_connection::peer::accept(request, run);
+                return Ok::<_, Infallible>(response.map(Either::Left));
             }
             Ok(operators::answer(process, request).await.map(Either::Right))
         }
     });
     let _ = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEADERS)
+        .header_read_timeout(HEADER_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service)
         .with_upgrades()
         .await;
--- a/daemon/src/process.rs
+++ b/daemon/src/process.rs
@@ -112,8 +112,8 @@
     let listen_address = callers.local_addr()?;
     let control_address = control.local_addr()?;
     let process = Arc::new(Process::new(config, log, control_address));
-    tokio::spawn(listen::callers(process.clone(), callers));
-    tokio::spawn(listen::control(process.clone(), control));
+    tokio::spawn(listen::serve_callers(process.clone(), callers));
+    tokio::spawn(listen::serve_control(process.clone(), control));
     tokio::spawn(watch::run(process.clone()));
     tokio::spawn(watch::apply_versions(process.clone()));
     tokio::spawn(peers::run(process.clone()));
