--- a/daemon/src/fleet/admit.rs
+++ b/daemon/src/fleet/admit.rs
@@ -48,7 +48,7 @@
     };
     let admitted = checked.inspect_err(|error| {
         if process.trouble_lines.admit(process.now()).is_some() {
-            log::refused(&process.log, id, error);
+            log::rejected(&process.log, id, error);
         }
     })?;
     let Admitted { route, service, organisation, version, body_bytes } = admitted;
--- a/daemon/src/log.rs
+++ b/daemon/src/log.rs
@@ -5,7 +5,7 @@
 use slog::{Drain, Level, LevelFilter, Logger, o};
 
 /// Maximum number of events waiting to be written; further ones are dropped and counted.
-const QUEUE: usize = 4096;
+const MAX_QUEUED: usize = 4096;
 
 /// Creates the root logger of the process.
 pub fn root(vm: &str, level: &str) -> Logger {
@@ -13,7 +13,7 @@
     let json = slog_json::Json::new(std::io::stdout()).add_default_keys().build().ignore_res();
     let filtered = LevelFilter::new(json, level).ignore_res();
     let drain = slog_async::Async::new(filtered)
-        .chan_size(QUEUE)
+        .chan_size(MAX_QUEUED)
         .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
         .build()
         .fuse();
@@ -21,19 +21,19 @@
 }
 
 /// Logs an event with its details as free text.
-pub fn event(log: &Logger, event: Event, particulars: impl std::fmt::Display) {
+pub fn event(log: &Logger, event: Event, details: impl std::fmt::Display) {
     let number = event.number();
     match event.level() {
         Level::Error | Level::Critical => {
-            slog::error!(log, "{}", event.text(); "event" => number, "what" => %particulars);
+            slog::error!(log, "{}", event.text(); "event" => number, "what" => %details);
         }
         Level::Warning => {
-            slog::warn!(log, "{}", event.text(); "event" => number, "what" => %particulars);
+            slog::warn!(log, "{}", event.text(); "event" => number, "what" => %details);
         }
         Level::Info => {
-            slog::info!(log, "{}", event.text(); "event" => number, "what" => %particulars);
+            slog::info!(log, "{}", event.text(); "event" => number, "what" => %details);
         }
-        _ => slog::debug!(log, "{}", event.text(); "event" => number, "what" => %particulars),
+        _ => slog::debug!(log, "{}", event.text(); "event" => number, "what" => %details),
     }
 }
 
@@ -43,15 +43,15 @@
     log: &Logger,
     request: &id::Request,
     route: &str,
-    step: &decision::Entry,
+    entry: &decision::Entry,
     left_out: u64,
 ) {
-    let event = step.decision.event();
+    let event = entry.decision.event();
     let inputs = o!(
         "event" => event.number(),
         "request" => request.as_str().to_owned(),
         "route" => route.to_owned(),
-        "step" => slog::Serde(step.clone()),
+        "step" => slog::Serde(entry.clone()),
         "left_out" => (left_out > 0).then_some(left_out),
     );
     let log = log.new(inputs);
@@ -64,7 +64,7 @@
 }
 
 /// Logs that a request was rejected before it was admitted.
-pub fn refused(log: &Logger, request: &id::Request, error: &Error) {
+pub fn rejected(log: &Logger, request: &id::Request, error: &Error) {
     let event = Event::Refused;
     slog::info!(log, "{}", event.text(); "event" => event.number(), "request" => request.as_str(),
         "kind" => error.kind().as_str(), "why" => error.message());
