--- a/daemon/src/attempt.rs
+++ b/daemon/src/attempt.rs
@@ -53,7 +53,7 @@
     progress: &mut Progress,
 ) -> End {
     if progress.tokens > 0 {
-        job.process.metrics.resumed.inc();
+        job.process.metrics.resumed_answers.inc();
         let upstream = placement.engine().clone();
         job.record(Decision::Resumed { index: progress.tokens, upstream });
     }
@@ -249,13 +249,13 @@
     let now = job.process.clock.now();
     if let Placement::Engine(flight) = placement {
         let real = (now - flight.sent).as_secs_f64();
-        job.process.metrics.prediction.observe(flight.predicted / real.max(1e-6));
+        job.process.metrics.prediction_ratio.observe(flight.predicted / real.max(1e-6));
     }
     placement.on_first_token(cached);
     if progress.first_token.is_none() {
         let since = now - job.arrived;
         progress.first_token = Some(since);
-        job.process.metrics.first_token(job.tokens.0, since.as_secs_f64());
+        job.process.metrics.observe_first_token(job.tokens.0, since.as_secs_f64());
     }
 }
 
--- a/daemon/src/complete.rs
+++ b/daemon/src/complete.rs
@@ -91,7 +91,7 @@
         route(&process, &id, request, guard).await
     };
     let mut answer = result.unwrap_or_else(|error| {
-        process.metrics.error(error.kind());
+        process.metrics.count_error(error.kind());
         answer::error(&error, &id)
     });
     let headers = answer.headers_mut();
@@ -384,11 +384,11 @@
         // it.
         let _caller = caller;
         let _guard = guard;
-        job.process.metrics.streams.inc();
+        job.process.metrics.open_streams.inc();
         if let Err(error) = serve::run(&job, &mut sink, &mut claim).await {
             sink.fail(error, &job.request).await;
         }
-        job.process.metrics.streams.dec();
+        job.process.metrics.open_streams.dec();
     });
     match waiting.started.await {
         Ok(Ok(())) => Ok(answer::stream("text/event-stream", waiting.parts)),
--- a/daemon/src/metrics.rs
+++ b/daemon/src/metrics.rs
@@ -37,28 +37,28 @@
     /// Number of error responses.
     pub errors: Family<ByKind, Counter>,
     /// Number of tokens sent to callers.
-    pub tokens: Counter,
+    pub answer_tokens: Counter,
     /// Number of open streams to callers.
-    pub streams: Gauge,
+    pub open_streams: Gauge,
     /// Time to first token in seconds, by prompt length.
-    pub first_token: Family<ByLength, Histogram>,
+    pub first_token_seconds: Family<ByLength, Histogram>,
     /// Predicted over actual time to first token.
-    pub prediction: Histogram,
+    pub prediction_ratio: Histogram,
     /// Number of retries.
     pub retries: Counter,
     /// Number of answers resumed on another upstream.
-    pub resumed: Counter,
+    pub resumed_answers: Counter,
     /// Number of calls to peers.
     pub peer_calls: Counter,
     /// Number of the settings version in force.
-    pub version: Gauge,
+    pub settings_version: Gauge,
 }
 
-fn seconds() -> Histogram {
+fn seconds_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.005, 2.0, 16))
 }
 
-fn ratio() -> Histogram {
+fn ratio_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.0625, 1.414, 20))
 }
 
@@ -68,14 +68,14 @@
             registry: Registry::with_prefix("foldlock"),
             requests: Family::default(),
             errors: Family::default(),
-            tokens: Counter::default(),
-            streams: Gauge::default(),
-            first_token: Family::new_with_constructor(seconds),
-            prediction: ratio(),
+            answer_tokens: Counter::default(),
+            open_streams: Gauge::default(),
+            first_token_seconds: Family::new_with_constructor(seconds_histogram),
+            prediction_ratio: ratio_histogram(),
             retries: Counter::default(),
-            resumed: Counter::default(),
+            resumed_answers: Counter::default(),
             peer_calls: Counter::default(),
-            version: Gauge::default(),
+            settings_version: Gauge::default(),
         };
         m.register();
         m
@@ -87,33 +87,41 @@
         let r = &mut self.registry;
         r.register("requests", "Requests that arrived", self.requests.clone());
         r.register("errors", "Answers that are not a success", self.errors.clone());
-        r.register("answer_tokens", "Tokens sent to callers", self.tokens.clone());
-        r.register("open_streams", "Streams open to callers", self.streams.clone());
+        r.register("answer_tokens", "Tokens sent to callers", self.answer_tokens.clone());
+        r.register("open_streams", "Streams open to callers", self.open_streams.clone());
         r.register(
             "first_token_seconds",
             "Time from arrival to the first token",
-            self.first_token.clone(),
+            self.first_token_seconds.clone(),
         );
         r.register(
             "prediction_ratio",
             "Predicted over real time to the first token",
-            self.prediction.clone(),
+            self.prediction_ratio.clone(),
         );
         r.register("retries", "Requests sent again", self.retries.clone());
-        r.register("resumed_answers", "Answers that went on elsewhere", self.resumed.clone());
+        r.register(
+            "resumed_answers",
+            "Answers that went on elsewhere",
+            self.resumed_answers.clone(),
+        );
         r.register("peer_calls", "Calls between VMs", self.peer_calls.clone());
-        r.register("settings_version", "The settings version in force", self.version.clone());
+        r.register(
+            "settings_version",
+            "The settings version in force",
+            self.settings_version.clone(),
+        );
     }
 
     /// Counts an error response.
-    pub fn error(&self, kind: Kind) {
+    pub fn count_error(&self, kind: Kind) {
         self.errors.get_or_create(&ByKind { kind: kind.as_str() }).inc();
     }
 
     /// Observes a time to first token.
-    pub fn first_token(&self, prompt_tokens: u64, seconds: f64) {
+    pub fn observe_first_token(&self, prompt_tokens: u64, seconds: f64) {
         let band = ByLength { prompt_tokens: band(prompt_tokens) };
-        self.first_token.get_or_create(&band).observe(seconds);
+        self.first_token_seconds.get_or_create(&band).observe(seconds);
     }
 
     /// Encodes all metrics in the OpenMetrics text format.
--- a/daemon/src/process.rs
+++ b/daemon/src/process.rs
@@ -178,7 +178,7 @@
         let version = self.current.get();
         self.engines.apply(&version.tree);
         *self.shards.write().unwrap() = Arc::new(home::shards(&version.tree.fleet));
-        self.metrics.version.set(version.head.version as i64);
+        self.metrics.settings_version.set(version.head.version as i64);
         if version.head.version > 0 {
             self.applied.store(true, Ordering::Release);
         }
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -151,7 +151,7 @@
             if let Some(claim) = claim {
                 claim.done();
             }
-            job.process.metrics.tokens.inc_by(finished.tokens);
+            job.process.metrics.answer_tokens.inc_by(finished.tokens);
         }
         Err(e) => record_failure(job, e),
     }
@@ -159,7 +159,7 @@
 }
 
 fn record_failure(job: &Job, e: &Error) {
-    job.process.metrics.error(e.kind());
+    job.process.metrics.count_error(e.kind());
     let why = e.message().to_owned();
     job.record(match e.ran() {
         Ran::No => Decision::Rejected {
