--- a/daemon/src/operators.rs
+++ b/daemon/src/operators.rs
@@ -17,10 +17,10 @@
 use crate::process::Process;
 
 /// Maximum number of decision records in a dump.
-const RECORDS: usize = 20;
+const MAX_RECORDS: usize = 20;
 
 /// Maximum number of lines queued for a slow client of the decision stream.
-const LINES: usize = 64;
+const MAX_QUEUED_LINES: usize = 64;
 
 #[derive(Serialize)]
 struct Dump<'a> {
@@ -75,13 +75,13 @@
         "/decisions" => decisions(&process),
         "/version" => answer::json(StatusCode::OK, &process.current.get().head),
         _ => match path.strip_prefix("/why/").map(str::parse::<id::Request>) {
-            Some(Ok(request)) => why(&process, &request),
+            Some(Ok(request)) => decision_record(&process, &request),
             _ => answer::text(StatusCode::NOT_FOUND, "no such path\n"),
         },
     }
 }
 
-fn why(process: &Process, request: &id::Request) -> Response<Body> {
+fn decision_record(process: &Process, request: &id::Request) -> Response<Body> {
     match process.ring.get(request) {
         Some(record) => answer::json(StatusCode::OK, &record),
         None => answer::text(StatusCode::NOT_FOUND, "no record of this request here\n"),
@@ -93,7 +93,7 @@
     let own = process.members.own();
     let shards = process.shards();
     let used = home::used_shards(&own, &shards);
-    let shard = |s: &home::Shard| ShardDump {
+    let dump_shard = |s: &home::Shard| ShardDump {
         name: s.name.clone(),
         home: home::home_of(s, &live).map(|m| m.vm.clone()),
         used: used.contains(&s),
@@ -112,7 +112,7 @@
         members: process.members.dump(),
         peers: process.peers.count(),
         peer_bytes: foldlock_connection::peer::bytes(),
-        shards: shards.iter().map(shard).collect(),
+        shards: shards.iter().map(dump_shard).collect(),
         engines: process.engines.dump(),
         demand: process.limits.demand(),
         claims_writer: process.claims.writer(&live),
@@ -121,18 +121,18 @@
             writes: calls.writes.load(Ordering::Relaxed),
             failures: calls.failures.load(Ordering::Relaxed),
         },
-        records: process.ring.newest(RECORDS),
+        records: process.ring.newest(MAX_RECORDS),
     }
 }
 
 /// Streams decisions as JSON lines until the client disconnects or the process exits.
 fn decisions(process: &Arc<Process>) -> Response<Body> {
-    let (lines, receiver) = mpsc::channel(LINES);
-    tokio::spawn(feed(process.ring.subscribe(), lines));
+    let (lines, receiver) = mpsc::channel(MAX_QUEUED_LINES);
+    tokio::spawn(copy_decisions(process.ring.subscribe(), lines));
     answer::stream("application/x-ndjson", receiver)
 }
 
-async fn feed(mut decisions: broadcast::Receiver<Item>, lines: mpsc::Sender<Bytes>) {
+async fn copy_decisions(mut decisions: broadcast::Receiver<Item>, lines: mpsc::Sender<Bytes>) {
     loop {
         let line = tokio::select! {
             line = decisions.recv() => line,
