--- a/daemon/src/plain.rs
+++ b/daemon/src/plain.rs
@@ -24,14 +24,14 @@
 use crate::complete::{Caller, IDEMPOTENCY_KEY, reject};
 
 /// Request headers that are forwarded.
-const PASSED: [hyper::header::HeaderName; 2] = [CONTENT_TYPE, ACCEPT];
+const FORWARDED_HEADERS: [hyper::header::HeaderName; 2] = [CONTENT_TYPE, ACCEPT];
 
 /// How long a server is considered leaving after a response that said so.
-const LEAVING_KEPT: Duration = Duration::from_secs(30);
+const LEAVING_TTL: Duration = Duration::from_secs(30);
 
 #[derive(Default)]
-struct Local {
-    outstanding: u32,
+struct State {
+    in_flight: u32,
     health: Health,
     leaving_at: Option<Instant>,
 }
@@ -39,7 +39,7 @@
 /// State of the servers of plain services, as observed by this VM.
 #[derive(Default)]
 pub struct Servers {
-    table: Mutex<HashMap<id::Upstream, Local>>,
+    table: Mutex<HashMap<id::Upstream, State>>,
 }
 
 /// Counts a call as in flight on a server until dropped.
@@ -50,12 +50,12 @@
 
 impl Drop for Flight<'_> {
     fn drop(&mut self) {
-        self.servers.with(&self.server, |l| l.outstanding -= 1);
+        self.servers.with(&self.server, |state| state.in_flight -= 1);
     }
 }
 
 impl Servers {
-    fn with<R>(&self, server: &id::Upstream, f: impl FnOnce(&mut Local) -> R) -> R {
+    fn with<R>(&self, server: &id::Upstream, f: impl FnOnce(&mut State) -> R) -> R {
         f(self.table.lock().unwrap().entry(server.clone()).or_default())
     }
 
@@ -68,19 +68,19 @@
     ) -> Option<Flight<'_>> {
         let mut table = self.table.lock().unwrap();
         let mut usable = |server: &id::Upstream| {
-            let local = table.entry(server.clone()).or_default();
-            let leaving = local.leaving_at.is_some_and(|at| now < at + LEAVING_KEPT);
-            (!leaving && local.health.is_usable(now) && !unusable(server))
-                .then_some((local.outstanding, rand::random::<u32>()))
+            let state = table.entry(server.clone()).or_default();
+            let leaving = state.leaving_at.is_some_and(|at| now < at + LEAVING_TTL);
+            (!leaving && state.health.is_usable(now) && !unusable(server))
+                .then_some((state.in_flight, rand::random::<u32>()))
         };
         let (_, server) = service
             .servers
             .keys()
             .filter_map(|s| Some((usable(s)?, s)))
             .min_by_key(|(load, _)| *load)?;
-        let local = table.entry(server.clone()).or_default();
-        local.outstanding += 1;
-        local.health.on_sent();
+        let state = table.entry(server.clone()).or_default();
+        state.in_flight += 1;
+        state.health.on_sent();
         Some(Flight { servers: self, server: server.clone() })
     }
 }
@@ -94,7 +94,7 @@
     uri: Uri,
     headers: HeaderMap,
     body: Bytes,
-    repeatable: bool,
+    retryable: bool,
     claim: Option<KeyClaim>,
 }
 
@@ -117,11 +117,11 @@
         .service_of(path)
         .map(|(name, service)| (name.clone(), service.clone()))
         .ok_or_else(|| reject(Kind::NotFound, format!("there is no {path}")))?;
-    let repeatable = is_repeatable(&service, &head.method, path) && caller.policy.repeatable;
+    let retryable = is_retryable(&service, &head.method, path) && caller.policy.repeatable;
     let body = caller.body(incoming).await?;
     let entry = caller.record(&format!("{name} {path}"), Tokens(0));
     caller.admit(Tokens(0)).inspect_err(|e| caller.record_rejection(&entry, e))?;
-    let claim = caller.claim(&entry, repeatable).await;
+    let claim = caller.claim(&entry, retryable).await;
     let claim = claim.inspect_err(|e| caller.record_rejection(&entry, e))?;
     let call = Call {
         service,
@@ -129,7 +129,7 @@
         uri: head.uri,
         headers: head.headers,
         body,
-        repeatable,
+        retryable,
         claim,
         caller,
         entry,
@@ -137,7 +137,7 @@
     call.run().await
 }
 
-fn is_repeatable(service: &Service, method: &Method, path: &str) -> bool {
+fn is_retryable(service: &Service, method: &Method, path: &str) -> bool {
     let rest = path.strip_prefix(service.path.as_str()).unwrap_or(path);
     let once = service
         .once
@@ -205,17 +205,17 @@
                 claim.sent();
             }
             let end = self.send(&flight.server).await;
-            self.judge(&flight.server, &end);
+            self.record_outcome(&flight.server, &end);
             proof = match end {
-                End::Answered(answer) => return Ok(passed(answer)),
-                end => self.after(end, attempt, &flight.server, tried.len())?,
+                End::Answered(answer) => return Ok(forward(answer)),
+                end => self.retry_or_fail(end, attempt, &flight.server, tried.len())?,
             };
             tried.push(flight.server.clone());
         }
     }
 
     /// Decides whether a failed attempt is retried.
-    fn after(
+    fn retry_or_fail(
         &mut self,
         end: End,
         attempt: Attempt,
@@ -235,11 +235,11 @@
         }
         let caller = &self.caller;
         let passed = caller.deadline.passed(&caller.process.clock);
-        let may = (not_run || self.repeatable)
+        let may_retry = (not_run || self.retryable)
             && !passed
             && tried < caller.policy.retries as usize
             && caller.process.budget.retry(caller.policy.retry_budget_percent);
-        if may {
+        if may_retry {
             caller.process.metrics.retries.inc();
             caller.step(&self.entry, Decision::Retried { upstream: server.clone(), why });
             return Ok(proof);
@@ -257,7 +257,7 @@
         let path = self.uri.path_and_query().map_or("/", |p| p.as_str());
         let mut request =
             Request::builder().method(&self.method).uri(format!("http://{address}{path}"));
-        for name in PASSED {
+        for name in FORWARDED_HEADERS {
             if let Some(value) = self.headers.get(&name) {
                 request = request.header(name, value);
             }
@@ -273,22 +273,22 @@
         let process = &self.caller.process;
         let left = self.caller.deadline.left(&process.clock);
         match process.client.call(request, left).await {
-            Ok(answer) => judged(answer),
+            Ok(answer) => classify(answer),
             Err(Failure::Connect(why)) => End::NotRun { proof: Refusal::not_connected(), why },
             Err(Failure::Broken(why)) => End::Broken(why),
         }
     }
 
-    fn judge(&self, server: &id::Upstream, end: &End) {
+    fn record_outcome(&self, server: &id::Upstream, end: &End) {
         let now = self.caller.process.clock.now();
-        self.caller.process.servers.with(server, |local| match end {
-            End::Answered(_) => local.health.on_success(),
-            End::Broken(_) => local.health.on_failure(now),
+        self.caller.process.servers.with(server, |state| match end {
+            End::Answered(_) => state.health.on_success(),
+            End::Broken(_) => state.health.on_failure(now),
             End::NotRun { why, .. } if why == LEAVING => {
-                local.health.on_inconclusive();
-                local.leaving_at = Some(now);
+                state.health.on_inconclusive();
+                state.leaving_at = Some(now);
             }
-            End::NotRun { .. } => local.health.on_failure(now),
+            End::NotRun { .. } => state.health.on_failure(now),
         });
     }
 }
@@ -296,7 +296,7 @@
 const LEAVING: &str = "the server is leaving";
 
 /// Tells a server's refusal from a response of the service.
-fn judged(answer: Response<Bytes>) -> End {
+fn classify(answer: Response<Bytes>) -> End {
     let header = |name: &str| answer.headers().get(name).and_then(|v| v.to_str().ok());
     match Refusal::read(answer.status().as_u16(), header(Refusal::HEADER)) {
         Some(proof) => {
@@ -308,12 +308,12 @@
     }
 }
 
-fn passed(answer: Response<Bytes>) -> Response<Body> {
+fn forward(answer: Response<Bytes>) -> Response<Body> {
     let (head, bytes) = answer.into_parts();
     let mut out = Response::new(Body::Whole(Some(bytes)));
     *out.status_mut() = head.status;
-    let plain = HeaderValue::from_static("application/octet-stream");
-    let kind = head.headers.get(CONTENT_TYPE).cloned().unwrap_or(plain);
+    let default = HeaderValue::from_static("application/octet-stream");
+    let kind = head.headers.get(CONTENT_TYPE).cloned().unwrap_or(default);
     out.headers_mut().insert(CONTENT_TYPE, kind);
     out
 }
