--- a/daemon/src/complete.rs
+++ b/daemon/src/complete.rs
@@ -30,8 +30,8 @@
 use crate::limits;
 use crate::metrics::ByOrganisation;
 use crate::process::Process;
-use crate::pump::{self, Events, Whole};
 use crate::serve::{self, Job};
+use crate::sink::{self, Events};
 use crate::{plain, resume};
 
 /// Request header with the kind of request.
@@ -367,9 +367,9 @@
 }
 
 async fn whole(job: Job, mut claim: Option<KeyClaim>) -> Result<Response<Body>, Error> {
-    let mut sink = Whole::default();
+    let mut sink = sink::Buffer::default();
     let finished = serve::run(&job, &mut sink, &mut claim).await?;
-    Ok(answer::json(StatusCode::OK, &pump::completion(&job, &sink, finished.tokens)))
+    Ok(answer::json(StatusCode::OK, &sink::completion(&job, &sink, finished.tokens)))
 }
 
 async fn stream(
@@ -378,7 +378,7 @@
     mut claim: Option<KeyClaim>,
     guard: drain::RequestGuard,
 ) -> Result<Response<Body>, Error> {
-    let (mut sink, waiting) = Events::new(&job.request, &job.prompt.model, job.prompt.style);
+    let (mut sink, receiver) = Events::new(&job.request, &job.prompt.model, job.prompt.style);
     tokio::spawn(async move {
         // Until the stream ends, the request counts against the limits, and a stopping VM waits for
         // it.
@@ -390,8 +390,8 @@
         }
         job.process.metrics.open_streams.dec();
     });
-    match waiting.started.await {
-        Ok(Ok(())) => Ok(answer::stream("text/event-stream", waiting.parts)),
+    match receiver.started.await {
+        Ok(Ok(())) => Ok(answer::stream("text/event-stream", receiver.parts)),
         Ok(Err(error)) => Err(error),
         Err(_) => Err(Proof::MayHaveRun(Unsent::arrived().send()).error(
             Kind::Internal,
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -22,7 +22,7 @@
 pub mod peers;
 pub mod plain;
 pub mod process;
-pub mod pump;
 pub mod resume;
 pub mod serve;
+pub mod sink;
 pub mod watch;
--- a/daemon/src/resume.rs
+++ b/daemon/src/resume.rs
@@ -15,14 +15,14 @@
 use crate::answer::{self, Body};
 use crate::complete::{Caller, LAST_EVENT, reject};
 use crate::drain;
-use crate::pump::{self, Lines};
+use crate::sink::{self, Encoder};
 
 /// A stream that is being resumed.
 struct Resumed {
     caller: Caller,
     cursor: Cursor,
     stream: HttpStream,
-    lines: Lines,
+    encoder: Encoder,
 }
 
 /// Handles a request with a cursor and returns the rest of the stream.
@@ -43,9 +43,9 @@
     let resumed = Decision::Resumed { index: cursor.index + 1, upstream: cursor.engine.clone() };
     caller.step(&entry, resumed);
     let style = if request.uri().path().contains("chat") { Style::Chat } else { Style::Completion };
-    let lines = Lines::new(&cursor.request, "", style, &caller.version.key, &cursor);
-    let (parts, receiver) = mpsc::channel(pump::BACKLOG);
-    let resumed = Resumed { caller, cursor, stream, lines };
+    let encoder = Encoder::new(&cursor.request, "", style, &caller.version.key, &cursor);
+    let (parts, receiver) = mpsc::channel(sink::MAX_QUEUED_BATCHES);
+    let resumed = Resumed { caller, cursor, stream, encoder };
     tokio::spawn(async move {
         let _guard = guard;
         resumed.copy(parts).await;
@@ -82,7 +82,7 @@
             Err(_) => Err(broken(Kind::DeadlineExceeded, "the deadline passed")),
         };
         if let Err(error) = result {
-            let _ = parts.try_send(pump::error_event(&error, &self.cursor.request));
+            let _ = parts.try_send(sink::error_event(&error, &self.cursor.request));
         }
     }
 
@@ -101,7 +101,7 @@
             let pushed = checker.push(bytes, |part| parts.push(part));
             pushed.map_err(|e| broken(Kind::UpstreamFailed, &e.to_string()))?;
             let ended = parts.iter().any(|p| matches!(p, Part::End { .. }));
-            let text = self.lines.write_all(&parts);
+            let text = self.encoder.encode(&parts);
             if out.send(text.into()).await.is_err() || ended {
                 return Ok(());
             }
--- a/daemon/src/pump.rs
+++ b/daemon/src/sink.rs
@@ -16,21 +16,21 @@
 use crate::serve::{Job, Sink};
 
 /// Maximum number of batches of events queued for a slow caller.
-pub const BACKLOG: usize = 32;
+pub const MAX_QUEUED_BATCHES: usize = 32;
 
 /// Typical length of an encoded event in bytes, for the capacity of buffers.
-const EVENT: usize = 320;
+const EVENT_CAPACITY: usize = 320;
 
 /// Collects an answer for a response without streaming.
 #[derive(Default)]
-pub struct Whole {
+pub struct Buffer {
     /// The text received so far.
     pub text: String,
     /// The finish reason, once the answer has ended.
     pub reason: Option<String>,
 }
 
-impl Sink for Whole {
+impl Sink for Buffer {
     fn on_source(&mut self, _job: &Job, _engine: &id::Upstream, _stream: &str) {}
 
     async fn send(&mut self, parts: &[Part]) -> bool {
@@ -50,9 +50,9 @@
 }
 
 /// Encodes parts of an answer as server-sent events.
-pub struct Lines {
+pub struct Encoder {
     cursor: Option<CursorWriter>,
-    head: String,
+    prefix: String,
     style: Style,
 }
 
@@ -60,11 +60,11 @@
 pub struct Events {
     parts: mpsc::Sender<Bytes>,
     started: Option<oneshot::Sender<Result<(), Error>>>,
-    lines: Lines,
+    encoder: Encoder,
 }
 
 /// The receiving end of [`Events`]: the start of the answer, then its events.
-pub struct Waiting {
+pub struct Receiver {
     /// Receives the start of the answer, or the error in its place.
     pub started: oneshot::Receiver<Result<(), Error>>,
     /// Receives batches of encoded events.
@@ -73,12 +73,13 @@
 
 impl Events {
     /// Creates a sink for the answer to a request, and its receiving end.
-    pub fn new(request: &id::Request, model: &id::Model, style: Style) -> (Events, Waiting) {
-        let (parts, receiver) = mpsc::channel(BACKLOG);
+    pub fn new(request: &id::Request, model: &id::Model, style: Style) -> (Events, Receiver) {
+        let (parts, receiver) = mpsc::channel(MAX_QUEUED_BATCHES);
         let (started, start) = oneshot::channel();
-        let lines = Lines { cursor: None, head: head(request, model.as_str(), style), style };
-        let events = Events { parts, started: Some(started), lines };
-        (events, Waiting { started: start, parts: receiver })
+        let encoder =
+            Encoder { cursor: None, prefix: event_prefix(request, model.as_str(), style), style };
+        let events = Events { parts, started: Some(started), encoder };
+        (events, Receiver { started: start, parts: receiver })
     }
 
     /// Sends an error in place of the rest of the answer.
@@ -96,12 +97,12 @@
 
 /// Encodes an error event, which ends a stream.
 pub fn error_event(error: &Error, request: &id::Request) -> Bytes {
-    let shape = serde_json::to_string(&answer::error_body(error, request)).expect("plain data");
-    format!("event: error\ndata: {shape}\n\n").into()
+    let body = serde_json::to_string(&answer::error_body(error, request)).expect("plain data");
+    format!("event: error\ndata: {body}\n\n").into()
 }
 
 /// The JSON that each event of an answer begins with.
-fn head(request: &id::Request, model: &str, style: Style) -> String {
+fn event_prefix(request: &id::Request, model: &str, style: Style) -> String {
     let object = match style {
         Style::Completion => "text_completion",
         Style::Chat => "chat.completion.chunk",
@@ -112,15 +113,25 @@
     )
 }
 
-impl Lines {
+impl Encoder {
     /// Creates an encoder for a stream that is resumed at a cursor.
-    pub fn new(request: &id::Request, model: &str, style: Style, key: &Key, at: &Cursor) -> Lines {
-        Lines { cursor: Some(CursorWriter::new(key, at)), head: head(request, model, style), style }
+    pub fn new(
+        request: &id::Request,
+        model: &str,
+        style: Style,
+        key: &Key,
+        at: &Cursor,
+    ) -> Encoder {
+        Encoder {
+            cursor: Some(CursorWriter::new(key, at)),
+            prefix: event_prefix(request, model, style),
+            style,
+        }
     }
 
     /// Encodes parts as events.
-    pub fn write_all(&self, parts: &[Part]) -> String {
-        let mut out = String::with_capacity(parts.len() * EVENT);
+    pub fn encode(&self, parts: &[Part]) -> String {
+        let mut out = String::with_capacity(parts.len() * EVENT_CAPACITY);
         for part in parts {
             self.write(part, &mut out);
         }
@@ -132,12 +143,12 @@
             Part::Token { index, text } => self.token(*index, text, out),
             Part::End { reason } => {
                 out.push_str("data: ");
-                out.push_str(&self.head);
+                out.push_str(&self.prefix);
                 out.push_str(match self.style {
                     Style::Completion => "\"text\":\"\"",
                     Style::Chat => "\"delta\":{}",
                 });
-                let _ = write!(out, ",\"finish_reason\":{}}}]}}\n\n", Quoted(reason));
+                let _ = write!(out, ",\"finish_reason\":{}}}]}}\n\n", JsonString(reason));
                 out.push_str("data: [DONE]\n\n");
             }
         }
@@ -150,8 +161,8 @@
             out.push('\n');
         }
         out.push_str("data: ");
-        out.push_str(&self.head);
-        let text = Quoted(text);
+        out.push_str(&self.prefix);
+        let text = JsonString(text);
         let _ = match self.style {
             Style::Completion => write!(out, "\"text\":{text}"),
             Style::Chat => write!(out, "\"delta\":{{\"content\":{text}}}"),
@@ -161,9 +172,9 @@
 }
 
 /// Displays a text as a JSON string, without a serializer if no character needs an escape.
-struct Quoted<'a>(&'a str);
+struct JsonString<'a>(&'a str);
 
-impl std::fmt::Display for Quoted<'_> {
+impl std::fmt::Display for JsonString<'_> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let plain = |b: u8| (b' '..=b'~').contains(&b) && b != b'"' && b != b'\\';
         if self.0.bytes().all(plain) {
@@ -182,14 +193,14 @@
             organisation: job.organisation.clone(),
             index: 0,
         };
-        self.lines.cursor = Some(CursorWriter::new(&job.version.key, &at));
+        self.encoder.cursor = Some(CursorWriter::new(&job.version.key, &at));
     }
 
     async fn send(&mut self, parts: &[Part]) -> bool {
         if let Some(started) = self.started.take() {
             let _ = started.send(Ok(()));
         }
-        let out = self.lines.write_all(parts);
+        let out = self.encoder.encode(parts);
         out.is_empty() || self.parts.send(out.into()).await.is_ok()
     }
 
@@ -231,14 +242,14 @@
 }
 
 /// Builds the body of a response without streaming.
-pub fn completion<'a>(job: &'a Job, whole: &'a Whole, tokens: u64) -> Completion<'a> {
+pub fn completion<'a>(job: &'a Job, buffer: &'a Buffer, tokens: u64) -> Completion<'a> {
     let (object, content) = match job.prompt.style {
-        Style::Completion => ("text_completion", Content::Text(&whole.text)),
+        Style::Completion => ("text_completion", Content::Text(&buffer.text)),
         Style::Chat => {
-            ("chat.completion", Content::Message { role: "assistant", content: &whole.text })
+            ("chat.completion", Content::Message { role: "assistant", content: &buffer.text })
         }
     };
-    let finish_reason = whole.reason.as_deref().unwrap_or("stop");
+    let finish_reason = buffer.reason.as_deref().unwrap_or("stop");
     Completion {
         id: job.request.as_str(),
         object,
