--- a/daemon/src/resume.rs
+++ b/daemon/src/resume.rs
@@ -37,7 +37,7 @@
     if cursor.organisation != caller.organisation {
         return Err(reject(Kind::Unauthorized, "the stream belongs to another organisation"));
     }
-    let engine = caller.process.engines.client(&cursor.engine).ok_or_else(gone)?;
+    let engine = caller.process.engines.client(&cursor.engine).ok_or_else(stream_gone)?;
     let stream = open(&caller, &engine, &cursor).await?;
     let entry = caller.record(&format!("stream of {}", cursor.request), Tokens(0));
     let resumed = Decision::Resumed { index: cursor.index + 1, upstream: cursor.engine.clone() };
@@ -53,7 +53,7 @@
     Ok(answer::stream("text/event-stream", receiver))
 }
 
-fn gone() -> Error {
+fn stream_gone() -> Error {
     let sent = Unsent::arrived().send();
     Error::sent(Kind::StreamGone, "the stream no longer exists; send the request again", sent, true)
 }
@@ -63,13 +63,13 @@
     let opened = engine.resume(&cursor.stream, cursor.index + 1);
     match tokio::time::timeout(left, opened).await {
         Ok(Ok(stream)) => Ok(stream),
-        Ok(Err(Failure::Gone)) => Err(gone()),
-        Ok(Err(e)) => Err(broken(Kind::UpstreamFailed, &format!("{}: {e}", cursor.engine))),
-        Err(_) => Err(broken(Kind::DeadlineExceeded, "the deadline passed")),
+        Ok(Err(Failure::Gone)) => Err(stream_gone()),
+        Ok(Err(e)) => Err(sent_error(Kind::UpstreamFailed, &format!("{}: {e}", cursor.engine))),
+        Err(_) => Err(sent_error(Kind::DeadlineExceeded, "the deadline passed")),
     }
 }
 
-fn broken(kind: Kind, why: &str) -> Error {
+fn sent_error(kind: Kind, why: &str) -> Error {
     Error::sent(kind, why, Unsent::arrived().send(), true)
 }
 
@@ -77,29 +77,29 @@
     /// Copies the rest of the stream to the caller.
     async fn copy(mut self, parts: mpsc::Sender<bytes::Bytes>) {
         let until = self.caller.deadline.instant().into();
-        let result = match tokio::time::timeout_at(until, self.rest(&parts)).await {
+        let result = match tokio::time::timeout_at(until, self.copy_parts(&parts)).await {
             Ok(result) => result,
-            Err(_) => Err(broken(Kind::DeadlineExceeded, "the deadline passed")),
+            Err(_) => Err(sent_error(Kind::DeadlineExceeded, "the deadline passed")),
         };
         if let Err(error) = result {
             let _ = parts.try_send(sink::error_event(&error, &self.cursor.request));
         }
     }
 
-    async fn rest(&mut self, out: &mpsc::Sender<bytes::Bytes>) -> Result<(), Error> {
+    async fn copy_parts(&mut self, out: &mpsc::Sender<bytes::Bytes>) -> Result<(), Error> {
         let mut checker = Checker::new(self.cursor.request.as_str(), self.cursor.index + 1);
         let mut parts = Vec::new();
         loop {
             let bytes = self.stream.next().await;
-            let bytes = bytes.map_err(|e| broken(Kind::UpstreamFailed, &e.to_string()))?;
+            let bytes = bytes.map_err(|e| sent_error(Kind::UpstreamFailed, &e.to_string()))?;
             let Some(bytes) = bytes else {
-                return Err(broken(
+                return Err(sent_error(
                     Kind::UpstreamFailed,
                     "the upstream closed the stream before its end",
                 ));
             };
             let pushed = checker.push(bytes, |part| parts.push(part));
-            pushed.map_err(|e| broken(Kind::UpstreamFailed, &e.to_string()))?;
+            pushed.map_err(|e| sent_error(Kind::UpstreamFailed, &e.to_string()))?;
             let ended = parts.iter().any(|p| matches!(p, Part::End { .. }));
             let text = self.encoder.encode(&parts);
             if out.send(text.into()).await.is_err() || ended {
