--- a/daemon/tests/common/mod.rs
+++ b/daemon/tests/common/mod.rs
@@ -42,7 +42,7 @@
 }
 
 /// Asserts that an answer is complete and belongs to its prompt.
-pub(crate) fn assert_whole(answer: &Answer, ask: &Ask) {
+pub(crate) fn assert_complete(answer: &Answer, ask: &Ask) {
     assert_eq!(answer.status, 200, "{answer:?}");
     assert!(answer.complete, "{answer:?}");
     let expected = standin::answer::whole(ask.prompt.as_bytes(), ask.max_tokens);
--- a/daemon/tests/deadline.rs
+++ b/daemon/tests/deadline.rs
@@ -67,7 +67,7 @@
     let asks: Vec<Ask> = (0..10).map(|i| ask(prompt(100 + i), 10)).collect();
     for (i, ask) in asks.iter().enumerate() {
         let answer = send(&fleet, i % 2, ask).await;
-        common::assert_whole(&answer, ask);
+        common::assert_complete(&answer, ask);
     }
     fleet.vms[2].kill();
 }
--- a/daemon/tests/leaving.rs
+++ b/daemon/tests/leaving.rs
@@ -15,7 +15,7 @@
     let before = fleet.engines[index].engine.stats().begun;
     for i in 0..30 {
         let ask = ask(prompt(60 + i), 2);
-        common::assert_whole(&send(fleet, i % 3, &ask).await, &ask);
+        common::assert_complete(&send(fleet, i % 3, &ask).await, &ask);
     }
     fleet.engines[index].engine.stats().begun - before
 }
@@ -52,7 +52,7 @@
     // One VM receives a refusal and retries; the caller does not notice.
     wait_for("a refusal", async || {
         let ask = ask(prompt(70), 2);
-        common::assert_whole(&send(&fleet, 0, &ask).await, &ask);
+        common::assert_complete(&send(&fleet, 0, &ask).await, &ask);
         let dump = fleet.dump(&fleet.vms[0]).await.unwrap();
         dump["engines"]["engine-2"]["leaving"] == true
     })
@@ -127,9 +127,9 @@
         let load = tokio::spawn(keep_sending(fleet.client.clone(), first));
         wait_for("the request to run", async || fleet.memory_used() > 0).await;
         fleet.vms[0].signal(Signal::SIGTERM);
-        common::assert_whole(&begun.await.unwrap(), &long);
+        common::assert_complete(&begun.await.unwrap(), &long);
         for (answer, ask) in load.await.unwrap() {
-            common::assert_whole(&answer, &ask);
+            common::assert_complete(&answer, &ask);
         }
         let until = Instant::now() + standin::fleet::PATIENCE;
         while fleet.vms[0].ended().is_none() {
@@ -175,9 +175,9 @@
     fleet.vms[0].signal(Signal::SIGTERM);
     fleet.vms[1].signal(Signal::SIGTERM);
     for answer in begun {
-        common::assert_whole(&answer.await.unwrap(), &ask);
+        common::assert_complete(&answer.await.unwrap(), &ask);
     }
-    common::assert_whole(&send(&fleet, 2, &ask).await, &ask);
+    common::assert_complete(&send(&fleet, 2, &ask).await, &ask);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -197,6 +197,6 @@
         vm.signal(Signal::SIGTERM);
     }
     for answer in begun {
-        common::assert_whole(&answer.await.unwrap(), &ask);
+        common::assert_complete(&answer.await.unwrap(), &ask);
     }
 }
--- a/daemon/tests/once.rs
+++ b/daemon/tests/once.rs
@@ -62,7 +62,7 @@
 async fn a_paid_job_runs_once_and_its_repeat_is_told_so() {
     let fleet = Fleet::start(paid_plan()).await;
     let ask = paid("book");
-    common::assert_whole(&send(&fleet, 0, &ask).await, &ask);
+    common::assert_complete(&send(&fleet, 0, &ask).await, &ask);
     wait_for("the outcome to be written", async || {
         let again = send(&fleet, 1, &ask).await;
         assert_eq!(again.kind.as_deref(), Some("already_claimed"));
--- a/daemon/tests/path.rs
+++ b/daemon/tests/path.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{ask, assert_whole, plan, prompt, send};
+use common::{ask, assert_complete, plan, prompt, send};
 use expect_test::expect;
 use foldlock_connection::http::body;
 use hyper::Request;
@@ -16,7 +16,7 @@
         for stream in [true, false] {
             let ask = Ask { stream, ..ask(prompt(300 + vm), 12) };
             let answer = send(&fleet, vm, &ask).await;
-            assert_whole(&answer, &ask);
+            assert_complete(&answer, &ask);
             assert!(answer.request.starts_with(&format!("vm-{vm}-")), "{answer:?}");
         }
     }
@@ -31,7 +31,7 @@
     let fleet = Fleet::start(Plan { engines: 12, ..plan }).await;
     let ask = ask(prompt(18_000), 20);
     let answer = send(&fleet, 0, &ask).await;
-    assert_whole(&answer, &ask);
+    assert_complete(&answer, &ask);
     wait_for("memory to be free", async || fleet.memory_used() == 0).await;
     let why = fleet.control(&fleet.vms[0], &format!("/why/{}", answer.request)).await;
     let why = String::from_utf8(why.expect("a record")).unwrap();
@@ -47,7 +47,7 @@
     let asks: Vec<Ask> = (0..9).map(|i| ask(prompt(15_000 + i), 5)).collect();
     let sent = asks.iter().enumerate().map(|(i, ask)| send(&fleet, i % 3, ask));
     for (answer, ask) in futures::future::join_all(sent).await.iter().zip(&asks) {
-        assert_whole(answer, ask);
+        assert_complete(answer, ask);
     }
     wait_for("memory to be free", async || fleet.memory_used() == 0).await;
 }
@@ -61,7 +61,7 @@
     // Well above the usual time, and below the time after which a home gives up its search.
     let timeout = Some(std::time::Duration::from_millis(1_800));
     let ask = Ask { timeout, ..ask(prompt(20_000), 3) };
-    assert_whole(&send(&fleet, 0, &ask).await, &ask);
+    assert_complete(&send(&fleet, 0, &ask).await, &ask);
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/daemon/tests/settings.rs
+++ b/daemon/tests/settings.rs
@@ -110,7 +110,7 @@
     fleet.add_vm();
     in_force(&fleet, version).await;
     let ask = ask(prompt(50), 3);
-    common::assert_whole(&send(&fleet, 3, &ask).await, &ask);
+    common::assert_complete(&send(&fleet, 3, &ask).await, &ask);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -167,7 +167,7 @@
     })
     .await;
     let ask = ask(prompt(50), 3);
-    common::assert_whole(&send(&fleet, 0, &ask).await, &ask);
+    common::assert_complete(&send(&fleet, 0, &ask).await, &ask);
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/daemon/tests/streams.rs
+++ b/daemon/tests/streams.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{ask, assert_whole, paid_plan, plan, prompt, send};
+use common::{ask, assert_complete, paid_plan, plan, prompt, send};
 use foldlock_request::cursor::{Cursor, Key};
 use serde_json::json;
 use standin::client::{self, Ask};
@@ -19,7 +19,7 @@
     for i in 0..4 {
         let ask = ask(prompt(200 + i), 30);
         let answer = send(&fleet, i % 3, &ask).await;
-        assert_whole(&answer, &ask);
+        assert_complete(&answer, &ask);
     }
     wait_for("memory to be free", async || fleet.memory_used() == 0).await;
 }
@@ -74,7 +74,7 @@
     .await;
     let serving = fleet.engines.iter().position(|e| e.engine.stats().streams > 0).unwrap();
     drop(fleet.engines.remove(serving));
-    assert_whole(&answer.await.unwrap(), &ask);
+    assert_complete(&answer.await.unwrap(), &ask);
 }
 
 #[tokio::test(flavor = "multi_thread")]
