--- a/daemon/tests/deadline.rs
+++ b/daemon/tests/deadline.rs
@@ -14,7 +14,7 @@
 /// Tolerance for late responses on a busy CI machine. Latency itself is measured by the load tool.
 const SLACK: Duration = Duration::from_secs(2);
 
-async fn frozen_at(at: u64, resume: bool) {
+async fn assert_deadline_with_frozen_engines(at: u64, resume: bool) {
     let policy = json!({ "retries": 0, "resume": resume });
     let fleet = Fleet::start(Plan { policy, ..plan() }).await;
     for engine in &fleet.engines {
@@ -33,17 +33,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_frozen_before_the_first_token_ends_at_the_deadline() {
-    frozen_at(0, false).await;
+async fn a_request_ends_at_its_deadline_if_engines_freeze_before_the_first_token() {
+    assert_deadline_with_frozen_engines(0, false).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_frozen_in_the_middle_ends_at_the_deadline() {
-    frozen_at(5, true).await;
+async fn a_request_ends_at_its_deadline_if_engines_freeze_during_the_answer() {
+    assert_deadline_with_frozen_engines(5, true).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_who_leaves_frees_the_memory() {
+async fn memory_is_freed_when_the_caller_disconnects() {
     let policy = json!({ "resume_window_ms": 0 });
     let mut plan = plan();
     plan.engine.speed = 0.5;
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_peer_and_a_dead_store_hold_nothing_up() {
+async fn requests_complete_with_a_frozen_peer_and_the_store_down() {
     let mut fleet = Fleet::start(plan()).await;
     fleet.kv.kv.adjust(|s| s.down = true);
     fleet.vms[2].signal(Signal::SIGSTOP);
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_vm_killed_with_a_group_held_leaves_no_memory() {
+async fn memory_reserved_by_a_group_is_freed_when_its_vm_is_killed() {
     let mut plan = plan();
     plan.engine.memory = 8_000;
     plan.engine.speed = 0.2;
@@ -83,7 +83,7 @@
         let listen = fleet.vms[vm].listen;
         let client = fleet.client.clone();
         let caller = tokio::spawn(async move { client::ask(&client, listen, &ask).await });
-        wait_for("a group to be held", async || {
+        wait_for("a group to be reserved", async || {
             fleet.engines.iter().map(|e| e.engine.stats().held).sum::<u64>() > 0
         })
         .await;
@@ -94,7 +94,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_cannot_end_in_time_is_refused_at_once() {
+async fn a_request_that_cannot_meet_its_deadline_is_rejected_at_once() {
     let fleet = Fleet::start(plan()).await;
     // At the prior speed of 50 us a token, 380,000 tokens take far longer than a second.
     let timeout = Duration::from_secs(1);
