--- a/daemon/tests/deploy.rs
+++ b/daemon/tests/deploy.rs
@@ -33,15 +33,15 @@
 /// Renders a template: variables `{{a.b}}` and conditional sections `{{#a}} .. {{/a}}`.
 fn render(template: &str, fields: &Value) -> String {
     let Some((before, rest)) = template.split_once("{{") else { return template.to_owned() };
-    let (gap, rest) = rest.split_once("}}").expect("unterminated variable");
-    if let Some(name) = gap.strip_prefix('#') {
+    let (tag, rest) = rest.split_once("}}").expect("unterminated variable");
+    if let Some(name) = tag.strip_prefix('#') {
         let (inner, after) =
             rest.split_once(&format!("{{{{/{name}}}}}")).expect("unterminated section");
-        let stands = value(fields, name).is_some_and(|v| *v != json!(false));
-        let inner = if stands { render(inner, fields) } else { String::new() };
+        let enabled = value(fields, name).is_some_and(|v| *v != json!(false));
+        let inner = if enabled { render(inner, fields) } else { String::new() };
         return format!("{before}{inner}{}", render(after, fields));
     }
-    let text = match value(fields, gap) {
+    let text = match value(fields, tag) {
         Some(Value::String(text)) => text.clone(),
         Some(value) => value.to_string(),
         None => String::new(),
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn the_filled_template_is_a_configuration() {
+fn the_rendered_template_is_a_valid_configuration() {
     let Mode::Fleet(config) = read(&sample()) else { panic!("not the configuration of a fleet") };
     assert_eq!(config.vm.as_str(), "front-a-1");
     assert_eq!(config.listen.to_string(), "10.1.0.40:8227");
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn without_a_bound_on_keys_settings_may_be_of_any_age() {
+fn without_strict_revoke_there_is_no_maximum_settings_age() {
     let mut fields = sample();
     fields["Bounds"]["StrictRevoke"] = json!(false);
     let Mode::Fleet(config) = read(&fields) else { panic!("not the configuration of a fleet") };
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn without_a_bound_on_memory_the_usual_one_holds() {
+fn without_a_memory_bound_the_default_applies() {
     let mut fields = sample();
     fields["Bounds"].as_object_mut().unwrap().remove("ReleaseMs");
     let Mode::Fleet(config) = read(&fields) else { panic!("not the configuration of a fleet") };
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_wrong_name_is_told_with_its_file() {
+fn an_unknown_name_is_reported_with_the_file() {
     let file = tempfile::NamedTempFile::new().unwrap();
     std::fs::write(file.path(), r#"{"vm": "v", "hall": "h", "fleets": {}}"#).unwrap();
     let app = App::parse_from(["foldlockd", "--config", file.path().to_str().unwrap()]);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn the_deploy_file_names_what_is_there() {
+fn system_toml_names_existing_files() {
     let text = std::fs::read_to_string(root().join("deploy/system.toml")).unwrap();
     assert!(text.contains("run = \"target/release/foldlockd\""));
     assert!(text.contains("template = \"deploy/vm.jsonc\""));
