--- a/daemon/tests/layers.rs
+++ b/daemon/tests/layers.rs
@@ -10,14 +10,14 @@
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/fleet");
     let files = fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path());
     let sources = files.filter(|path| path.extension().is_some_and(|e| e == "rs"));
-    let names = sources.map(|path| {
+    let entries = sources.map(|path| {
         let name = path.file_stem().unwrap().to_str().unwrap().to_owned();
         let imports = imports(&fs::read_to_string(&path).unwrap());
         (name, imports)
     });
-    let mut modules: BTreeMap<String, BTreeSet<String>> = names.collect();
-    let known: BTreeSet<String> = modules.keys().cloned().collect();
-    modules.iter_mut().for_each(|(name, of)| of.retain(|m| m != name && known.contains(m)));
+    let mut modules: BTreeMap<String, BTreeSet<String>> = entries.collect();
+    let names: BTreeSet<String> = modules.keys().cloned().collect();
+    modules.iter_mut().for_each(|(name, of)| of.retain(|m| m != name && names.contains(m)));
     modules
 }
 
@@ -38,17 +38,17 @@
 }
 
 #[test]
-fn imports_run_one_way() {
+fn imports_have_no_cycles() {
     let mut modules = modules();
     assert!(modules.len() > 30, "{modules:?}");
     assert!(modules["serve"].contains("gate") && modules["grant_requests"].contains("tell"));
     // Topological sort: removes a module without remaining imports until none is left.
-    while let Some(free) =
+    while let Some(leaf) =
         modules.iter().find(|(_, of)| of.is_empty()).map(|(name, _)| name.clone())
     {
-        modules.remove(&free);
+        modules.remove(&leaf);
         modules.values_mut().for_each(|of| {
-            of.remove(&free);
+            of.remove(&leaf);
         });
     }
     assert!(modules.is_empty(), "import cycle between: {modules:#?}");
