--- a/daemon/tests/leaving.rs
+++ b/daemon/tests/leaving.rs
@@ -11,7 +11,7 @@
 use standin::fleet::{Fleet, Plan, wait_for};
 
 /// Sends requests through all VMs. Returns how many of them the engine at `index` began.
-async fn begun_after(fleet: &Fleet, index: usize) -> u64 {
+async fn begun_requests(fleet: &Fleet, index: usize) -> u64 {
     let before = fleet.engines[index].engine.stats().begun;
     for i in 0..30 {
         let ask = ask(prompt(60 + i), 2);
@@ -20,7 +20,7 @@
     fleet.engines[index].engine.stats().begun - before
 }
 
-async fn gets_no_new_work(fleet: &Fleet, index: usize) {
+async fn assert_no_new_requests(fleet: &Fleet, index: usize) {
     let name = format!("engine-{index}");
     wait_for("each VM to record that the engine is leaving", async || {
         for vm in &fleet.vms {
@@ -32,18 +32,18 @@
         true
     })
     .await;
-    assert_eq!(begun_after(fleet, index).await, 0);
+    assert_eq!(begun_requests(fleet, index).await, 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_reports_leaving_gets_no_new_work() {
+async fn an_engine_that_reports_leaving_gets_no_new_requests() {
     let fleet = Fleet::start(plan()).await;
     fleet.engines[1].engine.leave(true);
-    gets_no_new_work(&fleet, 1).await;
+    assert_no_new_requests(&fleet, 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refusal_is_news_for_all_vms_though_reports_lag_and_the_store_is_down() {
+async fn a_refusal_marks_the_engine_as_leaving_on_all_vms_without_reports_and_store() {
     let mut plan = plan();
     plan.engine.report_lag_ms = 60_000;
     let fleet = Fleet::start(plan).await;
@@ -57,11 +57,11 @@
         dump["engines"]["engine-2"]["leaving"] == true
     })
     .await;
-    gets_no_new_work(&fleet, 2).await;
+    assert_no_new_requests(&fleet, 2).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_platforms_list_is_heeded() {
+async fn an_engine_listed_as_leaving_gets_no_new_requests() {
     let mut plan = plan();
     plan.engine.report_lag_ms = 60_000;
     let fleet = Fleet::start(plan).await;
@@ -81,21 +81,21 @@
         leaving: true,
     });
     fleet.list.list.set(listing);
-    gets_no_new_work(&fleet, 0).await;
+    assert_no_new_requests(&fleet, 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_stays_is_used_again() {
+async fn an_engine_that_is_no_longer_leaving_gets_requests_again() {
     let fleet = Fleet::start(plan()).await;
     fleet.engines[1].engine.leave(true);
-    gets_no_new_work(&fleet, 1).await;
+    assert_no_new_requests(&fleet, 1).await;
     fleet.engines[1].engine.leave(false);
-    wait_for("the engine to get requests", async || begun_after(&fleet, 1).await > 0).await;
+    wait_for("the engine to get requests", async || begun_requests(&fleet, 1).await > 0).await;
 }
 
 /// Sends requests to a VM that is shutting down until it is no longer ready, like a load balancer
 /// that has not noticed yet. Each response must be complete.
-async fn keep_sending(
+async fn send_until_not_ready(
     client: foldlock_connection::http::Client,
     vm: (std::net::SocketAddr, std::net::SocketAddr),
 ) -> Vec<(Answer, Ask)> {
@@ -114,7 +114,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_rolling_restart_under_load_cuts_nothing() {
+async fn a_rolling_restart_under_load_aborts_no_request() {
     let mut plan = plan();
     plan.engine.speed = 1.0;
     let mut fleet = Fleet::start(Plan { vms: 3, ..plan }).await;
@@ -124,7 +124,7 @@
         let long = ask(prompt(100), 60);
         let (client, sent) = (fleet.client.clone(), long.clone());
         let begun = tokio::spawn(async move { client::ask(&client, first.0, &sent).await });
-        let load = tokio::spawn(keep_sending(fleet.client.clone(), first));
+        let load = tokio::spawn(send_until_not_ready(fleet.client.clone(), first));
         wait_for("the request to run", async || fleet.memory_used() > 0).await;
         fleet.vms[0].signal(Signal::SIGTERM);
         common::assert_complete(&begun.await.unwrap(), &long);
@@ -145,7 +145,7 @@
 }
 
 /// Waits until all requests run. If one ends before, panics with the state of all VMs.
-async fn run_at_once(fleet: &Fleet, begun: &[tokio::task::JoinHandle<Answer>]) {
+async fn wait_until_all_run(fleet: &Fleet, begun: &[tokio::task::JoinHandle<Answer>]) {
     let all_run = async || fleet.runs().len() == begun.len();
     let one_ended = || begun.iter().any(|request| request.is_finished());
     wait_for("all to run", async || all_run().await || one_ended()).await;
@@ -161,7 +161,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn two_vms_stopped_at_once_cut_nothing() {
+async fn stopping_two_vms_at_once_aborts_no_request() {
     let mut plan = plan();
     plan.engine.speed = 1.0;
     let fleet = Fleet::start(plan).await;
@@ -171,7 +171,7 @@
         let (client, sent, listen) = (fleet.client.clone(), ask.clone(), fleet.vms[vm].listen);
         begun.push(tokio::spawn(async move { client::ask(&client, listen, &sent).await }));
     }
-    run_at_once(&fleet, &begun).await;
+    wait_until_all_run(&fleet, &begun).await;
     fleet.vms[0].signal(Signal::SIGTERM);
     fleet.vms[1].signal(Signal::SIGTERM);
     for answer in begun {
@@ -181,7 +181,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_last_token_of_the_last_request_reaches_its_caller() {
+async fn a_stopping_vm_sends_the_last_token_of_its_last_request() {
     let mut plan = plan();
     plan.engine.speed = 1.0;
     let arguments = vec!["--drain-ms".to_owned(), "0".to_owned()];
@@ -192,7 +192,7 @@
         let (client, sent, listen) = (fleet.client.clone(), ask.clone(), vm.listen);
         begun.push(tokio::spawn(async move { client::ask(&client, listen, &sent).await }));
     }
-    run_at_once(&fleet, &begun).await;
+    wait_until_all_run(&fleet, &begun).await;
     for vm in &fleet.vms {
         vm.signal(Signal::SIGTERM);
     }
