--- a/daemon/tests/members.rs
+++ b/daemon/tests/members.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_silent_peer_is_down_until_it_is_heard_again() {
+fn a_silent_peer_is_down_until_its_next_heartbeat() {
     let clock = Manual::default();
     let members = Members::new(clock.clone(), member(0, 1));
     let peer = member(1, 5);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn hearsay_of_an_older_incarnation_does_not_count() {
+fn an_announcement_of_an_older_incarnation_is_ignored() {
     let members = Members::new(Manual::default(), member(0, 1));
     members.on_heartbeat(&member(1, 5));
     assert_eq!(members.merge(&Member { down: true, ..member(1, 4) }), None);
@@ -48,14 +48,14 @@
 }
 
 #[test]
-fn a_vm_that_hears_itself_called_down_answers_with_a_higher_incarnation() {
+fn a_vm_announced_as_down_raises_its_incarnation() {
     let members = Members::new(Manual::default(), member(0, 7));
     members.merge(&Member { down: true, ..member(0, 7) });
     assert_eq!(members.own().incarnation, 8);
 }
 
 #[test]
-fn a_leaving_member_takes_no_part() {
+fn a_leaving_member_is_not_live() {
     let members = Members::new(Manual::default(), member(0, 1));
     members.on_heartbeat(&member(1, 1));
     let leaving = Member { leaving: true, ..member(1, 1) };
