--- a/daemon/tests/once.rs
+++ b/daemon/tests/once.rs
@@ -34,7 +34,7 @@
     fleet.plains.iter().filter_map(|p| p.plain.stats().by_key.get(key).copied()).sum()
 }
 
-fn paid(key: &str) -> Ask {
+fn paid_request(key: &str) -> Ask {
     Ask {
         kind: Some("paid".to_owned()),
         idempotency_key: Some(key.to_owned()),
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_same_key_at_all_vms_at_once_runs_once() {
+async fn concurrent_calls_with_one_key_on_all_vms_run_once() {
     let fleet = Fleet::start(paid_plan()).await;
     let before = fleet.kv.kv.stats().writes;
     for round in 0..20 {
@@ -59,9 +59,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_paid_job_runs_once_and_its_repeat_is_told_so() {
+async fn a_paid_job_runs_once_and_its_retry_is_rejected_as_run() {
     let fleet = Fleet::start(paid_plan()).await;
-    let ask = paid("book");
+    let ask = paid_request("book");
     common::assert_complete(&send(&fleet, 0, &ask).await, &ask);
     wait_for("the outcome to be written", async || {
         let again = send(&fleet, 1, &ask).await;
@@ -73,7 +73,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_lost_after_the_write_are_settled() {
+async fn a_claim_whose_response_is_lost_is_resolved() {
     let fleet = Fleet::start(paid_plan()).await;
     fleet.kv.kv.adjust(|s| s.lose_each = 3);
     for round in 0..9 {
@@ -86,7 +86,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_store_that_is_down_refuses_and_nothing_runs() {
+async fn calls_are_rejected_and_do_not_run_while_the_store_is_down() {
     let fleet = Fleet::start(paid_plan()).await;
     fleet.kv.kv.adjust(|s| s.down = true);
     let (status, ran) = pull(&fleet, 0, "k").await;
@@ -98,7 +98,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_writer_that_is_frozen_and_woken_does_not_break_claims() {
+async fn a_frozen_and_resumed_claims_writer_does_not_break_claims() {
     let fleet = Fleet::start(paid_plan()).await;
     assert_eq!(pull(&fleet, 0, "before").await.0, 200);
     let dump = fleet.dump(&fleet.vms[0]).await.unwrap();
@@ -123,7 +123,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_answer_that_is_lost_leaves_the_key_taken() {
+async fn a_lost_response_leaves_the_key_claimed() {
     let fleet = Fleet::start(paid_plan()).await;
     for plain in &fleet.plains {
         plain.plain.adjust(|s| s.lose_answers = 1);
@@ -136,12 +136,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_refused_job_did_not_run_and_its_key_is_free_again() {
+async fn a_refused_job_did_not_run_and_frees_its_key() {
     let fleet = Fleet::start(paid_plan()).await;
     for engine in &fleet.engines {
         engine.engine.add_fault(Fault { kind: Kind::Refuse, at: 0, count: 3 });
     }
-    let ask = paid("k");
+    let ask = paid_request("k");
     let refused = send(&fleet, 0, &ask).await;
     assert_eq!(refused.ran.as_deref(), Some("no"), "{refused:?}");
     assert!(fleet.runs().is_empty());
@@ -150,12 +150,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_dies_while_it_is_sent_to_is_never_called_not_run() {
+async fn a_lost_engine_response_is_never_reported_as_not_run() {
     let fleet = Fleet::start(paid_plan()).await;
     for engine in &fleet.engines {
         engine.engine.add_fault(Fault { kind: Kind::LoseAnswer, at: 0, count: 1 });
     }
-    let answer = send(&fleet, 0, &paid("k")).await;
+    let answer = send(&fleet, 0, &paid_request("k")).await;
     assert_eq!(answer.ran.as_deref(), Some("unknown"), "{answer:?}");
     assert_eq!(fleet.runs().values().sum::<u32>(), 1);
 }
