--- a/daemon/tests/operating.rs
+++ b/daemon/tests/operating.rs
@@ -5,7 +5,7 @@
 use foldlockd::fleet::config::Fleet;
 
 #[test]
-fn the_page_names_each_setting_of_a_fleets_vm() {
+fn operating_md_names_each_setting_of_a_fleet() {
     let any = "127.0.0.1:1".parse().unwrap();
     let fleet = Fleet {
         ready: any,
