--- a/daemon/tests/path.rs
+++ b/daemon/tests/path.rs
@@ -10,7 +10,7 @@
 use standin::fleet::{Fleet, Plan, wait_for};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn each_vm_streams_and_answers_whole() {
+async fn each_vm_serves_streaming_and_complete_responses() {
     let fleet = Fleet::start(plan()).await;
     for vm in 0..3 {
         for stream in [true, false] {
@@ -24,7 +24,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_prompt_longer_than_an_engine_is_answered_whole_by_a_group() {
+async fn a_prompt_too_long_for_one_engine_is_served_by_a_group() {
     let mut plan = plan();
     plan.engine.memory = 8_000;
     plan.engine.speed = 50.0;
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn many_groups_at_once_all_end_and_leave_no_memory() {
+async fn concurrent_groups_all_complete_and_free_their_memory() {
     let mut plan = plan();
     plan.engine.memory = 8_000;
     plan.engine.speed = 100.0;
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_long_prompt_is_granted_a_place_at_once_at_an_idle_fleet() {
+async fn an_idle_fleet_places_a_long_prompt_at_once() {
     let mut plan = plan();
     plan.engine.speed = 100.0;
     // The VM itself is the home of the shard that its prompt is sent to.
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_plain_call_is_passed_on() {
+async fn a_plain_call_is_forwarded() {
     let fleet = Fleet::start(plan()).await;
     let request = Request::get(format!("http://{}/registry/tags", fleet.vms[1].listen))
         .header("authorization", "Bearer key-1")
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_input_gets_a_clear_error_and_runs_nothing() {
+async fn invalid_requests_get_a_clear_error_and_do_not_run() {
     let fleet = Fleet::start(plan()).await;
     let long =
         format!("{{\"model\":\"base\",\"prompt\":\"{}\",\"max_tokens\":1}}", prompt(1_700_000));
