--- a/daemon/tests/peers.rs
+++ b/daemon/tests/peers.rs
@@ -17,7 +17,7 @@
     }
 }
 
-fn beat(vm: &Member, wants: bool) -> Heartbeat {
+fn heartbeat(vm: &Member, subscribes: bool) -> Heartbeat {
     let state = State {
         stamp: 9,
         version: 1,
@@ -32,7 +32,7 @@
         echo: None,
         echo_of: 0,
         last_grant: 0,
-        requests_heartbeats: wants,
+        requests_heartbeats: subscribes,
         state,
         is_client: false,
     }
@@ -42,14 +42,14 @@
 fn peers(strong: &Member, now: Instant) -> Peers {
     let peers = Peers::new(member("vm-weak", 120), now, System.moment());
     peers.list(strong.clone());
-    peers.heard_beat(&beat(strong, false), now);
+    peers.heard_beat(&heartbeat(strong, false), now);
     peers
 }
 
 /// A small VM runs for only a tenth of each 100 ms, so a grant reply may wait in its socket buffer when the
 /// grant request times out. The VM must not stay its own scheduler until the next heartbeat.
 #[test]
-fn an_answer_that_came_late_shows_that_its_vm_lives() {
+fn a_late_grant_reply_makes_its_vm_the_scheduler_again() {
     let now = System.now();
     let strong = member("vm-strong", 1_000);
     let peers = peers(&strong, now);
@@ -64,7 +64,7 @@
 /// The withdrawal of the previous incarnation may be applied late: the VM lists itself again and continues as
 /// before.
 #[test]
-fn a_vm_that_lists_itself_again_after_a_late_withdrawal_takes_part() {
+fn a_vm_that_lists_itself_again_after_a_late_withdrawal_is_scheduler_again() {
     let now = System.now();
     let strong = member("vm-strong", 1_000);
     let peers = peers(&strong, now);
@@ -81,7 +81,7 @@
 
 /// Guards against shares of the fleet's limits that grow when VMs withdraw that still serve.
 #[test]
-fn a_vm_that_has_withdrawn_counts_as_running_while_it_is_heard() {
+fn a_withdrawn_vm_counts_as_running_while_its_heartbeats_arrive() {
     let now = System.now();
     let strong = member("vm-strong", 1_000);
     let peers = peers(&strong, now);
@@ -94,13 +94,13 @@
 
 /// In a fleet of 1,000 VMs that all subscribe to heartbeats, a VM considers only a few to find the scheduler.
 #[test]
-fn who_places_is_told_without_those_that_only_listen() {
+fn the_scheduler_is_found_without_looking_at_subscribers() {
     let now = System.now();
     let peers = Peers::new(member("vm-own", 500), now, System.moment());
     for number in 0..1_000 {
         let listener = member(&format!("vm-{number}"), 120);
         peers.list(listener.clone());
-        peers.heard_beat(&beat(&listener, true), now);
+        peers.heard_beat(&heartbeat(&listener, true), now);
     }
     assert_eq!(peers.listeners(now).len() + peers.schedulers(now).len(), 1_000);
     assert!(peers.schedulers(now).len() <= 6);
