--- a/daemon/tests/ready.rs
+++ b/daemon/tests/ready.rs
@@ -35,16 +35,16 @@
 }
 
 #[tokio::test]
-async fn not_before_the_engines_of_the_settings_are_known() {
+async fn not_ready_before_the_engines_of_the_settings_are_recorded() {
     let fleet = Fleet::stand_ins(common::plan()).await;
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let vm = process::start(config(&fleet), log).await.unwrap().process;
     let texts: Texts = fleet.texts();
     assert!(matches!(vm.current.advance(head(), texts), Outcome::Advanced));
-    let known = || vm.engines.memory(&MODEL.parse().unwrap()).1 > Tokens(0);
-    assert!(!known(), "a request that came now would be refused as too long");
+    let has_engines = || vm.engines.memory(&MODEL.parse().unwrap()).1 > Tokens(0);
+    assert!(!has_engines(), "a request received now would be rejected as too long");
     assert!(!vm.ready());
     vm.apply_settings();
-    assert!(known());
+    assert!(has_engines());
     assert!(vm.ready());
 }
