--- a/daemon/tests/route.rs
+++ b/daemon/tests/route.rs
@@ -41,7 +41,7 @@
 proptest! {
     /// No request is routed to an engine without the memory for it, by the recorded loads.
     #[test]
-    fn no_engine_over_its_memory(
+    fn no_request_exceeds_the_memory_of_an_engine(
         candidates in prop::collection::vec(candidate(), 1..20),
         tokens in 1u64..399_000,
         seed: u64,
@@ -59,7 +59,7 @@
 
     /// Each route makes the same choice for the same candidates and seed.
     #[test]
-    fn decisions_are_reproducible(
+    fn choices_are_reproducible(
         candidates in prop::collection::vec(candidate(), 1..20),
         tokens in 1u64..399_000,
         seed: u64,
@@ -106,7 +106,7 @@
 
     /// A signed cursor is read back unchanged, and any change of its text is detected.
     #[test]
-    fn cursors_are_genuine(index: u64, flip in 0usize..400, secret: String) {
+    fn changed_cursors_are_rejected(index: u64, flip in 0usize..400, secret: String) {
         let key = Key::new(&secret);
         let cursor = Cursor {
             engine: "engine-1".parse().unwrap(),
