--- a/daemon/tests/settings.rs
+++ b/daemon/tests/settings.rs
@@ -12,7 +12,7 @@
 use standin::fleet::{Fleet, Plan, wait_for};
 
 /// Adds a comment to an organisation's text, which leaves its meaning unchanged.
-fn changed(texts: &Texts, organisation: usize, mark: &str) -> Texts {
+fn with_comment(texts: &Texts, organisation: usize, mark: &str) -> Texts {
     let mut texts = texts.clone();
     let name = Name::Organisation(format!("org-{organisation}").parse().unwrap());
     let text = format!("// {mark}\n{}", texts[&name]);
@@ -29,7 +29,7 @@
     versions
 }
 
-async fn in_force(fleet: &Fleet, version: u64) {
+async fn wait_in_force(fleet: &Fleet, version: u64) {
     wait_for(&format!("version {version} in force"), async || {
         versions(fleet).await.iter().all(|v| *v >= version)
     })
@@ -37,23 +37,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_change_is_in_force_on_all_vms() {
+async fn a_published_change_comes_into_force_on_all_vms() {
     let fleet = Fleet::start(Plan { vms: 5, ..plan() }).await;
     let mut texts = fleet.texts();
     for round in 0..5 {
-        texts = changed(&texts, 0, &format!("round {round}"));
+        texts = with_comment(&texts, 0, &format!("round {round}"));
         let version = fleet.publish("ann", &texts).await.unwrap();
-        in_force(&fleet, version).await;
+        wait_in_force(&fleet, version).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn of_two_operators_who_race_one_is_told_whom_it_lost_to() {
+async fn the_loser_of_two_concurrent_publishes_is_told_the_winner() {
     let fleet = Fleet::start(plan()).await;
     let (head, _) = read_head(&fleet.store()).await.unwrap();
     let base = Base::from(&head);
     let texts = fleet.texts();
-    let (ann, ben) = (changed(&texts, 0, "ann"), changed(&texts, 0, "ben"));
+    let (ann, ben) = (with_comment(&texts, 0, "ann"), with_comment(&texts, 0, "ben"));
     let (first, second) = tokio::join!(
         fleet.publish_from("ann", &base, &ann),
         fleet.publish_from("ben", &base, &ben)
@@ -70,12 +70,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn changes_to_different_branches_both_stand() {
+async fn concurrent_changes_to_different_branches_are_both_kept() {
     let fleet = Fleet::start(plan()).await;
     let (head, _) = read_head(&fleet.store()).await.unwrap();
     let base = Base::from(&head);
     let texts = fleet.texts();
-    let (ann, ben) = (changed(&texts, 0, "ann"), changed(&texts, 1, "ben"));
+    let (ann, ben) = (with_comment(&texts, 0, "ann"), with_comment(&texts, 1, "ben"));
     let (first, second) = tokio::join!(
         fleet.publish_from("ann", &base, &ann),
         fleet.publish_from("ben", &base, &ben)
@@ -84,63 +84,63 @@
     let (head, _) = read_head(&fleet.store()).await.unwrap();
     assert_eq!(head.version, version);
     assert_eq!(head.tail.len(), 3, "each change once");
-    in_force(&fleet, version).await;
+    wait_in_force(&fleet, version).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_lost_answer_is_settled_and_nothing_is_applied_twice() {
+async fn a_publish_whose_responses_are_lost_is_applied_once() {
     let fleet = Fleet::start(plan()).await;
-    let texts = changed(&fleet.texts(), 0, "once");
+    let texts = with_comment(&fleet.texts(), 0, "once");
     // The writes of the text and of the head both take effect, but their responses are lost.
     fleet.kv.kv.adjust(|s| s.lose_answers = 2);
     let version = fleet.publish("ann", &texts).await.unwrap();
     assert_eq!(version, 2);
     let (head, _) = read_head(&fleet.store()).await.unwrap();
     assert_eq!((head.version, head.tail.len()), (2, 2));
-    in_force(&fleet, 2).await;
+    wait_in_force(&fleet, 2).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_vm_that_starts_during_an_outage_takes_the_newest_version_from_peers() {
+async fn a_vm_that_starts_during_an_outage_fetches_the_newest_version_from_peers() {
     let mut fleet = Fleet::start(plan()).await;
-    let texts = changed(&fleet.texts(), 0, "two");
+    let texts = with_comment(&fleet.texts(), 0, "two");
     let version = fleet.publish("ann", &texts).await.unwrap();
-    in_force(&fleet, version).await;
+    wait_in_force(&fleet, version).await;
     fleet.kv.kv.adjust(|s| s.down = true);
     fleet.add_vm();
-    in_force(&fleet, version).await;
+    wait_in_force(&fleet, version).await;
     let ask = ask(prompt(50), 3);
     common::assert_complete(&send(&fleet, 3, &ask).await, &ask);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_vm_that_is_frozen_and_woken_catches_up() {
+async fn a_frozen_and_resumed_vm_fetches_the_newest_version() {
     let fleet = Fleet::start(plan()).await;
     fleet.vms[1].signal(Signal::SIGSTOP);
     let mut texts = fleet.texts();
     for round in 0..3 {
-        texts = changed(&texts, 0, &format!("{round}"));
+        texts = with_comment(&texts, 0, &format!("{round}"));
         fleet.publish("ann", &texts).await.unwrap();
     }
     fleet.vms[1].signal(Signal::SIGCONT);
-    in_force(&fleet, 4).await;
+    wait_in_force(&fleet, 4).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_vm_that_heard_first_may_die() {
+async fn a_version_spreads_though_the_first_vm_with_it_is_killed() {
     let mut fleet = Fleet::start(Plan { vms: 4, ..plan() }).await;
-    let texts = changed(&fleet.texts(), 0, "two");
+    let texts = with_comment(&fleet.texts(), 0, "two");
     let version = fleet.publish("ann", &texts).await.unwrap();
     wait_for("one VM to have it in force", async || versions(&fleet).await.contains(&version))
         .await;
-    let heard = versions(&fleet).await.iter().position(|v| *v == version).unwrap();
-    fleet.vms[heard].kill();
-    fleet.vms.remove(heard);
-    in_force(&fleet, version).await;
+    let first = versions(&fleet).await.iter().position(|v| *v == version).unwrap();
+    fleet.vms[first].kill();
+    fleet.vms.remove(first);
+    wait_in_force(&fleet, version).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_version_that_this_release_does_not_know_leaves_the_old_one_serving() {
+async fn an_unsupported_version_leaves_the_previous_one_in_force() {
     let fleet = Fleet::start(plan()).await;
     let store = fleet.store();
     // As a newer release would do it: a name that this release does not support, without its checks.
@@ -171,7 +171,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn settings_with_faults_are_not_accepted() {
+async fn settings_with_faults_are_not_published() {
     let fleet = Fleet::start(plan()).await;
     let mut texts = fleet.texts();
     let name = Name::Organisation("org-0".parse().unwrap());
