--- a/daemon/tests/streams.rs
+++ b/daemon/tests/streams.rs
@@ -9,7 +9,7 @@
 use standin::fault::{Fault, Kind};
 use standin::fleet::{Fleet, Plan, wait_for};
 
-async fn with_fault(kind: Kind, at: u64) {
+async fn assert_complete_despite(kind: Kind, at: u64) {
     // One request may hit the fault on each engine in turn.
     let policy = json!({ "retries": 4, "retry_budget_percent": 100 });
     let fleet = Fleet::start(Plan { policy, ..plan() }).await;
@@ -25,42 +25,42 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_answer_goes_on_elsewhere() {
-    with_fault(Kind::Cut, 9).await;
+async fn a_truncated_answer_is_resumed_on_another_engine() {
+    assert_complete_despite(Kind::Cut, 9).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_crossed_event_never_reaches_the_caller() {
-    with_fault(Kind::Cross, 5).await;
+async fn an_event_of_another_request_never_reaches_the_caller() {
+    assert_complete_despite(Kind::Cross, 5).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_doubled_event_is_dropped() {
-    with_fault(Kind::Double, 5).await;
+async fn a_duplicate_event_is_dropped() {
+    assert_complete_despite(Kind::Double, 5).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gap_is_filled() {
-    with_fault(Kind::Skip, 7).await;
+async fn a_missing_event_is_recovered() {
+    assert_complete_despite(Kind::Skip, 7).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn events_out_of_order_are_not_passed_on() {
-    with_fault(Kind::Reorder, 3).await;
+async fn out_of_order_events_are_not_forwarded() {
+    assert_complete_despite(Kind::Reorder, 3).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_freezes_in_the_middle_is_left() {
-    with_fault(Kind::Freeze, 6).await;
+async fn an_engine_that_freezes_during_the_answer_is_replaced() {
+    assert_complete_despite(Kind::Freeze, 6).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_freezes_before_the_first_token_is_left() {
-    with_fault(Kind::Freeze, 0).await;
+async fn an_engine_that_freezes_before_the_first_token_is_replaced() {
+    assert_complete_despite(Kind::Freeze, 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_dies_in_the_middle_is_replaced_without_a_gap() {
+async fn an_engine_that_crashes_during_the_answer_is_replaced_without_a_gap() {
     let mut plan = plan();
     plan.engine.speed = 1.0;
     let mut fleet = Fleet::start(plan).await;
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_may_not_be_repeated_is_not_resumed_elsewhere() {
+async fn a_request_that_must_not_be_retried_is_not_resumed_on_another_engine() {
     let fleet = Fleet::start(paid_plan()).await;
     for engine in &fleet.engines {
         engine.engine.add_fault(Fault { kind: Kind::Cut, at: 3, count: 9 });
@@ -92,7 +92,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_whose_vm_dies_goes_on_through_another_one() {
+async fn a_caller_whose_vm_crashed_resumes_through_another_one() {
     let mut plan = plan();
     plan.engine.speed = 1.0;
     let mut fleet = Fleet::start(Plan { engines: 2, ..plan }).await;
@@ -118,7 +118,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_forged_cursor_is_refused() {
+async fn a_forged_cursor_is_rejected() {
     let fleet = Fleet::start(plan()).await;
     let forged = Cursor {
         engine: "engine-0".parse().unwrap(),
