--- a/daemon/src/config.rs
+++ b/daemon/src/config.rs
@@ -1,4 +1,4 @@
-//! The process's own configuration: a file, overridden by flags.
+//! Configuration of the process: a file, overridden by flags.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -12,17 +12,17 @@
 use crate::app::App;
 use crate::fleet::config::{self as fleet, Fleet};
 
-/// How long callers are served after the signal to stop, unless configured.
-const DRAIN_MS: u64 = 3_000;
+/// Default time for which new requests are served after the signal to stop, in milliseconds.
+const DEFAULT_DRAIN_MS: u64 = 3_000;
 
-/// Why there is no configuration.
+/// Why the configuration cannot be used.
 #[derive(Debug)]
 pub enum Invalid {
     /// The file cannot be read.
     File(String, std::io::Error),
-    /// The file's text is wrong.
+    /// The file is not valid.
     Text(String, String),
-    /// A value is missing.
+    /// A required value is missing.
     Missing(&'static str),
 }
 
@@ -32,7 +32,7 @@
             Invalid::File(path, e) => write!(f, "{path}: {e}"),
             Invalid::Text(path, why) => write!(f, "{path}: {why}"),
             Invalid::Missing(name) => {
-                write!(f, "`{name}` is missing: give it as a flag or in the configuration file")
+                write!(f, "`{name}` is missing: set it by a flag or in the configuration file")
             }
         }
     }
@@ -40,7 +40,7 @@
 
 impl std::error::Error for Invalid {}
 
-/// The file's shape.
+/// The contents of the configuration file.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 struct File {
@@ -56,45 +56,45 @@
     fleet: Option<Fleet>,
 }
 
-/// How a process serves.
+/// How the process gets its settings.
 #[derive(Debug, Clone)]
 pub enum Mode {
-    /// With the settings tree in a key-value service.
-    Tree(Config),
-    /// As a VM of a fleet with a directory.
+    /// From the settings tree in a key-value service.
+    KeyValue(Config),
+    /// From the directory of a fleet, of which it is a VM.
     Fleet(fleet::Config),
 }
 
-/// What a process is.
+/// Configuration of a process with settings in a key-value service.
 #[derive(Debug, Clone, Serialize)]
 pub struct Config {
-    /// The name of this VM.
+    /// Name of this VM.
     pub vm: id::Vm,
-    /// Its data hall.
+    /// Data hall of this VM.
     pub hall: id::Hall,
-    /// Where callers connect.
+    /// Listen address for callers.
     pub listen: SocketAddr,
-    /// Where peers and operators connect.
+    /// Listen address for peers and operators.
     pub control: SocketAddr,
-    /// The key-value service.
+    /// Address of the key-value service.
     pub kv: SocketAddr,
-    /// The list of VMs.
+    /// Address of the VM list.
     pub vms: SocketAddr,
-    /// How long callers are served after the signal to stop.
+    /// How long new requests are served after the signal to stop.
     pub drain: Duration,
-    /// Threads that serve.
+    /// Number of worker threads; one per core if not set.
     pub threads: Option<usize>,
-    /// The lowest level that is logged.
+    /// Lowest level that is logged.
     pub log_level: String,
 }
 
 impl Config {
-    /// Reads the file, if one is named, and lays the flags over it.
+    /// Reads the configuration file, if one is given. Flags override its values.
     pub fn read(app: App) -> Result<Mode, Invalid> {
         let file = app.config.as_deref().map_or(Ok(File::default()), read_file)?;
         match file.fleet.clone() {
             Some(fleet) => Ok(Mode::Fleet(Config::fleet(app, file, fleet)?)),
-            None => Ok(Mode::Tree(Config::tree(app, file)?)),
+            None => Ok(Mode::KeyValue(Config::key_value(app, file)?)),
         }
     }
 
@@ -109,7 +109,7 @@
         })
     }
 
-    fn tree(app: App, file: File) -> Result<Config, Invalid> {
+    fn key_value(app: App, file: File) -> Result<Config, Invalid> {
         Ok(Config {
             vm: app.vm.or(file.vm).ok_or(Invalid::Missing("vm"))?,
             hall: app.hall.or(file.hall).ok_or(Invalid::Missing("hall"))?,
@@ -117,7 +117,9 @@
             control: app.control.or(file.control).ok_or(Invalid::Missing("control"))?,
             kv: app.kv.or(file.kv).ok_or(Invalid::Missing("kv"))?,
             vms: app.vms.or(file.vms).ok_or(Invalid::Missing("vms"))?,
-            drain: Duration::from_millis(app.drain_ms.or(file.drain_ms).unwrap_or(DRAIN_MS)),
+            drain: Duration::from_millis(
+                app.drain_ms.or(file.drain_ms).unwrap_or(DEFAULT_DRAIN_MS),
+            ),
             threads: app.threads.or(file.threads),
             log_level: app.log_level.or(file.log_level).unwrap_or_else(|| "info".to_owned()),
         })
@@ -133,8 +135,8 @@
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path).map_err(|e| Invalid::File(name.clone(), e))?;
     let source = Source::parse(&text).map_err(|failure| {
-        let place = format!("{name}:{}:{}", failure.position.line, failure.position.column);
-        Invalid::Text(place, failure.reason)
+        let location = format!("{name}:{}:{}", failure.position.line, failure.position.column);
+        Invalid::Text(location, failure.reason)
     })?;
     serde_json::from_value(source.value()).map_err(|e| Invalid::Text(name, e.to_string()))
 }
--- a/daemon/src/fleet/admit.rs
+++ b/daemon/src/fleet/admit.rs
@@ -51,7 +51,7 @@
     };
     let admission = checked.inspect_err(|error| {
         if process.trouble_lines.admit(process.now()).is_some() {
-            log::refused(&process.log, id, error);
+            log::rejected(&process.log, id, error);
         }
     })?;
     let Admission { route, service, organisation, version, body_bytes } = admission;
--- a/daemon/src/metrics.rs
+++ b/daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics, with units in their names.
+//! Prometheus metrics; their names include the unit.
 
 use foldlock_base::error::Kind;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -8,57 +8,57 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// The label of an organisation.
+/// Label: organisation.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ByOrganisation {
-    /// The organisation.
+    /// Id of the organisation.
     pub organisation: String,
 }
 
-/// The label of an error kind.
+/// Label: kind of error.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ByKind {
-    /// The kind.
+    /// The kind, as in the body of the response.
     pub kind: &'static str,
 }
 
-/// The label of a band of prompt lengths.
+/// Label: band of prompt lengths.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ByLength {
-    /// The band's upper end, tokens.
+    /// Upper bound of the band, in tokens.
     pub prompt_tokens: &'static str,
 }
 
-/// The metrics of a process.
+/// Metrics of the process.
 pub struct Metrics {
     registry: Registry,
-    /// Requests that arrived.
+    /// Number of requests received.
     pub requests: Family<ByOrganisation, Counter>,
-    /// Answers that are not a success.
+    /// Number of error responses.
     pub errors: Family<ByKind, Counter>,
-    /// Tokens sent to callers.
-    pub tokens: Counter,
-    /// Streams open to callers.
-    pub streams: Gauge,
-    /// Seconds to the first token, by prompt length.
-    pub first_token: Family<ByLength, Histogram>,
-    /// Predicted over real time to the first token.
-    pub prediction: Histogram,
-    /// Requests sent again.
+    /// Number of tokens sent to callers.
+    pub answer_tokens: Counter,
+    /// Number of open streams to callers.
+    pub open_streams: Gauge,
+    /// Time to first token in seconds, by prompt length.
+    pub first_token_seconds: Family<ByLength, Histogram>,
+    /// Predicted over actual time to first token.
+    pub prediction_ratio: Histogram,
+    /// Number of retries.
     pub retries: Counter,
-    /// Answers that went on elsewhere.
-    pub resumed: Counter,
-    /// Bytes sent and received between VMs, estimated from messages.
+    /// Number of answers resumed on another upstream.
+    pub resumed_answers: Counter,
+    /// Number of calls to peers.
     pub peer_calls: Counter,
-    /// The settings version in force.
-    pub version: Gauge,
+    /// Number of the settings version in force.
+    pub settings_version: Gauge,
 }
 
-fn seconds() -> Histogram {
+fn seconds_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.005, 2.0, 16))
 }
 
-fn ratio() -> Histogram {
+fn ratio_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.0625, 1.414, 20))
 }
 
@@ -68,14 +68,14 @@
             registry: Registry::with_prefix("foldlock"),
             requests: Family::default(),
             errors: Family::default(),
-            tokens: Counter::default(),
-            streams: Gauge::default(),
-            first_token: Family::new_with_constructor(seconds),
-            prediction: ratio(),
+            answer_tokens: Counter::default(),
+            open_streams: Gauge::default(),
+            first_token_seconds: Family::new_with_constructor(seconds_histogram),
+            prediction_ratio: ratio_histogram(),
             retries: Counter::default(),
-            resumed: Counter::default(),
+            resumed_answers: Counter::default(),
             peer_calls: Counter::default(),
-            version: Gauge::default(),
+            settings_version: Gauge::default(),
         };
         m.register();
         m
@@ -87,36 +87,44 @@
         let r = &mut self.registry;
         r.register("requests", "Requests that arrived", self.requests.clone());
         r.register("errors", "Answers that are not a success", self.errors.clone());
-        r.register("answer_tokens", "Tokens sent to callers", self.tokens.clone());
-        r.register("open_streams", "Streams open to callers", self.streams.clone());
+        r.register("answer_tokens", "Tokens sent to callers", self.answer_tokens.clone());
+        r.register("open_streams", "Streams open to callers", self.open_streams.clone());
         r.register(
             "first_token_seconds",
             "Time from arrival to the first token",
-            self.first_token.clone(),
+            self.first_token_seconds.clone(),
         );
         r.register(
             "prediction_ratio",
             "Predicted over real time to the first token",
-            self.prediction.clone(),
+            self.prediction_ratio.clone(),
         );
         r.register("retries", "Requests sent again", self.retries.clone());
-        r.register("resumed_answers", "Answers that went on elsewhere", self.resumed.clone());
+        r.register(
+            "resumed_answers",
+            "Answers that went on elsewhere",
+            self.resumed_answers.clone(),
+        );
         r.register("peer_calls", "Calls between VMs", self.peer_calls.clone());
-        r.register("settings_version", "The settings version in force", self.version.clone());
+        r.register(
+            "settings_version",
+            "The settings version in force",
+            self.settings_version.clone(),
+        );
     }
 
-    /// Counts an answer that is not a success.
-    pub fn error(&self, kind: Kind) {
+    /// Counts an error response.
+    pub fn count_error(&self, kind: Kind) {
         self.errors.get_or_create(&ByKind { kind: kind.as_str() }).inc();
     }
 
-    /// Observes a time to the first token.
-    pub fn first_token(&self, prompt_tokens: u64, seconds: f64) {
+    /// Observes a time to first token.
+    pub fn observe_first_token(&self, prompt_tokens: u64, seconds: f64) {
         let band = ByLength { prompt_tokens: band(prompt_tokens) };
-        self.first_token.get_or_create(&band).observe(seconds);
+        self.first_token_seconds.get_or_create(&band).observe(seconds);
     }
 
-    /// The metrics as text, in the OpenMetrics format.
+    /// Encodes all metrics in the OpenMetrics text format.
     pub fn encode(&self) -> String {
         let mut text = String::new();
         let encoded = prometheus_client::encoding::text::encode(&mut text, &self.registry);
@@ -125,7 +133,7 @@
     }
 }
 
-/// The band of prompt lengths that the users measure by.
+/// The band of a prompt length. The bands are those by which users specify latency.
 pub fn band(prompt_tokens: u64) -> &'static str {
     match prompt_tokens {
         0..=4_000 => "4k",
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -192,7 +192,7 @@
         let is_missing = |(hash, text): (Hash, Arc<str>)| {
             (!known.contains(&hash)).then(|| (hash.0, text.to_string()))
         };
-        let texts = version.by_hash().into_iter().filter_map(is_missing).collect();
+        let texts = version.texts_by_hash().into_iter().filter_map(is_missing).collect();
         Settings { head: version.head.clone(), texts }
     }
 }
@@ -250,16 +250,16 @@
         for engine in &heartbeat.leaving {
             self.home.mark_leaving(engine);
         }
-        self.limits.told(&heartbeat.quota);
+        self.limits.set_quotas(&heartbeat.quota);
         let quota: BTreeMap<_, _> = {
             let version = self.current.get();
-            self.limits.split(&version.tree, from, &heartbeat.demand)
+            self.limits.allocate(&version.tree, from, &heartbeat.demand)
         };
         self.quotas.lock().unwrap().insert(from.clone(), quota);
-        if self.current.wants(heartbeat.version)
+        if self.current.should_fetch(heartbeat.version)
             && let Some(connection) = connection
         {
-            self.follow.fetch(self, connection.clone());
+            self.fetcher.fetch(self, connection.clone());
         }
     }
 
--- a/daemon/tests/layers.rs
+++ b/daemon/tests/layers.rs
@@ -1,27 +1,27 @@
-//! The modules of a fleet's VM import each other one way: what a request goes through stands above what it needs,
-//! and the state of the process above nothing that takes it.
+//! The modules of `src/fleet` have no import cycles: those that handle requests import those that they
+//! use, and the module of the process state imports none that uses it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
 use std::path::Path;
 
-/// The modules of `src/fleet`, each with those of them that it imports.
+/// The modules of `src/fleet`, each with the modules of the folder that it imports.
 fn modules() -> BTreeMap<String, BTreeSet<String>> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/fleet");
     let files = fs::read_dir(folder).unwrap().map(|entry| entry.unwrap().path());
     let sources = files.filter(|path| path.extension().is_some_and(|e| e == "rs"));
-    let names = sources.map(|path| {
+    let entries = sources.map(|path| {
         let name = path.file_stem().unwrap().to_str().unwrap().to_owned();
         let imports = imports(&fs::read_to_string(&path).unwrap());
         (name, imports)
     });
-    let mut modules: BTreeMap<String, BTreeSet<String>> = names.collect();
-    let known: BTreeSet<String> = modules.keys().cloned().collect();
-    modules.iter_mut().for_each(|(name, of)| of.retain(|m| m != name && known.contains(m)));
+    let mut modules: BTreeMap<String, BTreeSet<String>> = entries.collect();
+    let names: BTreeSet<String> = modules.keys().cloned().collect();
+    modules.iter_mut().for_each(|(name, of)| of.retain(|m| m != name && names.contains(m)));
     modules
 }
 
-/// The first names behind `crate::fleet::`, those in braces among them.
+/// The first path segments after `crate::fleet::`, including those in braces.
 fn imports(source: &str) -> BTreeSet<String> {
     let code: String = source.lines().filter(|line| !line.trim_start().starts_with("//")).collect();
     let mut found = BTreeSet::new();
@@ -38,18 +38,18 @@
 }
 
 #[test]
-fn imports_run_one_way() {
+fn imports_have_no_cycles() {
     let mut modules = modules();
     assert!(modules.len() > 30, "{modules:?}");
     assert!(modules["serve"].contains("queue") && modules["grant_requests"].contains("announce"));
-    // Takes off those that import nothing that is left, until all are gone.
-    while let Some(free) =
+    // Topological sort: removes a module without remaining imports until none is left.
+    while let Some(leaf) =
         modules.iter().find(|(_, of)| of.is_empty()).map(|(name, _)| name.clone())
     {
-        modules.remove(&free);
+        modules.remove(&leaf);
         modules.values_mut().for_each(|of| {
-            of.remove(&free);
+            of.remove(&leaf);
         });
     }
-    assert!(modules.is_empty(), "these import each other: {modules:#?}");
+    assert!(modules.is_empty(), "import cycle between: {modules:#?}");
 }
--- a/daemon/tests/path.rs
+++ b/daemon/tests/path.rs
@@ -1,8 +1,8 @@
-//! The whole path, through real processes.
+//! End-to-end requests through real processes.
 
 mod common;
 
-use common::{ask, assert_whole, plan, prompt, send};
+use common::{ask, assert_complete, plan, prompt, send};
 use expect_test::expect;
 use foldlock_connection::http::body;
 use hyper::Request;
@@ -10,13 +10,13 @@
 use standin::fleet::{Fleet, Plan, wait_for};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn each_vm_streams_and_answers_whole() {
+async fn each_vm_serves_streaming_and_complete_responses() {
     let fleet = Fleet::start(plan()).await;
     for vm in 0..3 {
         for stream in [true, false] {
             let ask = Ask { stream, ..ask(prompt(300 + vm), 12) };
             let answer = send(&fleet, vm, &ask).await;
-            assert_whole(&answer, &ask);
+            assert_complete(&answer, &ask);
             assert!(answer.request.starts_with(&format!("vm-{vm}-")), "{answer:?}");
         }
     }
@@ -24,14 +24,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_prompt_longer_than_an_engine_is_answered_whole_by_a_group() {
+async fn a_prompt_too_long_for_one_engine_is_served_by_a_group() {
     let mut plan = plan();
     plan.engine.memory = 8_000;
     plan.engine.speed = 50.0;
     let fleet = Fleet::start(Plan { engines: 12, ..plan }).await;
     let ask = ask(prompt(18_000), 20);
     let answer = send(&fleet, 0, &ask).await;
-    assert_whole(&answer, &ask);
+    assert_complete(&answer, &ask);
     wait_for("memory to be free", async || fleet.memory_used() == 0).await;
     let why = fleet.control(&fleet.vms[0], &format!("/why/{}", answer.request)).await;
     let why = String::from_utf8(why.expect("a record")).unwrap();
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn many_groups_at_once_all_end_and_leave_no_memory() {
+async fn concurrent_groups_all_complete_and_free_their_memory() {
     let mut plan = plan();
     plan.engine.memory = 8_000;
     plan.engine.speed = 100.0;
@@ -47,25 +47,25 @@
     let asks: Vec<Ask> = (0..9).map(|i| ask(prompt(15_000 + i), 5)).collect();
     let sent = asks.iter().enumerate().map(|(i, ask)| send(&fleet, i % 3, ask));
     for (answer, ask) in futures::future::join_all(sent).await.iter().zip(&asks) {
-        assert_whole(answer, ask);
+        assert_complete(answer, ask);
     }
     wait_for("memory to be free", async || fleet.memory_used() == 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_long_prompt_is_granted_a_place_at_once_at_an_idle_fleet() {
+async fn an_idle_fleet_places_a_long_prompt_at_once() {
     let mut plan = plan();
     plan.engine.speed = 100.0;
-    // The VM is the home of the shard that its own prompt goes to.
+    // The VM itself is the home of the shard that its prompt is sent to.
     let fleet = Fleet::start(Plan { vms: 1, engines: 1, ..plan }).await;
-    // Well above what it takes, and below the time after which a home gives up searching.
+    // Well above the usual time, and below the time after which a home gives up its search.
     let timeout = Some(std::time::Duration::from_millis(1_800));
     let ask = Ask { timeout, ..ask(prompt(20_000), 3) };
-    assert_whole(&send(&fleet, 0, &ask).await, &ask);
+    assert_complete(&send(&fleet, 0, &ask).await, &ask);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_plain_call_is_passed_on() {
+async fn a_plain_call_is_forwarded() {
     let fleet = Fleet::start(plan()).await;
     let request = Request::get(format!("http://{}/registry/tags", fleet.vms[1].listen))
         .header("authorization", "Bearer key-1")
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_input_gets_a_clear_error_and_runs_nothing() {
+async fn invalid_requests_get_a_clear_error_and_do_not_run() {
     let fleet = Fleet::start(plan()).await;
     let long =
         format!("{{\"model\":\"base\",\"prompt\":\"{}\",\"max_tokens\":1}}", prompt(1_700_000));
--- a/daemon/tests/peers.rs
+++ b/daemon/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Which VM places the requests of this one, as answers come, come late, or do not come.
+//! Which VM is the scheduler of this one when grant replies arrive, arrive late, or do not arrive.
 
 use std::time::{Duration, Instant};
 
@@ -17,7 +17,7 @@
     }
 }
 
-fn beat(vm: &Member, wants: bool) -> Heartbeat {
+fn heartbeat(vm: &Member, subscribes: bool) -> Heartbeat {
     let state = State {
         stamp: 9,
         version: 1,
@@ -32,24 +32,24 @@
         echo: None,
         echo_of: 0,
         last_grant: 0,
-        requests_heartbeats: wants,
+        requests_heartbeats: subscribes,
         state,
         is_client: false,
     }
 }
 
-/// A VM of 120 thousandths that heard a stronger one at that moment.
+/// The peers of a VM with 120 millicores that has just received a heartbeat of a stronger one.
 fn peers(strong: &Member, now: Instant) -> Peers {
     let peers = Peers::new(member("vm-weak", 120), now, System.moment());
     peers.list(strong.clone());
-    peers.on_heartbeat(&beat(strong, false), now);
+    peers.on_heartbeat(&heartbeat(strong, false), now);
     peers
 }
 
-/// The pattern: a small VM has its processor for a tenth of each tenth of a second, so an answer lies at its door
-/// when it takes the question for unanswered. It would place by itself until the next beat.
+/// A small VM runs for only a tenth of each 100 ms, so a grant reply may wait in its socket buffer when the
+/// grant request times out. The VM must not stay its own scheduler until the next heartbeat.
 #[test]
-fn an_answer_that_came_late_shows_that_its_vm_lives() {
+fn a_late_grant_reply_makes_its_vm_the_scheduler_again() {
     let now = System.now();
     let strong = member("vm-strong", 1_000);
     let peers = peers(&strong, now);
@@ -61,9 +61,10 @@
     assert_eq!(peers.scheduler(false, now), other);
 }
 
-/// The withdrawal of the start before is carried out late: the VM lists itself again, and goes on as it was.
+/// The withdrawal of the previous incarnation may be applied late: the VM lists itself again and continues as
+/// before.
 #[test]
-fn a_vm_that_lists_itself_again_after_a_late_withdrawal_takes_part() {
+fn a_vm_that_lists_itself_again_after_a_late_withdrawal_is_scheduler_again() {
     let now = System.now();
     let strong = member("vm-strong", 1_000);
     let peers = peers(&strong, now);
@@ -75,12 +76,12 @@
         peers.scheduler(false, now),
         Some(Scheduler::Peer(strong.vm.clone(), strong.address))
     );
-    assert!(peers.list(strong).is_none(), "it says nothing new");
+    assert!(peers.list(strong).is_none(), "listing it again changes nothing");
 }
 
-/// Guards against shares of the fleet's bounds that grow as VMs withdraw which still serve.
+/// Guards against shares of the fleet's limits that grow when VMs withdraw that still serve.
 #[test]
-fn a_vm_that_has_withdrawn_counts_as_running_while_it_is_heard() {
+fn a_withdrawn_vm_counts_as_running_while_its_heartbeats_arrive() {
     let now = System.now();
     let strong = member("vm-strong", 1_000);
     let peers = peers(&strong, now);
@@ -91,18 +92,18 @@
     assert_eq!(peers.running_count(), 1);
 }
 
-/// A fleet of 1,000 VMs of which all want to hear: what a VM looks at to tell the one that places.
+/// In a fleet of 1,000 VMs that all subscribe to heartbeats, a VM considers only a few to find the scheduler.
 #[test]
-fn who_places_is_told_without_those_that_only_listen() {
+fn the_scheduler_is_found_without_looking_at_subscribers() {
     let now = System.now();
     let peers = Peers::new(member("vm-own", 500), now, System.moment());
     for number in 0..1_000 {
         let listener = member(&format!("vm-{number}"), 120);
         peers.list(listener.clone());
-        peers.on_heartbeat(&beat(&listener, true), now);
+        peers.on_heartbeat(&heartbeat(&listener, true), now);
     }
     assert_eq!(peers.subscribers(now).len() + peers.schedulers(now).len(), 1_000);
     assert!(peers.schedulers(now).len() <= 6);
     let later = now + Duration::from_secs(30);
-    assert!(peers.subscribers(later).is_empty(), "nobody asked of late");
+    assert!(peers.subscribers(later).is_empty(), "no recent subscription");
 }
