--- a/connection/src/channel.rs
+++ b/connection/src/channel.rs
@@ -1,7 +1,7 @@
-//! Connections to upstreams, kept by instance: a connection to one instance is never used for
+//! Connections to upstreams, pooled by upstream id: a connection to one upstream is never used for
 //! another that has taken over its address.
 //!
-//! Nothing is sent again by itself here, and each failure says whether the request can have left.
+//! Requests are never retried here. Each failure says whether the request may have been sent.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -19,20 +19,20 @@
 
 use crate::http::chain;
 
-/// Idle connections that are kept to one upstream.
-const MOST_IDLE: usize = 8;
+/// Maximum number of idle connections to one upstream.
+const MAX_IDLE_PER_UPSTREAM: usize = 8;
 
-/// The largest head of an answer, and so the read buffer of a connection, bytes.
-const READ_BUFFER: usize = 64 << 10;
+/// Size limit of a connection's read buffer, and so of a response head, bytes.
+const MAX_READ_BUFFER_BYTES: usize = 64 << 10;
 
-/// Why an attempt brought no answer.
+/// Why an attempt got no response.
 #[derive(Debug)]
 pub enum Failure {
-    /// Nothing listens at the address: the process that did has ended.
+    /// Connection refused: the process that listened at the address has ended.
     Refused(String),
-    /// No byte of the request was sent.
+    /// No byte of the request was sent, so it can be retried safely.
     Unsent(String),
-    /// The request may have arrived.
+    /// The connection failed after the request may have been sent.
     Broken(String),
 }
 
@@ -47,7 +47,7 @@
     until: Instant,
 }
 
-/// The idle connections.
+/// A pool of idle connections.
 #[derive(Default)]
 pub struct Pool {
     idle: Mutex<HashMap<id::Upstream, Vec<Idle>>>,
@@ -56,12 +56,12 @@
 impl Channel {
     /// Connects to `address` within `timeout`.
     pub async fn open(address: &str, timeout: Duration) -> Result<Channel, Failure> {
-        let connected = async {
+        let connect = async {
             let stream = TcpStream::connect(address).await?;
             stream.set_nodelay(true)?;
             Ok::<_, std::io::Error>(stream)
         };
-        let stream = match tokio::time::timeout(timeout, connected).await {
+        let stream = match tokio::time::timeout(timeout, connect).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused => {
                 return Err(Failure::Refused(e.to_string()));
@@ -69,70 +69,87 @@
             Ok(Err(e)) => return Err(Failure::Unsent(e.to_string())),
             Err(_) => {
                 let ms = timeout.as_millis();
-                return Err(Failure::Unsent(format!("no connection in {ms} ms")));
+                return Err(Failure::Unsent(format!("connection timed out after {ms} ms")));
             }
         };
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(READ_BUFFER)
+            .max_buf_size(MAX_READ_BUFFER_BYTES)
             .handshake(TokioIo::new(stream))
             .await
             .map_err(|e| Failure::Unsent(chain(&e)))?;
-        // Ends with the connection; what went wrong reaches the request that uses it.
+        // The task ends with the connection; errors are returned to the request that uses it.
         tokio::spawn(connection);
         Ok(Channel { sender })
     }
 
-    /// Sends a request and gives the answer once its head is there.
+    /// Sends a request and returns the response once its head has been received.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, Failure> {
         self.sender.try_send_request(request).await.map_err(|mut e| {
             let unsent = e.take_message().is_some();
-            let why = chain(e.error());
-            if unsent { Failure::Unsent(why) } else { Failure::Broken(why) }
+            let reason = chain(e.error());
+            if unsent { Failure::Unsent(reason) } else { Failure::Broken(reason) }
         })
     }
 
-    fn usable(&self) -> bool {
+    fn is_usable(&self) -> bool {
         self.sender.is_ready() && !self.sender.is_closed()
     }
 }
 
 impl Pool {
-    /// An idle connection that has rested for less than `rest`; the one that rested least.
-    pub fn take(&self, upstream: &id::Upstream, rest: Duration, now: Instant) -> Option<Channel> {
+    /// Takes the most recently used connection, if it has been idle for less than `max_idle`.
+    pub fn take(
+        &self,
+        upstream: &id::Upstream,
+        max_idle: Duration,
+        now: Instant,
+    ) -> Option<Channel> {
         let mut idle = self.idle.lock().unwrap();
-        let kept = idle.get_mut(upstream)?;
-        kept.retain(|i| i.until > now && i.channel.usable());
-        let last = kept.pop_if(|i| now.saturating_duration_since(i.since) < rest);
-        if kept.is_empty() {
+        let connections = idle.get_mut(upstream)?;
+        connections.retain(|i| i.until > now && i.channel.is_usable());
+        let last = connections.pop_if(|i| now.saturating_duration_since(i.since) < max_idle);
+        if connections.is_empty() {
             idle.remove(upstream);
         }
         last.map(|i| i.channel)
     }
 
-    /// The upstreams to which a connection is kept that rested for less than `rest`.
-    pub fn kept(&self, rest: Duration, now: Instant) -> Vec<id::Upstream> {
+    /// The upstreams with a connection that has been idle for less than `max_idle`.
+    pub fn idle_upstreams(&self, max_idle: Duration, now: Instant) -> Vec<id::Upstream> {
         let idle = self.idle.lock().unwrap();
-        let serves = |i: &Idle| {
-            i.until > now && now.saturating_duration_since(i.since) < rest && i.channel.usable()
+        let is_candidate = |i: &Idle| {
+            i.until > now
+                && now.saturating_duration_since(i.since) < max_idle
+                && i.channel.is_usable()
         };
-        idle.iter().filter(|(_, kept)| kept.iter().any(serves)).map(|(id, _)| id.clone()).collect()
+        idle.iter()
+            .filter(|(_, connections)| connections.iter().any(is_candidate))
+            .map(|(id, _)| id.clone())
+            .collect()
     }
 
-    /// Keeps a connection whose answer was read to its end, for `keep` at most.
-    pub fn keep(&self, upstream: &id::Upstream, channel: Channel, keep: Duration, now: Instant) {
+    /// Returns a connection whose response was read to its end; it is kept for at most
+    /// `idle_timeout`.
+    pub fn put(
+        &self,
+        upstream: &id::Upstream,
+        channel: Channel,
+        idle_timeout: Duration,
+        now: Instant,
+    ) {
         let mut idle = self.idle.lock().unwrap();
-        let kept = idle.entry(upstream.clone()).or_default();
-        kept.retain(|i| i.until > now && !i.channel.sender.is_closed());
-        if kept.len() < MOST_IDLE && !channel.sender.is_closed() {
-            kept.push(Idle { channel, since: now, until: now + keep });
+        let connections = idle.entry(upstream.clone()).or_default();
+        connections.retain(|i| i.until > now && !i.channel.sender.is_closed());
+        if connections.len() < MAX_IDLE_PER_UPSTREAM && !channel.sender.is_closed() {
+            connections.push(Idle { channel, since: now, until: now + idle_timeout });
         }
     }
 
     /// Closes the idle connections to an upstream.
-    pub fn forget(&self, upstream: &id::Upstream) {
+    pub fn remove(&self, upstream: &id::Upstream) {
         self.idle.lock().unwrap().remove(upstream);
     }
 
@@ -141,20 +158,20 @@
         self.idle.lock().unwrap().clear();
     }
 
-    /// Closes what has rested too long.
-    pub fn sweep(&self, now: Instant) {
-        self.idle.lock().unwrap().retain(|_, kept| {
-            kept.retain(|i| i.until > now && !i.channel.sender.is_closed());
-            !kept.is_empty()
+    /// Closes the connections whose idle timeout has passed.
+    pub fn remove_expired(&self, now: Instant) {
+        self.idle.lock().unwrap().retain(|_, connections| {
+            connections.retain(|i| i.until > now && !i.channel.sender.is_closed());
+            !connections.is_empty()
         });
     }
 
-    /// The number of idle connections.
+    /// Number of idle connections.
     pub fn len(&self) -> usize {
         self.idle.lock().unwrap().values().map(Vec::len).sum()
     }
 
-    /// Whether there is no idle connection.
+    /// Whether the pool has no idle connection.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/connection/src/sse.rs
+++ b/connection/src/sse.rs
@@ -1,54 +1,54 @@
-//! Server-sent events, cut out of a stream of bytes and passed on as they are.
+//! Splits a byte stream into server-sent events, which are passed on unchanged.
 
 use bytes::{Bytes, BytesMut};
 
-/// The longest event, bytes. A stream with a longer one is broken.
-const MAX_EVENT: usize = 256 << 10;
+/// Maximum size of an event. A stream with a longer one is treated as failed.
+const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// The line break pair that ends an event.
-const END: &[u8] = b"\n\n";
+/// The empty line that ends an event.
+const SEPARATOR: &[u8] = b"\n\n";
 
-/// One whole event.
+/// A complete event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Its id, where it has one.
+    /// The event's id, if it has a numeric one.
     pub id: Option<u64>,
-    /// Its bytes, with the empty line that ends it.
+    /// The event's bytes, including the empty line that ends it.
     pub bytes: Bytes,
 }
 
-/// An event is longer than any that is allowed.
+/// An event exceeds the maximum size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TooLong;
 
-/// Cuts bytes into events.
+/// Incremental decoder of events.
 #[derive(Debug, Default)]
-pub struct Cutter {
+pub struct Decoder {
     buffer: BytesMut,
     searched: usize,
 }
 
-impl Cutter {
-    /// Takes more bytes.
+impl Decoder {
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
-    pub fn cut(&mut self) -> Result<Option<Event>, TooLong> {
-        let from = self.searched.saturating_sub(END.len() - 1);
-        let found = self.buffer[from..].windows(END.len()).position(|pair| pair == END);
+    /// Returns the next complete event, if there is one.
+    pub fn next_event(&mut self) -> Result<Option<Event>, TooLong> {
+        let from = self.searched.saturating_sub(SEPARATOR.len() - 1);
+        let found = self.buffer[from..].windows(SEPARATOR.len()).position(|pair| pair == SEPARATOR);
         let Some(at) = found else {
             self.searched = self.buffer.len();
-            return if self.buffer.len() > MAX_EVENT { Err(TooLong) } else { Ok(None) };
+            return if self.buffer.len() > MAX_EVENT_BYTES { Err(TooLong) } else { Ok(None) };
         };
         self.searched = 0;
-        let bytes = self.buffer.split_to(from + at + END.len()).freeze();
+        let bytes = self.buffer.split_to(from + at + SEPARATOR.len()).freeze();
         Ok(Some(Event { id: read_id(&bytes), bytes }))
     }
 
-    /// Bytes of an event that has not ended.
-    pub fn rest(&self) -> usize {
+    /// Number of buffered bytes of an incomplete event.
+    pub fn buffered(&self) -> usize {
         self.buffer.len()
     }
 }
--- a/connection/tests/sse.rs
+++ b/connection/tests/sse.rs
@@ -1,44 +1,44 @@
-//! Events are cut out of any bytes, however they arrive.
+//! Events are decoded independently of how their bytes are split into chunks.
 
-use foldlock_connection::sse::{Cutter, Event, TooLong};
+use foldlock_connection::sse::{Decoder, Event, TooLong};
 use proptest::prelude::*;
 
-fn cut(chunks: &[&[u8]]) -> (Vec<Event>, usize) {
-    let (mut cutter, mut events) = (Cutter::default(), Vec::new());
+fn decode(chunks: &[&[u8]]) -> (Vec<Event>, usize) {
+    let (mut decoder, mut events) = (Decoder::default(), Vec::new());
     for chunk in chunks {
-        cutter.push(chunk);
-        while let Ok(Some(event)) = cutter.cut() {
+        decoder.push(chunk);
+        while let Ok(Some(event)) = decoder.next_event() {
             events.push(event);
         }
     }
-    (events, cutter.rest())
+    (events, decoder.buffered())
 }
 
 #[test]
-fn an_event_keeps_its_bytes_and_tells_its_id() {
-    let (events, rest) = cut(&[b"versions: 2\nid: 7\ndata: a b\n\nid: 8\nda"]);
+fn an_event_keeps_its_bytes_and_id() {
+    let (events, buffered) = decode(&[b"versions: 2\nid: 7\ndata: a b\n\nid: 8\nda"]);
     assert_eq!(events.len(), 1);
     assert_eq!(events[0].id, Some(7));
     assert_eq!(&events[0].bytes[..], b"versions: 2\nid: 7\ndata: a b\n\n");
-    assert_eq!(rest, 8, "an event that has not ended");
+    assert_eq!(buffered, 8, "bytes of an incomplete event");
 }
 
 #[test]
 fn an_event_without_a_number_has_no_id() {
-    let (events, _) = cut(&[b"data: x\n\nid: y\n\n"]);
+    let (events, _) = decode(&[b"data: x\n\nid: y\n\n"]);
     assert_eq!(events.iter().map(|e| e.id).collect::<Vec<_>>(), [None, None]);
 }
 
 #[test]
-fn an_event_without_end_is_too_long_at_some_point() {
-    let mut cutter = Cutter::default();
-    cutter.push(&vec![b'x'; 300 << 10]);
-    assert_eq!(cutter.cut(), Err(TooLong));
+fn an_overlong_event_is_rejected() {
+    let mut decoder = Decoder::default();
+    decoder.push(&vec![b'x'; 300 << 10]);
+    assert_eq!(decoder.next_event(), Err(TooLong));
 }
 
 proptest! {
     #[test]
-    fn the_cuts_of_the_network_change_nothing(
+    fn events_do_not_depend_on_chunk_boundaries(
         ids in prop::collection::vec(0u64..1_000_000, 0..12),
         cuts in prop::collection::vec(1usize..30, 0..40),
     ) {
@@ -51,7 +51,7 @@
             rest = after;
         }
         chunks.push(rest);
-        let (events, left) = cut(&chunks);
+        let (events, left) = decode(&chunks);
         prop_assert_eq!(left, 0);
         let read: Vec<u64> = events.iter().filter_map(|e| e.id).collect();
         prop_assert_eq!(read, ids);
@@ -60,9 +60,9 @@
     }
 
     #[test]
-    fn any_bytes_are_read_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let (events, rest) = cut(&[&bytes]);
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+        let (events, buffered) = decode(&[&bytes]);
         let taken: usize = events.iter().map(|e| e.bytes.len()).sum();
-        prop_assert_eq!(taken + rest, bytes.len());
+        prop_assert_eq!(taken + buffered, bytes.len());
     }
 }
--- a/daemon/src/fleet/admit.rs
+++ b/daemon/src/fleet/admit.rs
@@ -51,7 +51,7 @@
     };
     let admission = checked.inspect_err(|error| {
         if process.trouble_lines.admit(process.now()).is_some() {
-            log::refused(&process.log, id, error);
+            log::rejected(&process.log, id, error);
         }
     })?;
     let Admission { route, service, organisation, version, body_bytes } = admission;
@@ -141,7 +141,7 @@
         service: service.clone(),
         organisation,
         version: table.number(),
-        body_bytes: table.bounds().body_bytes,
+        body_bytes: table.bounds().max_body_bytes,
     })
 }
 
@@ -151,7 +151,7 @@
     route: &Route,
     terms: &Terms,
 ) -> Result<Option<Arc<Organisation>>, Error> {
-    if !table.keyed() || route.public {
+    if !table.requires_key() || route.public {
         return Ok(None);
     }
     let organisation = terms.api_key.as_deref().and_then(|key| table.organisation(key));
--- a/daemon/src/fleet/crash.rs
+++ b/daemon/src/fleet/crash.rs
@@ -48,7 +48,7 @@
         Err(Failure::Unsent(_) | Failure::Broken(_)) => {}
         Ok(channel) => {
             job.process.metrics.connections.inc();
-            job.process.pool.keep(upstream, channel, PROBE_IDLE_TIMEOUT, job.process.now());
+            job.process.pool.put(upstream, channel, PROBE_IDLE_TIMEOUT, job.process.now());
         }
     }
 }
@@ -66,7 +66,7 @@
     let crashes = cluster.quarantine.crash_count(job.fingerprint) as u32;
     drop(cluster);
     announce::to_scheduler(&job.process);
-    job.process.pool.forget(&upstream);
+    job.process.pool.remove(&upstream);
     job.process.metrics.crashes.inc();
     job.record(Decision::Crashed { upstream, crashes, isolated });
     if let Some(status) = status {
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -408,6 +408,6 @@
 pub async fn sweep<D: Dialect>(process: Arc<Process<D>>) {
     while !process.stopping.is_cancelled() {
         tokio::time::sleep(SWEEP_INTERVAL).await;
-        process.pool.sweep(process.now());
+        process.pool.remove_expired(process.now());
     }
 }
--- a/daemon/src/fleet/stream.rs
+++ b/daemon/src/fleet/stream.rs
@@ -4,7 +4,7 @@
 
 use foldlock_connection::channel::Channel;
 use foldlock_connection::http::chain;
-use foldlock_connection::sse::{Cutter, Event};
+use foldlock_connection::sse::{Decoder, Event};
 use foldlock_request::dialect::Dialect;
 use foldlock_request::flight::Flight;
 use foldlock_request::suspicion::{Failure, Outcome};
@@ -44,7 +44,7 @@
     /// How long the connection may be idle afterwards; zero if it cannot be reused.
     pub(super) idle_timeout: Duration,
     pub(super) body: Incoming,
-    pub(super) cutter: Cutter,
+    pub(super) decoder: Decoder,
 }
 
 /// The next item of a stream.
@@ -64,14 +64,14 @@
             let frame = match self.body.frame().await {
                 Some(Ok(frame)) => frame,
                 Some(Err(e)) => return Item::Broken(chain(&e)),
-                None if self.cutter.rest() == 0 => return Item::End,
+                None if self.decoder.buffered() == 0 => return Item::End,
                 None => return Item::Broken("stream ended inside an event".to_owned()),
             };
             let Ok(bytes) = frame.into_data() else { continue };
-            self.cutter.push(&bytes);
+            self.decoder.push(&bytes);
             let mut events = Vec::new();
             loop {
-                match self.cutter.cut() {
+                match self.decoder.next_event() {
                     Ok(Some(event)) => events.push(event),
                     Ok(None) => break,
                     Err(_) => return Item::Broken("event exceeds the maximum length".to_owned()),
@@ -89,7 +89,7 @@
         let upstream = &self.flight.upstream;
         outcome::record(job, upstream, Outcome::Answered);
         if !self.idle_timeout.is_zero() {
-            job.process.pool.keep(upstream, self.channel, self.idle_timeout, now);
+            job.process.pool.put(upstream, self.channel, self.idle_timeout, now);
         }
     }
 
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,4 +1,4 @@
-//! The serving process: what lives as long as a process on an entry VM does.
+//! The serving process of an entry VM.
 
 pub mod answer;
 pub mod app;
@@ -10,7 +10,6 @@
 pub mod drain;
 pub mod engines;
 pub mod fleet;
-pub mod follow;
 pub mod gate;
 pub mod group;
 pub mod home;
@@ -23,6 +22,7 @@
 pub mod peers;
 pub mod plain;
 pub mod process;
-pub mod pump;
 pub mod resume;
 pub mod serve;
+pub mod sink;
+pub mod watch;
--- a/daemon/src/limits.rs
+++ b/daemon/src/limits.rs
@@ -1,4 +1,5 @@
-//! The limits of organisations and kinds at this VM, and the splitting of those whose home it is.
+//! Limits of organisations and kinds on this VM. For limits whose home is this VM, it also allocates
+//! the quotas of all VMs.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Arc, Mutex};
@@ -12,7 +13,7 @@
 use foldlock_version::policy::Policy;
 use foldlock_version::tree::Tree;
 
-/// The name of a limit: an organisation, or `ORGANISATION/KIND`.
+/// The name of a limit: `ORGANISATION` or `ORGANISATION/KIND`.
 pub fn name(organisation: &id::Organisation, kind: Option<&id::Kind>) -> String {
     match kind {
         Some(kind) => format!("{organisation}/{kind}"),
@@ -20,8 +21,8 @@
     }
 }
 
-/// The settings behind a limit's name.
-fn policy<'a>(tree: &'a Tree, name: &str) -> Option<&'a Arc<Policy>> {
+/// The policy that a limit belongs to.
+fn policy_of<'a>(tree: &'a Tree, name: &str) -> Option<&'a Arc<Policy>> {
     let (organisation, kind) = match name.split_once('/') {
         Some((organisation, kind)) => (organisation, Some(kind.parse().ok()?)),
         None => (name, None),
@@ -30,25 +31,25 @@
     Some(&effective.policy)
 }
 
-/// Whether the settings limit anything.
-fn limits(policy: &Policy) -> bool {
+/// Whether a policy sets any limit.
+fn has_limit(policy: &Policy) -> bool {
     policy.concurrency > 0 || policy.requests_per_s > 0 || policy.prompt_tokens_per_s > 0
 }
 
-/// The limits.
+/// The limits in use on this VM, and the ledgers of those whose home it is.
 pub struct Limits<C: Clock> {
     clock: C,
-    own: Mutex<HashMap<String, Arc<Limit<C>>>>,
+    limits: Mutex<HashMap<String, Arc<Limit<C>>>>,
     ledgers: Mutex<HashMap<String, quota::Ledger>>,
 }
 
 impl<C: Clock> Limits<C> {
-    /// None used yet.
+    /// Creates an empty set of limits.
     pub fn new(clock: C) -> Limits<C> {
-        Limits { clock, own: Mutex::default(), ledgers: Mutex::default() }
+        Limits { clock, limits: Mutex::default(), ledgers: Mutex::default() }
     }
 
-    /// Lets a request in under a limit; nothing to hold where the settings have none.
+    /// Admits a request under a limit. Returns no permit if the policy sets no limit.
     pub fn admit(
         &self,
         name: &str,
@@ -56,42 +57,42 @@
         vms: usize,
         prompt: Tokens,
     ) -> Result<Option<Permit<C>>, Exceeded> {
-        if !limits(policy) {
+        if !has_limit(policy) {
             return Ok(None);
         }
         self.limit(name).admit(policy, vms, prompt).map(Some)
     }
 
     fn limit(&self, name: &str) -> Arc<Limit<C>> {
-        let mut own = self.own.lock().unwrap();
-        match own.get(name) {
+        let mut limits = self.limits.lock().unwrap();
+        match limits.get(name) {
             Some(limit) => limit.clone(),
             None => {
                 let limit = Arc::new(Limit::new(self.clock.clone()));
-                own.insert(name.to_owned(), limit.clone());
+                limits.insert(name.to_owned(), limit.clone());
                 limit
             }
         }
     }
 
-    /// This VM's demand, by limit.
+    /// The demand of this VM, by name of the limit.
     pub fn demand(&self) -> BTreeMap<String, Demand> {
-        let own = self.own.lock().unwrap();
-        own.iter().filter_map(|(name, limit)| Some((name.clone(), limit.demand()?))).collect()
+        let limits = self.limits.lock().unwrap();
+        limits.iter().filter_map(|(name, limit)| Some((name.clone(), limit.demand()?))).collect()
     }
 
-    /// Takes quotas from a limit's home.
-    pub fn told(&self, quotas: &BTreeMap<String, Quota>) {
-        let own = self.own.lock().unwrap();
+    /// Sets the quotas received from the homes of limits.
+    pub fn set_quotas(&self, quotas: &BTreeMap<String, Quota>) {
+        let limits = self.limits.lock().unwrap();
         for (name, quota) in quotas {
-            if let Some(limit) = own.get(name) {
+            if let Some(limit) = limits.get(name) {
                 limit.set_quota(*quota);
             }
         }
     }
 
-    /// As the home of limits: takes a VM's demand and gives its quotas.
-    pub fn split(
+    /// As the home of limits: records the demand of a VM and returns its quotas.
+    pub fn allocate(
         &self,
         tree: &Tree,
         vm: &id::Vm,
@@ -101,7 +102,7 @@
         let mut ledgers = self.ledgers.lock().unwrap();
         let mut quotas = BTreeMap::new();
         for (name, demand) in demand {
-            let Some(policy) = policy(tree, name) else { continue };
+            let Some(policy) = policy_of(tree, name) else { continue };
             let limits = quota::Limits { concurrency: policy.concurrency };
             let ledger = ledgers.entry(name.clone()).or_default();
             quotas.insert(name.clone(), ledger.renew(limits, vm, *demand, now));
--- a/daemon/src/log.rs
+++ b/daemon/src/log.rs
@@ -1,57 +1,57 @@
-//! Structured logs: numbered events as JSON lines on standard output.
+//! Structured logging: numbered events as JSON lines on standard output.
 
 use foldlock_base::prelude::*;
 use foldlock_request::decision;
 use slog::{Drain, Level, LevelFilter, Logger, o};
 
-/// Events that wait to be written; beyond that they are dropped and counted.
-const QUEUE: usize = 4096;
+/// Maximum number of events waiting to be written; further ones are dropped and counted.
+const MAX_QUEUED: usize = 4096;
 
-/// The root logger of a process.
+/// Creates the root logger of the process.
 pub fn root(vm: &str, level: &str) -> Logger {
     let level = level.parse().unwrap_or(Level::Info);
     let json = slog_json::Json::new(std::io::stdout()).add_default_keys().build().ignore_res();
     let filtered = LevelFilter::new(json, level).ignore_res();
     let drain = slog_async::Async::new(filtered)
-        .chan_size(QUEUE)
+        .chan_size(MAX_QUEUED)
         .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
         .build()
         .fuse();
     Logger::root(drain, o!("vm" => vm.to_owned()))
 }
 
-/// Logs an event with a free text of its particulars.
-pub fn event(log: &Logger, event: Event, particulars: impl std::fmt::Display) {
+/// Logs an event with its details as free text.
+pub fn event(log: &Logger, event: Event, details: impl std::fmt::Display) {
     let number = event.number();
     match event.level() {
         Level::Error | Level::Critical => {
-            slog::error!(log, "{}", event.text(); "event" => number, "what" => %particulars);
+            slog::error!(log, "{}", event.text(); "event" => number, "what" => %details);
         }
         Level::Warning => {
-            slog::warn!(log, "{}", event.text(); "event" => number, "what" => %particulars);
+            slog::warn!(log, "{}", event.text(); "event" => number, "what" => %details);
         }
         Level::Info => {
-            slog::info!(log, "{}", event.text(); "event" => number, "what" => %particulars);
+            slog::info!(log, "{}", event.text(); "event" => number, "what" => %details);
         }
-        _ => slog::debug!(log, "{}", event.text(); "event" => number, "what" => %particulars),
+        _ => slog::debug!(log, "{}", event.text(); "event" => number, "what" => %details),
     }
 }
 
-/// Logs a decision on a request with the inputs that led to it, and how many lines were left out
-/// before it for their number.
+/// Logs a decision on a request with its inputs, and how many lines were dropped before it because
+/// there were too many.
 pub fn decision(
     log: &Logger,
     request: &id::Request,
     route: &str,
-    step: &decision::Entry,
+    entry: &decision::Entry,
     left_out: u64,
 ) {
-    let event = step.decision.event();
+    let event = entry.decision.event();
     let inputs = o!(
         "event" => event.number(),
         "request" => request.as_str().to_owned(),
         "route" => route.to_owned(),
-        "step" => slog::Serde(step.clone()),
+        "step" => slog::Serde(entry.clone()),
         "left_out" => (left_out > 0).then_some(left_out),
     );
     let log = log.new(inputs);
@@ -63,8 +63,8 @@
     }
 }
 
-/// Logs the refusal of a request that was not admitted.
-pub fn refused(log: &Logger, request: &id::Request, error: &Error) {
+/// Logs that a request was rejected before it was admitted.
+pub fn rejected(log: &Logger, request: &id::Request, error: &Error) {
     let event = Event::Refused;
     slog::info!(log, "{}", event.text(); "event" => event.number(), "request" => request.as_str(),
         "kind" => error.kind().as_str(), "why" => error.message());
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The serving process of an entry VM.
+//! The `foldlockd` binary.
 
 use std::process::ExitCode;
 
@@ -10,8 +10,8 @@
 use foldlockd::{drain, fleet, log, process};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// The exit code for a bad configuration.
-const BAD_CONFIG: u8 = 2;
+/// Exit code for a bad configuration; clap uses the same for a bad command line.
+const EXIT_BAD_CONFIG: u8 = 2;
 
 fn main() -> ExitCode {
     let app = App::parse();
@@ -20,18 +20,18 @@
         Ok(mode) => mode,
         Err(e) => {
             eprintln!("foldlockd: {e}");
-            return ExitCode::from(BAD_CONFIG);
+            return ExitCode::from(EXIT_BAD_CONFIG);
         }
     };
     if check {
-        println!("{}", shown(&mode));
+        println!("{}", to_json(&mode));
         return ExitCode::SUCCESS;
     }
-    let served = match mode {
-        Mode::Tree(config) => on_threads(config),
-        Mode::Fleet(config) => on_one_thread(config),
+    let result = match mode {
+        Mode::KeyValue(config) => serve_multi_threaded(config),
+        Mode::Fleet(config) => serve_single_threaded(config),
     };
-    match served {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("foldlockd: {e}");
@@ -40,15 +40,15 @@
     }
 }
 
-fn shown(mode: &Mode) -> String {
+fn to_json(mode: &Mode) -> String {
     let text = match mode {
-        Mode::Tree(config) => serde_json::to_string_pretty(config),
+        Mode::KeyValue(config) => serde_json::to_string_pretty(config),
         Mode::Fleet(config) => serde_json::to_string_pretty(config),
     };
     text.expect("plain data")
 }
 
-fn on_threads(config: Config) -> std::io::Result<()> {
+fn serve_multi_threaded(config: Config) -> std::io::Result<()> {
     let mut runtime = tokio::runtime::Builder::new_multi_thread();
     if let Some(threads) = config.threads {
         runtime.worker_threads(threads.max(1));
@@ -56,8 +56,9 @@
     runtime.enable_all().build()?.block_on(serve(config))
 }
 
-/// A fleet's VMs have a part of one core: a second thread would only cost switches.
-fn on_one_thread(config: fleet::config::Config) -> std::io::Result<()> {
+/// Serves as a VM of a fleet. Such a VM has a share of one core, so a second thread would only add
+/// context switches.
+fn serve_single_threaded(config: fleet::config::Config) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let log = log::root(config.vm.as_str(), &config.log_level);
     let directory = Directory::new(&config.fleet.directory);
--- a/daemon/src/operators.rs
+++ b/daemon/src/operators.rs
@@ -1,4 +1,5 @@
-//! What operators read: readiness, metrics, a dump of the state, records and live decisions.
+//! HTTP endpoints for operators: readiness, metrics, a dump of the state, decision records and a live
+//! stream of decisions.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -15,11 +16,11 @@
 use crate::home;
 use crate::process::Process;
 
-/// Records that a dump holds.
-const RECORDS: usize = 20;
+/// Maximum number of decision records in a dump.
+const MAX_RECORDS: usize = 20;
 
-/// Lines that may wait for a slow watcher.
-const LINES: usize = 64;
+/// Maximum number of lines queued for a slow client of the decision stream.
+const MAX_QUEUED_LINES: usize = 64;
 
 #[derive(Serialize)]
 struct Dump<'a> {
@@ -57,10 +58,10 @@
     failures: u64,
 }
 
-/// Answers an operator.
+/// Handles an operator's request.
 pub async fn answer(process: Arc<Process>, request: Request<Incoming>) -> Response<Body> {
     if request.method() != Method::GET {
-        return answer::text(StatusCode::METHOD_NOT_ALLOWED, "only GET\n");
+        return answer::text(StatusCode::METHOD_NOT_ALLOWED, "method not allowed; use GET\n");
     }
     let path = request.uri().path();
     match path {
@@ -74,13 +75,13 @@
         "/decisions" => decisions(&process),
         "/version" => answer::json(StatusCode::OK, &process.current.get().head),
         _ => match path.strip_prefix("/why/").map(str::parse::<id::Request>) {
-            Some(Ok(request)) => why(&process, &request),
+            Some(Ok(request)) => decision_record(&process, &request),
             _ => answer::text(StatusCode::NOT_FOUND, "no such path\n"),
         },
     }
 }
 
-fn why(process: &Process, request: &id::Request) -> Response<Body> {
+fn decision_record(process: &Process, request: &id::Request) -> Response<Body> {
     match process.ring.get(request) {
         Some(record) => answer::json(StatusCode::OK, &record),
         None => answer::text(StatusCode::NOT_FOUND, "no record of this request here\n"),
@@ -92,7 +93,7 @@
     let own = process.members.own();
     let shards = process.shards();
     let used = home::used_shards(&own, &shards);
-    let shard = |s: &home::Shard| ShardDump {
+    let dump_shard = |s: &home::Shard| ShardDump {
         name: s.name.clone(),
         home: home::home_of(s, &live).map(|m| m.vm.clone()),
         used: used.contains(&s),
@@ -106,12 +107,12 @@
         closed: process.drain.closed(),
         requests: process.drain.requests(),
         version: process.current.number(),
-        refused_version: process.current.refused(),
+        refused_version: process.current.newest_refused(),
         incarnation: own.incarnation,
         members: process.members.dump(),
         peers: process.peers.count(),
-        peer_bytes: foldlock_connection::peer::bytes(),
-        shards: shards.iter().map(shard).collect(),
+        peer_bytes: foldlock_connection::peer::transferred_bytes(),
+        shards: shards.iter().map(dump_shard).collect(),
         engines: process.engines.dump(),
         demand: process.limits.demand(),
         claims_writer: process.claims.writer(&live),
@@ -120,18 +121,18 @@
             writes: calls.writes.load(Ordering::Relaxed),
             failures: calls.failures.load(Ordering::Relaxed),
         },
-        records: process.ring.newest(RECORDS),
+        records: process.ring.newest(MAX_RECORDS),
     }
 }
 
-/// Streams decisions as JSON lines until the watcher leaves or the process stops.
+/// Streams decisions as JSON lines until the client disconnects or the process exits.
 fn decisions(process: &Arc<Process>) -> Response<Body> {
-    let (lines, receiver) = mpsc::channel(LINES);
-    tokio::spawn(feed(process.ring.subscribe(), lines));
+    let (lines, receiver) = mpsc::channel(MAX_QUEUED_LINES);
+    tokio::spawn(copy_decisions(process.ring.subscribe(), lines));
     answer::stream("application/x-ndjson", receiver)
 }
 
-async fn feed(mut decisions: broadcast::Receiver<Item>, lines: mpsc::Sender<Bytes>) {
+async fn copy_decisions(mut decisions: broadcast::Receiver<Item>, lines: mpsc::Sender<Bytes>) {
     loop {
         let line = tokio::select! {
             line = decisions.recv() => line,
--- a/daemon/src/plain.rs
+++ b/daemon/src/plain.rs
@@ -1,4 +1,5 @@
-//! Calls to plain services: routed by path, repeated only where that is allowed.
+//! Calls to plain services, routed by path. A call that may have run is retried only where the service
+//! and the policy allow it.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -22,26 +23,26 @@
 use crate::claims::KeyClaim;
 use crate::complete::{Caller, IDEMPOTENCY_KEY, reject};
 
-/// Headers that are passed on.
-const PASSED: [hyper::header::HeaderName; 2] = [CONTENT_TYPE, ACCEPT];
+/// Request headers that are forwarded.
+const FORWARDED_HEADERS: [hyper::header::HeaderName; 2] = [CONTENT_TYPE, ACCEPT];
 
-/// A sign that a server is leaving counts for this long.
-const LEAVING_KEPT: Duration = Duration::from_secs(30);
+/// How long a server is considered leaving after a response that said so.
+const LEAVING_TTL: Duration = Duration::from_secs(30);
 
 #[derive(Default)]
-struct Local {
-    outstanding: u32,
+struct State {
+    in_flight: u32,
     health: Health,
     leaving_at: Option<Instant>,
 }
 
-/// The servers of plain services as this VM knows them.
+/// State of the servers of plain services, as observed by this VM.
 #[derive(Default)]
 pub struct Servers {
-    table: Mutex<HashMap<id::Upstream, Local>>,
+    table: Mutex<HashMap<id::Upstream, State>>,
 }
 
-/// A call that counts at a server until dropped.
+/// Counts a call as in flight on a server until dropped.
 struct Flight<'a> {
     servers: &'a Servers,
     server: id::Upstream,
@@ -49,16 +50,16 @@
 
 impl Drop for Flight<'_> {
     fn drop(&mut self) {
-        self.servers.with(&self.server, |l| l.outstanding -= 1);
+        self.servers.with(&self.server, |state| state.in_flight -= 1);
     }
 }
 
 impl Servers {
-    fn with<R>(&self, server: &id::Upstream, f: impl FnOnce(&mut Local) -> R) -> R {
+    fn with<R>(&self, server: &id::Upstream, f: impl FnOnce(&mut State) -> R) -> R {
         f(self.table.lock().unwrap().entry(server.clone()).or_default())
     }
 
-    /// The server with the fewest calls outstanding, of those that can be used.
+    /// Chooses the usable server with the fewest calls in flight, at random between equals.
     fn choose(
         &self,
         service: &Service,
@@ -67,24 +68,24 @@
     ) -> Option<Flight<'_>> {
         let mut table = self.table.lock().unwrap();
         let mut usable = |server: &id::Upstream| {
-            let local = table.entry(server.clone()).or_default();
-            let leaving = local.leaving_at.is_some_and(|at| now < at + LEAVING_KEPT);
-            (!leaving && local.health.is_usable(now) && !unusable(server))
-                .then_some((local.outstanding, rand::random::<u32>()))
+            let state = table.entry(server.clone()).or_default();
+            let leaving = state.leaving_at.is_some_and(|at| now < at + LEAVING_TTL);
+            (!leaving && state.health.is_usable(now) && !unusable(server))
+                .then_some((state.in_flight, rand::random::<u32>()))
         };
         let (_, server) = service
             .servers
             .keys()
             .filter_map(|s| Some((usable(s)?, s)))
             .min_by_key(|(load, _)| *load)?;
-        let local = table.entry(server.clone()).or_default();
-        local.outstanding += 1;
-        local.health.on_sent();
+        let state = table.entry(server.clone()).or_default();
+        state.in_flight += 1;
+        state.health.on_sent();
         Some(Flight { servers: self, server: server.clone() })
     }
 }
 
-/// A call on its way.
+/// An admitted call.
 struct Call {
     caller: Caller,
     entry: Entry,
@@ -93,7 +94,7 @@
     uri: Uri,
     headers: HeaderMap,
     body: Bytes,
-    repeatable: bool,
+    retryable: bool,
     claim: Option<KeyClaim>,
 }
 
@@ -103,7 +104,7 @@
     Broken(String),
 }
 
-/// Answers a call to a plain service.
+/// Handles a call to a plain service and returns its response.
 pub async fn answer(
     mut caller: Caller,
     request: Request<Incoming>,
@@ -116,11 +117,11 @@
         .service_of(path)
         .map(|(name, service)| (name.clone(), service.clone()))
         .ok_or_else(|| reject(Kind::NotFound, format!("there is no {path}")))?;
-    let repeatable = is_repeatable(&service, &head.method, path) && caller.policy.repeatable;
+    let retryable = is_retryable(&service, &head.method, path) && caller.policy.repeatable;
     let body = caller.body(incoming).await?;
     let entry = caller.record(&format!("{name} {path}"), Tokens(0));
     caller.admit(Tokens(0)).inspect_err(|e| caller.record_rejection(&entry, e))?;
-    let claim = caller.claim(&entry, repeatable).await;
+    let claim = caller.claim(&entry, retryable).await;
     let claim = claim.inspect_err(|e| caller.record_rejection(&entry, e))?;
     let call = Call {
         service,
@@ -128,7 +129,7 @@
         uri: head.uri,
         headers: head.headers,
         body,
-        repeatable,
+        retryable,
         claim,
         caller,
         entry,
@@ -136,7 +137,7 @@
     call.run().await
 }
 
-fn is_repeatable(service: &Service, method: &Method, path: &str) -> bool {
+fn is_retryable(service: &Service, method: &Method, path: &str) -> bool {
     let rest = path.strip_prefix(service.path.as_str()).unwrap_or(path);
     let once = service
         .once
@@ -181,7 +182,8 @@
             let now = process.clock.now();
             let unusable = |s: &id::Upstream| tried.contains(s) || process.is_listed_leaving(s);
             let Some(flight) = process.servers.choose(&self.service, now, unusable) else {
-                let error = proof.error(Kind::NoUpstream, "no server can take the call", false);
+                let error =
+                    proof.error(Kind::NoUpstream, "no server of the service is available", false);
                 return Err(error.retry_after(Duration::from_secs(1)));
             };
             self.caller.step(
@@ -203,17 +205,17 @@
                 claim.sent();
             }
             let end = self.send(&flight.server).await;
-            self.judge(&flight.server, &end);
+            self.record_outcome(&flight.server, &end);
             proof = match end {
-                End::Answered(answer) => return Ok(passed(answer)),
-                end => self.after(end, attempt, &flight.server, tried.len())?,
+                End::Answered(answer) => return Ok(forward(answer)),
+                end => self.retry_or_fail(end, attempt, &flight.server, tried.len())?,
             };
             tried.push(flight.server.clone());
         }
     }
 
-    /// Decides whether a failed attempt is followed by another one.
-    fn after(
+    /// Decides whether a failed attempt is retried.
+    fn retry_or_fail(
         &mut self,
         end: End,
         attempt: Attempt,
@@ -223,7 +225,7 @@
         let (proof, why) = match end {
             End::NotRun { proof, why } => (attempt.refused(proof), why),
             End::Broken(why) => (attempt.unknown(), why),
-            End::Answered(_) => unreachable!("an answer ends the call"),
+            End::Answered(_) => unreachable!("a response ends the call"),
         };
         let not_run = matches!(proof, Proof::NotRun(_));
         if let Some(claim) = &mut self.claim
@@ -233,11 +235,11 @@
         }
         let caller = &self.caller;
         let passed = caller.deadline.passed(&caller.process.clock);
-        let may = (not_run || self.repeatable)
+        let may_retry = (not_run || self.retryable)
             && !passed
             && tried < caller.policy.retries as usize
             && caller.process.budget.retry(caller.policy.retry_budget_percent);
-        if may {
+        if may_retry {
             caller.process.metrics.retries.inc();
             caller.step(&self.entry, Decision::Retried { upstream: server.clone(), why });
             return Ok(proof);
@@ -255,7 +257,7 @@
         let path = self.uri.path_and_query().map_or("/", |p| p.as_str());
         let mut request =
             Request::builder().method(&self.method).uri(format!("http://{address}{path}"));
-        for name in PASSED {
+        for name in FORWARDED_HEADERS {
             if let Some(value) = self.headers.get(&name) {
                 request = request.header(name, value);
             }
@@ -271,30 +273,30 @@
         let process = &self.caller.process;
         let left = self.caller.deadline.left(&process.clock);
         match process.client.call(request, left).await {
-            Ok(answer) => judged(answer),
+            Ok(answer) => classify(answer),
             Err(Failure::Connect(why)) => End::NotRun { proof: Refusal::not_connected(), why },
             Err(Failure::Broken(why)) => End::Broken(why),
         }
     }
 
-    fn judge(&self, server: &id::Upstream, end: &End) {
+    fn record_outcome(&self, server: &id::Upstream, end: &End) {
         let now = self.caller.process.clock.now();
-        self.caller.process.servers.with(server, |local| match end {
-            End::Answered(_) => local.health.on_success(),
-            End::Broken(_) => local.health.on_failure(now),
+        self.caller.process.servers.with(server, |state| match end {
+            End::Answered(_) => state.health.on_success(),
+            End::Broken(_) => state.health.on_failure(now),
             End::NotRun { why, .. } if why == LEAVING => {
-                local.health.on_inconclusive();
-                local.leaving_at = Some(now);
+                state.health.on_inconclusive();
+                state.leaving_at = Some(now);
             }
-            End::NotRun { .. } => local.health.on_failure(now),
+            End::NotRun { .. } => state.health.on_failure(now),
         });
     }
 }
 
-const LEAVING: &str = "it is leaving";
+const LEAVING: &str = "the server is leaving";
 
-/// Tells a refusal from an answer.
-fn judged(answer: Response<Bytes>) -> End {
+/// Tells a server's refusal from a response of the service.
+fn classify(answer: Response<Bytes>) -> End {
     let header = |name: &str| answer.headers().get(name).and_then(|v| v.to_str().ok());
     match Refusal::read(answer.status().as_u16(), header(Refusal::HEADER)) {
         Some(proof) => {
@@ -306,12 +308,12 @@
     }
 }
 
-fn passed(answer: Response<Bytes>) -> Response<Body> {
+fn forward(answer: Response<Bytes>) -> Response<Body> {
     let (head, bytes) = answer.into_parts();
     let mut out = Response::new(Body::Whole(Some(bytes)));
     *out.status_mut() = head.status;
-    let plain = HeaderValue::from_static("application/octet-stream");
-    let kind = head.headers.get(CONTENT_TYPE).cloned().unwrap_or(plain);
+    let default = HeaderValue::from_static("application/octet-stream");
+    let kind = head.headers.get(CONTENT_TYPE).cloned().unwrap_or(default);
     out.headers_mut().insert(CONTENT_TYPE, kind);
     out
 }
--- a/daemon/src/process.rs
+++ b/daemon/src/process.rs
@@ -1,4 +1,4 @@
-//! The process: what all tasks share, and how it starts.
+//! The serving process: its shared state and its start.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -24,105 +24,105 @@
 use crate::current::Current;
 use crate::drain::Drain;
 use crate::engines::Engines;
-use crate::follow::Follow;
 use crate::home::{self, Home, Shard};
 use crate::limits::Limits;
 use crate::log;
 use crate::members::Members;
 use crate::metrics::Metrics;
 use crate::peers::{self, Peers};
-use crate::{follow, listen};
+use crate::watch::Fetcher;
+use crate::{listen, watch};
 
-/// How often the list of VMs is read.
+/// Interval at which the VM list is read.
 const LIST_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How often a home reads the reports of its engines.
+/// Interval at which a home polls its engines' reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long an engine may be silent before it is logged.
-const REPORT_SILENT: u32 = 3;
+/// Number of consecutive failed polls after which an engine is logged as silent.
+const MIN_SILENT_POLLS: u32 = 3;
 
-/// The queues in which requests wait, by model and class of length, so that a long prompt that
-/// waits holds up no shorter one.
+/// The request queues, by model and class of prompt length, so that a queued long prompt does not
+/// block shorter ones.
 type Queues = HashMap<(id::Model, Class), Arc<Queue>>;
 
-/// What all tasks of a process share.
+/// The state shared by all tasks of the process.
 pub struct Process {
-    /// What it is.
+    /// Configuration of the process.
     pub config: Config,
-    /// The clock.
+    /// The system clock.
     pub clock: System,
-    /// The log.
+    /// The root logger.
     pub log: Logger,
-    /// The metrics.
+    /// Metrics of the process.
     pub metrics: Metrics,
-    /// The client of all connections to upstreams.
+    /// The HTTP client for all connections to upstreams.
     pub client: Client,
-    /// The key-value service.
+    /// Client of the key-value service.
     pub store: HttpStore,
-    /// The settings in force.
+    /// The settings version in force.
     pub current: Current,
-    /// Following the settings.
-    pub follow: Follow,
-    /// The VMs.
+    /// Fetches settings from peers.
+    pub fetcher: Fetcher,
+    /// The members: this VM and those it received heartbeats or announcements of.
     pub members: Members<System>,
-    /// The connections to them.
+    /// Connections to peers.
     pub peers: Peers,
-    /// The engines.
+    /// The engines and their state.
     pub engines: Arc<Engines<System>>,
-    /// What this VM knows as the home of shards.
+    /// State of this VM as the home of shards.
     pub home: Home<System>,
-    /// The limits.
+    /// Limits of organisations and kinds.
     pub limits: Limits<System>,
-    /// Quotas that go out with the next heartbeats.
+    /// Quotas to send with the next heartbeat, by VM.
     pub quotas: Mutex<HashMap<id::Vm, BTreeMap<String, Quota>>>,
-    /// The claims of idempotency keys.
+    /// Claims of idempotency keys.
     pub claims: Claims,
-    /// The servers of plain services.
+    /// State of the servers of plain services.
     pub servers: crate::plain::Servers,
-    /// The records of requests.
+    /// The most recent decision records.
     pub ring: Ring,
-    /// The budget of retries.
+    /// The retry budget.
     pub budget: Budget<System>,
-    /// Stopping.
+    /// State of the shutdown.
     pub drain: Drain,
     shards: RwLock<Arc<Vec<Shard>>>,
     queues: Mutex<Queues>,
     next_request: AtomicU64,
     listed_leaving: Mutex<Vec<id::Upstream>>,
-    store_down: AtomicBool,
-    /// Whether the first settings have reached all parts that follow from them.
+    store_unavailable: AtomicBool,
+    /// Whether the first settings have been applied to engines and shards.
     applied: AtomicBool,
 }
 
-/// A process that serves.
+/// A started process and its bound addresses.
 pub struct Running {
-    /// What its tasks share.
+    /// The state shared by its tasks.
     pub process: Arc<Process>,
-    /// Where callers connect.
+    /// Bound address for callers.
     pub listen: std::net::SocketAddr,
-    /// Where peers and operators connect.
+    /// Bound address for peers and operators.
     pub control: std::net::SocketAddr,
 }
 
-/// Starts a process: binds its listeners and spawns its tasks.
+/// Binds the listeners and spawns the tasks of a process.
 pub async fn start(config: Config, log: Logger) -> std::io::Result<Running> {
     let callers = TcpListener::bind(config.listen).await?;
     let control = TcpListener::bind(config.control).await?;
     let listen_address = callers.local_addr()?;
     let control_address = control.local_addr()?;
     let process = Arc::new(Process::new(config, log, control_address));
-    tokio::spawn(listen::callers(process.clone(), callers));
-    tokio::spawn(listen::control(process.clone(), control));
-    tokio::spawn(follow::run(process.clone()));
-    tokio::spawn(follow::apply(process.clone()));
+    tokio::spawn(listen::serve_callers(process.clone(), callers));
+    tokio::spawn(listen::serve_control(process.clone(), control));
+    tokio::spawn(watch::run(process.clone()));
+    tokio::spawn(watch::apply_versions(process.clone()));
     tokio::spawn(peers::run(process.clone()));
-    tokio::spawn(read_list(process.clone()));
-    tokio::spawn(read_reports(process.clone()));
-    tokio::spawn(tell_self(process.clone()));
+    tokio::spawn(poll_vms(process.clone()));
+    tokio::spawn(poll_reports(process.clone()));
+    tokio::spawn(exchange_with_self(process.clone()));
     tokio::spawn(crate::claims::run(process.clone()));
-    let what = format!("listen {listen_address}, control {control_address}");
-    log::event(&process.log, Event::Started, what);
+    let addresses = format!("listen {listen_address}, control {control_address}");
+    log::event(&process.log, Event::Started, addresses);
     Ok(Running { process, listen: listen_address, control: control_address })
 }
 
@@ -142,7 +142,7 @@
         Process {
             metrics: Metrics::default(),
             current: Current::default(),
-            follow: Follow::default(),
+            fetcher: Fetcher::default(),
             members: Members::new(clock, own),
             peers: Peers::default(),
             engines: Arc::new(Engines::new(clock, client.clone())),
@@ -158,7 +158,7 @@
             queues: Mutex::default(),
             next_request: AtomicU64::new(0),
             listed_leaving: Mutex::default(),
-            store_down: AtomicBool::new(false),
+            store_unavailable: AtomicBool::new(false),
             applied: AtomicBool::new(false),
             config,
             clock,
@@ -173,18 +173,18 @@
         self.shards.read().unwrap().clone()
     }
 
-    /// Takes what follows from a settings version.
-    pub fn apply(&self) {
+    /// Applies the settings in force to engines, shards and metrics.
+    pub fn apply_settings(&self) {
         let version = self.current.get();
         self.engines.apply(&version.tree);
         *self.shards.write().unwrap() = Arc::new(home::shards(&version.tree.fleet));
-        self.metrics.version.set(version.head.version as i64);
+        self.metrics.settings_version.set(version.head.version as i64);
         if version.head.version > 0 {
             self.applied.store(true, Ordering::Release);
         }
     }
 
-    /// A new request id, unique over VMs and restarts.
+    /// A new request id, unique across VMs and restarts.
     pub fn request_id(&self) -> id::Request {
         let next = self.next_request.fetch_add(1, Ordering::Relaxed);
         let own = self.members.own();
@@ -192,32 +192,32 @@
         id.parse().expect("made of allowed characters")
     }
 
-    /// The queue of a model.
+    /// The queue for a model and class of prompt length.
     pub fn queue(&self, model: &id::Model, class: Class) -> Arc<Queue> {
         self.queues.lock().unwrap().entry((model.clone(), class)).or_default().clone()
     }
 
-    /// Logs when the key-value service stops or begins to answer.
-    pub fn store_answers(&self, answers: bool) {
-        if self.store_down.swap(!answers, Ordering::Relaxed) == answers {
-            let event = if answers { Event::StoreUp } else { Event::StoreDown };
+    /// Records whether the key-value service responds, and logs changes.
+    pub fn set_store_available(&self, available: bool) {
+        if self.store_unavailable.swap(!available, Ordering::Relaxed) == available {
+            let event = if available { Event::StoreUp } else { Event::StoreDown };
             log::event(&self.log, event, self.config.kv);
         }
     }
 
-    /// Whether this VM can serve: its settings are applied and it is not stopping.
+    /// Whether this VM can serve: its settings are applied and it is not shutting down.
     pub fn ready(&self) -> bool {
         self.applied.load(Ordering::Acquire) && !self.drain.stopping()
     }
 
-    /// Whether a server of a plain service is listed as leaving.
+    /// Whether the platform's VM list marks an upstream as leaving.
     pub fn is_listed_leaving(&self, upstream: &id::Upstream) -> bool {
         self.listed_leaving.lock().unwrap().contains(upstream)
     }
 }
 
-/// Reads the platform's list again and again.
-async fn read_list(process: Arc<Process>) {
+/// Polls the platform's VM list.
+async fn poll_vms(process: Arc<Process>) {
     let list = HttpList::new(process.client.clone(), &process.config.vms.to_string());
     loop {
         if let Ok(listing) = list.read().await {
@@ -238,25 +238,26 @@
     }
 }
 
-/// As a home, reads the reports of the engines of its shards, one task for each engine.
-async fn read_reports(process: Arc<Process>) {
+/// As a home, polls the reports of the engines of its shards, with one task per engine.
+async fn poll_reports(process: Arc<Process>) {
     let mut tasks: HashMap<id::Upstream, tokio::task::JoinHandle<()>> = HashMap::new();
     loop {
         let own = process.members.own().vm;
         let live = process.members.live();
         let shards = process.shards();
-        let homed = shards.iter().filter(|s| home::home_of(s, &live).is_some_and(|m| m.vm == own));
-        let engines: Vec<&id::Upstream> = homed.flat_map(|s| &s.engines).collect();
+        let own_shards =
+            shards.iter().filter(|s| home::home_of(s, &live).is_some_and(|m| m.vm == own));
+        let engines: Vec<&id::Upstream> = own_shards.flat_map(|s| &s.engines).collect();
         tasks.retain(|engine, task| {
-            let kept = engines.contains(&engine) && !task.is_finished();
-            if !kept {
+            let keep = engines.contains(&engine) && !task.is_finished();
+            if !keep {
                 task.abort();
             }
-            kept
+            keep
         });
         for engine in engines {
             if !tasks.contains_key(engine) {
-                let task = tokio::spawn(read_report(process.clone(), engine.clone()));
+                let task = tokio::spawn(poll_engine(process.clone(), engine.clone()));
                 tasks.insert(engine.clone(), task);
             }
         }
@@ -264,24 +265,24 @@
     }
 }
 
-async fn read_report(process: Arc<Process>, engine: id::Upstream) {
+async fn poll_engine(process: Arc<Process>, engine: id::Upstream) {
     use foldlock_connection::engine::Engine as _;
-    let mut silent = 0;
+    let mut failed_polls = 0;
     while let Some(client) = process.engines.client(&engine) {
         match client.report().await {
             Ok(report) => {
-                if silent >= REPORT_SILENT {
+                if failed_polls >= MIN_SILENT_POLLS {
                     log::event(&process.log, Event::UpstreamBack, &engine);
                 }
-                silent = 0;
+                failed_polls = 0;
                 if process.home.on_report(&engine, report) {
                     log::event(&process.log, Event::UpstreamLeaving, &engine);
                     process.peers.exchange_now();
                 }
             }
             Err(e) => {
-                silent += 1;
-                if silent == REPORT_SILENT {
+                failed_polls += 1;
+                if failed_polls == MIN_SILENT_POLLS {
                     log::event(&process.log, Event::UpstreamSilent, format!("{engine}: {e}"));
                 }
             }
@@ -290,8 +291,9 @@
     }
 }
 
-/// A VM is a user of the shards and limits whose home it is: it exchanges with itself.
-async fn tell_self(process: Arc<Process>) {
+/// Exchanges loads, states, demand and quotas with this VM itself, which is also a user of the shards
+/// and limits whose home it is.
+async fn exchange_with_self(process: Arc<Process>) {
     loop {
         let own = process.members.own();
         let live = process.members.live();
@@ -307,8 +309,8 @@
         let demand = process.limits.demand().into_iter();
         let demand = demand.filter(|(n, _)| process.limit_home(n).as_ref() == Some(&own.vm));
         let version = process.current.get();
-        let quotas = process.limits.split(&version.tree, &own.vm, &demand.collect());
-        process.limits.told(&quotas);
+        let quotas = process.limits.allocate(&version.tree, &own.vm, &demand.collect());
+        process.limits.set_quotas(&quotas);
         process.engines.decay_speeds();
         tokio::time::sleep(peers::HEARTBEAT_INTERVAL / 2).await;
     }
--- a/daemon/tests/ready.rs
+++ b/daemon/tests/ready.rs
@@ -1,4 +1,5 @@
-//! A VM is ready only once what follows from its settings is known to all its parts.
+//! A VM is ready only once its settings are applied, so that no request is rejected for a lack of
+//! engines.
 
 mod common;
 
@@ -9,11 +10,11 @@
 use foldlock_version::head::Head;
 use foldlock_version::tree::Texts;
 use foldlockd::config::Config;
-use foldlockd::current::Moved;
+use foldlockd::current::Outcome;
 use foldlockd::process;
 use standin::fleet::{Fleet, MODEL};
 
-/// A VM that is told of no settings by anybody.
+/// The configuration of a VM that gets no settings from peers.
 fn config(fleet: &Fleet) -> Config {
     let any = "127.0.0.1:0".parse().unwrap();
     Config {
@@ -34,16 +35,16 @@
 }
 
 #[tokio::test]
-async fn not_before_the_engines_of_the_settings_are_known() {
+async fn not_ready_before_the_engines_of_the_settings_are_recorded() {
     let fleet = Fleet::stand_ins(common::plan()).await;
     let log = slog::Logger::root(slog::Discard, slog::o!());
     let vm = process::start(config(&fleet), log).await.unwrap().process;
     let texts: Texts = fleet.texts();
-    assert!(matches!(vm.current.advance(head(), texts), Moved::Up));
-    let known = || vm.engines.memory(&MODEL.parse().unwrap()).1 > Tokens(0);
-    assert!(!known(), "a request that came now would be refused as too long");
+    assert!(matches!(vm.current.advance(head(), texts), Outcome::Advanced));
+    let has_engines = || vm.engines.memory(&MODEL.parse().unwrap()).1 > Tokens(0);
+    assert!(!has_engines(), "a request received now would be rejected as too long");
     assert!(!vm.ready());
-    vm.apply();
-    assert!(known());
+    vm.apply_settings();
+    assert!(has_engines());
     assert!(vm.ready());
 }
--- a/daemon/tests/streams.rs
+++ b/daemon/tests/streams.rs
@@ -1,16 +1,16 @@
-//! Each caller gets the whole answer to its own request, whatever happens to engines and VMs.
+//! Each caller receives the complete answer to its own request despite faults of engines and VMs.
 
 mod common;
 
-use common::{ask, assert_whole, paid_plan, plan, prompt, send};
+use common::{ask, assert_complete, paid_plan, plan, prompt, send};
 use foldlock_request::cursor::{Cursor, Key};
 use serde_json::json;
 use standin::client::{self, Ask};
 use standin::fault::{Fault, Kind};
 use standin::fleet::{Fleet, Plan, wait_for};
 
-async fn with_fault(kind: Kind, at: u64) {
-    // One request may meet the fault at each engine in turn.
+async fn assert_complete_despite(kind: Kind, at: u64) {
+    // One request may hit the fault on each engine in turn.
     let policy = json!({ "retries": 4, "retry_budget_percent": 100 });
     let fleet = Fleet::start(Plan { policy, ..plan() }).await;
     for engine in &fleet.engines {
@@ -19,48 +19,48 @@
     for i in 0..4 {
         let ask = ask(prompt(200 + i), 30);
         let answer = send(&fleet, i % 3, &ask).await;
-        assert_whole(&answer, &ask);
+        assert_complete(&answer, &ask);
     }
     wait_for("memory to be free", async || fleet.memory_used() == 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_answer_goes_on_elsewhere() {
-    with_fault(Kind::Cut, 9).await;
+async fn a_truncated_answer_is_resumed_on_another_engine() {
+    assert_complete_despite(Kind::Cut, 9).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_crossed_event_never_reaches_the_caller() {
-    with_fault(Kind::Cross, 5).await;
+async fn an_event_of_another_request_never_reaches_the_caller() {
+    assert_complete_despite(Kind::Cross, 5).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_doubled_event_is_dropped() {
-    with_fault(Kind::Double, 5).await;
+async fn a_duplicate_event_is_dropped() {
+    assert_complete_despite(Kind::Double, 5).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_gap_is_filled() {
-    with_fault(Kind::Skip, 7).await;
+async fn a_missing_event_is_recovered() {
+    assert_complete_despite(Kind::Skip, 7).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn events_out_of_order_are_not_passed_on() {
-    with_fault(Kind::Reorder, 3).await;
+async fn out_of_order_events_are_not_forwarded() {
+    assert_complete_despite(Kind::Reorder, 3).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_freezes_in_the_middle_is_left() {
-    with_fault(Kind::Freeze, 6).await;
+async fn an_engine_that_freezes_during_the_answer_is_replaced() {
+    assert_complete_despite(Kind::Freeze, 6).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_freezes_before_the_first_token_is_left() {
-    with_fault(Kind::Freeze, 0).await;
+async fn an_engine_that_freezes_before_the_first_token_is_replaced() {
+    assert_complete_despite(Kind::Freeze, 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_dies_in_the_middle_is_replaced_without_a_gap() {
+async fn an_engine_that_crashes_during_the_answer_is_replaced_without_a_gap() {
     let mut plan = plan();
     plan.engine.speed = 1.0;
     let mut fleet = Fleet::start(plan).await;
@@ -74,11 +74,11 @@
     .await;
     let serving = fleet.engines.iter().position(|e| e.engine.stats().streams > 0).unwrap();
     drop(fleet.engines.remove(serving));
-    assert_whole(&answer.await.unwrap(), &ask);
+    assert_complete(&answer.await.unwrap(), &ask);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_may_not_be_repeated_is_not_resumed_elsewhere() {
+async fn a_request_that_must_not_be_retried_is_not_resumed_on_another_engine() {
     let fleet = Fleet::start(paid_plan()).await;
     for engine in &fleet.engines {
         engine.engine.add_fault(Fault { kind: Kind::Cut, at: 3, count: 9 });
@@ -92,7 +92,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_caller_whose_vm_dies_goes_on_through_another_one() {
+async fn a_caller_whose_vm_crashed_resumes_through_another_one() {
     let mut plan = plan();
     plan.engine.speed = 1.0;
     let mut fleet = Fleet::start(Plan { engines: 2, ..plan }).await;
@@ -107,18 +107,18 @@
     fleet.vms[0].kill();
     let cut = cut.await.unwrap();
     assert!(!cut.complete);
-    let cursor = cut.cursor.expect("some tokens came");
+    let cursor = cut.cursor.expect("some tokens were received");
     let rest = client::resume(&fleet.client, fleet.vms[1].listen, "key-0", &cursor).await;
     assert!(rest.complete, "{rest:?}");
     let whole = standin::answer::whole(ask.prompt.as_bytes(), ask.max_tokens);
     assert_eq!(cut.text + &rest.text, whole);
-    assert_eq!(fleet.runs().values().sum::<u32>(), 1, "nothing was computed again");
+    assert_eq!(fleet.runs().values().sum::<u32>(), 1, "no part was generated again");
     let other = client::resume(&fleet.client, fleet.vms[1].listen, "key-1", &cursor).await;
     assert_eq!(other.kind.as_deref(), Some("unauthorized"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_forged_cursor_is_refused() {
+async fn a_forged_cursor_is_rejected() {
     let fleet = Fleet::start(plan()).await;
     let forged = Cursor {
         engine: "engine-0".parse().unwrap(),
--- a/version/src/check.rs
+++ b/version/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks of a branch against the schema, with errors that name the place and what is allowed.
+//! Validates branches against their JSON schema. Faults give the position and what is allowed.
 
 use std::fmt;
 use std::sync::LazyLock;
@@ -10,38 +10,38 @@
 
 use crate::branch::Name;
 use crate::schema;
-use crate::source::{Place, Source};
+use crate::source::{Position, Source};
 
-/// A name at most this many edits away is offered as the one that was meant.
-const NEAREST_DISTANCE: usize = 3;
+/// Maximum edit distance at which a valid name is suggested for an unknown one.
+const MAX_SUGGESTION_DISTANCE: usize = 3;
 
-/// The longest value that is quoted in a fault, characters.
-const QUOTED_LEN: usize = 60;
+/// Maximum length of a value quoted in a fault, characters.
+const MAX_QUOTED_CHARS: usize = 60;
 
-/// One fault of a source.
+/// A fault in a source.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// The branch.
+    /// Branch that has the fault.
     pub branch: Name,
-    /// The place in its source.
-    pub place: Place,
-    /// The path of names to the value.
+    /// Position in the source of the branch.
+    pub position: Position,
+    /// Path to the value, as names and indexes.
     pub path: Vec<String>,
-    /// The value.
+    /// The faulty value, truncated; empty if there is none.
     pub value: String,
-    /// What is wrong and what is allowed.
-    pub why: String,
-    /// The known name that was perhaps meant.
+    /// Description of what is wrong and what is allowed.
+    pub reason: String,
+    /// Valid name that was possibly meant.
     pub nearest: Option<String>,
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}:{}: ", self.branch.path(), self.place.line, self.place.column)?;
+        write!(f, "{}:{}:{}: ", self.branch.path(), self.position.line, self.position.column)?;
         if !self.path.is_empty() {
             write!(f, "{}: ", self.path.join("."))?;
         }
-        f.write_str(&self.why)?;
+        f.write_str(&self.reason)?;
         match &self.nearest {
             Some(name) => write!(f, "; did you mean `{name}`?"),
             None => Ok(()),
@@ -49,26 +49,26 @@
     }
 }
 
-/// The known name nearest to `name`, if one is near.
+/// The name in `known` that is closest to `name`, if its edit distance is small enough.
 pub fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<String> {
     known
         .into_iter()
         .map(|k| (strsim::damerau_levenshtein(name, k), k))
-        .filter(|(distance, _)| *distance <= NEAREST_DISTANCE)
+        .filter(|(distance, _)| *distance <= MAX_SUGGESTION_DISTANCE)
         .min()
         .map(|(_, k)| k.to_owned())
 }
 
-/// A value as text, cut to a length that a line can show.
+/// Formats a value as text, truncated to fit on a line.
 pub fn quote(value: &Value) -> String {
     let text = value.to_string();
-    if text.chars().count() <= QUOTED_LEN {
+    if text.chars().count() <= MAX_QUOTED_CHARS {
         return text;
     }
-    text.chars().take(QUOTED_LEN).chain("…".chars()).collect()
+    text.chars().take(MAX_QUOTED_CHARS).chain("…".chars()).collect()
 }
 
-/// A compiled schema with its source, in which known names are looked up.
+/// A compiled schema, and its JSON form in which valid property names are looked up.
 struct Schema {
     value: Value,
     validator: Validator,
@@ -81,8 +81,8 @@
         Schema { value, validator }
     }
 
-    /// The property names that are known at an instance path.
-    fn known(&self, path: &[String]) -> Vec<&str> {
+    /// Valid property names at an instance path.
+    fn property_names(&self, path: &[String]) -> Vec<&str> {
         let mut at = &self.value;
         for step in path {
             at = self.resolve(at);
@@ -105,7 +105,7 @@
 static FLEET: LazyLock<Schema> = LazyLock::new(Schema::of::<schema::Fleet>);
 static ORGANISATION: LazyLock<Schema> = LazyLock::new(Schema::of::<schema::Organisation>);
 
-/// The JSON schema of a branch's source.
+/// JSON schema for the source of a branch.
 pub fn schema(branch: &Name) -> &'static Value {
     &schema_of(branch).value
 }
@@ -117,22 +117,22 @@
     }
 }
 
-/// Checks one branch by itself. References to other branches are the tree's to check.
+/// Validates a branch by itself. References between branches are checked by the tree.
 pub fn source(branch: &Name, source: &Source<'_>) -> Vec<Fault> {
     let schema = schema_of(branch);
     let value = source.value();
     let mut faults = Vec::new();
     for error in schema.validator.iter_errors(&value) {
-        let path = steps(&error.instance_path.to_string());
+        let path = pointer_segments(&error.instance_path.to_string());
         match &error.kind {
             ValidationErrorKind::AdditionalProperties { unexpected } => {
                 for name in unexpected {
-                    faults.push(unknown(branch, source, schema, &path, name));
+                    faults.push(unknown_name(branch, source, schema, &path, name));
                 }
             }
             kind => faults.push(Fault {
                 branch: branch.clone(),
-                place: source.place(&path),
+                position: source.position(&path),
                 nearest: match kind {
                     ValidationErrorKind::Enum { options } => {
                         nearest_option(&error.instance, options)
@@ -141,30 +141,30 @@
                 },
                 path,
                 value: quote(&error.instance),
-                why: error.to_string(),
+                reason: error.to_string(),
             }),
         }
     }
-    faults.sort_by_key(|f| f.place);
+    faults.sort_by_key(|f| f.position);
     faults
 }
 
-fn unknown(
+fn unknown_name(
     branch: &Name,
     source: &Source<'_>,
     schema: &Schema,
     path: &[String],
     name: &str,
 ) -> Fault {
-    let known = schema.known(path);
+    let known = schema.property_names(path);
     let mut inner = path.to_vec();
     inner.push(name.to_owned());
     Fault {
         branch: branch.clone(),
-        place: source.place(&inner),
+        position: source.position(&inner),
         path: inner,
         value: name.to_owned(),
-        why: format!("unknown name `{name}`; known here: {}", known.join(", ")),
+        reason: format!("unknown name `{name}`; allowed names: {}", known.join(", ")),
         nearest: nearest(name, known),
     }
 }
@@ -174,7 +174,7 @@
     nearest(value.as_str()?, names)
 }
 
-/// The names and indexes of a JSON pointer.
-fn steps(pointer: &str) -> Vec<String> {
+/// Splits a JSON pointer into names and indexes.
+fn pointer_segments(pointer: &str) -> Vec<String> {
     pointer.split('/').skip(1).map(|s| s.replace("~1", "/").replace("~0", "~")).collect()
 }
--- a/version/src/tree.rs
+++ b/version/src/tree.rs
@@ -1,4 +1,4 @@
-//! A whole version of the settings: all branches, checked together and resolved.
+//! A complete version of the settings: all branches, validated together and resolved.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -12,16 +12,16 @@
 use crate::check::{self, Fault};
 use crate::policy::Policy;
 use crate::schema;
-use crate::source::{Place, Source};
+use crate::source::{Position, Source};
 
-/// Where an effective value comes from.
+/// Origin of an effective value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Origin {
-    /// The defaults of this release.
+    /// The built-in defaults of this release.
     Default,
     /// A branch.
     Branch(Name),
-    /// A kind of request in an organisation's branch.
+    /// A kind of requests in the branch of an organisation.
     Kind(id::Organisation, id::Kind),
 }
 
@@ -35,45 +35,45 @@
     }
 }
 
-/// The effective settings of a leaf, with the origin of each value.
+/// Effective settings of an organisation or of one kind of its requests, with their origins.
 #[derive(Debug, Clone)]
 pub struct Effective {
-    /// The settings.
+    /// Effective settings.
     pub policy: Arc<Policy>,
-    /// Where each value comes from, by name.
+    /// Origin of each value, by name.
     pub origins: BTreeMap<String, Origin>,
 }
 
-/// An organisation, resolved.
+/// Resolved settings of an organisation.
 #[derive(Debug, Clone)]
 pub struct Organisation {
-    /// The settings of a request that names no kind.
+    /// Settings of requests that specify no kind.
     pub base: Effective,
-    /// The settings of each kind.
+    /// Settings of each kind of requests.
     pub kinds: BTreeMap<id::Kind, Effective>,
 }
 
-/// The texts of all branches.
+/// Source texts of all branches.
 pub type Texts = BTreeMap<Name, Arc<str>>;
 
-/// A checked and resolved version.
+/// A validated and resolved version of the settings.
 #[derive(Debug, Clone, Default)]
 pub struct Tree {
-    /// The root branch.
+    /// Root branch.
     pub fleet: schema::Fleet,
-    /// The organisations.
+    /// Resolved organisations.
     pub organisations: BTreeMap<id::Organisation, Organisation>,
     keys: HashMap<[u8; 4], Vec<(Vec<u8>, id::Organisation)>>,
 }
 
 impl Tree {
-    /// Checks and resolves the texts of all branches, or gives every fault found.
+    /// Validates and resolves the texts of all branches, or returns all faults found.
     pub fn build(texts: &Texts) -> Result<Tree, Vec<Fault>> {
         Builder::default().build(texts)
     }
 
-    /// The organisation whose key this is. Takes the same time for any wrong key with the same
-    /// first bytes of its hash.
+    /// The organisation that a key belongs to. Hashes are compared in constant time, so the
+    /// duration for a wrong key depends on the first 4 bytes of its hash only.
     pub fn organisation_of(&self, key: &str) -> Option<&id::Organisation> {
         let hash = Sha256::digest(key.as_bytes());
         let bucket = self.keys.get(&prefix(&hash))?;
@@ -86,7 +86,7 @@
         found
     }
 
-    /// The settings of a kind, or of a request that names none.
+    /// Settings of a kind of requests, or of requests that specify none.
     pub fn effective(
         &self,
         organisation: &id::Organisation,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The plain service whose path a call begins with.
+    /// The plain service whose path is a prefix of the path of a call.
     pub fn service_of(&self, path: &str) -> Option<(&id::Service, &schema::Service)> {
         self.fleet.services.iter().find(|(_, service)| {
             path.strip_prefix(service.path.as_str())
@@ -108,7 +108,7 @@
     }
 }
 
-/// The hash of a bearer key, as settings hold it.
+/// Hash of a bearer key, in the form used in the settings.
 pub fn hash_of_key(key: &str) -> String {
     Sha256::digest(key.as_bytes()).iter().map(|b| format!("{b:02x}")).collect()
 }
@@ -117,13 +117,13 @@
     [hash[0], hash[1], hash[2], hash[3]]
 }
 
-fn unhex(text: &str) -> Vec<u8> {
+fn decode_hex(text: &str) -> Vec<u8> {
     (0..text.len() / 2)
         .filter_map(|i| u8::from_str_radix(text.get(2 * i..2 * i + 2)?, 16).ok())
         .collect()
 }
 
-/// Collects faults while a tree is built.
+/// Builds a tree and collects the faults.
 #[derive(Default)]
 struct Builder {
     faults: Vec<Fault>,
@@ -137,7 +137,7 @@
             self.parse(name, text, &mut sources);
         }
         if !texts.contains_key(&Name::Fleet) {
-            self.missing_fleet();
+            self.add_missing_fleet_fault();
         }
         if !self.faults.is_empty() {
             return Err(self.faults);
@@ -159,24 +159,24 @@
                 self.faults.extend(check::source(name, &source));
                 sources.insert(name.clone(), source);
             }
-            Err(broken) => self.faults.push(Fault {
+            Err(failure) => self.faults.push(Fault {
                 branch: name.clone(),
-                place: broken.place,
+                position: failure.position,
                 path: Vec::new(),
                 value: String::new(),
-                why: broken.why,
+                reason: failure.reason,
                 nearest: None,
             }),
         }
     }
 
-    fn missing_fleet(&mut self) {
+    fn add_missing_fleet_fault(&mut self) {
         self.faults.push(Fault {
             branch: Name::Fleet,
-            place: Place { line: 1, column: 1 },
+            position: Position { line: 1, column: 1 },
             path: Vec::new(),
             value: String::new(),
-            why: "the root branch is missing".to_owned(),
+            reason: "the root branch is missing".to_owned(),
             nearest: None,
         });
     }
@@ -184,26 +184,26 @@
     fn fleet(&mut self, source: &Source<'_>) {
         let fleet: schema::Fleet = match serde_json::from_value(source.value()) {
             Ok(fleet) => fleet,
-            Err(e) => return self.fault(&Name::Fleet, source, &[], e.to_string(), None),
+            Err(e) => return self.add_fault(&Name::Fleet, source, &[], e.to_string(), None),
         };
         for (id, engine) in &fleet.engines {
             let at = ["engines", id.as_str()];
-            self.reference(source, &at, "hall", engine.hall.as_str(), &fleet.halls);
+            self.check_reference(source, &at, "hall", engine.hall.as_str(), &fleet.halls);
             for model in &engine.models {
-                self.reference(source, &at, "models", model.as_str(), &fleet.models);
+                self.check_reference(source, &at, "models", model.as_str(), &fleet.models);
             }
         }
         for (id, service) in &fleet.services {
             for (server, entry) in &service.servers {
                 let at = ["services", id.as_str(), "servers", server.as_str()];
-                self.reference(source, &at, "hall", entry.hall.as_str(), &fleet.halls);
+                self.check_reference(source, &at, "hall", entry.hall.as_str(), &fleet.halls);
             }
         }
         self.tree.fleet = fleet;
     }
 
-    /// Checks that a name refers to something that is there.
-    fn reference<K: AsRef<str> + Ord, V>(
+    /// Checks that a referenced name is defined.
+    fn check_reference<K: AsRef<str> + Ord, V>(
         &mut self,
         source: &Source<'_>,
         at: &[&str],
@@ -217,55 +217,68 @@
         let mut path = at.to_vec();
         path.push(field);
         let names: Vec<&str> = known.keys().map(AsRef::as_ref).collect();
-        let why = format!("`{name}` is not one of: {}", names.join(", "));
+        let reason = format!("`{name}` is not one of: {}", names.join(", "));
         let nearest = check::nearest(name, names);
-        self.fault(&Name::Fleet, source, &path, why, nearest);
+        self.add_fault(&Name::Fleet, source, &path, reason, nearest);
     }
 
     fn organisation(&mut self, name: &Name, id: &id::Organisation, source: &Source<'_>) {
         let entry: schema::Organisation = match serde_json::from_value(source.value()) {
             Ok(entry) => entry,
-            Err(e) => return self.fault(name, source, &[], e.to_string(), None),
+            Err(e) => return self.add_fault(name, source, &[], e.to_string(), None),
         };
-        self.keys(name, id, source, &entry.keys);
+        self.add_keys(name, id, source, &entry.keys);
         let root = self.tree.fleet.policy.clone();
         let fleet = (Origin::Branch(Name::Fleet), &root);
         let own = (Origin::Branch(name.clone()), &entry.policy);
         let base = match resolve(&[fleet.clone(), own.clone()]) {
             Ok(base) => base,
-            Err(e) => return self.fault(name, source, &["policy"], e, None),
+            Err(e) => return self.add_fault(name, source, &["policy"], e, None),
         };
         let mut kinds = BTreeMap::new();
         for (kind, settings) in &entry.kinds {
             let leaf = (Origin::Kind(id.clone(), kind.clone()), &settings.policy);
             match resolve(&[fleet.clone(), own.clone(), leaf]) {
                 Ok(effective) => {
-                    self.totals(name, source, kind, &base.policy, &effective.policy);
+                    self.check_organisation_limits(
+                        name,
+                        source,
+                        kind,
+                        &base.policy,
+                        &effective.policy,
+                    );
                     kinds.insert(kind.clone(), effective);
                 }
-                Err(e) => self.fault(name, source, &["kinds", kind.as_str()], e, None),
+                Err(e) => self.add_fault(name, source, &["kinds", kind.as_str()], e, None),
             }
         }
         self.tree.organisations.insert(id.clone(), Organisation { base, kinds });
     }
 
-    fn keys(&mut self, name: &Name, id: &id::Organisation, source: &Source<'_>, keys: &[String]) {
+    fn add_keys(
+        &mut self,
+        name: &Name,
+        id: &id::Organisation,
+        source: &Source<'_>,
+        keys: &[String],
+    ) {
         for (i, key) in keys.iter().enumerate() {
-            let hash = unhex(key);
+            let hash = decode_hex(key);
             let bucket = self.tree.keys.entry(prefix(&hash)).or_default();
             let holder = bucket.iter().find(|(known, _)| *known == hash).map(|(_, o)| o.clone());
             match holder {
                 Some(other) => {
-                    let why = format!("the key is organisation {other}'s already");
-                    self.fault(name, source, &["keys", &i.to_string()], why, None);
+                    let reason = format!("the key already belongs to organisation {other}");
+                    self.add_fault(name, source, &["keys", &i.to_string()], reason, None);
                 }
                 None => bucket.push((hash, id.clone())),
             }
         }
     }
 
-    /// A kind's limit cannot be above the limit of its organisation, which counts it too.
-    fn totals(
+    /// Checks that no limit of a kind exceeds that of its organisation, since the requests of a
+    /// kind count towards both.
+    fn check_organisation_limits(
         &mut self,
         name: &Name,
         source: &Source<'_>,
@@ -280,34 +293,34 @@
         ];
         for (field, whole, part) in pairs {
             if whole != 0 && part > whole {
-                let why = format!("{part} is above the organisation's {whole}");
+                let reason = format!("{part} exceeds the organisation's limit of {whole}");
                 let path = ["kinds", kind.as_str(), "policy", field];
-                self.fault(name, source, &path, why, None);
+                self.add_fault(name, source, &path, reason, None);
             }
         }
     }
 
-    fn fault(
+    fn add_fault(
         &mut self,
         branch: &Name,
         source: &Source<'_>,
         path: &[&str],
-        why: String,
+        reason: String,
         nearest: Option<String>,
     ) {
         let path: Vec<String> = path.iter().map(|s| (*s).to_owned()).collect();
         self.faults.push(Fault {
             branch: branch.clone(),
-            place: source.place(&path),
+            position: source.position(&path),
             path,
             value: String::new(),
-            why,
+            reason,
             nearest,
         });
     }
 }
 
-/// Merges what each branch sets, the root first, over the defaults.
+/// Merges the settings of the branches over the defaults, the root branch first.
 fn resolve(branches: &[(Origin, &Map<String, Value>)]) -> Result<Effective, String> {
     let defaults = serde_json::to_value(Policy::default()).map_err(|e| e.to_string())?;
     let Value::Object(mut merged) = defaults else { return Err("not an object".to_owned()) };
--- a/version/tests/routes.rs
+++ b/version/tests/routes.rs
@@ -1,18 +1,18 @@
-//! The routing table: the longest prefix wins, keys lead to organisations.
+//! Routes are found by their longest prefix, organisations by their keys.
 
 use std::time::Duration;
 
 use foldlock_version::routes::{
-    Bounds, Builder, Organisation, Repeat, Route, Service, Shape, Table, Target,
+    Bounds, Builder, Delivery, Organisation, Retry, Route, Service, Table, Target,
 };
 use proptest::prelude::*;
 
 fn bounds() -> Bounds {
     Bounds {
-        header_bytes: 16 << 10,
-        body_bytes: 4 << 20,
-        header_time: Duration::from_secs(3),
-        idle_time: Duration::from_secs(15),
+        max_header_bytes: 16 << 10,
+        max_body_bytes: 4 << 20,
+        header_timeout: Duration::from_secs(3),
+        idle_timeout: Duration::from_secs(15),
     }
 }
 
@@ -21,13 +21,13 @@
         name: format!("{host}{prefix}"),
         host: host.to_owned(),
         prefix: prefix.to_owned(),
-        repeat: Repeat::Safe,
-        shape: Shape::Whole,
+        retry: Retry::Safe,
+        delivery: Delivery::Complete,
         timeout: Duration::from_secs(2),
         objective: Duration::from_millis(300),
         priority: 1,
         targets: vec![Target { service: "plain".to_owned(), weight: 1 }],
-        attempts: 2,
+        max_attempts: 2,
         public: false,
     }
 }
@@ -69,13 +69,13 @@
 }
 
 #[test]
-fn keys_are_needed_once_there_is_an_organisation() {
-    assert!(!builder().build().keyed());
+fn keys_are_required_once_there_is_an_organisation() {
+    assert!(!builder().build().requires_key());
     let table = builder()
         .organisation(organisation("one"), ["k1".to_owned(), "k2".to_owned()])
         .organisation(organisation("two"), ["k3".to_owned()])
         .build();
-    assert!(table.keyed());
+    assert!(table.requires_key());
     let name = |key: &str| table.organisation(key).map(|o| o.name.clone());
     assert_eq!(name("k2").as_deref(), Some("one"));
     assert_eq!(name("k3").as_deref(), Some("two"));
@@ -83,16 +83,16 @@
 }
 
 #[test]
-fn an_organisation_without_keys_still_asks_for_them() {
+fn an_organisation_without_keys_still_requires_them() {
     let table = builder().organisation(organisation("one"), []).build();
-    assert!(table.keyed());
+    assert!(table.requires_key());
     assert!(table.organisation("").is_none());
 }
 
 #[test]
 fn services_are_found_by_name() {
     let plain =
-        Service { name: "plain".to_owned(), connections: 96, engine: None, cold_per_s: None };
+        Service { name: "plain".to_owned(), max_connections: 96, engine: None, cold_per_s: None };
     let table = builder().service(plain.clone()).build();
     assert_eq!(table.service("plain").map(|s| s.as_ref()), Some(&plain));
     assert!(table.service("other").is_none());
@@ -107,7 +107,7 @@
 
 proptest! {
     #[test]
-    fn what_is_found_is_the_longest_that_begins_the_path(
+    fn the_route_with_the_longest_matching_prefix_is_found(
         prefixes in prop::collection::btree_set(prefix(), 0..12),
         path in prefix(),
     ) {
