--- a/daemon/tests/soak/fault.rs
+++ b/daemon/tests/soak/fault.rs
@@ -11,7 +11,7 @@
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
-use crate::proxy::Link;
+use crate::proxy::Mode;
 use crate::world::{GRACE, Part, World};
 
 /// How long a leaving server takes requests after it has said so.
@@ -42,9 +42,9 @@
     Stop(usize),
     Freeze(usize, Duration),
     Reload(usize),
-    Callers(usize, Link, Duration),
-    StoreLink(usize, Link, Duration),
-    ServerLink(usize, Link, Duration),
+    Callers(usize, Mode, Duration),
+    StoreLink(usize, Mode, Duration),
+    ServerLink(usize, Mode, Duration),
     Crash(usize, Duration),
     Drain(usize),
     /// A server leaves and says so in its answers alone.
@@ -78,9 +78,9 @@
             1 | 2 => Fault::Stop(vm),
             3 => Fault::Freeze(vm, time),
             4 => Fault::Reload(vm),
-            5 => Fault::Callers(vm, way(draw), time),
-            6 => Fault::StoreLink(vm, way(draw), time),
-            7 | 8 => Fault::ServerLink(place, way(draw), time),
+            5 => Fault::Callers(vm, random_mode(draw), time),
+            6 => Fault::StoreLink(vm, random_mode(draw), time),
+            7 | 8 => Fault::ServerLink(place, random_mode(draw), time),
             9 => Fault::Crash(place, time / 2),
             10 | 11 => Fault::Drain(place),
             12 => Fault::Store(mood(draw), time),
@@ -92,9 +92,9 @@
     }
 }
 
-fn way(draw: &mut StdRng) -> Link {
+fn random_mode(draw: &mut StdRng) -> Mode {
     let delay = Duration::from_millis(draw.random_range(5..150));
-    [Link::Slow(delay), Link::Silent, Link::OneWay, Link::Reset][draw.random_range(0..4)]
+    [Mode::Delayed(delay), Mode::Blackhole, Mode::OneWay, Mode::Reset][draw.random_range(0..4)]
 }
 
 fn mood(draw: &mut StdRng) -> Behaviour {
@@ -134,32 +134,32 @@
             world.calm(number);
         }
         Fault::Reload(vm) => world.vms[vm].signal(Signal::SIGHUP),
-        Fault::Callers(vm, way, time) => {
+        Fault::Callers(vm, mode, time) => {
             let number = world.disturb(Part::Vm(vm));
-            world.vms[vm].front.set(way);
+            world.vms[vm].front.set(mode);
             tokio::time::sleep(time).await;
-            world.vms[vm].front.set(Link::Open);
+            world.vms[vm].front.set(Mode::Open);
             world.calm(number);
         }
-        Fault::StoreLink(vm, way, time) => {
+        Fault::StoreLink(vm, mode, time) => {
             let number = world.disturb(Part::Vm(vm));
-            world.vms[vm].store.set(way);
+            world.vms[vm].store.set(mode);
             tokio::time::sleep(time).await;
-            world.vms[vm].store.set(Link::Open);
+            world.vms[vm].store.set(Mode::Open);
             world.calm(number);
         }
-        Fault::ServerLink(place, way, time) => {
+        Fault::ServerLink(place, mode, time) => {
             let number = world.disturb(Part::Servers);
-            world.places[place].link.set(way);
+            world.places[place].link.set(mode);
             tokio::time::sleep(time).await;
-            world.places[place].link.set(Link::Open);
+            world.places[place].link.set(Mode::Open);
             world.calm(number);
         }
         Fault::Crash(place, down) => {
             let number = world.disturb(Part::Servers);
-            world.places[place].link.set(Link::Reset);
+            world.places[place].link.set(Mode::Reset);
             tokio::time::sleep(down).await;
-            world.places[place].link.set(Link::Open);
+            world.places[place].link.set(Mode::Open);
             world.replace(&world.places[place]).await;
             world.calm(number);
         }
@@ -206,12 +206,12 @@
     // Another fault may have replaced it already.
     let Some(place) = world.places.iter().find(|place| place.id() == server) else { return };
     let number = world.disturb(Part::Servers);
-    place.link.set(Link::Closed);
+    place.link.set(Mode::Closed);
     tokio::time::sleep(down).await;
     if place.id() == server {
         world.replace(place).await;
     }
-    place.link.set(Link::Open);
+    place.link.set(Mode::Open);
     world.calm(number);
 }
 
--- a/daemon/tests/soak/proxy.rs
+++ b/daemon/tests/soak/proxy.rs
@@ -13,12 +13,12 @@
 
 /// What a link does with bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Link {
+pub(crate) enum Mode {
     Open,
     /// Bytes arrive later.
-    Slow(Duration),
+    Delayed(Duration),
     /// Nothing arrives, and nothing says so.
-    Silent,
+    Blackhole,
     /// What is sent arrives, and no answer does.
     OneWay,
     /// Connections are reset, new ones too.
@@ -31,7 +31,7 @@
 pub(crate) struct Proxy {
     pub(crate) address: SocketAddr,
     target: Arc<Mutex<SocketAddr>>,
-    way: watch::Sender<Link>,
+    mode: watch::Sender<Mode>,
     task: JoinHandle<()>,
 }
 
@@ -41,18 +41,18 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let target = Arc::new(Mutex::new(target));
-        let (way, ways) = watch::channel(Link::Open);
-        let task = tokio::spawn(accept(listener, target.clone(), ways));
-        Proxy { address, target, way, task }
+        let (mode, modes) = watch::channel(Mode::Open);
+        let task = tokio::spawn(accept(listener, target.clone(), modes));
+        Proxy { address, target, mode, task }
     }
 
     /// Changes what the link does.
-    pub(crate) fn set(&self, way: Link) {
-        self.way.send_replace(way);
+    pub(crate) fn set(&self, mode: Mode) {
+        self.mode.send_replace(mode);
     }
 
     /// Leads new connections elsewhere.
-    pub(crate) fn lead_to(&self, target: SocketAddr) {
+    pub(crate) fn set_target(&self, target: SocketAddr) {
         *self.target.lock().unwrap() = target;
     }
 }
@@ -66,18 +66,18 @@
 async fn accept(
     mut listener: TcpListener,
     target: Arc<Mutex<SocketAddr>>,
-    mut ways: watch::Receiver<Link>,
+    mut modes: watch::Receiver<Mode>,
 ) {
     let address = listener.local_addr().unwrap();
     loop {
         tokio::select! {
             Ok((caller, _)) = listener.accept() => {
                 let target = *target.lock().unwrap();
-                tokio::spawn(carry(caller, target, ways.clone()));
+                tokio::spawn(relay(caller, target, modes.clone()));
             }
-            closed = closes(&mut ways) => {
+            closed = wait_closed(&mut modes) => {
                 drop(listener);
-                if !closed || ways.wait_for(|way| *way != Link::Closed).await.is_err() {
+                if !closed || modes.wait_for(|mode| *mode != Mode::Closed).await.is_err() {
                     return;
                 }
                 listener = listen(address).await;
@@ -87,8 +87,8 @@
 }
 
 /// Whether the link closes, or is gone.
-async fn closes(ways: &mut watch::Receiver<Link>) -> bool {
-    ways.wait_for(|way| *way == Link::Closed).await.is_ok()
+async fn wait_closed(modes: &mut watch::Receiver<Mode>) -> bool {
+    modes.wait_for(|mode| *mode == Mode::Closed).await.is_ok()
 }
 
 /// Listens again where it did before; what was accepted last may still have the port for a moment.
@@ -101,42 +101,42 @@
     }
 }
 
-async fn carry(caller: TcpStream, target: SocketAddr, mut ways: watch::Receiver<Link>) {
-    reset_when_dropped(&caller, true);
-    if matches!(*ways.borrow(), Link::Reset | Link::Closed) {
+async fn relay(caller: TcpStream, target: SocketAddr, mut modes: watch::Receiver<Mode>) {
+    set_reset_on_drop(&caller, true);
+    if matches!(*modes.borrow(), Mode::Reset | Mode::Closed) {
         return;
     }
     let Ok(callee) = TcpStream::connect(target).await else { return };
-    reset_when_dropped(&callee, true);
-    let (caller_reads, caller_writes) = caller.into_split();
-    let (callee_reads, callee_writes) = callee.into_split();
-    let there = pump(caller_reads, callee_writes, ways.clone(), false);
-    let back = pump(callee_reads, caller_writes, ways.clone(), true);
+    set_reset_on_drop(&callee, true);
+    let (caller_reader, caller_writer) = caller.into_split();
+    let (callee_reader, callee_writer) = callee.into_split();
+    let to_callee = forward(caller_reader, callee_writer, modes.clone(), false);
+    let to_caller = forward(callee_reader, caller_writer, modes.clone(), true);
     tokio::select! {
-        _ = async { tokio::join!(there, back) } => {}
-        _ = ways.wait_for(|way| matches!(way, Link::Reset | Link::Closed)) => {}
+        _ = async { tokio::join!(to_callee, to_caller) } => {}
+        _ = modes.wait_for(|mode| matches!(mode, Mode::Reset | Mode::Closed)) => {}
     }
 }
 
 /// Whether a connection that is dropped is reset.
-fn reset_when_dropped(stream: &TcpStream, reset: bool) {
+fn set_reset_on_drop(stream: &TcpStream, reset: bool) {
     let linger = reset.then_some(Duration::ZERO);
     SockRef::from(stream).set_linger(linger).expect("a socket takes the option");
     stream.set_nodelay(true).expect("a socket takes the option");
 }
 
-async fn pump(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut ways: watch::Receiver<Link>,
-    back: bool,
+    mut modes: watch::Receiver<Mode>,
+    to_caller: bool,
 ) {
     let mut buffer = vec![0; 16 << 10];
     while let Ok(length) = from.read(&mut buffer).await {
-        let stuck = |way: &Link| *way == Link::Silent || back && *way == Link::OneWay;
-        let way = ways.wait_for(|way| !stuck(way)).await.map(|way| *way);
-        if let Ok(Link::Slow(by)) = way {
-            tokio::time::sleep(by).await;
+        let blocked = |mode: &Mode| *mode == Mode::Blackhole || to_caller && *mode == Mode::OneWay;
+        let mode = modes.wait_for(|mode| !blocked(mode)).await.map(|mode| *mode);
+        if let Ok(Mode::Delayed(delay)) = mode {
+            tokio::time::sleep(delay).await;
         }
         if length == 0 {
             let _ = to.shutdown().await;
--- a/daemon/tests/soak/world.rs
+++ b/daemon/tests/soak/world.rs
@@ -266,7 +266,7 @@
         let id = format!("{}-{}", place.service, next());
         let server = Server::new(&id, self.book.clone());
         let served = server.serve().await;
-        place.link.lead_to(served.address);
+        place.link.set_target(served.address);
         let next = Instance { id, server, leaving: false, _served: served };
         let before = std::mem::replace(&mut *place.instance.lock().unwrap(), next);
         self.store.remove_server(&before.id);
