--- a/daemon/tests/soak/caller.rs
+++ b/daemon/tests/soak/caller.rs
@@ -110,7 +110,8 @@
     let mut all = Vec::new();
     while !stop.is_cancelled() {
         let vm = draw.random_range(0..world.vms.len());
-        let Some(mut connection) = Connection::open(vm, world.vms[vm].front.address).await else {
+        let Some(mut connection) = Connection::open(vm, world.vms[vm].caller_link.address).await
+        else {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
@@ -164,11 +165,11 @@
     let wait = asked.leave.unwrap_or(kind.time() + SLACK * 4);
     let answer = tokio::time::timeout(wait, exchange(connection, call.encode())).await;
     let took = began.elapsed();
-    let calm = world.vm_in_touch(connection.vm, began, Instant::now());
+    let calm = world.vm_is_settled(connection.vm, began, Instant::now());
     let mut sent = Sent { id: asked.id.clone(), kind, refused: false, good: false };
     let vm = &world.vms[connection.vm].name;
     if calm && asked.leave.is_none() && took > kind.time() + SLACK {
-        world.note(format!("{vm}: {} had no end after {took:?}", asked.id));
+        world.record_violation(format!("{vm}: {} had no end after {took:?}", asked.id));
     }
     let first = connection.served == 0;
     connection.served += 1;
@@ -183,7 +184,7 @@
             lost(world, connection.vm, &asked.id, began);
         }
         Ok(Exchange::Closed) if calm && first => {
-            world.note(format!("{vm}: {} got no answer on a new connection", asked.id));
+            world.record_violation(format!("{vm}: {} got no answer on a new connection", asked.id));
         }
         Ok(Exchange::Closed) => lost(world, connection.vm, &asked.id, began),
         Err(_) => {}
@@ -224,18 +225,20 @@
                 call.is_answered_by(answer) && answer.body() == expected(call.path).as_bytes();
             sent.good = right;
             if !right {
-                world.note(format!("{id}: a success with another answer: {answer:?}"));
+                world.record_violation(format!("{id}: a success with another answer: {answer:?}"));
             }
         }
         429 | 503 => {
             sent.refused = true;
             if !answer.headers().contains_key("retry-after") {
-                world.note(format!("{id}: refused without a time to come back: {answer:?}"));
+                world.record_violation(format!(
+                    "{id}: refused without a time to come back: {answer:?}"
+                ));
             }
         }
         401 if asked.key == crate::REVOKED => {}
         502 | 504 => {}
-        _ => world.note(format!("{id}: an answer that is never due: {answer:?}")),
+        _ => world.record_violation(format!("{id}: an answer that is never due: {answer:?}")),
     }
 }
 
@@ -252,15 +255,15 @@
     let right = head.status != 200 || expected(path).as_bytes().starts_with(body);
     if !right {
         let text = String::from_utf8_lossy(body);
-        world.note(format!("{}: broke off within another answer: {text}", asked.id));
+        world.record_violation(format!("{}: broke off within another answer: {text}", asked.id));
     }
 }
 
 /// What a planned stop alone may not do: end a connection with a request that was passed on.
 fn lost(world: &World, vm: usize, id: &str, began: Instant) {
-    let passed_on = !world.book.runs(id).is_empty();
-    if passed_on && world.only_planned(vm, began, Instant::now()) {
-        world.note(format!("{}: {id} was passed on and lost", world.vms[vm].name));
+    let passed_on = !world.journal.runs(id).is_empty();
+    if passed_on && world.only_planned_stops(vm, began, Instant::now()) {
+        world.record_violation(format!("{}: {id} was passed on and lost", world.vms[vm].name));
     }
 }
 
@@ -282,7 +285,8 @@
         }
         let vm = draw.random_range(0..world.vms.len());
         let id = format!("{}{seed:x}-{number}", crate::DEADLY);
-        if let Some(mut connection) = Connection::open(vm, world.vms[vm].front.address).await {
+        if let Some(mut connection) = Connection::open(vm, world.vms[vm].caller_link.address).await
+        {
             let call = Call {
                 id: &id,
                 vm,
--- a/daemon/tests/soak/fault.rs
+++ b/daemon/tests/soak/fault.rs
@@ -12,7 +12,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::proxy::Mode;
-use crate::world::{GRACE, Part, World};
+use crate::world::{Part, STOP_TIMEOUT, World};
 
 /// How long a leaving server takes requests after it has said so.
 const DRAIN: Duration = Duration::from_secs(2);
@@ -71,7 +71,7 @@
     /// Draws a fault.
     pub(crate) fn draw(draw: &mut StdRng, world: &World) -> Fault {
         let vm = draw.random_range(0..world.vms.len());
-        let place = draw.random_range(0..world.places.len());
+        let endpoint = draw.random_range(0..world.endpoints.len());
         let time = Duration::from_millis(draw.random_range(100..2_500));
         match draw.random_range(0..18) {
             0 => Fault::Kill(vm, time / 4),
@@ -80,12 +80,12 @@
             4 => Fault::Reload(vm),
             5 => Fault::Callers(vm, random_mode(draw), time),
             6 => Fault::StoreLink(vm, random_mode(draw), time),
-            7 | 8 => Fault::ServerLink(place, random_mode(draw), time),
-            9 => Fault::Crash(place, time / 2),
-            10 | 11 => Fault::Drain(place),
+            7 | 8 => Fault::ServerLink(endpoint, random_mode(draw), time),
+            9 => Fault::Crash(endpoint, time / 2),
+            10 | 11 => Fault::Drain(endpoint),
             12 => Fault::Store(mood(draw), time),
-            13 | 14 => Fault::LeaveUnheard(place),
-            15 | 16 => Fault::Rest(place, time),
+            13 | 14 => Fault::LeaveUnheard(endpoint),
+            15 | 16 => Fault::Rest(endpoint, time),
             17 => Fault::Restore(time),
             _ => Fault::Forget,
         }
@@ -127,52 +127,52 @@
         Fault::Kill(vm, down) => kill(&world, vm, down).await,
         Fault::Stop(vm) => stop(&world, vm).await,
         Fault::Freeze(vm, time) => {
-            let number = world.disturb(Part::Vm(vm));
+            let disturbance = world.begin_disturbance(Part::Vm(vm));
             world.vms[vm].signal(Signal::SIGSTOP);
             tokio::time::sleep(time).await;
             world.vms[vm].signal(Signal::SIGCONT);
-            world.calm(number);
+            world.end_disturbance(disturbance);
         }
         Fault::Reload(vm) => world.vms[vm].signal(Signal::SIGHUP),
         Fault::Callers(vm, mode, time) => {
-            let number = world.disturb(Part::Vm(vm));
-            world.vms[vm].front.set(mode);
+            let disturbance = world.begin_disturbance(Part::Vm(vm));
+            world.vms[vm].caller_link.set(mode);
             tokio::time::sleep(time).await;
-            world.vms[vm].front.set(Mode::Open);
-            world.calm(number);
+            world.vms[vm].caller_link.set(Mode::Open);
+            world.end_disturbance(disturbance);
         }
         Fault::StoreLink(vm, mode, time) => {
-            let number = world.disturb(Part::Vm(vm));
-            world.vms[vm].store.set(mode);
+            let disturbance = world.begin_disturbance(Part::Vm(vm));
+            world.vms[vm].store_link.set(mode);
             tokio::time::sleep(time).await;
-            world.vms[vm].store.set(Mode::Open);
-            world.calm(number);
+            world.vms[vm].store_link.set(Mode::Open);
+            world.end_disturbance(disturbance);
         }
-        Fault::ServerLink(place, mode, time) => {
-            let number = world.disturb(Part::Servers);
-            world.places[place].link.set(mode);
+        Fault::ServerLink(endpoint, mode, time) => {
+            let disturbance = world.begin_disturbance(Part::Servers);
+            world.endpoints[endpoint].link.set(mode);
             tokio::time::sleep(time).await;
-            world.places[place].link.set(Mode::Open);
-            world.calm(number);
+            world.endpoints[endpoint].link.set(Mode::Open);
+            world.end_disturbance(disturbance);
         }
-        Fault::Crash(place, down) => {
-            let number = world.disturb(Part::Servers);
-            world.places[place].link.set(Mode::Reset);
+        Fault::Crash(endpoint, down) => {
+            let disturbance = world.begin_disturbance(Part::Servers);
+            world.endpoints[endpoint].link.set(Mode::Reset);
             tokio::time::sleep(down).await;
-            world.places[place].link.set(Mode::Open);
-            world.replace(&world.places[place]).await;
-            world.calm(number);
+            world.endpoints[endpoint].link.set(Mode::Open);
+            world.replace(&world.endpoints[endpoint]).await;
+            world.end_disturbance(disturbance);
         }
-        Fault::Drain(place) => drain(&world, place, true).await,
-        Fault::LeaveUnheard(place) => drain(&world, place, false).await,
-        Fault::Rest(place, time) => rest(&world, place, time).await,
+        Fault::Drain(endpoint) => drain(&world, endpoint, true).await,
+        Fault::LeaveUnheard(endpoint) => drain(&world, endpoint, false).await,
+        Fault::Rest(endpoint, time) => rest(&world, endpoint, time).await,
         Fault::Restore(age) => restore(&world, age).await,
         Fault::Store(mood, time) => {
-            let number = world.disturb(Part::Store);
+            let disturbance = world.begin_disturbance(Part::Store);
             world.store.set_behaviour(mood);
             tokio::time::sleep(time).await;
             world.store.set_behaviour(Behaviour::Normal);
-            world.calm(number);
+            world.end_disturbance(disturbance);
         }
         Fault::Forget => world.store.compact(),
     }
@@ -182,13 +182,13 @@
 pub(crate) async fn limit_servers(world: Arc<World>, seed: u64, stop: CancellationToken) {
     let mut draw = StdRng::seed_from_u64(seed);
     while !stop.is_cancelled() {
-        let place = &world.places[draw.random_range(0..world.places.len())];
+        let endpoint = &world.endpoints[draw.random_range(0..world.endpoints.len())];
         let rate = draw.random_range(1..12) as f64 / 4.0;
         let time = Duration::from_millis(draw.random_range(4_000..8_000));
-        println!("{} takes {rate} a second for {time:?}", place.id());
-        place.limit(Some(rate));
+        println!("{} takes {rate} a second for {time:?}", endpoint.id());
+        endpoint.set_rate_limit(Some(rate));
         let _ = tokio::time::timeout(time, stop.cancelled()).await;
-        place.limit(None);
+        endpoint.set_rate_limit(None);
     }
 }
 
@@ -196,7 +196,7 @@
 pub(crate) async fn end_servers(world: Arc<World>, seed: u64) {
     let mut draw = StdRng::seed_from_u64(seed);
     loop {
-        let server = world.book.next_crash().await;
+        let server = world.journal.next_crash().await;
         let down = Duration::from_millis(draw.random_range(200..1_500));
         tokio::spawn(end_server(world.clone(), server, down));
     }
@@ -204,52 +204,57 @@
 
 async fn end_server(world: Arc<World>, server: String, down: Duration) {
     // Another fault may have replaced it already.
-    let Some(place) = world.places.iter().find(|place| place.id() == server) else { return };
-    let number = world.disturb(Part::Servers);
-    place.link.set(Mode::Closed);
+    let Some(endpoint) = world.endpoints.iter().find(|endpoint| endpoint.id() == server) else {
+        return;
+    };
+    let disturbance = world.begin_disturbance(Part::Servers);
+    endpoint.link.set(Mode::Closed);
     tokio::time::sleep(down).await;
-    if place.id() == server {
-        world.replace(place).await;
+    if endpoint.id() == server {
+        world.replace(endpoint).await;
     }
-    place.link.set(Mode::Open);
-    world.calm(number);
+    endpoint.link.set(Mode::Open);
+    world.end_disturbance(disturbance);
 }
 
 /// Kills a process and starts it again, unless it is down already.
 async fn kill(world: &World, vm: usize, down: Duration) {
-    let number = world.disturb(Part::Vm(vm));
-    let starts = world.vms[vm].starts();
+    let disturbance = world.begin_disturbance(Part::Vm(vm));
+    let incarnation = world.vms[vm].incarnation();
     world.vms[vm].signal(Signal::SIGKILL);
     // While the soak itself stands still nobody sees the end; another start would meet its ports.
     for _ in 0..KILL_LOOKS {
-        if wait_ended(world, vm, starts, LATE).await {
+        if wait_ended(world, vm, incarnation, LATE).await {
             break;
         }
     }
     tokio::time::sleep(down).await;
-    start_again(world, vm, starts);
-    world.calm(number);
+    start_again(world, vm, incarnation);
+    world.end_disturbance(disturbance);
 }
 
 /// Stops a process as planned and starts it again.
 async fn stop(world: &World, vm: usize) {
-    let number = world.disturb(Part::PlannedStop(vm));
-    let starts = world.vms[vm].starts();
+    let disturbance = world.begin_disturbance(Part::PlannedStop(vm));
+    let incarnation = world.vms[vm].incarnation();
     world.vms[vm].signal(Signal::SIGTERM);
     // It may be frozen for as long as a fault lasts.
-    if !wait_ended(world, vm, starts, GRACE + LATE * 3).await {
-        world.note(format!("{} did not end after the signal to stop", world.vms[vm].name));
+    if !wait_ended(world, vm, incarnation, STOP_TIMEOUT + LATE * 3).await {
+        world.record_violation(format!(
+            "{} did not end after the signal to stop",
+            world.vms[vm].name
+        ));
         world.vms[vm].signal(Signal::SIGKILL);
     }
-    start_again(world, vm, starts);
-    world.calm(number);
+    start_again(world, vm, incarnation);
+    world.end_disturbance(disturbance);
 }
 
 /// Waits until the process of that start has ended.
-async fn wait_ended(world: &World, vm: usize, starts: usize, limit: Duration) -> bool {
+async fn wait_ended(world: &World, vm: usize, incarnation: usize, limit: Duration) -> bool {
     let until = Instant::now() + limit;
     while Instant::now() < until {
-        if world.vms[vm].starts() != starts || world.vms[vm].ended().is_some() {
+        if world.vms[vm].incarnation() != incarnation || world.vms[vm].exit_status().is_some() {
             return true;
         }
         tokio::time::sleep(LOOK).await;
@@ -257,19 +262,19 @@
     false
 }
 
-fn start_again(world: &World, vm: usize, starts: usize) {
-    if world.vms[vm].starts() == starts {
+fn start_again(world: &World, vm: usize, incarnation: usize) {
+    if world.vms[vm].incarnation() == incarnation {
         world.vms[vm].start();
     }
 }
 
 /// A server refuses all that it is sent, and asks for rest.
-async fn rest(world: &World, place: usize, time: Duration) {
-    let id = world.places[place].id();
-    world.places[place].say(Notice { backoff: Some(time), ..Notice::default() });
+async fn rest(world: &World, endpoint: usize, time: Duration) {
+    let id = world.endpoints[endpoint].id();
+    world.endpoints[endpoint].set_notice(Notice { backoff: Some(time), ..Notice::default() });
     tokio::time::sleep(time).await;
-    if world.places[place].id() == id {
-        world.places[place].say(Notice::default());
+    if world.endpoints[endpoint].id() == id {
+        world.endpoints[endpoint].set_notice(Notice::default());
     }
 }
 
@@ -277,33 +282,33 @@
 async fn restore(world: &World, age: Duration) {
     let copy = world.store.snapshot();
     tokio::time::sleep(age).await;
-    let number = world.disturb(Part::Store);
+    let disturbance = world.begin_disturbance(Part::Store);
     world.store.set_behaviour(Behaviour::Unavailable);
     tokio::time::sleep(AWAY).await;
     world.store.restore(copy);
     world.store.set_behaviour(Behaviour::Normal);
     tokio::time::sleep(WRITTEN_AGAIN).await;
-    world.list_again();
+    world.register_all();
     tokio::time::sleep(LAPSE).await;
-    world.lapse();
-    world.calm(number);
+    world.remove_stale();
+    world.end_disturbance(disturbance);
 }
 
 /// A server says that it leaves, in its answers and perhaps its entry, serves on for a while, and is replaced.
-async fn drain(world: &World, place: usize, listed: bool) {
-    let id = world.places[place].id();
-    world.places[place].say(Notice { leaving: true, ..Notice::default() });
+async fn drain(world: &World, endpoint: usize, listed: bool) {
+    let id = world.endpoints[endpoint].id();
+    world.endpoints[endpoint].set_notice(Notice { leaving: true, ..Notice::default() });
     if listed {
-        world.list(&world.places[place], true);
+        world.register(&world.endpoints[endpoint], true);
     }
     let said = Instant::now();
     tokio::time::sleep(DRAIN + DRAIN / 2).await;
-    if world.places[place].id() != id {
+    if world.endpoints[endpoint].id() != id {
         return;
     }
-    let number = world.disturb(Part::Servers);
-    world.replace(&world.places[place]).await;
-    world.calm(number);
+    let disturbance = world.begin_disturbance(Part::Servers);
+    world.replace(&world.endpoints[endpoint]).await;
+    world.end_disturbance(disturbance);
     if listed {
         check_drained(world, &id, said);
     }
@@ -311,11 +316,13 @@
 
 /// A server that left got no new work later than [`DRAIN`], if all VMs and the store were in touch.
 fn check_drained(world: &World, id: &str, said: Instant) {
-    for (request, run) in world.book.all_runs() {
+    for (request, run) in world.journal.all_runs() {
         let late = run.server == id && run.at > said + DRAIN;
-        if late && world.all_in_touch(said, run.at) {
+        if late && world.all_settled(said, run.at) {
             let after = run.at - said;
-            world.note(format!("{id} had said that it leaves, and got {request} {after:?} later"));
+            world.record_violation(format!(
+                "{id} had said that it leaves, and got {request} {after:?} later"
+            ));
         }
     }
 }
--- a/daemon/tests/soak/limits.rs
+++ b/daemon/tests/soak/limits.rs
@@ -21,7 +21,7 @@
 /// No server gets more than its rate limit allows in a span, summed over the VMs that it had told.
 pub(crate) fn are_kept(world: &World) {
     let mut by_server: BTreeMap<String, Vec<Arrival>> = BTreeMap::new();
-    for arrival in world.book.arrivals() {
+    for arrival in world.journal.arrivals() {
         by_server.entry(arrival.server.clone()).or_default().push(arrival);
     }
     let mut limited = 0;
@@ -32,7 +32,7 @@
             let counted = counted(world, of_one);
             if let Some((at, came)) = busiest(&counted).filter(|(_, came)| *came > most(rate)) {
                 let after = at - of_one[0].at;
-                world.note(format!(
+                world.record_violation(format!(
                     "{server} takes {rate} a second and got {came} in 4 s, {after:?} after it had said so; {} are \
                      allowed",
                     most(rate)
@@ -56,7 +56,8 @@
         };
         let vms = arrival.vm.map_or(0..world.vms.len(), |vm| vm..vm + 1);
         let is_late = |since: &Instant| *since + TOLD <= at;
-        if knew.filter(is_late).is_some() && vms.into_iter().all(|vm| world.vm_in_touch(vm, at, at))
+        if knew.filter(is_late).is_some()
+            && vms.into_iter().all(|vm| world.vm_is_settled(vm, at, at))
         {
             counted.push(at);
         }
--- a/daemon/tests/soak/main.rs
+++ b/daemon/tests/soak/main.rs
@@ -33,7 +33,7 @@
 use rand::{Rng, SeedableRng};
 use serde_json::Value;
 use tokio_util::sync::CancellationToken;
-use world::{Part, REVOKE, VMS, World};
+use world::{MAX_SETTINGS_AGE, Part, VM_COUNT, World};
 
 /// Seeds that failed once, each with its cause: 33, whose server asked for a rest of 1.150 s and held its VM to the
 /// 1.154 s that it had meant.
@@ -162,11 +162,11 @@
     nothing_is_left(&world).await;
     stops(&world).await;
     promises(&world, &sent, taken);
-    let broken = world.broken.lock().unwrap().clone();
-    if broken.is_empty() {
+    let violations = world.violations.lock().unwrap().clone();
+    if violations.is_empty() {
         let _ = std::fs::remove_dir_all(folder);
     }
-    (broken, sent.iter().filter(|s| s.good).count())
+    (violations, sent.iter().filter(|s| s.good).count())
 }
 
 /// Takes a key away, then adds a route and asks each VM for it. Gives when the key was taken away.
@@ -177,7 +177,7 @@
     tokio::time::sleep(time / 5).await;
     world.store.put_settings(&desired(ADDED));
     let added = Instant::now();
-    let mut served = [0; VMS];
+    let mut served = [0; VM_COUNT];
     while added.elapsed() < time * 2 / 5 {
         for (vm, served) in served.iter_mut().enumerate() {
             ask_added(&world, vm, added, served).await;
@@ -189,21 +189,21 @@
 
 /// Asks a VM for the route that was added; `served` is the start of the process that served it.
 async fn ask_added(world: &World, vm: usize, added: Instant, served: &mut usize) {
-    let (starts, began) = (world.vms[vm].starts(), Instant::now());
+    let (incarnation, began) = (world.vms[vm].incarnation(), Instant::now());
     let Some(status) = status(world, vm).await else { return };
-    if world.vms[vm].starts() != starts {
+    if world.vms[vm].incarnation() != incarnation {
         return;
     }
     let now = Instant::now();
-    let store = world.calm_since(Part::Store, added - world::IN_TOUCH, now);
-    let calm = store && world.vm_in_touch(vm, added, now);
+    let store = world.is_undisturbed(Part::Store, added - world::SETTLE_TIME, now);
+    let calm = store && world.vm_is_settled(vm, added, now);
     let name = &world.vms[vm].name;
     if status != 404 {
-        *served = starts;
-    } else if *served == starts {
-        world.note(format!("{name} went back to settings without the route"));
+        *served = incarnation;
+    } else if *served == incarnation {
+        world.record_violation(format!("{name} went back to settings without the route"));
     } else if calm && began - added > IN_FORCE {
-        world.note(format!("{name} does not know the route after {:?}", began - added));
+        world.record_violation(format!("{name} does not know the route after {:?}", began - added));
     }
 }
 
@@ -222,8 +222,8 @@
     for (vm, of) in world.vms.iter().enumerate() {
         for kind in [Kind::Safe, Kind::Stream] {
             while !serves(world, vm, kind).await {
-                if began.elapsed() > RECOVERY + world.stood_still_since(began) {
-                    world.note(format!("{} does not serve again: {kind:?}", of.name));
+                if began.elapsed() > RECOVERY + world.stall_time_since(began) {
+                    world.record_violation(format!("{} does not serve again: {kind:?}", of.name));
                     return;
                 }
                 tokio::time::sleep(LOOK).await;
@@ -244,13 +244,19 @@
 /// Once all callers have left, servers work on nothing and hold no memory.
 async fn nothing_is_left(world: &World) {
     let left = Instant::now();
-    while world.book.running() > 0 || world.tickets() > 0 {
-        if world.book.running() > 0 && left.elapsed() > LEFT {
-            world.note(format!("{} requests are worked on for nobody", world.book.running()));
+    while world.journal.running() > 0 || world.reservation_count() > 0 {
+        if world.journal.running() > 0 && left.elapsed() > LEFT {
+            world.record_violation(format!(
+                "{} requests are worked on for nobody",
+                world.journal.running()
+            ));
             return;
         }
         if left.elapsed() > RELEASE {
-            world.note(format!("{} pieces of memory stay set aside", world.tickets()));
+            world.record_violation(format!(
+                "{} pieces of memory stay set aside",
+                world.reservation_count()
+            ));
             return;
         }
         tokio::time::sleep(LOOK).await;
@@ -260,15 +266,15 @@
 /// All processes end by themselves when they are told to, and did not before.
 async fn stops(world: &World) {
     for vm in &world.vms {
-        if let Some(status) = vm.ended() {
-            world.note(format!("{} had ended by itself: {status}", vm.name));
+        if let Some(status) = vm.exit_status() {
+            world.record_violation(format!("{} had ended by itself: {status}", vm.name));
         }
         vm.signal(Signal::SIGTERM);
     }
-    let until = Instant::now() + world::GRACE;
+    let until = Instant::now() + world::STOP_TIMEOUT;
     for vm in &world.vms {
         let status = loop {
-            if let Some(status) = vm.ended() {
+            if let Some(status) = vm.exit_status() {
                 break Some(status);
             }
             if Instant::now() > until {
@@ -277,7 +283,7 @@
             tokio::time::sleep(LOOK).await;
         };
         if !status.is_some_and(|s| s.success()) {
-            world.note(format!("{} did not stop well: {status:?}", vm.name));
+            world.record_violation(format!("{} did not stop well: {status:?}", vm.name));
         }
     }
 }
@@ -285,21 +291,21 @@
 /// What must hold for each request, by what servers noted.
 fn promises(world: &World, sent: &[Sent], taken: Instant) {
     for sent in sent {
-        let runs = world.book.runs(&sent.id);
+        let runs = world.journal.runs(&sent.id);
         if !caller::repeatable(sent) && runs.len() > 1 {
-            world.note(format!("{} ran more than once: {runs:?}", sent.id));
+            world.record_violation(format!("{} ran more than once: {runs:?}", sent.id));
         }
         if !caller::repeatable(sent) && sent.refused && !runs.is_empty() {
-            world.note(format!("{} was said not to have run: {runs:?}", sent.id));
+            world.record_violation(format!("{} was said not to have run: {runs:?}", sent.id));
         }
     }
     few_end(world);
     words_are_kept(world);
     limits::are_kept(world);
-    for (id, run) in world.book.all_runs() {
-        if run.organisation.as_deref() == Some("gone") && run.at > taken + REVOKE {
+    for (id, run) in world.journal.all_runs() {
+        if run.organisation.as_deref() == Some("gone") && run.at > taken + MAX_SETTINGS_AGE {
             let after = run.at - taken;
-            world.note(format!("{id} ran {after:?} after its key was taken away"));
+            world.record_violation(format!("{id} ran {after:?} after its key was taken away"));
         }
     }
 }
@@ -317,7 +323,7 @@
 /// No VM sends a server anything against what it said of itself in its answers to that VM.
 fn words_are_kept(world: &World) {
     let mut by_way: BTreeMap<(String, usize), Vec<Arrival>> = BTreeMap::new();
-    for arrival in world.book.arrivals() {
+    for arrival in world.journal.arrivals() {
         let Some(vm) = arrival.vm else { continue };
         by_way.entry((arrival.server.clone(), vm)).or_default().push(arrival);
     }
@@ -332,7 +338,7 @@
                     |a: &&Arrival| a.sent > told.at + LEFT_ALONE && ran_on(world, vm, told, a);
                 if let Some(late) = later.iter().find(late) {
                     let after = late.sent - told.at;
-                    world.note(format!(
+                    world.record_violation(format!(
                         "{server} had told {name} that it leaves, and was sent more {after:?} later"
                     ));
                 }
@@ -345,7 +351,7 @@
             };
             let within = later.iter().filter(within).count();
             if within > MOST_IN_REST {
-                world.note(format!("{server} had asked {name} for {rest:?} of rest, and got {within} requests in it"));
+                world.record_violation(format!("{server} had asked {name} for {rest:?} of rest, and got {within} requests in it"));
             }
         }
     }
@@ -355,13 +361,13 @@
 /// Whether a VM ran without a disturbance from one arrival to the other.
 fn ran_on(world: &World, vm: usize, from: &Arrival, to: &Arrival) -> bool {
     let parts = [Part::Vm(vm), Part::PlannedStop(vm)];
-    parts.into_iter().all(|part| world.calm_since(part, from.at, to.at))
+    parts.into_iter().all(|part| world.is_undisturbed(part, from.at, to.at))
 }
 
 /// A request that ends its servers reaches few more once VMs in touch know it.
 fn few_end(world: &World) {
     let mut reached: Vec<(Instant, String)> = world
-        .book
+        .journal
         .all_runs()
         .into_iter()
         .filter(|(id, _)| id.starts_with(DEADLY))
@@ -371,11 +377,13 @@
     let mut ended = BTreeSet::new();
     let third = reached.iter().find(|(_, server)| ended.insert(server) && ended.len() == 3);
     let Some((third, _)) = third else { return };
-    let late = |at: &Instant| *at > *third + world::IN_TOUCH && world.all_in_touch(*at, *at);
+    let late = |at: &Instant| *at > *third + world::SETTLE_TIME && world.all_settled(*at, *at);
     let late = reached.iter().filter(|(at, _)| late(at)).count();
     println!("a deadly request reached {} servers, {late} of them late", reached.len());
     if late > MOST_DEADLY {
-        world.note(format!("a deadly request reached {late} servers, though it was known"));
+        world.record_violation(format!(
+            "a deadly request reached {late} servers, though it was known"
+        ));
     }
 }
 
@@ -385,11 +393,11 @@
     for some in seeds.chunks(at_once) {
         let runs = some.iter().map(|seed| tokio::spawn(run(*seed, time)));
         for (seed, run) in some.iter().zip(futures::future::join_all(runs).await) {
-            let (broken, good) = run.unwrap();
-            println!("seed {seed}: {good} requests served, {} findings", broken.len());
+            let (violations, good) = run.unwrap();
+            println!("seed {seed}: {good} requests served, {} findings", violations.len());
             assert!(good > 0, "seed {seed}: nothing was served");
-            if !broken.is_empty() {
-                failed.insert(*seed, broken);
+            if !violations.is_empty() {
+                failed.insert(*seed, violations);
             }
         }
     }
--- a/daemon/tests/soak/world.rs
+++ b/daemon/tests/soak/world.rs
@@ -18,23 +18,23 @@
 use crate::proxy::Proxy;
 
 /// VMs of a run.
-pub(crate) const VMS: usize = 3;
+pub(crate) const VM_COUNT: usize = 3;
 
 /// For how long a part has to be without a disturbance before it is bound by times again.
-pub(crate) const IN_TOUCH: Duration = Duration::from_secs(3);
+pub(crate) const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 /// How often the soak looks whether it runs itself.
-const TICK: Duration = Duration::from_millis(50);
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A longer pause of the soak itself, with its callers and servers, disturbs all it watches: what it
 /// then sees late or broken off is its own.
-const STALL: Duration = Duration::from_millis(400);
+const STALL_THRESHOLD: Duration = Duration::from_millis(400);
 
 /// How old settings may be while keys are trusted.
-pub(crate) const REVOKE: Duration = Duration::from_secs(5);
+pub(crate) const MAX_SETTINGS_AGE: Duration = Duration::from_secs(5);
 
 /// The time between the signal to stop and the kill.
-pub(crate) const GRACE: Duration = Duration::from_secs(8);
+pub(crate) const STOP_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// The services, with the number of their servers.
 const SERVICES: [(&str, usize); 2] = [("model", 4), ("plain", 3)];
@@ -48,15 +48,15 @@
     Store,
     Servers,
     /// The soak's own process.
-    Itself,
+    Harness,
 }
 
 /// A VM: its process, and the links to it and from it to the store.
 pub(crate) struct Vm {
     pub(crate) name: String,
     pub(crate) listen: SocketAddr,
-    pub(crate) front: Proxy,
-    pub(crate) store: Proxy,
+    pub(crate) caller_link: Proxy,
+    pub(crate) store_link: Proxy,
     folder: PathBuf,
     process: Mutex<Process>,
 }
@@ -64,11 +64,11 @@
 #[derive(Default)]
 struct Process {
     child: Option<Child>,
-    starts: usize,
+    incarnation: usize,
 }
 
 /// A server in its place: one instance after the other serves there.
-pub(crate) struct Place {
+pub(crate) struct Endpoint {
     pub(crate) service: &'static str,
     pub(crate) link: Proxy,
     instance: Mutex<Instance>,
@@ -85,13 +85,13 @@
 /// All of it.
 pub(crate) struct World {
     pub(crate) store: Store,
-    pub(crate) book: Arc<Journal>,
+    pub(crate) journal: Arc<Journal>,
     pub(crate) vms: Vec<Vm>,
-    pub(crate) places: Vec<Place>,
+    pub(crate) endpoints: Vec<Endpoint>,
     /// What should not have happened.
-    pub(crate) broken: Mutex<Vec<String>>,
-    disturbed: Mutex<Vec<(Part, Instant, Option<Instant>)>>,
-    ticked: Mutex<Instant>,
+    pub(crate) violations: Mutex<Vec<String>>,
+    disturbances: Mutex<Vec<(Part, Instant, Option<Instant>)>>,
+    last_tick: Mutex<Instant>,
     _store_served: Served,
 }
 
@@ -101,26 +101,26 @@
         let vm = Vm {
             name: format!("vm-{index}"),
             listen,
-            front: Proxy::start(listen).await,
-            store: Proxy::start(store).await,
+            caller_link: Proxy::start(listen).await,
+            store_link: Proxy::start(store).await,
             folder: folder.to_owned(),
             process: Mutex::default(),
         };
-        fs::write(vm.config(), vm.text().to_string()).unwrap();
+        fs::write(vm.config_path(), vm.config().to_string()).unwrap();
         vm
     }
 
-    fn config(&self) -> PathBuf {
+    fn config_path(&self) -> PathBuf {
         self.folder.join(format!("{}.json", self.name))
     }
 
-    fn text(&self) -> Value {
+    fn config(&self) -> Value {
         json!({
             "vm": self.name, "hall": "a", "listen": self.listen, "log_level": "debug",
             "fleet": {
-                "ready": free(), "peers": free(), "directory": self.store.address.to_string(),
-                "settings_age_ms": REVOKE.as_millis() as u64,
-                "stop_ms": GRACE.as_millis() as u64,
+                "ready": free(), "peers": free(), "directory": self.store_link.address.to_string(),
+                "settings_age_ms": MAX_SETTINGS_AGE.as_millis() as u64,
+                "stop_ms": STOP_TIMEOUT.as_millis() as u64,
                 "repeat_ratio": 0.2, "repeat_slack": 100.0, "repeat_window_ms": 10_000,
             },
         })
@@ -133,13 +133,13 @@
         let log = File::options().create(true).append(true).open(log).unwrap();
         let child = Command::new(env!("CARGO_BIN_EXE_foldlockd"))
             .arg("--config")
-            .arg(self.config())
+            .arg(self.config_path())
             .stdout(Stdio::from(log.try_clone().unwrap()))
             .stderr(Stdio::from(log))
             .spawn()
             .expect("foldlockd starts");
         process.child = Some(child);
-        process.starts += 1;
+        process.incarnation += 1;
     }
 
     /// Sends the process a signal, if it runs.
@@ -151,7 +151,7 @@
     }
 
     /// How the process ended, if it did.
-    pub(crate) fn ended(&self) -> Option<std::process::ExitStatus> {
+    pub(crate) fn exit_status(&self) -> Option<std::process::ExitStatus> {
         let mut process = self.process.lock().unwrap();
         let status = process.child.as_mut()?.try_wait().ok()??;
         process.child = None;
@@ -159,8 +159,8 @@
     }
 
     /// How often it was started.
-    pub(crate) fn starts(&self) -> usize {
-        self.process.lock().unwrap().starts
+    pub(crate) fn incarnation(&self) -> usize {
+        self.process.lock().unwrap().incarnation
     }
 }
 
@@ -173,21 +173,21 @@
     }
 }
 
-impl Place {
+impl Endpoint {
     /// The id of the instance that serves there.
     pub(crate) fn id(&self) -> String {
         self.instance.lock().unwrap().id.clone()
     }
 }
 
-impl Place {
+impl Endpoint {
     /// The server names this rate limit from now on.
-    pub(crate) fn limit(&self, rate: Option<f64>) {
+    pub(crate) fn set_rate_limit(&self, rate: Option<f64>) {
         self.instance.lock().unwrap().server.set_rate_limit(rate);
     }
 
     /// The server says this of itself from now on.
-    pub(crate) fn say(&self, notice: Notice) {
+    pub(crate) fn set_notice(&self, notice: Notice) {
         self.instance.lock().unwrap().server.set_notice(notice);
     }
 }
@@ -200,162 +200,162 @@
         let store = Store::default();
         store.put_settings(settings);
         let store_served = store.serve().await;
-        let book = Arc::new(Journal::default());
-        let mut places = Vec::new();
+        let journal = Arc::new(Journal::default());
+        let mut endpoints = Vec::new();
         for (service, count) in SERVICES {
             for index in 0..count {
-                places.push(place(service, index, &book).await);
+                endpoints.push(start_endpoint(service, index, &journal).await);
             }
         }
         let mut vms = Vec::new();
-        for index in 0..VMS {
+        for index in 0..VM_COUNT {
             vms.push(Vm::new(index, store_served.address, &folder).await);
         }
         let world = World {
             store,
-            book,
+            journal,
             vms,
-            places,
-            broken: Mutex::default(),
-            disturbed: Mutex::default(),
-            ticked: Mutex::new(Instant::now()),
+            endpoints,
+            violations: Mutex::default(),
+            disturbances: Mutex::default(),
+            last_tick: Mutex::new(Instant::now()),
             _store_served: store_served,
         };
-        world.places.iter().for_each(|place| world.list(place, false));
+        world.endpoints.iter().for_each(|endpoint| world.register(endpoint, false));
         world.vms.iter().for_each(Vm::start);
         let world = Arc::new(world);
-        tokio::spawn(watch_itself(Arc::downgrade(&world)));
+        tokio::spawn(watch_stalls(Arc::downgrade(&world)));
         world
     }
 
     /// Notes that the soak runs; if it stood still, since when.
     fn tick(&self) {
-        let before = std::mem::replace(&mut *self.ticked.lock().unwrap(), Instant::now());
-        if before.elapsed() > STALL {
+        let before = std::mem::replace(&mut *self.last_tick.lock().unwrap(), Instant::now());
+        if before.elapsed() > STALL_THRESHOLD {
             println!("the soak itself stood still for {:?}", before.elapsed());
-            let stall = (Part::Itself, before, Some(Instant::now()));
-            self.disturbed.lock().unwrap().push(stall);
+            let stall = (Part::Harness, before, Some(Instant::now()));
+            self.disturbances.lock().unwrap().push(stall);
         }
     }
 
     /// Writes the entry of the instance in a place.
-    pub(crate) fn list(&self, place: &Place, leaving: bool) {
-        place.instance.lock().unwrap().leaving = leaving;
-        let entry = Entry { service: place.service, address: place.link.address, leaving };
-        self.store.put_server(&place.id(), &entry);
+    pub(crate) fn register(&self, endpoint: &Endpoint, leaving: bool) {
+        endpoint.instance.lock().unwrap().leaving = leaving;
+        let entry = Entry { service: endpoint.service, address: endpoint.link.address, leaving };
+        self.store.put_server(&endpoint.id(), &entry);
     }
 
     /// Servers write their entries again, as they do after the store has come back from a copy; those of
     /// servers that have ended lapse.
-    pub(crate) fn list_again(&self) {
-        for place in &self.places {
-            let leaving = place.instance.lock().unwrap().leaving;
-            self.list(place, leaving);
+    pub(crate) fn register_all(&self) {
+        for endpoint in &self.endpoints {
+            let leaving = endpoint.instance.lock().unwrap().leaving;
+            self.register(endpoint, leaving);
         }
     }
 
     /// Ends the entries of servers that are not there any more.
-    pub(crate) fn lapse(&self) {
-        let living: Vec<String> = self.places.iter().map(Place::id).collect();
-        let ended = self.store.servers().into_iter().filter(|id| !living.contains(id));
-        ended.for_each(|id| self.store.remove_server(&id));
+    pub(crate) fn remove_stale(&self) {
+        let current: Vec<String> = self.endpoints.iter().map(Endpoint::id).collect();
+        let stale = self.store.servers().into_iter().filter(|id| !current.contains(id));
+        stale.for_each(|id| self.store.remove_server(&id));
     }
 
     /// A new instance takes over a place; the one before it ends at once.
-    pub(crate) async fn replace(&self, place: &Place) {
-        let id = format!("{}-{}", place.service, next());
-        let server = Server::new(&id, self.book.clone());
+    pub(crate) async fn replace(&self, endpoint: &Endpoint) {
+        let id = format!("{}-{}", endpoint.service, next_number());
+        let server = Server::new(&id, self.journal.clone());
         let served = server.serve().await;
-        place.link.set_target(served.address);
+        endpoint.link.set_target(served.address);
         let next = Instance { id, server, leaving: false, _served: served };
-        let before = std::mem::replace(&mut *place.instance.lock().unwrap(), next);
+        let before = std::mem::replace(&mut *endpoint.instance.lock().unwrap(), next);
         self.store.remove_server(&before.id);
-        self.list(place, false);
+        self.register(endpoint, false);
     }
 
     /// Memory that is set aside at servers that live.
-    pub(crate) fn tickets(&self) -> usize {
-        self.places
+    pub(crate) fn reservation_count(&self) -> usize {
+        self.endpoints
             .iter()
-            .map(|place| place.instance.lock().unwrap().server.reservation_count())
+            .map(|endpoint| endpoint.instance.lock().unwrap().server.reservation_count())
             .sum()
     }
 
     /// Notes what should not have happened.
-    pub(crate) fn note(&self, what: String) {
-        self.broken.lock().unwrap().push(what);
+    pub(crate) fn record_violation(&self, what: String) {
+        self.violations.lock().unwrap().push(what);
     }
 
     /// For how long the soak itself stood still since `from`.
-    pub(crate) fn stood_still_since(&self, from: Instant) -> Duration {
+    pub(crate) fn stall_time_since(&self, from: Instant) -> Duration {
         self.tick();
-        let disturbed = self.disturbed.lock().unwrap();
-        let own =
-            disturbed.iter().filter(|(part, begin, _)| *part == Part::Itself && *begin > from);
-        own.filter_map(|(_, begin, end)| end.map(|end| end - *begin)).sum()
+        let disturbances = self.disturbances.lock().unwrap();
+        let stalls =
+            disturbances.iter().filter(|(part, begin, _)| *part == Part::Harness && *begin > from);
+        stalls.filter_map(|(_, begin, end)| end.map(|end| end - *begin)).sum()
     }
 
     /// A disturbance begins; its number ends it.
-    pub(crate) fn disturb(&self, part: Part) -> usize {
-        let mut disturbed = self.disturbed.lock().unwrap();
-        disturbed.push((part, Instant::now(), None));
-        disturbed.len() - 1
+    pub(crate) fn begin_disturbance(&self, part: Part) -> usize {
+        let mut disturbances = self.disturbances.lock().unwrap();
+        disturbances.push((part, Instant::now(), None));
+        disturbances.len() - 1
     }
 
     /// A disturbance ends.
-    pub(crate) fn calm(&self, number: usize) {
-        self.disturbed.lock().unwrap()[number].2 = Some(Instant::now());
+    pub(crate) fn end_disturbance(&self, disturbance: usize) {
+        self.disturbances.lock().unwrap()[disturbance].2 = Some(Instant::now());
     }
 
     /// Whether a VM was in touch from `from` to `to`.
-    pub(crate) fn vm_in_touch(&self, vm: usize, from: Instant, to: Instant) -> bool {
-        self.calm_since(Part::Vm(vm), from - IN_TOUCH, to)
-            && self.calm_since(Part::PlannedStop(vm), from - IN_TOUCH, to)
+    pub(crate) fn vm_is_settled(&self, vm: usize, from: Instant, to: Instant) -> bool {
+        self.is_undisturbed(Part::Vm(vm), from - SETTLE_TIME, to)
+            && self.is_undisturbed(Part::PlannedStop(vm), from - SETTLE_TIME, to)
     }
 
     /// Whether all VMs and the store were in touch.
-    pub(crate) fn all_in_touch(&self, from: Instant, to: Instant) -> bool {
-        let vms = (0..self.vms.len()).all(|vm| self.vm_in_touch(vm, from, to));
-        vms && self.calm_since(Part::Store, from - IN_TOUCH, to)
+    pub(crate) fn all_settled(&self, from: Instant, to: Instant) -> bool {
+        let vms = (0..self.vms.len()).all(|vm| self.vm_is_settled(vm, from, to));
+        vms && self.is_undisturbed(Part::Store, from - SETTLE_TIME, to)
     }
 
     /// Whether nothing but planned stops disturbed a VM and the servers.
-    pub(crate) fn only_planned(&self, vm: usize, from: Instant, to: Instant) -> bool {
+    pub(crate) fn only_planned_stops(&self, vm: usize, from: Instant, to: Instant) -> bool {
         let parts = [Part::Vm(vm), Part::Servers];
-        parts.into_iter().all(|part| self.calm_since(part, from - IN_TOUCH, to))
+        parts.into_iter().all(|part| self.is_undisturbed(part, from - SETTLE_TIME, to))
     }
 
     /// Whether no disturbance of a part touches the time from `from` to `to`.
-    pub(crate) fn calm_since(&self, part: Part, from: Instant, to: Instant) -> bool {
+    pub(crate) fn is_undisturbed(&self, part: Part, from: Instant, to: Instant) -> bool {
         self.tick();
-        let disturbed = self.disturbed.lock().unwrap();
-        let meets = |(of, begin, end): &(Part, Instant, Option<Instant>)| {
-            (*of == part || *of == Part::Itself)
+        let disturbances = self.disturbances.lock().unwrap();
+        let overlaps = |(disturbed, begin, end): &(Part, Instant, Option<Instant>)| {
+            (*disturbed == part || *disturbed == Part::Harness)
                 && *begin <= to
                 && end.is_none_or(|end| end >= from)
         };
-        !disturbed.iter().any(meets)
+        !disturbances.iter().any(overlaps)
     }
 }
 
-async fn watch_itself(world: Weak<World>) {
+async fn watch_stalls(world: Weak<World>) {
     while let Some(world) = world.upgrade() {
         world.tick();
         drop(world);
-        tokio::time::sleep(TICK).await;
+        tokio::time::sleep(STALL_CHECK_INTERVAL).await;
     }
 }
 
-fn next() -> usize {
+fn next_number() -> usize {
     static NEXT: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(100);
     NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed)
 }
 
-async fn place(service: &'static str, index: usize, book: &Arc<Journal>) -> Place {
+async fn start_endpoint(service: &'static str, index: usize, journal: &Arc<Journal>) -> Endpoint {
     let id = format!("{service}-{index}");
-    let server = Server::new(&id, book.clone());
+    let server = Server::new(&id, journal.clone());
     let served = server.serve().await;
     let link = Proxy::start(served.address).await;
     let instance = Mutex::new(Instance { id, server, leaving: false, _served: served });
-    Place { service, link, instance }
+    Endpoint { service, link, instance }
 }
