--- a/daemon/tests/soak/fault.rs
+++ b/daemon/tests/soak/fault.rs
@@ -18,22 +18,22 @@
 const DRAIN: Duration = Duration::from_secs(2);
 
 /// How long a process that was stopped may take beyond its grace.
-const LATE: Duration = Duration::from_secs(1);
+const EXIT_SLACK: Duration = Duration::from_secs(1);
 
 /// How long the store is away before it comes back from a copy.
-const AWAY: Duration = Duration::from_millis(300);
+const STORE_OUTAGE: Duration = Duration::from_millis(300);
 
 /// How long servers then take to write themselves again.
-const WRITTEN_AGAIN: Duration = Duration::from_millis(800);
+const REGISTER_TIME: Duration = Duration::from_millis(800);
 
 /// How long after that the entries of servers that have ended stay.
-const LAPSE: Duration = Duration::from_millis(2_800);
+const STALE_ENTRY_TIME: Duration = Duration::from_millis(2_800);
 
 /// How often the end of a killed process is waited for before it is started anyway.
-const KILL_LOOKS: usize = 8;
+const KILL_WAITS: usize = 8;
 
 /// How often a process is looked at.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A fault and for how long.
 #[derive(Debug, Clone, Copy)]
@@ -42,174 +42,179 @@
     Stop(usize),
     Freeze(usize, Duration),
     Reload(usize),
-    Callers(usize, Mode, Duration),
+    CallerLink(usize, Mode, Duration),
     StoreLink(usize, Mode, Duration),
     ServerLink(usize, Mode, Duration),
     Crash(usize, Duration),
     Drain(usize),
     /// A server leaves and says so in its answers alone.
-    LeaveUnheard(usize),
+    LeaveUnlisted(usize),
     /// A server refuses all for so long and asks for as much rest.
-    Rest(usize, Duration),
-    Store(Behaviour, Duration),
-    Forget,
+    Backoff(usize, Duration),
+    StoreBehaviour(Behaviour, Duration),
+    Compact,
     /// The store comes back from a copy of this age.
     Restore(Duration),
 }
 
 impl Fault {
     /// Draws planned work: with nothing else going on, it may lose no request.
-    pub(crate) fn draw_planned(draw: &mut StdRng, world: &World) -> Fault {
-        let vm = draw.random_range(0..world.vms.len());
-        match draw.random_range(0..4) {
+    pub(crate) fn random_planned(rng: &mut StdRng, world: &World) -> Fault {
+        let vm = rng.random_range(0..world.vms.len());
+        match rng.random_range(0..4) {
             0 => Fault::Reload(vm),
-            1 => Fault::Forget,
+            1 => Fault::Compact,
             _ => Fault::Stop(vm),
         }
     }
 
     /// Draws a fault.
-    pub(crate) fn draw(draw: &mut StdRng, world: &World) -> Fault {
-        let vm = draw.random_range(0..world.vms.len());
-        let endpoint = draw.random_range(0..world.endpoints.len());
-        let time = Duration::from_millis(draw.random_range(100..2_500));
-        match draw.random_range(0..18) {
-            0 => Fault::Kill(vm, time / 4),
+    pub(crate) fn random(rng: &mut StdRng, world: &World) -> Fault {
+        let vm = rng.random_range(0..world.vms.len());
+        let endpoint = rng.random_range(0..world.endpoints.len());
+        let duration = Duration::from_millis(rng.random_range(100..2_500));
+        match rng.random_range(0..18) {
+            0 => Fault::Kill(vm, duration / 4),
             1 | 2 => Fault::Stop(vm),
-            3 => Fault::Freeze(vm, time),
+            3 => Fault::Freeze(vm, duration),
             4 => Fault::Reload(vm),
-            5 => Fault::Callers(vm, random_mode(draw), time),
-            6 => Fault::StoreLink(vm, random_mode(draw), time),
-            7 | 8 => Fault::ServerLink(endpoint, random_mode(draw), time),
-            9 => Fault::Crash(endpoint, time / 2),
+            5 => Fault::CallerLink(vm, random_mode(rng), duration),
+            6 => Fault::StoreLink(vm, random_mode(rng), duration),
+            7 | 8 => Fault::ServerLink(endpoint, random_mode(rng), duration),
+            9 => Fault::Crash(endpoint, duration / 2),
             10 | 11 => Fault::Drain(endpoint),
-            12 => Fault::Store(mood(draw), time),
-            13 | 14 => Fault::LeaveUnheard(endpoint),
-            15 | 16 => Fault::Rest(endpoint, time),
-            17 => Fault::Restore(time),
-            _ => Fault::Forget,
+            12 => Fault::StoreBehaviour(random_behaviour(rng), duration),
+            13 | 14 => Fault::LeaveUnlisted(endpoint),
+            15 | 16 => Fault::Backoff(endpoint, duration),
+            17 => Fault::Restore(duration),
+            _ => Fault::Compact,
         }
     }
 }
 
-fn random_mode(draw: &mut StdRng) -> Mode {
-    let delay = Duration::from_millis(draw.random_range(5..150));
-    [Mode::Delayed(delay), Mode::Blackhole, Mode::OneWay, Mode::Reset][draw.random_range(0..4)]
+fn random_mode(rng: &mut StdRng) -> Mode {
+    let delay = Duration::from_millis(rng.random_range(5..150));
+    [Mode::Delayed(delay), Mode::Blackhole, Mode::OneWay, Mode::Reset][rng.random_range(0..4)]
 }
 
-fn mood(draw: &mut StdRng) -> Behaviour {
-    let delay = Duration::from_millis(draw.random_range(20..400));
+fn random_behaviour(rng: &mut StdRng) -> Behaviour {
+    let delay = Duration::from_millis(rng.random_range(20..400));
     [
         Behaviour::Unavailable,
         Behaviour::Unresponsive,
         Behaviour::DropsResponses,
         Behaviour::Slow(delay),
-    ][draw.random_range(0..4)]
+    ][rng.random_range(0..4)]
 }
 
 /// Plays faults for so long, or planned work alone, and returns once the last one has ended.
-pub(crate) async fn play(world: &Arc<World>, draw: &mut StdRng, time: Duration, planned: bool) {
-    let until = Instant::now() + time;
-    let mut playing = JoinSet::new();
+pub(crate) async fn inject(
+    world: &Arc<World>,
+    rng: &mut StdRng,
+    duration: Duration,
+    planned: bool,
+) {
+    let until = Instant::now() + duration;
+    let mut active = JoinSet::new();
     while Instant::now() < until {
         let fault =
-            if planned { Fault::draw_planned(draw, world) } else { Fault::draw(draw, world) };
+            if planned { Fault::random_planned(rng, world) } else { Fault::random(rng, world) };
         println!("{:?} {fault:?}", until.saturating_duration_since(Instant::now()));
-        playing.spawn(one(world.clone(), fault));
-        let pause = Duration::from_millis(draw.random_range(50..900));
+        active.spawn(apply(world.clone(), fault));
+        let pause = Duration::from_millis(rng.random_range(50..900));
         tokio::time::sleep(pause).await;
     }
-    while playing.join_next().await.is_some() {}
+    while active.join_next().await.is_some() {}
 }
 
-async fn one(world: Arc<World>, fault: Fault) {
+async fn apply(world: Arc<World>, fault: Fault) {
     match fault {
-        Fault::Kill(vm, down) => kill(&world, vm, down).await,
+        Fault::Kill(vm, downtime) => kill(&world, vm, downtime).await,
         Fault::Stop(vm) => stop(&world, vm).await,
-        Fault::Freeze(vm, time) => {
+        Fault::Freeze(vm, duration) => {
             let disturbance = world.begin_disturbance(Part::Vm(vm));
             world.vms[vm].signal(Signal::SIGSTOP);
-            tokio::time::sleep(time).await;
+            tokio::time::sleep(duration).await;
             world.vms[vm].signal(Signal::SIGCONT);
             world.end_disturbance(disturbance);
         }
         Fault::Reload(vm) => world.vms[vm].signal(Signal::SIGHUP),
-        Fault::Callers(vm, mode, time) => {
+        Fault::CallerLink(vm, mode, duration) => {
             let disturbance = world.begin_disturbance(Part::Vm(vm));
             world.vms[vm].caller_link.set(mode);
-            tokio::time::sleep(time).await;
+            tokio::time::sleep(duration).await;
             world.vms[vm].caller_link.set(Mode::Open);
             world.end_disturbance(disturbance);
         }
-        Fault::StoreLink(vm, mode, time) => {
+        Fault::StoreLink(vm, mode, duration) => {
             let disturbance = world.begin_disturbance(Part::Vm(vm));
             world.vms[vm].store_link.set(mode);
-            tokio::time::sleep(time).await;
+            tokio::time::sleep(duration).await;
             world.vms[vm].store_link.set(Mode::Open);
             world.end_disturbance(disturbance);
         }
-        Fault::ServerLink(endpoint, mode, time) => {
+        Fault::ServerLink(endpoint, mode, duration) => {
             let disturbance = world.begin_disturbance(Part::Servers);
             world.endpoints[endpoint].link.set(mode);
-            tokio::time::sleep(time).await;
+            tokio::time::sleep(duration).await;
             world.endpoints[endpoint].link.set(Mode::Open);
             world.end_disturbance(disturbance);
         }
-        Fault::Crash(endpoint, down) => {
+        Fault::Crash(endpoint, downtime) => {
             let disturbance = world.begin_disturbance(Part::Servers);
             world.endpoints[endpoint].link.set(Mode::Reset);
-            tokio::time::sleep(down).await;
+            tokio::time::sleep(downtime).await;
             world.endpoints[endpoint].link.set(Mode::Open);
             world.replace(&world.endpoints[endpoint]).await;
             world.end_disturbance(disturbance);
         }
         Fault::Drain(endpoint) => drain(&world, endpoint, true).await,
-        Fault::LeaveUnheard(endpoint) => drain(&world, endpoint, false).await,
-        Fault::Rest(endpoint, time) => rest(&world, endpoint, time).await,
+        Fault::LeaveUnlisted(endpoint) => drain(&world, endpoint, false).await,
+        Fault::Backoff(endpoint, duration) => back_off(&world, endpoint, duration).await,
         Fault::Restore(age) => restore(&world, age).await,
-        Fault::Store(mood, time) => {
+        Fault::StoreBehaviour(behaviour, duration) => {
             let disturbance = world.begin_disturbance(Part::Store);
-            world.store.set_behaviour(mood);
-            tokio::time::sleep(time).await;
+            world.store.set_behaviour(behaviour);
+            tokio::time::sleep(duration).await;
             world.store.set_behaviour(Behaviour::Normal);
             world.end_disturbance(disturbance);
         }
-        Fault::Forget => world.store.compact(),
+        Fault::Compact => world.store.compact(),
     }
 }
 
 /// Has servers name rate limits, one after the other, until cancelled.
-pub(crate) async fn limit_servers(world: Arc<World>, seed: u64, stop: CancellationToken) {
-    let mut draw = StdRng::seed_from_u64(seed);
+pub(crate) async fn vary_rate_limits(world: Arc<World>, seed: u64, stop: CancellationToken) {
+    let mut rng = StdRng::seed_from_u64(seed);
     while !stop.is_cancelled() {
-        let endpoint = &world.endpoints[draw.random_range(0..world.endpoints.len())];
-        let rate = draw.random_range(1..12) as f64 / 4.0;
-        let time = Duration::from_millis(draw.random_range(4_000..8_000));
-        println!("{} takes {rate} a second for {time:?}", endpoint.id());
+        let endpoint = &world.endpoints[rng.random_range(0..world.endpoints.len())];
+        let rate = rng.random_range(1..12) as f64 / 4.0;
+        let duration = Duration::from_millis(rng.random_range(4_000..8_000));
+        println!("{} takes {rate} a second for {duration:?}", endpoint.id());
         endpoint.set_rate_limit(Some(rate));
-        let _ = tokio::time::timeout(time, stop.cancelled()).await;
+        let _ = tokio::time::timeout(duration, stop.cancelled()).await;
         endpoint.set_rate_limit(None);
     }
 }
 
 /// Ends servers as requests do that end them, and starts others in their places after a while.
-pub(crate) async fn end_servers(world: Arc<World>, seed: u64) {
-    let mut draw = StdRng::seed_from_u64(seed);
+pub(crate) async fn crash_servers(world: Arc<World>, seed: u64) {
+    let mut rng = StdRng::seed_from_u64(seed);
     loop {
         let server = world.journal.next_crash().await;
-        let down = Duration::from_millis(draw.random_range(200..1_500));
-        tokio::spawn(end_server(world.clone(), server, down));
+        let downtime = Duration::from_millis(rng.random_range(200..1_500));
+        tokio::spawn(crash_server(world.clone(), server, downtime));
     }
 }
 
-async fn end_server(world: Arc<World>, server: String, down: Duration) {
+async fn crash_server(world: Arc<World>, server: String, downtime: Duration) {
     // Another fault may have replaced it already.
     let Some(endpoint) = world.endpoints.iter().find(|endpoint| endpoint.id() == server) else {
         return;
     };
     let disturbance = world.begin_disturbance(Part::Servers);
     endpoint.link.set(Mode::Closed);
-    tokio::time::sleep(down).await;
+    tokio::time::sleep(downtime).await;
     if endpoint.id() == server {
         world.replace(endpoint).await;
     }
@@ -218,18 +223,18 @@
 }
 
 /// Kills a process and starts it again, unless it is down already.
-async fn kill(world: &World, vm: usize, down: Duration) {
+async fn kill(world: &World, vm: usize, downtime: Duration) {
     let disturbance = world.begin_disturbance(Part::Vm(vm));
     let incarnation = world.vms[vm].incarnation();
     world.vms[vm].signal(Signal::SIGKILL);
     // While the soak itself stands still nobody sees the end; another start would meet its ports.
-    for _ in 0..KILL_LOOKS {
-        if wait_ended(world, vm, incarnation, LATE).await {
+    for _ in 0..KILL_WAITS {
+        if wait_for_exit(world, vm, incarnation, EXIT_SLACK).await {
             break;
         }
     }
-    tokio::time::sleep(down).await;
-    start_again(world, vm, incarnation);
+    tokio::time::sleep(downtime).await;
+    restart(world, vm, incarnation);
     world.end_disturbance(disturbance);
 }
 
@@ -239,40 +244,40 @@
     let incarnation = world.vms[vm].incarnation();
     world.vms[vm].signal(Signal::SIGTERM);
     // It may be frozen for as long as a fault lasts.
-    if !wait_ended(world, vm, incarnation, STOP_TIMEOUT + LATE * 3).await {
+    if !wait_for_exit(world, vm, incarnation, STOP_TIMEOUT + EXIT_SLACK * 3).await {
         world.record_violation(format!(
             "{} did not end after the signal to stop",
             world.vms[vm].name
         ));
         world.vms[vm].signal(Signal::SIGKILL);
     }
-    start_again(world, vm, incarnation);
+    restart(world, vm, incarnation);
     world.end_disturbance(disturbance);
 }
 
 /// Waits until the process of that start has ended.
-async fn wait_ended(world: &World, vm: usize, incarnation: usize, limit: Duration) -> bool {
-    let until = Instant::now() + limit;
+async fn wait_for_exit(world: &World, vm: usize, incarnation: usize, timeout: Duration) -> bool {
+    let until = Instant::now() + timeout;
     while Instant::now() < until {
         if world.vms[vm].incarnation() != incarnation || world.vms[vm].exit_status().is_some() {
             return true;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     false
 }
 
-fn start_again(world: &World, vm: usize, incarnation: usize) {
+fn restart(world: &World, vm: usize, incarnation: usize) {
     if world.vms[vm].incarnation() == incarnation {
         world.vms[vm].start();
     }
 }
 
 /// A server refuses all that it is sent, and asks for rest.
-async fn rest(world: &World, endpoint: usize, time: Duration) {
+async fn back_off(world: &World, endpoint: usize, duration: Duration) {
     let id = world.endpoints[endpoint].id();
-    world.endpoints[endpoint].set_notice(Notice { backoff: Some(time), ..Notice::default() });
-    tokio::time::sleep(time).await;
+    world.endpoints[endpoint].set_notice(Notice { backoff: Some(duration), ..Notice::default() });
+    tokio::time::sleep(duration).await;
     if world.endpoints[endpoint].id() == id {
         world.endpoints[endpoint].set_notice(Notice::default());
     }
@@ -280,16 +285,16 @@
 
 /// The store is away for a moment and comes back from a copy. The servers write themselves again.
 async fn restore(world: &World, age: Duration) {
-    let copy = world.store.snapshot();
+    let snapshot = world.store.snapshot();
     tokio::time::sleep(age).await;
     let disturbance = world.begin_disturbance(Part::Store);
     world.store.set_behaviour(Behaviour::Unavailable);
-    tokio::time::sleep(AWAY).await;
-    world.store.restore(copy);
+    tokio::time::sleep(STORE_OUTAGE).await;
+    world.store.restore(snapshot);
     world.store.set_behaviour(Behaviour::Normal);
-    tokio::time::sleep(WRITTEN_AGAIN).await;
+    tokio::time::sleep(REGISTER_TIME).await;
     world.register_all();
-    tokio::time::sleep(LAPSE).await;
+    tokio::time::sleep(STALE_ENTRY_TIME).await;
     world.remove_stale();
     world.end_disturbance(disturbance);
 }
@@ -301,7 +306,7 @@
     if listed {
         world.register(&world.endpoints[endpoint], true);
     }
-    let said = Instant::now();
+    let leaving_since = Instant::now();
     tokio::time::sleep(DRAIN + DRAIN / 2).await;
     if world.endpoints[endpoint].id() != id {
         return;
@@ -310,16 +315,16 @@
     world.replace(&world.endpoints[endpoint]).await;
     world.end_disturbance(disturbance);
     if listed {
-        check_drained(world, &id, said);
+        check_drained(world, &id, leaving_since);
     }
 }
 
 /// A server that left got no new work later than [`DRAIN`], if all VMs and the store were in touch.
-fn check_drained(world: &World, id: &str, said: Instant) {
+fn check_drained(world: &World, id: &str, leaving_since: Instant) {
     for (request, run) in world.journal.all_runs() {
-        let late = run.server == id && run.at > said + DRAIN;
-        if late && world.all_settled(said, run.at) {
-            let after = run.at - said;
+        let late = run.server == id && run.at > leaving_since + DRAIN;
+        if late && world.all_settled(leaving_since, run.at) {
+            let after = run.at - leaving_since;
             world.record_violation(format!(
                 "{id} had said that it leaves, and got {request} {after:?} later"
             ));
--- a/daemon/tests/soak/main.rs
+++ b/daemon/tests/soak/main.rs
@@ -137,13 +137,13 @@
     let mut draw = StdRng::seed_from_u64(seed);
     let planned = seed.is_multiple_of(PLANNED);
     let deadly = (!planned).then(|| {
-        let ends = fault::end_servers(world.clone(), seed);
+        let ends = fault::crash_servers(world.clone(), seed);
         (tokio::spawn(ends), tokio::spawn(caller::run_deadly(world.clone(), seed, stop.clone())))
     });
     let unlimited = CancellationToken::new();
     let limits = (!planned)
-        .then(|| tokio::spawn(fault::limit_servers(world.clone(), seed, unlimited.clone())));
-    fault::play(&world, &mut draw, time, planned).await;
+        .then(|| tokio::spawn(fault::vary_rate_limits(world.clone(), seed, unlimited.clone())));
+    fault::inject(&world, &mut draw, time, planned).await;
     let taken = changes.await.unwrap();
     unlimited.cancel();
     if let Some(limits) = limits {
