--- a/daemon/tests/soak/main.rs
+++ b/daemon/tests/soak/main.rs
@@ -301,7 +301,7 @@
     }
     few_end(world);
     words_are_kept(world);
-    limits::are_kept(world);
+    limits::check(world);
     for (id, run) in world.journal.all_runs() {
         if run.organisation.as_deref() == Some("gone") && run.at > taken + MAX_SETTINGS_AGE {
             let after = run.at - taken;
