--- a/daemon/tests/soak/caller.rs
+++ b/daemon/tests/soak/caller.rs
@@ -24,16 +24,16 @@
 const SLACK: Duration = Duration::from_secs(1);
 
 /// The time that a plain request has.
-const PLAIN: Duration = Duration::from_secs(3);
+const PLAIN_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The time that a stream has.
-const STREAM: Duration = Duration::from_secs(8);
+const STREAM_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Tokens of a prompt that one engine holds.
-const SHORT: u64 = 1_000;
+const SHORT_PROMPT_TOKENS: u64 = 1_000;
 
 /// Tokens of a prompt beyond one engine's memory.
-const LONG: u64 = 30_000;
+const LONG_PROMPT_TOKENS: u64 = 30_000;
 
 /// The body of all requests.
 const BODY: &[u8] = b"the body";
@@ -59,31 +59,31 @@
         }
     }
 
-    fn repeatable(self) -> bool {
+    fn is_retryable(self) -> bool {
         matches!(self, Kind::Safe | Kind::Stream)
     }
 
-    fn time(self) -> Duration {
-        if self.path().starts_with(STREAMS) { STREAM } else { PLAIN }
+    fn timeout(self) -> Duration {
+        if self.path().starts_with(STREAMS) { STREAM_TIMEOUT } else { PLAIN_TIMEOUT }
     }
 }
 
 /// A request that was sent.
 #[derive(Debug, Clone)]
-pub(crate) struct Sent {
+pub(crate) struct Outcome {
     pub(crate) id: String,
     pub(crate) kind: Kind,
     /// Whether the answer promised that it had not run.
-    pub(crate) refused: bool,
+    pub(crate) rejected: bool,
     /// Whether it was answered as it should be.
-    pub(crate) good: bool,
+    pub(crate) succeeded: bool,
 }
 
 /// A connection to a VM.
 pub(crate) struct Connection {
     pub(crate) vm: usize,
     pub(crate) sender: SendRequest<Full<Bytes>>,
-    served: u32,
+    requests: u32,
 }
 
 impl Connection {
@@ -94,7 +94,7 @@
         stream.set_nodelay(true).ok()?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
         tokio::spawn(connection);
-        Some(Connection { vm, sender, served: 0 })
+        Some(Connection { vm, sender, requests: 0 })
     }
 }
 
@@ -105,42 +105,50 @@
     key: &'static str,
     seed: u64,
     stop: CancellationToken,
-) -> Vec<Sent> {
-    let mut draw = StdRng::seed_from_u64(seed);
-    let mut all = Vec::new();
+) -> Vec<Outcome> {
+    let mut rng = StdRng::seed_from_u64(seed);
+    let mut outcomes = Vec::new();
     while !stop.is_cancelled() {
-        let vm = draw.random_range(0..world.vms.len());
+        let vm = rng.random_range(0..world.vms.len());
         let Some(mut connection) = Connection::open(vm, world.vms[vm].caller_link.address).await
         else {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        for _ in 0..draw.random_range(1..8) {
-            let kind = Kind::ALL[draw.random_range(0..Kind::ALL.len())];
-            let id = format!("{name}-{}", all.len());
-            let leave = draw.random_bool(0.06).then(|| draw.random_range(5..200));
-            let long = draw.random_bool(0.05);
-            let asked = Asked { kind, id, key, leave: leave.map(Duration::from_millis), long };
-            let Some((sent, keep)) = send(&world, &mut connection, &asked).await else { break };
-            all.push(sent);
-            tokio::time::sleep(Duration::from_millis(draw.random_range(0..40))).await;
-            if !keep || stop.is_cancelled() {
+        for _ in 0..rng.random_range(1..8) {
+            let kind = Kind::ALL[rng.random_range(0..Kind::ALL.len())];
+            let id = format!("{name}-{}", outcomes.len());
+            let abort_after = rng.random_bool(0.06).then(|| rng.random_range(5..200));
+            let long_prompt = rng.random_bool(0.05);
+            let spec = Spec {
+                kind,
+                id,
+                key,
+                abort_after: abort_after.map(Duration::from_millis),
+                long_prompt,
+            };
+            let Some((outcome, reusable)) = send(&world, &mut connection, &spec).await else {
+                break;
+            };
+            outcomes.push(outcome);
+            tokio::time::sleep(Duration::from_millis(rng.random_range(0..40))).await;
+            if !reusable || stop.is_cancelled() {
                 break;
             }
         }
     }
-    all
+    outcomes
 }
 
 /// A request to be sent.
-pub(crate) struct Asked {
+pub(crate) struct Spec {
     pub(crate) kind: Kind,
     pub(crate) id: String,
     pub(crate) key: &'static str,
     /// When the caller leaves, if it does.
-    pub(crate) leave: Option<Duration>,
+    pub(crate) abort_after: Option<Duration>,
     /// Whether its prompt is beyond one engine's memory.
-    pub(crate) long: bool,
+    pub(crate) long_prompt: bool,
 }
 
 /// Sends a request. Answers what came of it and whether the connection may be used again; nothing
@@ -148,101 +156,108 @@
 pub(crate) async fn send(
     world: &World,
     connection: &mut Connection,
-    asked: &Asked,
-) -> Option<(Sent, bool)> {
+    spec: &Spec,
+) -> Option<(Outcome, bool)> {
     connection.sender.ready().await.ok()?;
-    let (kind, began) = (asked.kind, Instant::now());
-    let path = format!("{}{}", kind.path(), asked.id);
+    let (kind, started) = (spec.kind, Instant::now());
+    let path = format!("{}{}", kind.path(), spec.id);
     let call = Call {
-        id: &asked.id,
+        id: &spec.id,
         vm: connection.vm,
         path: &path,
-        key: asked.key,
-        time: kind.time(),
-        prompt: if asked.long { LONG } else { SHORT },
+        key: spec.key,
+        time: kind.timeout(),
+        prompt: if spec.long_prompt { LONG_PROMPT_TOKENS } else { SHORT_PROMPT_TOKENS },
         body: BODY,
     };
-    let wait = asked.leave.unwrap_or(kind.time() + SLACK * 4);
-    let answer = tokio::time::timeout(wait, exchange(connection, call.encode())).await;
-    let took = began.elapsed();
-    let calm = world.vm_is_settled(connection.vm, began, Instant::now());
-    let mut sent = Sent { id: asked.id.clone(), kind, refused: false, good: false };
+    let timeout = spec.abort_after.unwrap_or(kind.timeout() + SLACK * 4);
+    let response = tokio::time::timeout(timeout, exchange(connection, call.encode())).await;
+    let elapsed = started.elapsed();
+    let settled = world.vm_is_settled(connection.vm, started, Instant::now());
+    let mut outcome = Outcome { id: spec.id.clone(), kind, rejected: false, succeeded: false };
     let vm = &world.vms[connection.vm].name;
-    if calm && asked.leave.is_none() && took > kind.time() + SLACK {
-        world.record_violation(format!("{vm}: {} had no end after {took:?}", asked.id));
+    if settled && spec.abort_after.is_none() && elapsed > kind.timeout() + SLACK {
+        world.record_violation(format!("{vm}: {} had no end after {elapsed:?}", spec.id));
     }
-    let first = connection.served == 0;
-    connection.served += 1;
-    match answer {
-        Ok(Exchange::Answer(answer)) => {
-            judge(world, asked, &call, &answer, &mut sent);
-            let close = answer.headers().get("connection").is_some_and(|v| v == "close");
-            return Some((sent, !close));
+    let is_first = connection.requests == 0;
+    connection.requests += 1;
+    match response {
+        Ok(Exchange::Complete(response)) => {
+            check_response(world, spec, &call, &response, &mut outcome);
+            let close = response.headers().get("connection").is_some_and(|v| v == "close");
+            return Some((outcome, !close));
         }
-        Ok(Exchange::Cut(head, body)) => {
-            prefix(world, asked, &path, &head, &body);
-            lost(world, connection.vm, &asked.id, began);
+        Ok(Exchange::Truncated(head, body)) => {
+            check_partial_response(world, spec, &path, &head, &body);
+            check_lost(world, connection.vm, &spec.id, started);
         }
-        Ok(Exchange::Closed) if calm && first => {
-            world.record_violation(format!("{vm}: {} got no answer on a new connection", asked.id));
+        Ok(Exchange::Closed) if settled && is_first => {
+            world.record_violation(format!("{vm}: {} got no answer on a new connection", spec.id));
         }
-        Ok(Exchange::Closed) => lost(world, connection.vm, &asked.id, began),
+        Ok(Exchange::Closed) => check_lost(world, connection.vm, &spec.id, started),
         Err(_) => {}
     }
-    Some((sent, false))
+    Some((outcome, false))
 }
 
 /// How an exchange ended.
 enum Exchange {
-    Answer(Response<Bytes>),
+    Complete(Response<Bytes>),
     /// The answer broke off after these bytes.
-    Cut(http::response::Parts, Vec<u8>),
+    Truncated(http::response::Parts, Vec<u8>),
     /// No answer.
     Closed,
 }
 
 async fn exchange(connection: &mut Connection, request: Request<Full<Bytes>>) -> Exchange {
-    let Ok(answer) = connection.sender.send_request(request).await else {
+    let Ok(response) = connection.sender.send_request(request).await else {
         return Exchange::Closed;
     };
-    let (head, mut body): (_, Incoming) = answer.into_parts();
+    let (head, mut body): (_, Incoming) = response.into_parts();
     let mut bytes = Vec::new();
     while let Some(frame) = body.frame().await {
         match frame.map(|frame| frame.into_data()) {
             Ok(Ok(data)) => bytes.extend_from_slice(&data),
             Ok(Err(_)) => {}
-            Err(_) => return Exchange::Cut(head, bytes),
+            Err(_) => return Exchange::Truncated(head, bytes),
         }
     }
-    Exchange::Answer(Response::from_parts(head, Bytes::from(bytes)))
+    Exchange::Complete(Response::from_parts(head, Bytes::from(bytes)))
 }
 
-fn judge(world: &World, asked: &Asked, call: &Call<'_>, answer: &Response<Bytes>, sent: &mut Sent) {
-    let id = &asked.id;
-    match answer.status().as_u16() {
+fn check_response(
+    world: &World,
+    spec: &Spec,
+    call: &Call<'_>,
+    response: &Response<Bytes>,
+    outcome: &mut Outcome,
+) {
+    let id = &spec.id;
+    match response.status().as_u16() {
         200 => {
-            let right =
-                call.is_answered_by(answer) && answer.body() == expected(call.path).as_bytes();
-            sent.good = right;
-            if !right {
-                world.record_violation(format!("{id}: a success with another answer: {answer:?}"));
+            let matches = call.is_answered_by(response)
+                && response.body() == expected_body(call.path).as_bytes();
+            outcome.succeeded = matches;
+            if !matches {
+                world
+                    .record_violation(format!("{id}: a success with another answer: {response:?}"));
             }
         }
         429 | 503 => {
-            sent.refused = true;
-            if !answer.headers().contains_key("retry-after") {
+            outcome.rejected = true;
+            if !response.headers().contains_key("retry-after") {
                 world.record_violation(format!(
-                    "{id}: refused without a time to come back: {answer:?}"
+                    "{id}: refused without a time to come back: {response:?}"
                 ));
             }
         }
-        401 if asked.key == crate::REVOKED => {}
+        401 if spec.key == crate::REVOKED => {}
         502 | 504 => {}
-        _ => world.record_violation(format!("{id}: an answer that is never due: {answer:?}")),
+        _ => world.record_violation(format!("{id}: an answer that is never due: {response:?}")),
     }
 }
 
-fn expected(path: &str) -> String {
+fn expected_body(path: &str) -> String {
     if path.starts_with(STREAMS) {
         (1..=server::events(path)).map(|id| server::event(path, id)).collect()
     } else {
@@ -251,54 +266,60 @@
 }
 
 /// What came of an answer that broke off has to be the beginning of the right one.
-fn prefix(world: &World, asked: &Asked, path: &str, head: &http::response::Parts, body: &[u8]) {
-    let right = head.status != 200 || expected(path).as_bytes().starts_with(body);
-    if !right {
+fn check_partial_response(
+    world: &World,
+    spec: &Spec,
+    path: &str,
+    head: &http::response::Parts,
+    body: &[u8],
+) {
+    let matches = head.status != 200 || expected_body(path).as_bytes().starts_with(body);
+    if !matches {
         let text = String::from_utf8_lossy(body);
-        world.record_violation(format!("{}: broke off within another answer: {text}", asked.id));
+        world.record_violation(format!("{}: broke off within another answer: {text}", spec.id));
     }
 }
 
 /// What a planned stop alone may not do: end a connection with a request that was passed on.
-fn lost(world: &World, vm: usize, id: &str, began: Instant) {
-    let passed_on = !world.journal.runs(id).is_empty();
-    if passed_on && world.only_planned_stops(vm, began, Instant::now()) {
+fn check_lost(world: &World, vm: usize, id: &str, started: Instant) {
+    let was_sent = !world.journal.runs(id).is_empty();
+    if was_sent && world.only_planned_stops(vm, started, Instant::now()) {
         world.record_violation(format!("{}: {id} was passed on and lost", world.vms[vm].name));
     }
 }
 
 /// Whether the request may run more than once.
-pub(crate) fn repeatable(sent: &Sent) -> bool {
-    sent.kind.repeatable()
+pub(crate) fn is_retryable(outcome: &Outcome) -> bool {
+    outcome.kind.is_retryable()
 }
 
 /// The path of requests that end their servers.
-const DEADLY: &str = "/gen/again/deadly";
+const CRASHING_PATH: &str = "/gen/again/deadly";
 
 /// Sends the request that ends its servers again and again, to any VM and under another id each time,
 /// until cancelled.
-pub(crate) async fn run_deadly(world: Arc<World>, seed: u64, stop: CancellationToken) {
-    let mut draw = StdRng::seed_from_u64(seed);
+pub(crate) async fn run_crashing(world: Arc<World>, seed: u64, stop: CancellationToken) {
+    let mut rng = StdRng::seed_from_u64(seed);
     for number in 0.. {
         if stop.is_cancelled() {
             return;
         }
-        let vm = draw.random_range(0..world.vms.len());
+        let vm = rng.random_range(0..world.vms.len());
         let id = format!("{}{seed:x}-{number}", crate::DEADLY);
         if let Some(mut connection) = Connection::open(vm, world.vms[vm].caller_link.address).await
         {
             let call = Call {
                 id: &id,
                 vm,
-                path: DEADLY,
+                path: CRASHING_PATH,
                 key: crate::KEY,
-                time: STREAM,
-                prompt: SHORT,
+                time: STREAM_TIMEOUT,
+                prompt: SHORT_PROMPT_TOKENS,
                 body: server::CRASH_BODY,
             };
-            let wait = STREAM + SLACK * 4;
-            let _ = tokio::time::timeout(wait, exchange(&mut connection, call.encode())).await;
+            let timeout = STREAM_TIMEOUT + SLACK * 4;
+            let _ = tokio::time::timeout(timeout, exchange(&mut connection, call.encode())).await;
         }
-        tokio::time::sleep(Duration::from_millis(draw.random_range(20..600))).await;
+        tokio::time::sleep(Duration::from_millis(rng.random_range(20..600))).await;
     }
 }
--- a/daemon/tests/soak/main.rs
+++ b/daemon/tests/soak/main.rs
@@ -24,7 +24,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use caller::{Asked, Connection, Kind, Sent};
+use caller::{Connection, Kind, Outcome, Spec};
 use foldlock_platform_standin::caller::Call;
 use foldlock_platform_standin::server::Arrival;
 use foldlock_platform_standin::settings::{self, Route};
@@ -138,7 +138,7 @@
     let planned = seed.is_multiple_of(PLANNED);
     let deadly = (!planned).then(|| {
         let ends = fault::crash_servers(world.clone(), seed);
-        (tokio::spawn(ends), tokio::spawn(caller::run_deadly(world.clone(), seed, stop.clone())))
+        (tokio::spawn(ends), tokio::spawn(caller::run_crashing(world.clone(), seed, stop.clone())))
     });
     let unlimited = CancellationToken::new();
     let limits = (!planned)
@@ -166,7 +166,7 @@
     if violations.is_empty() {
         let _ = std::fs::remove_dir_all(folder);
     }
-    (violations, sent.iter().filter(|s| s.good).count())
+    (violations, sent.iter().filter(|s| s.succeeded).count())
 }
 
 /// Takes a key away, then adds a route and asks each VM for it. Gives when the key was taken away.
@@ -237,8 +237,8 @@
         return false;
     };
     let id = format!("probe-{vm}-{:x}", rand::rng().random::<u64>());
-    let asked = Asked { kind, id, key: KEY, leave: None, long: false };
-    caller::send(world, &mut connection, &asked).await.is_some_and(|(sent, _)| sent.good)
+    let spec = Spec { kind, id, key: KEY, abort_after: None, long_prompt: false };
+    caller::send(world, &mut connection, &spec).await.is_some_and(|(sent, _)| sent.succeeded)
 }
 
 /// Once all callers have left, servers work on nothing and hold no memory.
@@ -289,13 +289,13 @@
 }
 
 /// What must hold for each request, by what servers noted.
-fn promises(world: &World, sent: &[Sent], taken: Instant) {
+fn promises(world: &World, sent: &[Outcome], taken: Instant) {
     for sent in sent {
         let runs = world.journal.runs(&sent.id);
-        if !caller::repeatable(sent) && runs.len() > 1 {
+        if !caller::is_retryable(sent) && runs.len() > 1 {
             world.record_violation(format!("{} ran more than once: {runs:?}", sent.id));
         }
-        if !caller::repeatable(sent) && sent.refused && !runs.is_empty() {
+        if !caller::is_retryable(sent) && sent.rejected && !runs.is_empty() {
             world.record_violation(format!("{} was said not to have run: {runs:?}", sent.id));
         }
     }
