--- a/daemon/tests/soak/caller.rs
+++ b/daemon/tests/soak/caller.rs
@@ -251,7 +251,7 @@
                 ));
             }
         }
-        401 if spec.key == crate::REVOKED => {}
+        401 if spec.key == crate::REVOKED_KEY => {}
         502 | 504 => {}
         _ => world.record_violation(format!("{id}: an answer that is never due: {response:?}")),
     }
@@ -305,7 +305,7 @@
             return;
         }
         let vm = rng.random_range(0..world.vms.len());
-        let id = format!("{}{seed:x}-{number}", crate::DEADLY);
+        let id = format!("{}{seed:x}-{number}", crate::CRASHING_ID_PREFIX);
         if let Some(mut connection) = Connection::open(vm, world.vms[vm].caller_link.address).await
         {
             let call = Call {
