--- a/daemon/tests/soak/proxy.rs
+++ b/daemon/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback by which a link is delayed, silenced, cut one way or reset.
+//! A TCP proxy on loopback that can delay, block, block in one direction, or reset a link.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -11,23 +11,23 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// What a link does with bytes.
+/// How a proxy treats its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Mode {
     Open,
-    /// Bytes arrive later.
+    /// Bytes are delayed.
     Delayed(Duration),
-    /// Nothing arrives, and nothing says so.
+    /// No bytes are forwarded, and connections stay open.
     Blackhole,
-    /// What is sent arrives, and no answer does.
+    /// Requests are forwarded, responses are not.
     OneWay,
-    /// Connections are reset, new ones too.
+    /// Existing and new connections are reset.
     Reset,
-    /// Connections are reset, and nothing listens: the process behind it has ended.
+    /// Connections are reset and the port is closed, as if the process behind it had exited.
     Closed,
 }
 
-/// A link to an address that may change.
+/// A proxy for a target address that may change.
 pub(crate) struct Proxy {
     pub(crate) address: SocketAddr,
     target: Arc<Mutex<SocketAddr>>,
@@ -36,7 +36,7 @@
 }
 
 impl Proxy {
-    /// An open link.
+    /// Starts a proxy in [`Mode::Open`].
     pub(crate) async fn start(target: SocketAddr) -> Proxy {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -46,12 +46,12 @@
         Proxy { address, target, mode, task }
     }
 
-    /// Changes what the link does.
+    /// Sets the mode, for existing connections too.
     pub(crate) fn set(&self, mode: Mode) {
         self.mode.send_replace(mode);
     }
 
-    /// Leads new connections elsewhere.
+    /// Sets the target of new connections.
     pub(crate) fn set_target(&self, target: SocketAddr) {
         *self.target.lock().unwrap() = target;
     }
@@ -86,12 +86,13 @@
     }
 }
 
-/// Whether the link closes, or is gone.
+/// Waits for [`Mode::Closed`]; false if the proxy was dropped.
 async fn wait_closed(modes: &mut watch::Receiver<Mode>) -> bool {
     modes.wait_for(|mode| *mode == Mode::Closed).await.is_ok()
 }
 
-/// Listens again where it did before; what was accepted last may still have the port for a moment.
+/// Listens on the previous address again. Retries, since connections accepted last may hold the port for a
+/// moment.
 async fn listen(address: SocketAddr) -> TcpListener {
     loop {
         match TcpListener::bind(address).await {
@@ -118,7 +119,7 @@
     }
 }
 
-/// Whether a connection that is dropped is reset.
+/// Sets whether a connection is reset when it is dropped.
 fn set_reset_on_drop(stream: &TcpStream, reset: bool) {
     let linger = reset.then_some(Duration::ZERO);
     SockRef::from(stream).set_linger(linger).expect("a socket takes the option");
