--- a/daemon/tests/soak/limits.rs
+++ b/daemon/tests/soak/limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits that servers name: what reaches them from the VMs that know.
+//! Checks that servers receive no more than the rate limits in their responses allow.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,18 +7,19 @@
 
 use crate::world::World;
 
-/// The time over which a server counts.
+/// The window over which a server's arrivals are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// The time after which a VM is bound by what it was told.
+/// Time after the arrival whose response first carried the limit until the limit binds the VM.
 const NOTICE_DELAY: Duration = Duration::from_millis(500);
 
-/// What may reach a server in a span.
+/// Maximum arrivals at a server in a window.
 fn max_arrivals(rate: f64) -> usize {
     (1.5 * rate * WINDOW.as_secs_f64() + 5.0) as usize
 }
 
-/// No server gets more than its rate limit allows in a span, summed over the VMs that it had told.
+/// Checks that no server receives more than its rate limit allows in a window, summed over the VMs that had
+/// received the limit.
 pub(crate) fn check(world: &World) {
     let mut by_server: BTreeMap<String, Vec<Arrival>> = BTreeMap::new();
     for arrival in world.journal.arrivals() {
@@ -35,18 +36,18 @@
             {
                 let after = at - same_limit[0].at;
                 world.record_violation(format!(
-                    "{server} takes {rate} a second and got {count} in 4 s, {after:?} after it had said so; {} are \
-                     allowed",
+                    "{server} with a rate limit of {rate} a second received {count} in 4 s, {after:?} after it set the \
+                     limit; {} are allowed",
                     max_arrivals(rate)
                 ));
             }
         }
     }
-    println!("rate limits were named {limit_count} times");
+    println!("servers set {limit_count} rate limits");
 }
 
-/// The arrivals from VMs that were told before, and that nothing disturbed. Reports and orders count if no VM was
-/// disturbed, since they do not say who sent them.
+/// The arrivals from undisturbed VMs that had received the limit before. Reports and orders do not name their
+/// sender, so they count only if no VM was disturbed.
 fn bound_arrivals(world: &World, arrivals: &[Arrival]) -> Vec<Instant> {
     let mut notified: BTreeMap<usize, Instant> = BTreeMap::new();
     let mut bound = Vec::new();
@@ -70,7 +71,7 @@
     bound
 }
 
-/// The span with the most arrivals: when it ends, and how many they are.
+/// The end of the window with the most arrivals, and their number.
 fn busiest_window(arrivals: &[Instant]) -> Option<(Instant, usize)> {
     let within = |last: &Instant| {
         arrivals.iter().filter(|at| **at <= *last && *last - **at < WINDOW).count()
