--- a/daemon/tests/soak/caller.rs
+++ b/daemon/tests/soak/caller.rs
@@ -1,5 +1,4 @@
-//! Callers: they send requests on connections that they keep, and hold each answer against what it
-//! must be.
+//! Callers that send requests on persistent connections and check each response.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,25 +19,25 @@
 
 use crate::world::World;
 
-/// How long after its time a request may still be without its end: a pause of the machine.
+/// How long after its timeout a request may end; covers pauses of the machine.
 const SLACK: Duration = Duration::from_secs(1);
 
-/// The time that a plain request has.
+/// Timeout of a plain request.
 const PLAIN_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The time that a stream has.
+/// Timeout of a stream.
 const STREAM_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Tokens of a prompt that one engine holds.
+/// Tokens of a prompt that fits into one engine's memory.
 const SHORT_PROMPT_TOKENS: u64 = 1_000;
 
-/// Tokens of a prompt beyond one engine's memory.
+/// Tokens of a prompt that exceeds one engine's memory.
 const LONG_PROMPT_TOKENS: u64 = 30_000;
 
 /// The body of all requests.
 const BODY: &[u8] = b"the body";
 
-/// What a caller does.
+/// A kind of request; the variants that say `Once` must not run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Kind {
     Safe,
@@ -68,14 +67,14 @@
     }
 }
 
-/// A request that was sent.
+/// The outcome of a request.
 #[derive(Debug, Clone)]
 pub(crate) struct Outcome {
     pub(crate) id: String,
     pub(crate) kind: Kind,
-    /// Whether the answer promised that it had not run.
+    /// Whether the response was a rejection, which guarantees that the request did not run.
     pub(crate) rejected: bool,
-    /// Whether it was answered as it should be.
+    /// Whether the response was a success with the expected body.
     pub(crate) succeeded: bool,
 }
 
@@ -98,7 +97,7 @@
     }
 }
 
-/// Sends requests until cancelled, and gives what was sent.
+/// Sends requests until cancelled and returns their outcomes.
 pub(crate) async fn run(
     world: Arc<World>,
     name: String,
@@ -145,14 +144,14 @@
     pub(crate) kind: Kind,
     pub(crate) id: String,
     pub(crate) key: &'static str,
-    /// When the caller leaves, if it does.
+    /// When the caller disconnects, if it does.
     pub(crate) abort_after: Option<Duration>,
-    /// Whether its prompt is beyond one engine's memory.
+    /// Whether the prompt exceeds one engine's memory.
     pub(crate) long_prompt: bool,
 }
 
-/// Sends a request. Answers what came of it and whether the connection may be used again; nothing
-/// where the connection had ended before.
+/// Sends a request. Returns its outcome and whether the connection can be reused; `None` if the connection was
+/// already closed.
 pub(crate) async fn send(
     world: &World,
     connection: &mut Connection,
@@ -177,7 +176,7 @@
     let mut outcome = Outcome { id: spec.id.clone(), kind, rejected: false, succeeded: false };
     let vm = &world.vms[connection.vm].name;
     if settled && spec.abort_after.is_none() && elapsed > kind.timeout() + SLACK {
-        world.record_violation(format!("{vm}: {} had no end after {elapsed:?}", spec.id));
+        world.record_violation(format!("{vm}: {} did not end within {elapsed:?}", spec.id));
     }
     let is_first = connection.requests == 0;
     connection.requests += 1;
@@ -192,7 +191,10 @@
             check_lost(world, connection.vm, &spec.id, started);
         }
         Ok(Exchange::Closed) if settled && is_first => {
-            world.record_violation(format!("{vm}: {} got no answer on a new connection", spec.id));
+            world.record_violation(format!(
+                "{vm}: {} received no response on a new connection",
+                spec.id
+            ));
         }
         Ok(Exchange::Closed) => check_lost(world, connection.vm, &spec.id, started),
         Err(_) => {}
@@ -203,9 +205,9 @@
 /// How an exchange ended.
 enum Exchange {
     Complete(Response<Bytes>),
-    /// The answer broke off after these bytes.
+    /// The response body was truncated after these bytes.
     Truncated(http::response::Parts, Vec<u8>),
-    /// No answer.
+    /// The connection closed without a response.
     Closed,
 }
 
@@ -239,21 +241,20 @@
                 && response.body() == expected_body(call.path).as_bytes();
             outcome.succeeded = matches;
             if !matches {
-                world
-                    .record_violation(format!("{id}: a success with another answer: {response:?}"));
+                world.record_violation(format!(
+                    "{id}: success with an unexpected body or headers: {response:?}"
+                ));
             }
         }
         429 | 503 => {
             outcome.rejected = true;
             if !response.headers().contains_key("retry-after") {
-                world.record_violation(format!(
-                    "{id}: refused without a time to come back: {response:?}"
-                ));
+                world.record_violation(format!("{id}: rejected without retry-after: {response:?}"));
             }
         }
         401 if spec.key == crate::REVOKED_KEY => {}
         502 | 504 => {}
-        _ => world.record_violation(format!("{id}: an answer that is never due: {response:?}")),
+        _ => world.record_violation(format!("{id}: unexpected status: {response:?}")),
     }
 }
 
@@ -265,7 +266,7 @@
     }
 }
 
-/// What came of an answer that broke off has to be the beginning of the right one.
+/// Checks that the bytes of a truncated response are a prefix of the expected body.
 fn check_partial_response(
     world: &World,
     spec: &Spec,
@@ -276,15 +277,18 @@
     let matches = head.status != 200 || expected_body(path).as_bytes().starts_with(body);
     if !matches {
         let text = String::from_utf8_lossy(body);
-        world.record_violation(format!("{}: broke off within another answer: {text}", spec.id));
+        world.record_violation(format!(
+            "{}: truncated response is not a prefix of the expected body: {text}",
+            spec.id
+        ));
     }
 }
 
-/// What a planned stop alone may not do: end a connection with a request that was passed on.
+/// Checks that a planned stop alone closes no connection whose request was already forwarded to a server.
 fn check_lost(world: &World, vm: usize, id: &str, started: Instant) {
     let was_sent = !world.journal.runs(id).is_empty();
     if was_sent && world.only_planned_stops(vm, started, Instant::now()) {
-        world.record_violation(format!("{}: {id} was passed on and lost", world.vms[vm].name));
+        world.record_violation(format!("{}: {id} was forwarded and lost", world.vms[vm].name));
     }
 }
 
@@ -293,11 +297,11 @@
     outcome.kind.is_retryable()
 }
 
-/// The path of requests that end their servers.
+/// Path of requests that crash their servers.
 const CRASHING_PATH: &str = "/gen/again/deadly";
 
-/// Sends the request that ends its servers again and again, to any VM and under another id each time,
-/// until cancelled.
+/// Sends the request that crashes its servers repeatedly until cancelled, to random VMs and with a new id each
+/// time.
 pub(crate) async fn run_crashing(world: Arc<World>, seed: u64, stop: CancellationToken) {
     let mut rng = StdRng::seed_from_u64(seed);
     for number in 0.. {
