--- a/daemon/tests/soak/fault.rs
+++ b/daemon/tests/soak/fault.rs
@@ -1,4 +1,4 @@
-//! Faults from outside, drawn from a seed. They come in series and overlap.
+//! Injected faults, drawn at random from a seed; they overlap in time.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,28 +14,28 @@
 use crate::proxy::Mode;
 use crate::world::{Part, STOP_TIMEOUT, World};
 
-/// How long a leaving server takes requests after it has said so.
+/// How long a server accepts requests after it announced that it is leaving.
 const DRAIN: Duration = Duration::from_secs(2);
 
-/// How long a process that was stopped may take beyond its grace.
+/// How long after the stop timeout a process may exit.
 const EXIT_SLACK: Duration = Duration::from_secs(1);
 
-/// How long the store is away before it comes back from a copy.
+/// How long the store is unavailable before it is restored from a snapshot.
 const STORE_OUTAGE: Duration = Duration::from_millis(300);
 
-/// How long servers then take to write themselves again.
+/// Time from a restore until the servers have written their entries again.
 const REGISTER_TIME: Duration = Duration::from_millis(800);
 
-/// How long after that the entries of servers that have ended stay.
+/// Time from then until the entries of servers that have exited are removed.
 const STALE_ENTRY_TIME: Duration = Duration::from_millis(2_800);
 
-/// How often the end of a killed process is waited for before it is started anyway.
+/// How many times the exit of a killed process is awaited before it is started regardless.
 const KILL_WAITS: usize = 8;
 
-/// How often a process is looked at.
+/// Interval between checks of a process.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A fault and for how long.
+/// A fault, with its duration.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Fault {
     Kill(usize, Duration),
@@ -47,18 +47,18 @@
     ServerLink(usize, Mode, Duration),
     Crash(usize, Duration),
     Drain(usize),
-    /// A server leaves and says so in its answers alone.
+    /// A server leaves and announces it only in its responses, not in its entry.
     LeaveUnlisted(usize),
-    /// A server refuses all for so long and asks for as much rest.
+    /// A server refuses all requests for this time and requests a backoff of the same length.
     Backoff(usize, Duration),
     StoreBehaviour(Behaviour, Duration),
     Compact,
-    /// The store comes back from a copy of this age.
+    /// The store is restored from a snapshot of this age.
     Restore(Duration),
 }
 
 impl Fault {
-    /// Draws planned work: with nothing else going on, it may lose no request.
+    /// Draws a planned operation; without other faults, it must lose no request.
     pub(crate) fn random_planned(rng: &mut StdRng, world: &World) -> Fault {
         let vm = rng.random_range(0..world.vms.len());
         match rng.random_range(0..4) {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Draws a fault.
+    /// Draws a fault of any kind.
     pub(crate) fn random(rng: &mut StdRng, world: &World) -> Fault {
         let vm = rng.random_range(0..world.vms.len());
         let endpoint = rng.random_range(0..world.endpoints.len());
@@ -107,7 +107,7 @@
     ][rng.random_range(0..4)]
 }
 
-/// Plays faults for so long, or planned work alone, and returns once the last one has ended.
+/// Injects faults for `duration`, only planned operations if `planned`, and returns when the last one has ended.
 pub(crate) async fn inject(
     world: &Arc<World>,
     rng: &mut StdRng,
@@ -183,21 +183,21 @@
     }
 }
 
-/// Has servers name rate limits, one after the other, until cancelled.
+/// Sets a rate limit at one random server after the other until cancelled.
 pub(crate) async fn vary_rate_limits(world: Arc<World>, seed: u64, stop: CancellationToken) {
     let mut rng = StdRng::seed_from_u64(seed);
     while !stop.is_cancelled() {
         let endpoint = &world.endpoints[rng.random_range(0..world.endpoints.len())];
         let rate = rng.random_range(1..12) as f64 / 4.0;
         let duration = Duration::from_millis(rng.random_range(4_000..8_000));
-        println!("{} takes {rate} a second for {duration:?}", endpoint.id());
+        println!("{} has a rate limit of {rate} a second for {duration:?}", endpoint.id());
         endpoint.set_rate_limit(Some(rate));
         let _ = tokio::time::timeout(duration, stop.cancelled()).await;
         endpoint.set_rate_limit(None);
     }
 }
 
-/// Ends servers as requests do that end them, and starts others in their places after a while.
+/// Takes down each server that a request crashes, and replaces it after a random time.
 pub(crate) async fn crash_servers(world: Arc<World>, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     loop {
@@ -208,7 +208,7 @@
 }
 
 async fn crash_server(world: Arc<World>, server: String, downtime: Duration) {
-    // Another fault may have replaced it already.
+    // Another fault may already have replaced the server.
     let Some(endpoint) = world.endpoints.iter().find(|endpoint| endpoint.id() == server) else {
         return;
     };
@@ -222,12 +222,13 @@
     world.end_disturbance(disturbance);
 }
 
-/// Kills a process and starts it again, unless it is down already.
+/// Kills a process and restarts it, unless another fault restarts it first.
 async fn kill(world: &World, vm: usize, downtime: Duration) {
     let disturbance = world.begin_disturbance(Part::Vm(vm));
     let incarnation = world.vms[vm].incarnation();
     world.vms[vm].signal(Signal::SIGKILL);
-    // While the soak itself stands still nobody sees the end; another start would meet its ports.
+    // The exit is not seen while the soak process itself is stalled; a process started before the exit would find
+    // its ports in use.
     for _ in 0..KILL_WAITS {
         if wait_for_exit(world, vm, incarnation, EXIT_SLACK).await {
             break;
@@ -238,24 +239,21 @@
     world.end_disturbance(disturbance);
 }
 
-/// Stops a process as planned and starts it again.
+/// Stops a process with SIGTERM and restarts it.
 async fn stop(world: &World, vm: usize) {
     let disturbance = world.begin_disturbance(Part::PlannedStop(vm));
     let incarnation = world.vms[vm].incarnation();
     world.vms[vm].signal(Signal::SIGTERM);
-    // It may be frozen for as long as a fault lasts.
+    // Another fault may freeze the process meanwhile.
     if !wait_for_exit(world, vm, incarnation, STOP_TIMEOUT + EXIT_SLACK * 3).await {
-        world.record_violation(format!(
-            "{} did not end after the signal to stop",
-            world.vms[vm].name
-        ));
+        world.record_violation(format!("{} did not exit after SIGTERM", world.vms[vm].name));
         world.vms[vm].signal(Signal::SIGKILL);
     }
     restart(world, vm, incarnation);
     world.end_disturbance(disturbance);
 }
 
-/// Waits until the process of that start has ended.
+/// Waits until this incarnation of the process has exited; false after the timeout.
 async fn wait_for_exit(world: &World, vm: usize, incarnation: usize, timeout: Duration) -> bool {
     let until = Instant::now() + timeout;
     while Instant::now() < until {
@@ -273,7 +271,7 @@
     }
 }
 
-/// A server refuses all that it is sent, and asks for rest.
+/// Makes a server refuse all requests and request a backoff.
 async fn back_off(world: &World, endpoint: usize, duration: Duration) {
     let id = world.endpoints[endpoint].id();
     world.endpoints[endpoint].set_notice(Notice { backoff: Some(duration), ..Notice::default() });
@@ -283,7 +281,8 @@
     }
 }
 
-/// The store is away for a moment and comes back from a copy. The servers write themselves again.
+/// Makes the store unavailable for a moment and restores it from a snapshot. The servers then write their entries
+/// again.
 async fn restore(world: &World, age: Duration) {
     let snapshot = world.store.snapshot();
     tokio::time::sleep(age).await;
@@ -299,7 +298,8 @@
     world.end_disturbance(disturbance);
 }
 
-/// A server says that it leaves, in its answers and perhaps its entry, serves on for a while, and is replaced.
+/// Makes a server announce that it is leaving, in its responses and if `listed` in its entry. It serves for a
+/// while longer and is then replaced.
 async fn drain(world: &World, endpoint: usize, listed: bool) {
     let id = world.endpoints[endpoint].id();
     world.endpoints[endpoint].set_notice(Notice { leaving: true, ..Notice::default() });
@@ -319,14 +319,15 @@
     }
 }
 
-/// A server that left got no new work later than [`DRAIN`], if all VMs and the store were in touch.
+/// Checks that a leaving server received no new requests later than [`DRAIN`] after its announcement, if all VMs
+/// and the store were settled.
 fn check_drained(world: &World, id: &str, leaving_since: Instant) {
     for (request, run) in world.journal.all_runs() {
         let late = run.server == id && run.at > leaving_since + DRAIN;
         if late && world.all_settled(leaving_since, run.at) {
             let after = run.at - leaving_since;
             world.record_violation(format!(
-                "{id} had said that it leaves, and got {request} {after:?} later"
+                "{id} announced that it is leaving, and received {request} {after:?} later"
             ));
         }
     }
