--- a/daemon/tests/soak/world.rs
+++ b/daemon/tests/soak/world.rs
@@ -1,4 +1,4 @@
-//! The processes and stand-ins of one run, and when each part was disturbed.
+//! The processes and stand-ins of one run, and the disturbances of each part.
 
 use std::fs::{self, File};
 use std::net::SocketAddr;
@@ -17,41 +17,41 @@
 
 use crate::proxy::Proxy;
 
-/// VMs of a run.
+/// Number of VMs in a run.
 pub(crate) const VM_COUNT: usize = 3;
 
-/// For how long a part has to be without a disturbance before it is bound by times again.
+/// How long a part must be undisturbed before time limits apply to it again.
 pub(crate) const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// How often the soak looks whether it runs itself.
+/// How often the soak checks whether its own process was stalled.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A longer pause of the soak itself, with its callers and servers, disturbs all it watches: what it
-/// then sees late or broken off is its own.
+/// A longer pause of the soak process stalls its callers and servers too, so it counts as a disturbance of all
+/// parts: late or truncated responses are then caused by the soak itself.
 const STALL_THRESHOLD: Duration = Duration::from_millis(400);
 
-/// How old settings may be while keys are trusted.
+/// Maximum age of settings at which a VM still accepts their API keys.
 pub(crate) const MAX_SETTINGS_AGE: Duration = Duration::from_secs(5);
 
-/// The time between the signal to stop and the kill.
+/// Time for a VM to exit after SIGTERM, before it is killed.
 pub(crate) const STOP_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// The services, with the number of their servers.
+/// The services, with their number of servers.
 const SERVICES: [(&str, usize); 2] = [("model", 4), ("plain", 3)];
 
-/// What a disturbance disturbs.
+/// The part of a run that a disturbance affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Part {
     Vm(usize),
-    /// A VM, by a planned stop and the start after it alone.
+    /// A VM, only by a planned stop and the start after it.
     PlannedStop(usize),
     Store,
     Servers,
-    /// The soak's own process.
+    /// The soak process itself; its stalls affect all parts.
     Harness,
 }
 
-/// A VM: its process, and the links to it and from it to the store.
+/// A VM: its process, and the links from callers to it and from it to the store.
 pub(crate) struct Vm {
     pub(crate) name: String,
     pub(crate) listen: SocketAddr,
@@ -67,7 +67,7 @@
     incarnation: usize,
 }
 
-/// A server in its place: one instance after the other serves there.
+/// A server address at which one instance after the other serves.
 pub(crate) struct Endpoint {
     pub(crate) service: &'static str,
     pub(crate) link: Proxy,
@@ -77,18 +77,18 @@
 struct Instance {
     id: String,
     server: Server,
-    /// Whether its entry says that it leaves.
+    /// Whether its entry announces that it is leaving.
     leaving: bool,
     _served: Served,
 }
 
-/// All of it.
+/// All VMs, servers and the store of a run.
 pub(crate) struct World {
     pub(crate) store: Store,
     pub(crate) journal: Arc<Journal>,
     pub(crate) vms: Vec<Vm>,
     pub(crate) endpoints: Vec<Endpoint>,
-    /// What should not have happened.
+    /// Messages about violated guarantees.
     pub(crate) violations: Mutex<Vec<String>>,
     disturbances: Mutex<Vec<(Part, Instant, Option<Instant>)>>,
     last_tick: Mutex<Instant>,
@@ -126,7 +126,7 @@
         })
     }
 
-    /// Starts the process. Its log goes on in one file over all starts.
+    /// Starts the process. All its incarnations append to one log file.
     pub(crate) fn start(&self) {
         let mut process = self.process.lock().unwrap();
         let log = self.folder.join(format!("{}.log", self.name));
@@ -142,7 +142,7 @@
         process.incarnation += 1;
     }
 
-    /// Sends the process a signal, if it runs.
+    /// Sends the process a signal if it is running.
     pub(crate) fn signal(&self, signal: Signal) {
         let process = self.process.lock().unwrap();
         if let Some(child) = &process.child {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// How the process ended, if it did.
+    /// The exit status of the process if it has exited since the last start; returned once.
     pub(crate) fn exit_status(&self) -> Option<std::process::ExitStatus> {
         let mut process = self.process.lock().unwrap();
         let status = process.child.as_mut()?.try_wait().ok()??;
@@ -158,7 +158,7 @@
         Some(status)
     }
 
-    /// How often it was started.
+    /// Number of the current process: how often it was started.
     pub(crate) fn incarnation(&self) -> usize {
         self.process.lock().unwrap().incarnation
     }
@@ -174,26 +174,26 @@
 }
 
 impl Endpoint {
-    /// The id of the instance that serves there.
+    /// The id of the current instance.
     pub(crate) fn id(&self) -> String {
         self.instance.lock().unwrap().id.clone()
     }
 }
 
 impl Endpoint {
-    /// The server names this rate limit from now on.
+    /// Sets the rate limit that the current instance announces.
     pub(crate) fn set_rate_limit(&self, rate: Option<f64>) {
         self.instance.lock().unwrap().server.set_rate_limit(rate);
     }
 
-    /// The server says this of itself from now on.
+    /// Sets the notice in the responses of the current instance.
     pub(crate) fn set_notice(&self, notice: Notice) {
         self.instance.lock().unwrap().server.set_notice(notice);
     }
 }
 
 impl World {
-    /// Starts everything; returns once all VMs serve.
+    /// Starts the store, the servers and the VM processes.
     pub(crate) async fn start(folder: PathBuf, settings: &Value) -> Arc<World> {
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder).unwrap();
@@ -228,25 +228,25 @@
         world
     }
 
-    /// Notes that the soak runs; if it stood still, since when.
+    /// Records that the soak process runs, and a disturbance if it was stalled.
     fn tick(&self) {
         let before = std::mem::replace(&mut *self.last_tick.lock().unwrap(), Instant::now());
         if before.elapsed() > STALL_THRESHOLD {
-            println!("the soak itself stood still for {:?}", before.elapsed());
+            println!("the soak process was stalled for {:?}", before.elapsed());
             let stall = (Part::Harness, before, Some(Instant::now()));
             self.disturbances.lock().unwrap().push(stall);
         }
     }
 
-    /// Writes the entry of the instance in a place.
+    /// Writes the store entry of the endpoint's current instance.
     pub(crate) fn register(&self, endpoint: &Endpoint, leaving: bool) {
         endpoint.instance.lock().unwrap().leaving = leaving;
         let entry = Entry { service: endpoint.service, address: endpoint.link.address, leaving };
         self.store.put_server(&endpoint.id(), &entry);
     }
 
-    /// Servers write their entries again, as they do after the store has come back from a copy; those of
-    /// servers that have ended lapse.
+    /// Writes the entries of all current instances again, as servers do after the store was restored from a
+    /// snapshot.
     pub(crate) fn register_all(&self) {
         for endpoint in &self.endpoints {
             let leaving = endpoint.instance.lock().unwrap().leaving;
@@ -254,14 +254,14 @@
         }
     }
 
-    /// Ends the entries of servers that are not there any more.
+    /// Removes the entries of servers that have exited, as they expire after a restore.
     pub(crate) fn remove_stale(&self) {
         let current: Vec<String> = self.endpoints.iter().map(Endpoint::id).collect();
         let stale = self.store.servers().into_iter().filter(|id| !current.contains(id));
         stale.for_each(|id| self.store.remove_server(&id));
     }
 
-    /// A new instance takes over a place; the one before it ends at once.
+    /// Replaces the instance of an endpoint; the previous one ends at once.
     pub(crate) async fn replace(&self, endpoint: &Endpoint) {
         let id = format!("{}-{}", endpoint.service, next_number());
         let server = Server::new(&id, self.journal.clone());
@@ -273,7 +273,7 @@
         self.register(endpoint, false);
     }
 
-    /// Memory that is set aside at servers that live.
+    /// Number of memory reservations at the current instances.
     pub(crate) fn reservation_count(&self) -> usize {
         self.endpoints
             .iter()
@@ -281,12 +281,12 @@
             .sum()
     }
 
-    /// Notes what should not have happened.
+    /// Records a violated guarantee.
     pub(crate) fn record_violation(&self, what: String) {
         self.violations.lock().unwrap().push(what);
     }
 
-    /// For how long the soak itself stood still since `from`.
+    /// How long the soak process was stalled since `from`.
     pub(crate) fn stall_time_since(&self, from: Instant) -> Duration {
         self.tick();
         let disturbances = self.disturbances.lock().unwrap();
@@ -295,37 +295,37 @@
         stalls.filter_map(|(_, begin, end)| end.map(|end| end - *begin)).sum()
     }
 
-    /// A disturbance begins; its number ends it.
+    /// Begins a disturbance; [`World::end_disturbance`] takes the returned index.
     pub(crate) fn begin_disturbance(&self, part: Part) -> usize {
         let mut disturbances = self.disturbances.lock().unwrap();
         disturbances.push((part, Instant::now(), None));
         disturbances.len() - 1
     }
 
-    /// A disturbance ends.
+    /// Ends a disturbance.
     pub(crate) fn end_disturbance(&self, disturbance: usize) {
         self.disturbances.lock().unwrap()[disturbance].2 = Some(Instant::now());
     }
 
-    /// Whether a VM was in touch from `from` to `to`.
+    /// Whether a VM was undisturbed from [`SETTLE_TIME`] before `from` until `to`.
     pub(crate) fn vm_is_settled(&self, vm: usize, from: Instant, to: Instant) -> bool {
         self.is_undisturbed(Part::Vm(vm), from - SETTLE_TIME, to)
             && self.is_undisturbed(Part::PlannedStop(vm), from - SETTLE_TIME, to)
     }
 
-    /// Whether all VMs and the store were in touch.
+    /// Whether all VMs and the store were undisturbed from [`SETTLE_TIME`] before `from` until `to`.
     pub(crate) fn all_settled(&self, from: Instant, to: Instant) -> bool {
         let vms = (0..self.vms.len()).all(|vm| self.vm_is_settled(vm, from, to));
         vms && self.is_undisturbed(Part::Store, from - SETTLE_TIME, to)
     }
 
-    /// Whether nothing but planned stops disturbed a VM and the servers.
+    /// Whether no disturbance but planned stops affected a VM or the servers.
     pub(crate) fn only_planned_stops(&self, vm: usize, from: Instant, to: Instant) -> bool {
         let parts = [Part::Vm(vm), Part::Servers];
         parts.into_iter().all(|part| self.is_undisturbed(part, from - SETTLE_TIME, to))
     }
 
-    /// Whether no disturbance of a part touches the time from `from` to `to`.
+    /// Whether no disturbance of a part, or stall of the soak process, overlaps the time from `from` to `to`.
     pub(crate) fn is_undisturbed(&self, part: Part, from: Instant, to: Instant) -> bool {
         self.tick();
         let disturbances = self.disturbances.lock().unwrap();
