--- a/daemon/tests/soak/main.rs
+++ b/daemon/tests/soak/main.rs
@@ -1,17 +1,15 @@
-//! Real `foldlockd` processes between callers, servers and a store on loopback, while faults come
-//! from outside, drawn from a seed. What always has to hold is checked by what callers and servers
-//! see.
+//! Soak test: real `foldlockd` processes between callers, servers and a store on loopback, under injected
+//! faults that are drawn from a seed. Guarantees are checked by what callers and servers observe.
 //!
-//! By hand, 50 seeds of 30 s each, or some fresh ones:
+//! To run 50 seeds of 30 s each, or a few random ones:
 //!
 //! ```sh
 //! FOLDLOCK_SOAK=1..51 cargo test -p foldlockd --test soak -- --ignored --nocapture
 //! FOLDLOCK_SOAK=fresh:6 cargo test -p foldlockd --test soak -- --ignored --nocapture
 //! ```
 //!
-//! Not covered: the time of day cannot be changed for a process without privileges (foldlock takes
-//! all its times from the steady clock), and the beats between VMs by UDP are not cut. foldlock keeps
-//! nothing on disks.
+//! Not covered: changes of the wall clock, which need privileges (foldlock takes all its times from the
+//! monotonic clock), and loss of the UDP heartbeats between VMs. foldlock stores nothing on disk.
 
 mod caller;
 mod fault;
@@ -35,51 +33,51 @@
 use tokio_util::sync::CancellationToken;
 use world::{MAX_SETTINGS_AGE, Part, VM_COUNT, World};
 
-/// Seeds that failed once, each with its cause: 33, whose server asked for a rest of 1.150 s and held its VM to the
-/// 1.154 s that it had meant.
+/// Seeds that failed once, each with its cause: 33, whose server requested a backoff of 1.150 s while the check
+/// held the VM to the 1.154 s set at the server.
 const REGRESSIONS: [u64; 1] = [33];
 
-/// Seeds that CI plays.
+/// Seeds that run in CI.
 const CI_SEEDS: [u64; 2] = [1, 4];
 
-/// Of so many seeds, one plays planned work alone.
+/// One in this many seeds runs only planned operations.
 const PLANNED_INTERVAL: u64 = 4;
 
-/// How long faults come in CI.
+/// How long faults are injected in CI.
 const CI_DURATION: Duration = Duration::from_secs(10);
 
-/// How long faults come in runs by hand.
+/// How long faults are injected in manual runs.
 const LONG_DURATION: Duration = Duration::from_secs(30);
 
-/// Callers of a run.
+/// Number of callers in a run.
 const CALLERS: usize = 12;
 
-/// The key of most callers.
+/// API key of most callers.
 pub(crate) const KEY: &str = "key-of-one";
 
-/// Ids of requests that end their servers begin with this.
+/// Prefix of the ids of requests that crash their servers.
 pub(crate) const CRASHING_ID_PREFIX: &str = "deadly-";
 
-/// Arrivals of such a request at servers, later than VMs in touch may take to hear of the third one that
-/// it ended.
+/// Maximum arrivals of such requests at servers after all settled VMs must have received the third crash.
 const MAX_LATE_ARRIVALS: usize = 3;
 
-/// The key that is taken away.
+/// API key that is revoked during the run.
 pub(crate) const REVOKED_KEY: &str = "key-of-gone";
 
-/// The time in which settings have to be in force.
+/// Time within which changed settings must be in force.
 const SETTINGS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The time in which everything has to be served again after the last fault.
+/// Time within which all VMs must serve again after the last fault.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// The time in which the work for callers who left ends, with the pause of a frozen process.
+/// Time within which servers must stop running requests of disconnected callers; covers the pause of a frozen
+/// process.
 const ABORT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The time in which memory that was set aside is given back.
+/// Time within which memory reservations must be released.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How often a condition is looked at.
+/// Interval between checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 fn settings_at(version: u64) -> Value {
@@ -108,13 +106,13 @@
     settings::encode(version, &routes, &organisations)
 }
 
-/// The version by which a key is taken away.
+/// Settings version from which the key is revoked.
 const REVOKED_VERSION: u64 = 5;
 
-/// The version by which a route is added.
+/// Settings version from which the route is added.
 const ADDED_VERSION: u64 = 9;
 
-/// One run: what was broken, and how many requests were served well.
+/// Runs one seed. Returns the violated guarantees and the number of successful requests.
 async fn run(seed: u64, duration: Duration) -> (Vec<String>, usize) {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("soak-{seed}"));
     let world = World::start(folder.clone(), &settings_at(1)).await;
@@ -172,7 +170,7 @@
     (violations, outcomes.iter().filter(|o| o.succeeded).count())
 }
 
-/// Takes a key away, then adds a route and asks each VM for it. Gives when the key was taken away.
+/// Revokes a key, then adds a route and requests it from each VM. Returns the time of the revocation.
 async fn change_settings(world: Arc<World>, duration: Duration) -> Instant {
     tokio::time::sleep(duration / 5).await;
     world.store.put_settings(&settings_at(REVOKED_VERSION));
@@ -190,7 +188,7 @@
     revoked_at
 }
 
-/// Asks a VM for the route that was added; `served` is the start of the process that served it.
+/// Requests the added route from a VM; `served` is the last incarnation of the VM that served it.
 async fn check_added_route(world: &World, vm: usize, added: Instant, served: &mut usize) {
     let (incarnation, started) = (world.vms[vm].incarnation(), Instant::now());
     let Some(status) = added_route_status(world, vm).await else { return };
@@ -204,10 +202,10 @@
     if status != 404 {
         *served = incarnation;
     } else if *served == incarnation {
-        world.record_violation(format!("{name} went back to settings without the route"));
+        world.record_violation(format!("{name} reverted to settings without the added route"));
     } else if settled && started - added > SETTINGS_TIMEOUT {
         world.record_violation(format!(
-            "{name} does not know the route after {:?}",
+            "{name} does not serve the added route after {:?}",
             started - added
         ));
     }
@@ -229,10 +227,7 @@
         for kind in [Kind::Safe, Kind::Stream] {
             while !serves(world, vm, kind).await {
                 if started.elapsed() > RECOVERY_TIMEOUT + world.stall_time_since(started) {
-                    world.record_violation(format!(
-                        "{} does not serve again: {kind:?}",
-                        checked.name
-                    ));
+                    world.record_violation(format!("{} did not recover: {kind:?}", checked.name));
                     return;
                 }
                 tokio::time::sleep(POLL_INTERVAL).await;
@@ -250,20 +245,20 @@
     caller::send(world, &mut connection, &spec).await.is_some_and(|(outcome, _)| outcome.succeeded)
 }
 
-/// Once all callers have left, servers work on nothing and hold no memory.
+/// Checks that after all callers have disconnected, servers run no requests and keep no reservations.
 async fn check_released(world: &World) {
     let left = Instant::now();
     while world.journal.running() > 0 || world.reservation_count() > 0 {
         if world.journal.running() > 0 && left.elapsed() > ABORT_TIMEOUT {
             world.record_violation(format!(
-                "{} requests are worked on for nobody",
+                "{} requests still run after their callers disconnected",
                 world.journal.running()
             ));
             return;
         }
         if left.elapsed() > RELEASE_TIMEOUT {
             world.record_violation(format!(
-                "{} pieces of memory stay set aside",
+                "{} memory reservations are not released",
                 world.reservation_count()
             ));
             return;
@@ -272,11 +267,11 @@
     }
 }
 
-/// All processes end by themselves when they are told to, and did not before.
+/// Checks that all processes exit on SIGTERM, and that none had exited before.
 async fn check_stop(world: &World) {
     for vm in &world.vms {
         if let Some(status) = vm.exit_status() {
-            world.record_violation(format!("{} had ended by itself: {status}", vm.name));
+            world.record_violation(format!("{} exited unexpectedly: {status}", vm.name));
         }
         vm.signal(Signal::SIGTERM);
     }
@@ -292,12 +287,15 @@
             tokio::time::sleep(POLL_INTERVAL).await;
         };
         if !status.is_some_and(|s| s.success()) {
-            world.record_violation(format!("{} did not stop well: {status:?}", vm.name));
+            world.record_violation(format!(
+                "{} did not exit successfully on SIGTERM: {status:?}",
+                vm.name
+            ));
         }
     }
 }
 
-/// What must hold for each request, by what servers noted.
+/// Checks the guarantees for each request against the servers' journal.
 fn check_promises(world: &World, outcomes: &[Outcome], revoked_at: Instant) {
     for outcome in outcomes {
         let runs = world.journal.runs(&outcome.id);
@@ -305,7 +303,7 @@
             world.record_violation(format!("{} ran more than once: {runs:?}", outcome.id));
         }
         if !caller::is_retryable(outcome) && outcome.rejected && !runs.is_empty() {
-            world.record_violation(format!("{} was said not to have run: {runs:?}", outcome.id));
+            world.record_violation(format!("{} was rejected and ran: {runs:?}", outcome.id));
         }
     }
     check_crashes(world);
@@ -314,22 +312,22 @@
     for (id, run) in world.journal.all_runs() {
         if run.organisation.as_deref() == Some("gone") && run.at > revoked_at + MAX_SETTINGS_AGE {
             let after = run.at - revoked_at;
-            world.record_violation(format!("{id} ran {after:?} after its key was taken away"));
+            world.record_violation(format!("{id} ran {after:?} after its key was revoked"));
         }
     }
 }
 
-/// The time after an answer has told a VM that its server leaves, in which callers' requests may still be sent
+/// How long after a response announced to a VM that its server is leaving callers' requests may still be sent
 /// there.
 const LEAVING_DELAY: Duration = Duration::from_secs(2);
 
-/// The first part of a rest: what was on its way.
+/// First part of a backoff, in which arrivals do not count because they were already in transit.
 const BACKOFF_DELAY: Duration = Duration::from_millis(500);
 
-/// Requests that a server may get within a rest that it asked for.
+/// Maximum requests that a VM may send to a server during a backoff.
 const MAX_IN_BACKOFF: usize = 2;
 
-/// No VM sends a server anything against what it said of itself in its answers to that VM.
+/// Checks that each VM complies with the leaving and backoff notices in the responses that it received.
 fn check_notices(world: &World) {
     let mut by_link: BTreeMap<(String, usize), Vec<Arrival>> = BTreeMap::new();
     for arrival in world.journal.arrivals() {
@@ -349,7 +347,7 @@
                 if let Some(late) = later.iter().find(late) {
                     let after = late.sent - earlier.at;
                     world.record_violation(format!(
-                        "{server} had told {name} that it leaves, and was sent more {after:?} later"
+                        "{server} announced to {name} that it is leaving, and was sent a request {after:?} later"
                     ));
                 }
             }
@@ -361,20 +359,24 @@
             };
             let within = later.iter().filter(within).count();
             if within > MAX_IN_BACKOFF {
-                world.record_violation(format!("{server} had asked {name} for {backoff:?} of rest, and got {within} requests in it"));
+                world.record_violation(format!(
+                    "{server} requested a backoff of {backoff:?} from {name}, and received {within} requests \
+                     during it"
+                ));
             }
         }
     }
-    println!("{leaving} answers said that their server leaves, {backoffs} asked for a rest");
+    println!("{leaving} responses announced a leaving server, {backoffs} requested a backoff");
 }
 
-/// Whether a VM ran without a disturbance from one arrival to the other.
+/// Whether a VM was undisturbed from one arrival to the other.
 fn ran_undisturbed(world: &World, vm: usize, from: &Arrival, to: &Arrival) -> bool {
     let parts = [Part::Vm(vm), Part::PlannedStop(vm)];
     parts.into_iter().all(|part| world.is_undisturbed(part, from.at, to.at))
 }
 
-/// A request that ends its servers reaches few more once VMs in touch know it.
+/// Checks that a request that crashes its servers reaches few more of them once settled VMs have received its
+/// third crash.
 fn check_crashes(world: &World) {
     let mut runs: Vec<(Instant, String)> = world
         .journal
@@ -389,23 +391,23 @@
     let Some((third, _)) = third else { return };
     let late = |at: &Instant| *at > *third + world::SETTLE_TIME && world.all_settled(*at, *at);
     let late = runs.iter().filter(|(at, _)| late(at)).count();
-    println!("a deadly request reached {} servers, {late} of them late", runs.len());
+    println!("crashing requests reached {} servers, {late} of them late", runs.len());
     if late > MAX_LATE_ARRIVALS {
         world.record_violation(format!(
-            "a deadly request reached {late} servers, though it was known"
+            "crashing requests reached {late} servers after the third crash was announced"
         ));
     }
 }
 
-/// Plays these seeds, `at_once` at a time, and fails with all that was broken.
+/// Runs these seeds, `concurrency` at a time, and fails with all violated guarantees.
 async fn run_seeds(seeds: Vec<u64>, duration: Duration, concurrency: usize) {
     let mut failed = BTreeMap::new();
     for batch in seeds.chunks(concurrency) {
         let runs = batch.iter().map(|seed| tokio::spawn(run(*seed, duration)));
         for (seed, run) in batch.iter().zip(futures::future::join_all(runs).await) {
             let (violations, succeeded) = run.unwrap();
-            println!("seed {seed}: {succeeded} requests served, {} findings", violations.len());
-            assert!(succeeded > 0, "seed {seed}: nothing was served");
+            println!("seed {seed}: {succeeded} requests served, {} violations", violations.len());
+            assert!(succeeded > 0, "seed {seed}: no request succeeded");
             if !violations.is_empty() {
                 failed.insert(*seed, violations);
             }
@@ -420,7 +422,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-#[ignore = "minutes; by hand, see above"]
+#[ignore = "takes minutes; run manually as described above"]
 async fn promises_hold_under_faults_for_long() {
     let selection = std::env::var("FOLDLOCK_SOAK").unwrap_or_else(|_| "fresh:6".to_owned());
     let seeds = match (selection.split_once(".."), selection.strip_prefix("fresh:")) {
