--- a/base/src/event.rs
+++ b/base/src/event.rs
@@ -58,35 +58,35 @@
     /// The directory has forgotten the changes asked for.
     DirectoryCompacted = 206, Info;
     /// Many changes of the listings were taken at once; the dump has the names.
-    ListingTaken = 207, Info;
+    ListingsChanged = 207, Info;
     /// The directory has come back from an older copy of itself: what was written there since is gone.
     DirectoryRestored = 208, Warning;
     /// An operator has drained a data hall: nothing new is sent to its upstreams.
     HallDrained = 209, Warning;
     /// A drained data hall was taken back: its upstreams are sent work again.
-    HallTakenBack = 210, Info;
+    HallUndrained = 210, Info;
     /// No peer was heard in time that knows settings and listings: this VM reads the directory itself.
-    PeersUnheard = 211, Info;
+    NoPeerSettings = 211, Info;
     /// A VM joined the members.
-    MemberUp = 300, Info;
+    PeerUp = 300, Info;
     /// A VM is no longer heard.
-    MemberDown = 301, Warning;
+    PeerDown = 301, Warning;
     /// A VM says that it is leaving.
-    MemberLeaving = 302, Info;
+    PeerLeaving = 302, Info;
     /// A message of a peer cannot be read.
-    BeatUnreadable = 303, Warning;
+    MessageUnreadable = 303, Warning;
     /// What a peer knows could not be read from it.
-    PeerUnreadable = 304, Warning;
+    PeerReadFailed = 304, Warning;
     /// A VM that places requests does not answer; the next one is asked.
-    SchedulerSilent = 305, Warning;
+    SchedulerTimeout = 305, Warning;
     /// Another VM places the requests of this one from now on.
     SchedulerChanged = 306, Info;
     /// An upstream is leaving and gets no new work.
     UpstreamLeaving = 400, Info;
     /// An upstream does not answer its report.
-    UpstreamSilent = 401, Warning;
+    UpstreamDown = 401, Warning;
     /// An upstream answers again.
-    UpstreamBack = 402, Info;
+    UpstreamUp = 402, Info;
     /// An upstream is listed, or listed anew.
     UpstreamListed = 403, Info;
     /// An upstream is no longer listed.
@@ -96,7 +96,7 @@
     /// Memory that is set aside at an engine could not be given back; it lapses by itself.
     ReleaseFailed = 406, Warning;
     /// An engine works slower than its figures say, or no longer does.
-    UpstreamPace = 407, Info;
+    UpstreamSlowdown = 407, Info;
     /// An engine answered what is no report; what was known of it stays.
     ReportUnreadable = 408, Warning;
     /// An upstream has started again under its id: all that was known of the start before is over.
@@ -104,19 +104,19 @@
     /// An entry in the directory is another writer's, or cannot be read: it names nothing to use.
     EntryUnreadable = 410, Warning;
     /// An upstream asked this VM for a rest and gets nothing from it until that is over.
-    UpstreamRests = 411, Info;
+    UpstreamBackoff = 411, Info;
     /// An upstream has named, changed or ended its rate limit, or named one that cannot be read.
-    UpstreamLimited = 412, Info;
+    UpstreamRateLimited = 412, Info;
     /// A request was admitted.
     Admitted = 500, Debug;
     /// A request waits.
-    Waited = 501, Debug;
+    Queued = 501, Debug;
     /// A request was routed to an upstream.
     Routed = 502, Debug;
     /// A request was moved to another upstream before it ran.
     Moved = 503, Info;
     /// A request was refused.
-    Refused = 504, Info;
+    Rejected = 504, Info;
     /// A request was sent again after a failure.
     Retried = 505, Info;
     /// An answer goes on at another upstream, or at another VM.
@@ -128,19 +128,19 @@
     /// A claim of an idempotency key was written, or found taken.
     Claimed = 509, Debug;
     /// A group of engines was held, or given back.
-    Held = 510, Debug;
+    Reserved = 510, Debug;
     /// An upstream ended under a request.
-    EndedUnder = 511, Warning;
+    Crashed = 511, Warning;
     /// A request is kept from all upstreams, since one ended that it had to itself.
     Quarantined = 512, Warning;
     /// A request under which upstreams had ended was answered, or let go.
-    Released = 513, Info;
+    Cleared = 513, Info;
     /// The directory did not take at once what this VM has to write there.
     WriteFailed = 514, Warning;
     /// An answer was given up: its caller reads slowly, and answers that wait to be read took too much memory.
-    AnswerGivenUp = 515, Warning;
+    ResponseAborted = 515, Warning;
     /// A request was not sent again after a failure: no upstream takes it, or the fleet's retry budget is spent.
-    NotRepeated = 516, Info;
+    NotRetried = 516, Info;
 }
 
 impl fmt::Display for Event {
--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -53,7 +53,7 @@
             None => "not confirmed yet".to_owned(),
         };
         let what = format!("revision {revision} from {from}, {age}: {}", counts.join(" "));
-        log::event(&process.log, Event::ListingTaken, what);
+        log::event(&process.log, Event::ListingsChanged, what);
     }
 }
 
@@ -167,7 +167,7 @@
 }
 
 fn on_hall_change<D: Dialect>(process: &Process<D>, hall: &Hall, change_log: &mut ChangeLog) {
-    let event = if hall.drained { Event::HallDrained } else { Event::HallTakenBack };
+    let event = if hall.drained { Event::HallDrained } else { Event::HallUndrained };
     change_log.add(event, format!("{}, by revision {}", hall.name, hall.revision));
     let drained = process.cluster.lock().unwrap().halls().drained().count();
     process.metrics.drained_halls.set(drained as i64);
@@ -238,7 +238,7 @@
         Change::Member(member) => {
             let what = format!("{} at {}", member.vm, member.address);
             if members::on_listed(process, member) {
-                change_log.add(Event::MemberUp, what);
+                change_log.add(Event::PeerUp, what);
             }
         }
         Change::MemberWithdrawn(vm) if vm == process.member.vm => {
@@ -324,7 +324,7 @@
 
 fn release<D: Dialect>(process: &Process<D>, fingerprint: Fingerprint, change_log: &mut ChangeLog) {
     if process.cluster.lock().unwrap().unlist_quarantined(fingerprint, process.now()) {
-        change_log.add(Event::Released, fingerprint.to_string());
+        change_log.add(Event::Cleared, fingerprint.to_string());
     }
 }
 
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -177,7 +177,7 @@
                 return Err(rejection);
             }
             Outcome::NoReply(vm) => {
-                log::event(&process.log, Event::SchedulerSilent, &vm);
+                log::event(&process.log, Event::SchedulerTimeout, &vm);
                 process.peers.on_grant_timeout(&vm, process.now());
             }
             Outcome::Unavailable(upstream) => {
--- a/daemon/src/fleet/heartbeat.rs
+++ b/daemon/src/fleet/heartbeat.rs
@@ -141,7 +141,7 @@
                 rate_limits::on_announcement(process, &limits, &peer.vm, from);
             }
         }
-        Err(e) => log::event(&process.log, Event::BeatUnreadable, e),
+        Err(e) => log::event(&process.log, Event::MessageUnreadable, e),
     }
 }
 
@@ -207,7 +207,7 @@
         Ok(steps) => {
             steps.into_iter().for_each(|step| peer_sync::merge_step(process, step, &state.vm))
         }
-        Err(why) => log::event(&process.log, Event::BeatUnreadable, why),
+        Err(why) => log::event(&process.log, Event::MessageUnreadable, why),
     }
 }
 
@@ -227,6 +227,6 @@
 fn mark_down<D: Dialect>(process: &Process<D>, now: Instant) {
     for vm in process.peers.mark_down(now) {
         process.cluster.lock().unwrap().remove_peer(&vm, now);
-        log::event(&process.log, Event::MemberDown, vm);
+        log::event(&process.log, Event::PeerDown, vm);
     }
 }
--- a/daemon/src/fleet/join.rs
+++ b/daemon/src/fleet/join.rs
@@ -144,7 +144,7 @@
             "no peer up within {} ms, position {position} in the order: reading the directory",
             timeout.as_millis()
         );
-        log::event(&process.log, Event::PeersUnheard, what);
+        log::event(&process.log, Event::NoPeerSettings, what);
     }
 }
 
--- a/daemon/src/fleet/members.rs
+++ b/daemon/src/fleet/members.rs
@@ -36,6 +36,6 @@
     if withdrawal == Withdrawal::Ended {
         process.cluster.lock().unwrap().remove_peer(vm, now);
     }
-    log::event(&process.log, Event::MemberLeaving, vm);
+    log::event(&process.log, Event::PeerLeaving, vm);
     true
 }
--- a/daemon/src/fleet/notices.rs
+++ b/daemon/src/fleet/notices.rs
@@ -42,7 +42,7 @@
     match notice.rate_limit {
         RateLimit::Limited(rate) => rate_limits::observe(process, incarnation, Some(rate), sent),
         RateLimit::Unreadable if process.trouble_lines.admit(process.now()).is_some() => {
-            log::event(&process.log, Event::UpstreamLimited, format!("{upstream} {notice}"));
+            log::event(&process.log, Event::UpstreamRateLimited, format!("{upstream} {notice}"));
         }
         _ => {}
     }
@@ -73,7 +73,7 @@
     let is_new = process.backoffs.lock().unwrap().begin(incarnation, duration, process.moment());
     if is_new && process.trouble_lines.admit(process.now()).is_some() {
         let what = format!("{upstream} for {} ms", duration.as_millis());
-        log::event(&process.log, Event::UpstreamRests, what);
+        log::event(&process.log, Event::UpstreamBackoff, what);
     }
 }
 
--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -203,7 +203,7 @@
         );
     }
     process.directory_writes.push(Write::Release(fingerprint));
-    log::event(&process.log, Event::Released, format!("{fingerprint}, released by an operator"));
+    log::event(&process.log, Event::Cleared, format!("{fingerprint}, released by an operator"));
     answer::text(StatusCode::OK, JSON, json!({"released": fingerprint}).to_string())
 }
 
--- a/daemon/src/fleet/outcome.rs
+++ b/daemon/src/fleet/outcome.rs
@@ -77,7 +77,7 @@
             let what = format!(
                 "{request}: {bytes} bytes unread, {others} bytes unread of other responses"
             );
-            log::event(&process.log, Event::AnswerGivenUp, what);
+            log::event(&process.log, Event::ResponseAborted, what);
         }
     }
 }
--- a/daemon/src/fleet/rate_limits.rs
+++ b/daemon/src/fleet/rate_limits.rs
@@ -117,5 +117,5 @@
         }
         None => format!("{upstream} no longer states a rate limit, by its response to {by}"),
     };
-    log::event(&process.log, Event::UpstreamLimited, what);
+    log::event(&process.log, Event::UpstreamRateLimited, what);
 }
--- a/daemon/src/fleet/reports.rs
+++ b/daemon/src/fleet/reports.rs
@@ -142,18 +142,18 @@
     let previous = before.map(|observed| observed.report);
     match result {
         Err(report::Failure::Unresponsive(why)) if previous != Some(None) => {
-            log::event(&process.log, Event::UpstreamSilent, format!("{id}: {why}"));
+            log::event(&process.log, Event::UpstreamDown, format!("{id}: {why}"));
         }
         Err(_) => {}
         Ok(report) => {
             if previous == Some(None) {
-                log::event(&process.log, Event::UpstreamBack, id);
+                log::event(&process.log, Event::UpstreamUp, id);
             }
             let slowdown = previous.flatten().map_or(1.0, |report| report.slowdown);
             if (report.slowdown - slowdown).abs() > MIN_LOGGED_CHANGE {
                 let what =
                     format!("{id}: slowdown {:.2}, previously {slowdown:.2}", report.slowdown);
-                log::event(&process.log, Event::UpstreamPace, what);
+                log::event(&process.log, Event::UpstreamSlowdown, what);
             }
         }
     }
--- a/daemon/src/fleet/resync.rs
+++ b/daemon/src/fleet/resync.rs
@@ -78,7 +78,7 @@
             continue;
         }
         if let Err(why) = read_from(&process, &directory, source).await {
-            log::event(&process.log, Event::PeerUnreadable, why);
+            log::event(&process.log, Event::PeerReadFailed, why);
         }
         tokio::time::sleep(READ_INTERVAL).await;
     }
--- a/daemon/src/log.rs
+++ b/daemon/src/log.rs
@@ -65,7 +65,7 @@
 
 /// Logs the refusal of a request that was not admitted.
 pub fn refused(log: &Logger, request: &id::Request, error: &Error) {
-    let event = Event::Refused;
+    let event = Event::Rejected;
     slog::info!(log, "{}", event.text(); "event" => event.number(), "request" => request.as_str(),
         "kind" => error.kind().as_str(), "why" => error.message());
 }
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -264,9 +264,9 @@
     /// Logs a change of a member's state.
     pub fn log_transition(&self, transition: &Transition) {
         let (event, vm) = match transition {
-            Transition::Up(vm) => (Event::MemberUp, vm),
-            Transition::Down(vm) => (Event::MemberDown, vm),
-            Transition::Leaving(vm) => (Event::MemberLeaving, vm),
+            Transition::Up(vm) => (Event::PeerUp, vm),
+            Transition::Down(vm) => (Event::PeerDown, vm),
+            Transition::Leaving(vm) => (Event::PeerLeaving, vm),
         };
         log::event(&self.log, event, vm);
     }
--- a/daemon/src/process.rs
+++ b/daemon/src/process.rs
@@ -271,7 +271,7 @@
         match client.report().await {
             Ok(report) => {
                 if silent >= REPORT_SILENT {
-                    log::event(&process.log, Event::UpstreamBack, &engine);
+                    log::event(&process.log, Event::UpstreamUp, &engine);
                 }
                 silent = 0;
                 if process.home.on_report(&engine, report) {
@@ -282,7 +282,7 @@
             Err(e) => {
                 silent += 1;
                 if silent == REPORT_SILENT {
-                    log::event(&process.log, Event::UpstreamSilent, format!("{engine}: {e}"));
+                    log::event(&process.log, Event::UpstreamDown, format!("{engine}: {e}"));
                 }
             }
         }
