--- a/base/src/clock.rs
+++ b/base/src/clock.rs
@@ -66,20 +66,20 @@
 #[derive(Debug, Clone)]
 pub struct Manual {
     start: Instant,
-    passed: Arc<Mutex<Duration>>,
+    elapsed: Arc<Mutex<Duration>>,
     suspended: Arc<Mutex<Duration>>,
 }
 
 impl Default for Manual {
     fn default() -> Self {
-        Manual { start: Instant::now(), passed: Arc::default(), suspended: Arc::default() }
+        Manual { start: Instant::now(), elapsed: Arc::default(), suspended: Arc::default() }
     }
 }
 
 impl Manual {
     /// Moves the clock forward.
     pub fn advance(&self, by: Duration) {
-        *self.passed.lock().unwrap() += by;
+        *self.elapsed.lock().unwrap() += by;
     }
 
     /// The machine is suspended for so long.
@@ -90,46 +90,46 @@
 
 impl Clock for Manual {
     fn now(&self) -> Instant {
-        self.start + *self.passed.lock().unwrap()
+        self.start + *self.elapsed.lock().unwrap()
     }
 
     fn moment(&self) -> Moment {
-        Moment(*self.passed.lock().unwrap() + *self.suspended.lock().unwrap())
+        Moment(*self.elapsed.lock().unwrap() + *self.suspended.lock().unwrap())
     }
 
     fn wall(&self) -> SystemTime {
-        UNIX_EPOCH + *self.passed.lock().unwrap() + *self.suspended.lock().unwrap()
+        UNIX_EPOCH + *self.elapsed.lock().unwrap() + *self.suspended.lock().unwrap()
     }
 }
 
 /// Notices that the machine was suspended.
 #[derive(Debug)]
-pub struct Sleep {
-    seen: Mutex<(Instant, Moment)>,
+pub struct Suspensions {
+    last: Mutex<(Instant, Moment)>,
 }
 
 /// A difference between the two clocks up to which they are taken to have run alike: they are read one
 /// after the other, and the process may be put aside in between.
-const ALIKE: Duration = Duration::from_millis(100);
+const MIN_SUSPENSION: Duration = Duration::from_millis(100);
 
-impl Sleep {
+impl Suspensions {
     /// Awake now.
-    pub fn new<C: Clock>(clock: &C) -> Sleep {
-        Sleep { seen: Mutex::new((clock.now(), clock.moment())) }
+    pub fn new<C: Clock>(clock: &C) -> Suspensions {
+        Suspensions { last: Mutex::new((clock.now(), clock.moment())) }
     }
 
     /// For how long the machine was suspended since this was last asked, if it was.
-    pub fn noticed<C: Clock>(&self, clock: &C) -> Option<Duration> {
-        let mut seen = self.seen.lock().unwrap();
+    pub fn detect<C: Clock>(&self, clock: &C) -> Option<Duration> {
+        let mut last = self.last.lock().unwrap();
         let (now, moment) = (clock.now(), clock.moment());
-        let passed = now.saturating_duration_since(seen.0);
-        let slept = moment.since(seen.1).saturating_sub(passed);
-        if slept < ALIKE && passed < ALIKE {
+        let elapsed = now.saturating_duration_since(last.0);
+        let suspended = moment.since(last.1).saturating_sub(elapsed);
+        if suspended < MIN_SUSPENSION && elapsed < MIN_SUSPENSION {
             // Short suspensions add up until they show.
             return None;
         }
-        *seen = (now, moment);
-        (slept >= ALIKE).then_some(slept)
+        *last = (now, moment);
+        (suspended >= MIN_SUSPENSION).then_some(suspended)
     }
 }
 
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, OnceLock, RwLock};
 use std::time::{Duration, Instant};
 
-use foldlock_base::clock::{Moment, Sleep, System};
+use foldlock_base::clock::{Moment, Suspensions, System};
 use foldlock_base::prelude::*;
 use foldlock_connection::channel::Pool;
 use foldlock_request::backoff::Backoffs;
@@ -61,7 +61,7 @@
     /// The clock.
     pub clock: System,
     /// Detects that the machine was suspended.
-    pub sleep: Sleep,
+    pub suspensions: Suspensions,
     /// Notified after the machine was suspended.
     pub after_suspension: Notify,
     /// The log.
@@ -164,7 +164,7 @@
             peers: Peers::new(member.clone(), clock.now(), clock.moment()),
             member,
             socket,
-            sleep: Sleep::new(&clock),
+            suspensions: Suspensions::new(&clock),
             after_suspension: Notify::new(),
             clock,
             log,
--- a/daemon/src/fleet/suspended.rs
+++ b/daemon/src/fleet/suspended.rs
@@ -27,7 +27,7 @@
 
 /// Discards stale state if the machine was suspended since the last check.
 pub fn check<D: Dialect>(process: &Process<D>) {
-    let Some(slept) = process.sleep.noticed(&process.clock) else { return };
+    let Some(slept) = process.suspensions.detect(&process.clock) else { return };
     process.peers.reset_liveness();
     process.pool.clear();
     process.scheduler.lock().unwrap().budget.clear();
