--- a/base/src/deadline.rs
+++ b/base/src/deadline.rs
@@ -15,13 +15,13 @@
     }
 
     /// The time left, zero once it has passed.
-    pub fn left<C: Clock>(&self, clock: &C) -> Duration {
+    pub fn remaining<C: Clock>(&self, clock: &C) -> Duration {
         self.0.saturating_duration_since(clock.now())
     }
 
     /// Whether it has passed.
-    pub fn passed<C: Clock>(&self, clock: &C) -> bool {
-        self.left(clock).is_zero()
+    pub fn has_passed<C: Clock>(&self, clock: &C) -> bool {
+        self.remaining(clock).is_zero()
     }
 
     /// The point in time, for the runtime's timers.
--- a/daemon/src/complete.rs
+++ b/daemon/src/complete.rs
@@ -170,7 +170,7 @@
     /// Reads the body, up to the size allowed by the settings.
     pub async fn body(&self, body: Incoming) -> Result<Bytes, Error> {
         let max_bytes = self.policy.max_body_bytes;
-        let wait = self.deadline.left(&self.process.clock).min(BODY_TIMEOUT);
+        let wait = self.deadline.remaining(&self.process.clock).min(BODY_TIMEOUT);
         match tokio::time::timeout(wait, Limited::new(body, max_bytes).collect()).await {
             Ok(Ok(collected)) => Ok(collected.to_bytes()),
             Ok(Err(e)) if e.is::<LengthLimitError>() => {
@@ -234,7 +234,7 @@
         let Some(key) = self.key.as_deref().filter(|_| !repeatable) else { return Ok(None) };
         let started = self.process.clock.now();
         let hash = claim::hash(&self.organisation, key);
-        let left = self.deadline.left(&self.process.clock);
+        let left = self.deadline.remaining(&self.process.clock);
         let claimed = tokio::time::timeout(left, Claims::claim(&self.process, hash)).await;
         let waited_ms = millis(self.process.clock.now() - started);
         let verdict = match claimed {
@@ -335,7 +335,7 @@
     caller.step(
         &entry,
         Decision::Admitted {
-            timeout_ms: caller.deadline.left(&caller.process.clock).as_millis() as u64,
+            timeout_ms: caller.deadline.remaining(&caller.process.clock).as_millis() as u64,
             version: caller.version.head.version,
             settings_age_ms: None,
             prompt: Some(tokens),
--- a/daemon/src/plain.rs
+++ b/daemon/src/plain.rs
@@ -232,7 +232,7 @@
             claim.not_run();
         }
         let caller = &self.caller;
-        let passed = caller.deadline.passed(&caller.process.clock);
+        let passed = caller.deadline.has_passed(&caller.process.clock);
         let may = (not_run || self.repeatable)
             && !passed
             && tried < caller.policy.retries as usize
@@ -269,7 +269,7 @@
             Err(e) => return End::Broken(e.to_string()),
         };
         let process = &self.caller.process;
-        let left = self.caller.deadline.left(&process.clock);
+        let left = self.caller.deadline.remaining(&process.clock);
         match process.client.call(request, left).await {
             Ok(answer) => judged(answer),
             Err(Failure::Connect(why)) => End::NotRun { proof: Refusal::not_connected(), why },
--- a/daemon/src/resume.rs
+++ b/daemon/src/resume.rs
@@ -58,7 +58,7 @@
 }
 
 async fn open(caller: &Caller, engine: &HttpEngine, cursor: &Cursor) -> Result<HttpStream, Error> {
-    let left = caller.deadline.left(&caller.process.clock);
+    let left = caller.deadline.remaining(&caller.process.clock);
     let opened = engine.resume(&cursor.stream, cursor.index + 1);
     match tokio::time::timeout(left, opened).await {
         Ok(Ok(stream)) => Ok(stream),
--- a/daemon/src/serve.rs
+++ b/daemon/src/serve.rs
@@ -99,7 +99,7 @@
 
     /// Time left until the deadline.
     pub fn left(&self) -> Duration {
-        self.deadline.left(&self.process.clock)
+        self.deadline.remaining(&self.process.clock)
     }
 
     /// What the request needs of an engine. The answer so far is part of the prompt.
