--- a/base/src/hash.rs
+++ b/base/src/hash.rs
@@ -8,7 +8,7 @@
 }
 
 /// The member that takes `key`, or none of none.
-pub fn first<'a, T, I>(key: &str, members: I) -> Option<&'a T>
+pub fn owner<'a, T, I>(key: &str, members: I) -> Option<&'a T>
 where
     T: AsRef<str> + ?Sized + 'a,
     I: IntoIterator<Item = &'a T>,
