--- a/base/src/error.rs
+++ b/base/src/error.rs
@@ -145,7 +145,7 @@
     }
 
     /// Reads an upstream's answer: a refusal only where it has an error status and says so.
-    pub fn read(status: u16, ran: Option<&str>) -> Option<Refusal> {
+    pub fn from_response(status: u16, ran: Option<&str>) -> Option<Refusal> {
         (status >= 400 && ran == Some("no")).then_some(Refusal(()))
     }
 }
--- a/base/tests/proof.rs
+++ b/base/tests/proof.rs
@@ -14,7 +14,7 @@
 proptest! {
     /// Over all orders of attempts and ends: `no` exactly when no attempt may have run.
     #[test]
-    fn no_means_not_run(
+    fn ran_is_no_exactly_when_no_attempt_may_have_run(
         ends in prop::collection::vec(
             prop_oneof![Just(End::Refused), Just(End::NotConnected), Just(End::Lost)],
             0..8,
@@ -25,7 +25,7 @@
         for end in &ends {
             let attempt = proof.send();
             proof = match end {
-                End::Refused => attempt.refused(Refusal::read(503, Some("no")).unwrap()),
+                End::Refused => attempt.refused(Refusal::from_response(503, Some("no")).unwrap()),
                 End::NotConnected => attempt.refused(Refusal::not_connected()),
                 End::Lost => attempt.unknown(),
             };
@@ -37,9 +37,9 @@
 
     /// Only an error status with the upstream's own word is a refusal.
     #[test]
-    fn a_refusal_needs_the_upstreams_word(status in 100u16..600, word in "no|yes|unknown|") {
-        let refusal = Refusal::read(status, Some(&word));
-        prop_assert_eq!(refusal.is_some(), status >= 400 && word == "no");
-        prop_assert!(Refusal::read(status, None).is_none());
+    fn a_refusal_needs_an_error_status_and_x_ran_no(status in 100u16..600, ran in "no|yes|unknown|") {
+        let refusal = Refusal::from_response(status, Some(&ran));
+        prop_assert_eq!(refusal.is_some(), status >= 400 && ran == "no");
+        prop_assert!(Refusal::from_response(status, None).is_none());
     }
 }
--- a/connection/src/engine.rs
+++ b/connection/src/engine.rs
@@ -299,7 +299,7 @@
         return Err(Failure::Gone);
     }
     let why = format!("status {status}: {}", String::from_utf8_lossy(answer.body()).trim());
-    match Refusal::read(status, text(&answer, Refusal::HEADER)) {
+    match Refusal::from_response(status, text(&answer, Refusal::HEADER)) {
         Some(proof) => {
             let leaving = text(&answer, header::LEAVING) == Some("true");
             Err(Failure::NotRun { proof, leaving, why })
--- a/daemon/src/plain.rs
+++ b/daemon/src/plain.rs
@@ -296,7 +296,7 @@
 /// Tells a refusal from an answer.
 fn judged(answer: Response<Bytes>) -> End {
     let header = |name: &str| answer.headers().get(name).and_then(|v| v.to_str().ok());
-    match Refusal::read(answer.status().as_u16(), header(Refusal::HEADER)) {
+    match Refusal::from_response(answer.status().as_u16(), header(Refusal::HEADER)) {
         Some(proof) => {
             let leaving = header(foldlock_connection::engine::header::LEAVING) == Some("true");
             let why = if leaving { LEAVING.to_owned() } else { format!("{}", answer.status()) };
