--- a/base/src/error.rs
+++ b/base/src/error.rs
@@ -1,6 +1,6 @@
-//! The closed list of error kinds and the table from a kind to its answer.
+//! The closed list of error kinds, with the HTTP status of each.
 //!
-//! The table in docs/ERRORS.md is checked against this one by a test.
+//! A test checks that docs/ERRORS.md has the same table.
 
 use std::fmt;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
-    /// It did not run and will not.
+    /// It did not run and will not run.
     No,
     /// It ran, at least in part.
     Yes,
-    /// It was sent, and what became of it is not known.
+    /// It was sent, and it is not known whether it ran.
     Unknown,
 }
 
@@ -31,26 +31,26 @@
 
 macro_rules! kinds {
     ($($(#[$doc:meta])* $name:ident = $text:literal, $status:literal, $ran:literal;)*) => {
-        /// What went wrong. The list is closed: each answer that is not a success has one of these.
+        /// The kind of an error. The list is closed: each error response has one of these.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
         #[serde(rename_all = "snake_case")]
         pub enum Kind { $($(#[$doc])* $name,)* }
 
         impl Kind {
-            /// Each kind, in the order of the table.
+            /// All kinds, in the order of the table.
             pub const ALL: &'static [Kind] = &[$(Kind::$name,)*];
 
-            /// The name in answers, logs and metrics.
+            /// The name in responses, logs and metrics.
             pub fn as_str(self) -> &'static str {
                 match self { $(Kind::$name => $text,)* }
             }
 
-            /// The HTTP status of the answer.
+            /// The HTTP status of the response.
             pub fn status(self) -> u16 {
                 match self { $(Kind::$name => $status,)* }
             }
 
-            /// The values of `ran` that an answer of this kind can have.
+            /// The values of `ran` that a response of this kind can have.
             pub fn ran(self) -> &'static str {
                 match self { $(Kind::$name => $ran,)* }
             }
@@ -59,43 +59,43 @@
 }
 
 kinds! {
-    /// The request cannot be understood.
+    /// The request is malformed.
     BadRequest = "bad_request", 400, "no";
-    /// No key, or one that no organisation has.
+    /// The key is missing, or belongs to no organisation.
     Unauthorized = "unauthorized", 401, "no";
-    /// No such path.
+    /// The path does not exist.
     NotFound = "not_found", 404, "no";
     /// The model is not in the settings.
     UnknownModel = "unknown_model", 404, "no";
-    /// The path takes another method.
+    /// The path does not support the method.
     MethodNotAllowed = "method_not_allowed", 405, "no";
-    /// Headers or body came too slowly.
+    /// Headers or body were not received in time.
     RequestTimeout = "request_timeout", 408, "no";
-    /// The body is larger than the settings allow.
+    /// The body exceeds the maximum size in the settings.
     TooLarge = "too_large", 413, "no";
-    /// The prompt is longer than any group of engines can hold.
+    /// The prompt exceeds the memory of every group of engines.
     PromptTooLong = "prompt_too_long", 413, "no";
-    /// The `Idempotency-Key` was used before.
+    /// The `Idempotency-Key` is already claimed.
     AlreadyClaimed = "already_claimed", 409, "no, yes, unknown";
-    /// The stream of the cursor is gone, or the cursor is not genuine.
+    /// The stream of the cursor no longer exists, or the cursor is not authentic.
     StreamGone = "stream_gone", 410, "yes";
-    /// A limit of the organisation or kind is used up.
+    /// A limit of the organisation or kind is exhausted.
     Limited = "limited", 429, "no";
-    /// The predicted end lies beyond the deadline.
+    /// The predicted completion is later than the deadline.
     Overloaded = "overloaded", 503, "no";
-    /// No upstream can take the request.
+    /// No upstream can accept the request.
     NoUpstream = "no_upstream", 503, "no";
-    /// Upstreams ended under the request, and it is kept from all of them for a while.
+    /// Upstreams crashed while they ran the request, which is kept from all upstreams for a time.
     Quarantined = "quarantined", 503, "no";
-    /// This VM is stopping.
+    /// This VM is shutting down.
     Draining = "draining", 503, "no";
-    /// What the request needs from the key-value service cannot be had.
+    /// The key-value service, which the request needs, is unavailable.
     StoreUnavailable = "store_unavailable", 503, "no";
-    /// The upstream broke off, or answered what makes no sense.
+    /// The connection to the upstream broke, or its response is invalid.
     UpstreamFailed = "upstream_failed", 502, "no, unknown";
     /// The deadline passed.
     DeadlineExceeded = "deadline_exceeded", 504, "no, unknown";
-    /// A fault of foldlock itself.
+    /// An internal error of foldlock.
     Internal = "internal", 500, "no, unknown";
 }
 
@@ -105,10 +105,11 @@
     }
 }
 
-/// A final answer that is not a success.
+/// A final error response.
 ///
-/// Outside this package `ran: no` comes about only by [`Error::unsent`], which takes the proof
-/// that the request was never sent.
+/// Other packages can construct an error with `ran: no` only by [`Error::unsent`], which requires
+/// the proof that the request was not sent, and by [`Error::claimed`], which states the earlier
+/// request's value.
 #[derive(Debug, Clone)]
 pub struct Error {
     kind: Kind,
@@ -117,68 +118,69 @@
     retry_after: Option<Duration>,
 }
 
-/// The proof that a request has not been sent. There is one for each request; sending consumes it.
+/// Proof that a request has not been sent. Each request has one, which sending consumes.
 #[derive(Debug)]
 pub struct Unsent(());
 
-/// What is left of [`Unsent`] once the request is on its way.
+/// Replaces [`Unsent`] once the request has been sent.
 #[derive(Debug)]
 pub struct Sent(());
 
-/// The proof that a request did not run though it was on its way: there was no connection, or the
-/// upstream itself says so.
+/// Proof that a request did not run although it was to be sent: there was no connection, or the
+/// upstream states that it did not run it.
 #[derive(Debug)]
 pub struct Refusal(());
 
 impl Refusal {
-    /// The header by which an upstream says whether it ran a request that it did not answer.
+    /// The header in which an upstream states whether it ran a request that failed.
     pub const HEADER: &'static str = "x-ran";
 
-    /// Nothing was sent, since there was no connection.
+    /// Nothing was sent, because there was no connection.
     pub fn not_connected() -> Refusal {
         Refusal(())
     }
 
-    /// The upstream said in its platform's words, which the adapter decoded, that it did not run it.
+    /// The upstream stated in its platform's protocol, decoded by the adapter, that the request did
+    /// not run.
     pub fn stated() -> Refusal {
         Refusal(())
     }
 
-    /// Reads an upstream's answer: a refusal only where it has an error status and says so.
+    /// The refusal in an upstream's response: only with an error status and `x-ran: no`.
     pub fn from_response(status: u16, ran: Option<&str>) -> Option<Refusal> {
         (status >= 400 && ran == Some("no")).then_some(Refusal(()))
     }
 }
 
 impl Unsent {
-    /// The proof for a request that has just arrived.
+    /// The proof for a request that was just received.
     pub fn arrived() -> Unsent {
         Unsent(())
     }
 
-    /// Marks the request as sent: from here on it may have run.
+    /// Marks the request as sent: from now on it may have run.
     pub fn send(self) -> Sent {
         Sent(())
     }
 }
 
 impl Sent {
-    /// Takes back the sending, on the upstream's own word.
+    /// Restores the proof that the request did not run, given the refusal of the only attempt.
     pub fn refused(self, _proof: Refusal) -> Unsent {
         Unsent(())
     }
 }
 
-/// What is known of a request over all its attempts.
+/// Whether any attempt of a request may have run.
 #[derive(Debug)]
 pub enum Proof {
-    /// No attempt has been sent, or each was proved not to have run.
+    /// No attempt was sent, or each was refused.
     NotRun(Unsent),
     /// An attempt was sent and may have run.
     MayHaveRun(Sent),
 }
 
-/// An attempt on its way, with what was known before it.
+/// An attempt in flight, and whether earlier attempts may have run.
 #[derive(Debug)]
 pub struct Attempt {
     sent: Sent,
@@ -186,7 +188,7 @@
 }
 
 impl Proof {
-    /// Sends an attempt.
+    /// Marks an attempt as sent.
     pub fn send(self) -> Attempt {
         match self {
             Proof::NotRun(unsent) => Attempt { sent: unsent.send(), first: true },
@@ -194,7 +196,7 @@
         }
     }
 
-    /// The answer that follows. `began` says that tokens were seen.
+    /// The error response. `began` states whether tokens were received.
     pub fn error(self, kind: Kind, message: impl Into<String>, began: bool) -> Error {
         match self {
             Proof::NotRun(unsent) => Error::unsent(kind, message, unsent),
@@ -204,7 +206,7 @@
 }
 
 impl Attempt {
-    /// The attempt was proved not to have run; what former ones did is as it was.
+    /// The attempt did not run. Earlier attempts may still have run.
     pub fn refused(self, proof: Refusal) -> Proof {
         if self.first {
             Proof::NotRun(self.sent.refused(proof))
@@ -213,36 +215,36 @@
         }
     }
 
-    /// Nothing is known of the attempt.
+    /// The attempt may have run.
     pub fn unknown(self) -> Proof {
         Proof::MayHaveRun(self.sent)
     }
 }
 
 impl Error {
-    /// The answer for a request that was not sent: `ran: no`.
+    /// The error of a request that was not sent: `ran: no`.
     pub fn unsent(kind: Kind, message: impl Into<String>, _proof: Unsent) -> Error {
         Error { kind, ran: Ran::No, message: message.into(), retry_after: None }
     }
 
-    /// The answer for a request that was sent, with what is known of it.
+    /// The error of a request that was sent: `ran: yes` if its response began, otherwise unknown.
     pub fn sent(kind: Kind, message: impl Into<String>, _sent: Sent, began: bool) -> Error {
         let ran = if began { Ran::Yes } else { Ran::Unknown };
         Error { kind, ran, message: message.into(), retry_after: None }
     }
 
-    /// The answer for a request whose claim another attempt holds.
+    /// The error of a request whose idempotency key is already claimed; `ran` is that of the claim.
     pub fn claimed(message: impl Into<String>, ran: Ran) -> Error {
         Error { kind: Kind::AlreadyClaimed, ran, message: message.into(), retry_after: None }
     }
 
-    /// Adds when the caller should come back.
+    /// Sets the time after which the caller may retry.
     pub fn retry_after(mut self, after: Duration) -> Error {
         self.retry_after = Some(after);
         self
     }
 
-    /// What went wrong.
+    /// The kind of the error.
     pub fn kind(&self) -> Kind {
         self.kind
     }
@@ -252,12 +254,12 @@
         self.ran
     }
 
-    /// When the caller should come back, if that is known.
+    /// The time after which the caller may retry, if known.
     pub fn retry(&self) -> Option<Duration> {
         self.retry_after
     }
 
-    /// The explanation for people.
+    /// The error message.
     pub fn message(&self) -> &str {
         &self.message
     }
--- a/base/src/event.rs
+++ b/base/src/event.rs
@@ -1,4 +1,4 @@
-//! The numbered log events. docs/EVENTS.md is the catalogue; a test keeps the two in step.
+//! The numbered log events. A test checks that docs/EVENTS.md lists the same events.
 
 use std::fmt;
 
@@ -9,10 +9,10 @@
         pub enum Event { $($(#[doc = $doc])* $name,)* }
 
         impl Event {
-            /// Each event, by number.
+            /// All events, ordered by number.
             pub const ALL: &'static [Event] = &[$(Event::$name,)*];
 
-            /// The number, as in the catalogue.
+            /// The number, as in docs/EVENTS.md.
             pub fn number(self) -> u16 {
                 match self { $(Event::$name => $number,)* }
             }
@@ -22,7 +22,7 @@
                 match self { $(Event::$name => slog::Level::$level,)* }
             }
 
-            /// What it means.
+            /// The log message.
             pub fn text(self) -> &'static str {
                 match self { $(Event::$name => concat!($($doc),*).trim_ascii(),)* }
             }
@@ -33,113 +33,113 @@
 events! {
     /// The process started.
     Started = 100, Info;
-    /// The process stops: not ready, streams finish.
+    /// The process is shutting down: it reports not ready and finishes its open streams.
     Stopping = 101, Info;
     /// The process has stopped.
     Stopped = 102, Info;
     /// A listener could not accept a connection.
     AcceptFailed = 103, Warning;
-    /// The configuration file was read again.
+    /// The configuration file was reloaded.
     Reloaded = 104, Info;
-    /// The machine was suspended: what was believed before is learnt anew.
+    /// The machine was suspended: the state of peers and the directory is read again.
     Suspended = 105, Warning;
     /// A settings version is in force.
     VersionInForce = 200, Info;
-    /// A settings version was refused; the former one stays in force.
+    /// A settings version was refused; the previous one stays in force.
     VersionRefused = 201, Error;
-    /// The key-value service does not answer.
+    /// The key-value service does not respond.
     StoreDown = 202, Warning;
-    /// The key-value service answers again.
+    /// The key-value service responds again.
     StoreUp = 203, Info;
-    /// The directory does not answer.
+    /// The directory does not respond.
     DirectoryDown = 204, Warning;
-    /// The directory answers again.
+    /// The directory responds again.
     DirectoryUp = 205, Info;
-    /// The directory has forgotten the changes asked for.
+    /// The directory has compacted the requested changes.
     DirectoryCompacted = 206, Info;
-    /// Many changes of the listings were taken at once; the dump has the names.
+    /// Many listings changed at once; `/dump` shows them by name.
     ListingsChanged = 207, Info;
-    /// The directory has come back from an older copy of itself: what was written there since is gone.
+    /// The directory was restored from an older copy: later writes are lost.
     DirectoryRestored = 208, Warning;
-    /// An operator has drained a data hall: nothing new is sent to its upstreams.
+    /// An operator has drained a data hall: its upstreams get no new requests.
     HallDrained = 209, Warning;
-    /// A drained data hall was taken back: its upstreams are sent work again.
+    /// A data hall was undrained: its upstreams get new requests again.
     HallUndrained = 210, Info;
-    /// No peer was heard in time that knows settings and listings: this VM reads the directory itself.
+    /// No peer with settings and listings was up in time: this VM reads the directory itself.
     NoPeerSettings = 211, Info;
-    /// A VM joined the members.
+    /// A VM joined the fleet.
     PeerUp = 300, Info;
-    /// A VM is no longer heard.
+    /// A VM is down: its heartbeats stopped.
     PeerDown = 301, Warning;
-    /// A VM says that it is leaving.
+    /// A VM announced that it is leaving.
     PeerLeaving = 302, Info;
-    /// A message of a peer cannot be read.
+    /// A message from a peer could not be decoded.
     MessageUnreadable = 303, Warning;
-    /// What a peer knows could not be read from it.
+    /// Settings or listings could not be read from a peer.
     PeerReadFailed = 304, Warning;
-    /// A VM that places requests does not answer; the next one is asked.
+    /// The scheduler does not respond; grant requests go to the next VM in the order.
     SchedulerTimeout = 305, Warning;
-    /// Another VM places the requests of this one from now on.
+    /// Another VM is the scheduler of this VM's requests from now on.
     SchedulerChanged = 306, Info;
-    /// An upstream is leaving and gets no new work.
+    /// An upstream is leaving and gets no new requests.
     UpstreamLeaving = 400, Info;
-    /// An upstream does not answer its report.
+    /// An upstream does not respond to report requests.
     UpstreamDown = 401, Warning;
-    /// An upstream answers again.
+    /// An upstream responds to report requests again.
     UpstreamUp = 402, Info;
-    /// An upstream is listed, or listed anew.
+    /// An upstream was added to the listings, or its listing changed.
     UpstreamListed = 403, Info;
-    /// An upstream is no longer listed.
+    /// An upstream was removed from the listings.
     UpstreamGone = 404, Info;
-    /// Memory that is set aside at an engine could not be renewed at once.
+    /// A reservation of engine memory could not be renewed; the renewal is retried once.
     RenewalFailed = 405, Warning;
-    /// Memory that is set aside at an engine could not be given back; it lapses by itself.
+    /// A reservation of engine memory could not be released; it expires by itself.
     ReleaseFailed = 406, Warning;
-    /// An engine works slower than its figures say, or no longer does.
+    /// The slowdown of an engine against its configured speed has changed.
     UpstreamSlowdown = 407, Info;
-    /// An engine answered what is no report; what was known of it stays.
+    /// An engine sent an invalid report; its last valid report stays in use.
     ReportUnreadable = 408, Warning;
-    /// An upstream has started again under its id: all that was known of the start before is over.
+    /// An upstream restarted under the same id: state of its previous incarnation is discarded.
     UpstreamRestarted = 409, Info;
-    /// An entry in the directory is another writer's, or cannot be read: it names nothing to use.
+    /// A directory entry has an unexpected writer, or could not be decoded: it is ignored.
     EntryUnreadable = 410, Warning;
-    /// An upstream asked this VM for a rest and gets nothing from it until that is over.
+    /// An upstream requested a backoff: this VM sends it no requests until the backoff ends.
     UpstreamBackoff = 411, Info;
-    /// An upstream has named, changed or ended its rate limit, or named one that cannot be read.
+    /// An upstream set, changed or removed its rate limit, or sent one that could not be parsed.
     UpstreamRateLimited = 412, Info;
     /// A request was admitted.
     Admitted = 500, Debug;
-    /// A request waits.
+    /// A request was queued.
     Queued = 501, Debug;
     /// A request was routed to an upstream.
     Routed = 502, Debug;
-    /// A request was moved to another upstream before it ran.
+    /// A queued request was moved to another upstream before it ran.
     Moved = 503, Info;
-    /// A request was refused.
+    /// A request was rejected.
     Rejected = 504, Info;
-    /// A request was sent again after a failure.
+    /// A request was retried after a failure.
     Retried = 505, Info;
-    /// An answer goes on at another upstream, or at another VM.
+    /// A response was resumed at another upstream, or at another VM.
     Resumed = 506, Info;
-    /// A request ended with its whole answer.
+    /// A request ended with a complete response.
     Finished = 507, Debug;
-    /// A request ended without its whole answer.
+    /// A request ended without a complete response.
     Failed = 508, Warning;
-    /// A claim of an idempotency key was written, or found taken.
+    /// An idempotency key was claimed, or already had a claim.
     Claimed = 509, Debug;
-    /// A group of engines was held, or given back.
+    /// Memory of a group of engines was reserved, or released.
     Reserved = 510, Debug;
-    /// An upstream ended under a request.
+    /// An upstream crashed while it ran a request.
     Crashed = 511, Warning;
-    /// A request is kept from all upstreams, since one ended that it had to itself.
+    /// A request is quarantined from all upstreams, because one crashed while the request ran isolated there.
     Quarantined = 512, Warning;
-    /// A request under which upstreams had ended was answered, or let go.
+    /// A request suspected of crashing upstreams completed, or was released from quarantine.
     Cleared = 513, Info;
-    /// The directory did not take at once what this VM has to write there.
+    /// A write of this VM to the directory failed; it may be retried.
     WriteFailed = 514, Warning;
-    /// An answer was given up: its caller reads slowly, and answers that wait to be read took too much memory.
+    /// A response was aborted: its caller reads slowly, and unread responses used too much memory.
     ResponseAborted = 515, Warning;
-    /// A request was not sent again after a failure: no upstream takes it, or the fleet's retry budget is spent.
+    /// A request was not retried after a failure: no upstream accepts it, or the fleet's retry budget is exhausted.
     NotRetried = 516, Info;
 }
 
--- a/base/tests/catalogue.rs
+++ b/base/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogues in the docs are those of the code. `UPDATE_EXPECT=1` writes them anew.
+//! docs/EVENTS.md and docs/ERRORS.md match the code. `UPDATE_EXPECT=1` regenerates them.
 
 use std::fmt::Write as _;
 
@@ -9,8 +9,8 @@
 #[test]
 fn events() {
     let mut page = String::from(
-        "# Log events\n\nLogs are JSON lines on standard output. `event` holds the number, `what` the \
-         particulars, `vm` the VM. Numbers are never reused.\n\n| number | level | meaning |\n| --- | \
+        "# Log events\n\nLogs are JSON lines on standard output. `event` is the number, `what` the \
+         details, `vm` the VM. Numbers are never reused.\n\n| number | level | meaning |\n| --- | \
          --- | --- |\n",
     );
     for event in Event::ALL {
@@ -30,13 +30,13 @@
 #[test]
 fn errors() {
     let mut page = String::from(
-        "# Errors\n\nEach answer that is not a success is JSON of one shape, with a kind from this \
-         closed list:\n\n    {\"error\": {\"kind\": \"limited\", \"ran\": \"no\", \"message\": \"…\", \
-         \"retry_after_ms\": 500,\n               \"request\": \"vm-1-1a23-2f\"}}\n\n`ran` says whether \
-         the request ran at an upstream: `no` is proved, `unknown` means that it was sent\nand nothing \
-         more is known, `yes` that it ran at least in part. It is also the header `x-ran`.\nWhere a \
-         caller can come back, `Retry-After` (seconds) and `retry-after-ms` say when. In a stream\nthat \
-         has begun, the error comes as `event: error` with the same JSON.\n\n| kind | status | `ran` |\n\
+        "# Errors\n\nEach error response is JSON of this form, with a kind from the closed list \
+         below:\n\n    {\"error\": {\"kind\": \"limited\", \"ran\": \"no\", \"message\": \"…\", \
+         \"retry_after_ms\": 500,\n               \"request\": \"vm-1-1a23-2f\"}}\n\n`ran` states \
+         whether the request ran at an upstream: `no` is certain, `unknown` means that it was sent\nbut may \
+         not have run, `yes` that it ran at least in part. The header `x-ran` has the same value.\nIf the \
+         caller may retry, `Retry-After` (seconds) and `retry-after-ms` give the delay. In a stream\nthat \
+         has begun, the error is sent as `event: error` with the same JSON.\n\n| kind | status | `ran` |\n\
          | --- | --- | --- |\n",
     );
     for kind in Kind::ALL {
