--- a/base/src/clock.rs
+++ b/base/src/clock.rs
@@ -1,48 +1,48 @@
-//! The clock, passed in as an interface so that decisions can be tested at any time.
+//! The clock, passed in as a trait so that tests can set the time.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use nix::time::{ClockId, clock_gettime};
 
-/// A moment that counts the time for which the machine was suspended, for the age of what is believed of
-/// others: they went on meanwhile. An [`Instant`] stands still then, as the runtime's timers do, so the
-/// two are different types and an age cannot be taken from a timer's moment.
+/// A point in time on a clock that includes suspensions of the machine, for the age of state received
+/// from other machines, which keep running meanwhile. An [`Instant`], like the runtime's timers, does
+/// not advance during a suspension. The types differ so that an age cannot be computed from an instant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Moment(Duration);
 
 impl Moment {
-    /// The time from `earlier` to this; zero where that is later.
+    /// The time from `earlier` to this moment; zero if `earlier` is later.
     pub fn since(self, earlier: Moment) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// The moment that lies `by` before this; none before the machine was started.
+    /// The moment `by` before this one; `None` if that is before the boot of the machine.
     pub fn before(self, by: Duration) -> Option<Moment> {
         self.0.checked_sub(by).map(Moment)
     }
 
-    /// The moment that lies `by` after this.
+    /// The moment `by` after this one.
     pub fn after(self, by: Duration) -> Moment {
         Moment(self.0 + by)
     }
 }
 
-/// Tells the time. Decisions take the time from here; only waiting goes through the runtime.
+/// The source of time for decisions. Only timers use the runtime's clock.
 pub trait Clock: Clone + Send + Sync + 'static {
-    /// A time that never goes back, for waiting and for the time that this process spent.
+    /// Monotonic time without suspensions, for time-outs and durations within this process.
     fn now(&self) -> Instant;
-    /// The same with the time for which the machine was suspended, for the age of what is believed.
+    /// Monotonic time with suspensions, for the age of state received from other machines.
     fn moment(&self) -> Moment;
-    /// The time of day, for logs and records only: it may jump.
+    /// Wall-clock time, for logs and records only: it may jump.
     fn wall(&self) -> SystemTime;
-    /// The time of day in milliseconds since 1970.
+    /// Wall-clock time in milliseconds since the Unix epoch.
     fn wall_millis(&self) -> u64 {
         self.wall().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
     }
 }
 
-/// The clock of the machine.
+/// The system clock.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct System;
 
@@ -52,9 +52,9 @@
     }
 
     fn moment(&self) -> Moment {
-        // Fails for clocks that a kernel lacks only; this one is as old as the machines' oldest.
+        // Fails only if the kernel lacks the clock; all supported kernels have CLOCK_BOOTTIME.
         let time = clock_gettime(ClockId::CLOCK_BOOTTIME).map(Duration::from);
-        Moment(time.expect("Linux has this clock"))
+        Moment(time.expect("Linux has CLOCK_BOOTTIME"))
     }
 
     fn wall(&self) -> SystemTime {
@@ -62,7 +62,7 @@
     }
 }
 
-/// A clock that stands still until it is moved, for tests.
+/// A clock for tests that advances only on request.
 #[derive(Debug, Clone)]
 pub struct Manual {
     start: Instant,
@@ -77,12 +77,12 @@
 }
 
 impl Manual {
-    /// Moves the clock forward.
+    /// Advances the clock.
     pub fn advance(&self, by: Duration) {
         *self.elapsed.lock().unwrap() += by;
     }
 
-    /// The machine is suspended for so long.
+    /// Simulates a suspension of the machine.
     pub fn suspend(&self, by: Duration) {
         *self.suspended.lock().unwrap() += by;
     }
@@ -102,30 +102,30 @@
     }
 }
 
-/// Notices that the machine was suspended.
+/// Detects suspensions of the machine.
 #[derive(Debug)]
 pub struct Suspensions {
     last: Mutex<(Instant, Moment)>,
 }
 
-/// A difference between the two clocks up to which they are taken to have run alike: they are read one
-/// after the other, and the process may be put aside in between.
+/// Minimum difference between the two clocks that counts as a suspension. The clocks are read one after
+/// the other, and the process may be preempted in between.
 const MIN_SUSPENSION: Duration = Duration::from_millis(100);
 
 impl Suspensions {
-    /// Awake now.
+    /// Starts at the current time.
     pub fn new<C: Clock>(clock: &C) -> Suspensions {
         Suspensions { last: Mutex::new((clock.now(), clock.moment())) }
     }
 
-    /// For how long the machine was suspended since this was last asked, if it was.
+    /// How long the machine was suspended since the last check, or `None` if it was not.
     pub fn detect<C: Clock>(&self, clock: &C) -> Option<Duration> {
         let mut last = self.last.lock().unwrap();
         let (now, moment) = (clock.now(), clock.moment());
         let elapsed = now.saturating_duration_since(last.0);
         let suspended = moment.since(last.1).saturating_sub(elapsed);
         if suspended < MIN_SUSPENSION && elapsed < MIN_SUSPENSION {
-            // Short suspensions add up until they show.
+            // Keeps the last reading, so that short suspensions add up until they reach the minimum.
             return None;
         }
         *last = (now, moment);
@@ -133,7 +133,7 @@
     }
 }
 
-/// A duration in milliseconds.
+/// Converts a duration to milliseconds.
 pub fn millis(duration: Duration) -> f64 {
     duration.as_secs_f64() * 1e3
 }
--- a/base/src/deadline.rs
+++ b/base/src/deadline.rs
@@ -1,10 +1,10 @@
-//! The one deadline of a request, carried from the caller to the engine.
+//! The deadline of a request, passed on from the caller to the engine.
 
 use std::time::{Duration, Instant};
 
 use crate::clock::Clock;
 
-/// The time by which a request has its final answer.
+/// The time by which the response to a request must be complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Deadline(Instant);
 
@@ -14,17 +14,17 @@
         Deadline(clock.now() + timeout)
     }
 
-    /// The time left, zero once it has passed.
+    /// The remaining time, zero once the deadline has passed.
     pub fn remaining<C: Clock>(&self, clock: &C) -> Duration {
         self.0.saturating_duration_since(clock.now())
     }
 
-    /// Whether it has passed.
+    /// Whether the deadline has passed.
     pub fn has_passed<C: Clock>(&self, clock: &C) -> bool {
         self.remaining(clock).is_zero()
     }
 
-    /// The point in time, for the runtime's timers.
+    /// The deadline as an instant, for the runtime's timers.
     pub fn instant(&self) -> Instant {
         self.0
     }
--- a/base/src/hash.rs
+++ b/base/src/hash.rs
@@ -1,13 +1,13 @@
-//! Rendezvous hashing: names who takes a part, with no message and no state.
+//! Rendezvous hashing: assigns keys to members without messages or shared state.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The weight of `member` for `key`. Higher wins.
+/// The weight of `member` for `key`. The member with the highest weight owns the key.
 pub fn weight(key: &str, member: &str) -> u64 {
     xxh3_64_with_seed(member.as_bytes(), xxh3_64_with_seed(key.as_bytes(), 0))
 }
 
-/// The member that takes `key`, or none of none.
+/// The member that owns `key`, or `None` if there are no members.
 pub fn owner<'a, T, I>(key: &str, members: I) -> Option<&'a T>
 where
     T: AsRef<str> + ?Sized + 'a,
@@ -16,7 +16,7 @@
     members.into_iter().max_by_key(|m| (weight(key, m.as_ref()), m.as_ref().to_owned()))
 }
 
-/// Members in the order in which they would take `key`.
+/// The members by descending weight for `key`.
 pub fn ranked<'a, T, I>(key: &str, members: I) -> Vec<&'a T>
 where
     T: AsRef<str> + ?Sized + 'a,
--- a/base/src/id.rs
+++ b/base/src/id.rs
@@ -1,7 +1,7 @@
-//! Identifiers as newtypes over shared strings.
+//! Identifiers, each a newtype over a shared string.
 //!
-//! An identifier is 1 to 64 characters of `A-Z a-z 0-9 . _ : -`, so that it can stand in a path,
-//! a header, a metric label and a key of the key-value service without quoting.
+//! An identifier is 1 to 64 characters of `A-Z a-z 0-9 . _ : -`, so that it needs no
+//! quoting in paths, headers, metric labels and keys of the key-value service.
 
 use std::fmt;
 use std::str::FromStr;
@@ -10,29 +10,29 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The longest identifier, in bytes.
+/// Maximum length of an identifier in bytes.
 pub const MAX_LEN: usize = 64;
 
-/// A text that cannot be an identifier.
+/// Why a text is not a valid identifier.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Invalid {
     /// The text is empty.
     Empty,
     /// The text is longer than [`MAX_LEN`] bytes.
     TooLong(usize),
-    /// The text holds a character that is not allowed.
+    /// The text contains a character that is not allowed.
     Character(char),
 }
 
 impl fmt::Display for Invalid {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Invalid::Empty => write!(f, "an identifier cannot be empty"),
+            Invalid::Empty => write!(f, "the identifier is empty"),
             Invalid::TooLong(len) => {
-                write!(f, "an identifier has at most {MAX_LEN} bytes, this one has {len}")
+                write!(f, "the identifier has {len} bytes, at most {MAX_LEN} are allowed")
             }
             Invalid::Character(c) => {
-                write!(f, "an identifier is made of A-Z a-z 0-9 . _ : -, not {c:?}")
+                write!(f, "the identifier contains {c:?}, only A-Z a-z 0-9 . _ : - are allowed")
             }
         }
     }
@@ -40,7 +40,7 @@
 
 impl std::error::Error for Invalid {}
 
-/// Checks that `text` can be an identifier.
+/// Checks that `text` is a valid identifier.
 pub fn check(text: &str) -> Result<(), Invalid> {
     if text.is_empty() {
         return Err(Invalid::Empty);
@@ -63,7 +63,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The identifier as text.
+            /// The identifier as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -111,7 +111,7 @@
 }
 
 id!(
-    /// One entry VM, named in the VM list.
+    /// A VM that runs foldlock.
     Vm
 );
 id!(
@@ -119,19 +119,19 @@
     Hall
 );
 id!(
-    /// An organisation whose callers share keys, limits and a branch of settings.
+    /// An organisation: a tenant with its own keys, limits and branch of the settings.
     Organisation
 );
 id!(
-    /// A kind of request, the leaf of the settings tree.
+    /// A kind of request, a leaf of the settings tree.
     Kind
 );
 id!(
-    /// A model engine or a server of a plain service.
+    /// An upstream: an inference engine or a server of a plain service.
     Upstream
 );
 id!(
-    /// A model that engines serve.
+    /// A model served by engines.
     Model
 );
 id!(
@@ -139,10 +139,10 @@
     Service
 );
 id!(
-    /// One request, unique over all VMs and restarts.
+    /// A request, unique across all VMs and their incarnations.
     Request
 );
 id!(
-    /// A hold of engine memory.
+    /// A reservation of engine memory.
     Hold
 );
--- a/base/src/lib.rs
+++ b/base/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every foldlock package shares: identifiers, sizes, rates, the clock, the closed list of
-//! error kinds, the catalogue of log events and rendezvous hashing.
+//! Types shared by all foldlock packages: identifiers, sizes, rates, the clock, the closed list of
+//! error kinds, the catalogue of log events, and rendezvous hashing.
 
 pub mod clock;
 pub mod deadline;
--- a/base/src/size.rs
+++ b/base/src/size.rs
@@ -9,7 +9,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// A count of model tokens: of a prompt, an answer or an engine's memory.
+/// A number of model tokens in a prompt, a response or an engine's memory.
 #[derive(
     Debug,
     Default,
@@ -28,12 +28,12 @@
 pub struct Tokens(pub u64);
 
 impl Tokens {
-    /// The tokens of a text of `bytes`, at `per_token` bytes a token, rounded up.
+    /// The number of tokens in `bytes` bytes of text at `per_token` bytes per token, rounded up.
     pub fn of_bytes(bytes: usize, per_token: u32) -> Tokens {
         Tokens((bytes as u64).div_ceil(u64::from(per_token.max(1))))
     }
 
-    /// The difference, or none where `other` is larger.
+    /// The difference, or zero if `other` is larger.
     pub fn saturating_sub(self, other: Tokens) -> Tokens {
         Tokens(self.0.saturating_sub(other.0))
     }
@@ -67,7 +67,7 @@
 
 impl FromStr for Tokens {
     type Err = std::num::ParseIntError;
-    /// Reads a count with an optional `k` (thousand) or `M` (million) behind it.
+    /// Parses a number with an optional suffix `k` (thousand) or `M` (million).
     fn from_str(text: &str) -> Result<Tokens, Self::Err> {
         let (digits, unit) = match text.as_bytes().last() {
             Some(b'k') => (&text[..text.len() - 1], 1_000),
@@ -78,23 +78,23 @@
     }
 }
 
-/// Requests a second; finite and not negative.
+/// A rate in requests per second, finite and not negative.
 #[derive(Debug, Default, Clone, Copy, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Rate(f64);
 
 impl Rate {
-    /// So many requests a second; none where that is no rate.
+    /// A rate of `requests` per second, or `None` if that is negative or not finite.
     pub fn per_second(requests: f64) -> Option<Rate> {
         (requests.is_finite() && requests >= 0.0).then_some(Rate(requests))
     }
 
-    /// Requests in a second.
+    /// The rate in requests per second.
     pub fn as_f64(self) -> f64 {
         self.0
     }
 
-    /// Requests in this time.
+    /// The number of requests in a period at this rate.
     pub fn over(self, time: Duration) -> f64 {
         self.0 * time.as_secs_f64()
     }
@@ -111,13 +111,13 @@
     }
 }
 
-/// Why a text is no rate.
+/// A text that is not a valid rate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RateFault;
 
 impl fmt::Display for RateFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("a rate is a decimal number of requests a second, 0 or more")
+        f.write_str("a rate must be a decimal number of requests per second, 0 or more")
     }
 }
 
--- a/base/tests/catalogue.rs
+++ b/base/tests/catalogue.rs
@@ -33,8 +33,8 @@
         "# Errors\n\nEach error response is JSON of this form, with a kind from the closed list \
          below:\n\n    {\"error\": {\"kind\": \"limited\", \"ran\": \"no\", \"message\": \"…\", \
          \"retry_after_ms\": 500,\n               \"request\": \"vm-1-1a23-2f\"}}\n\n`ran` states \
-         whether the request ran at an upstream: `no` is certain, `unknown` means that it was sent\nbut may \
-         not have run, `yes` that it ran at least in part. The header `x-ran` has the same value.\nIf the \
+         whether the request ran at an upstream: `no` is certain, `unknown` means that it was sent\nand may \
+         have run, `yes` that it ran at least in part. The header `x-ran` has the same value.\nIf the \
          caller may retry, `Retry-After` (seconds) and `retry-after-ms` give the delay. In a stream\nthat \
          has begun, the error is sent as `event: error` with the same JSON.\n\n| kind | status | `ran` |\n\
          | --- | --- | --- |\n",
--- a/base/tests/clock.rs
+++ b/base/tests/clock.rs
@@ -1,4 +1,4 @@
-//! A machine that is suspended, and one that is not.
+//! Detection of suspensions of the machine.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     let clock = Manual::default();
     let suspensions = Suspensions::new(&clock);
     clock.advance(Duration::from_secs(3));
-    assert_eq!(suspensions.detect(&clock), None, "time that passed is no sleep");
+    assert_eq!(suspensions.detect(&clock), None, "elapsed time is no suspension");
     clock.suspend(Duration::from_millis(300));
     clock.advance(Duration::from_millis(40));
     assert_eq!(suspensions.detect(&clock), Some(Duration::from_millis(300)));
@@ -25,7 +25,7 @@
 }
 
 proptest! {
-    /// However the time is cut into looks, what was suspended in pieces of 100 ms and more is all noticed.
+    /// Suspensions of 100 ms or more are reported in full, whatever the time between two checks.
     #[test]
     fn every_long_suspension_is_reported(steps in prop::collection::vec((0..400_u64, 100..5_000_u64), 1..20)) {
         let clock = Manual::default();
--- a/base/tests/proof.rs
+++ b/base/tests/proof.rs
@@ -1,4 +1,4 @@
-//! `ran: no` is said only of what was not sent, or what the upstream itself refused.
+//! An error has `ran: no` only if nothing was sent or the upstream refused every attempt.
 
 use foldlock_base::error::{Kind, Proof, Ran, Refusal, Unsent};
 use proptest::prelude::*;
@@ -12,7 +12,7 @@
 }
 
 proptest! {
-    /// Over all orders of attempts and ends: `no` exactly when no attempt may have run.
+    /// In any sequence of attempts, `ran` is `no` exactly when no attempt may have run.
     #[test]
     fn ran_is_no_exactly_when_no_attempt_may_have_run(
         ends in prop::collection::vec(
@@ -35,7 +35,7 @@
         prop_assert_eq!(error.ran() == Ran::No, !may_have_run);
     }
 
-    /// Only an error status with the upstream's own word is a refusal.
+    /// A response is a refusal only with an error status and `x-ran: no`.
     #[test]
     fn a_refusal_needs_an_error_status_and_x_ran_no(status in 100u16..600, ran in "no|yes|unknown|") {
         let refusal = Refusal::from_response(status, Some(&ran));
