--- a/cli/src/apply.rs
+++ b/cli/src/apply.rs
@@ -16,10 +16,10 @@
 use crate::output::{Mark, Output};
 
 /// How long VMs have to put a change in force before the command gives up waiting.
-const IN_FORCE: Duration = Duration::from_secs(10);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How often VMs are asked.
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Fetches the accepted settings.
 pub async fn fetch(args: &Fetch, output: Output) -> Result<(), Error> {
@@ -66,16 +66,16 @@
         Outcome::Accepted(head) => (head, true),
         Outcome::Unchanged(head) => (head, false),
     };
-    settle(args, &store, &head, &texts).await?;
-    let in_force = wait(&client, &args.vms, head.version).await?;
+    write_accepted(args, &store, &head, &texts).await?;
+    let in_force = wait_in_force(&client, &args.vms, head.version).await?;
     let in_force_ms = in_force.map(|at| (at - started).as_millis() as u64);
     let applied = Applied { version: head.version, changed, in_force_ms };
     if output.json {
         output.value(&applied);
         return Ok(());
     }
-    let word = if changed { "accepted" } else { "unchanged" };
-    let mut line = format!("{}: version {}", output.mark(Mark::Good, word), head.version);
+    let result = if changed { "accepted" } else { "unchanged" };
+    let mut line = format!("{}: version {}", output.mark(Mark::Good, result), head.version);
     if let Some(ms) = in_force_ms {
         line.push_str(&format!(", in force on {} VMs after {ms} ms", args.vms.len()));
     }
@@ -84,14 +84,14 @@
 }
 
 /// Brings the directory to the accepted version, which may hold others' changes too.
-async fn settle(
+async fn write_accepted(
     args: &Apply,
     store: &HttpStore,
     head: &Head,
     own: &foldlock_version::tree::Texts,
 ) -> Result<(), Error> {
-    let known = own.values().map(|t| (foldlock_version::head::Hash::of(t), t.clone())).collect();
-    let texts = read_texts(store, head, &known).await.map_err(Error::Store)?;
+    let own_texts = own.values().map(|t| (foldlock_version::head::Hash::of(t), t.clone())).collect();
+    let texts = read_texts(store, head, &own_texts).await.map_err(Error::Store)?;
     files::write(&args.dir, &texts)?;
     files::write_base(&args.dir, &Base::from(head))
 }
@@ -103,19 +103,19 @@
 }
 
 /// Waits until each VM has a version in force. Gives when that was; none without VMs.
-async fn wait(client: &Client, vms: &[SocketAddr], version: u64) -> Result<Option<Instant>, Error> {
-    let until = Instant::now() + IN_FORCE;
+async fn wait_in_force(client: &Client, vms: &[SocketAddr], version: u64) -> Result<Option<Instant>, Error> {
+    let deadline = Instant::now() + IN_FORCE_TIMEOUT;
     for vm in vms {
         loop {
             let head: Option<Head> = client::json(client, *vm, "/version").await?;
             if head.is_some_and(|h| h.version >= version) {
                 break;
             }
-            if Instant::now() > until {
+            if Instant::now() > deadline {
                 let why = format!("{vm}: version {version} is accepted but not in force there");
                 return Err(Error::Vm(why));
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
     Ok((!vms.is_empty()).then(Instant::now))
--- a/cli/src/client.rs
+++ b/cli/src/client.rs
@@ -29,9 +29,9 @@
         .uri(format!("http://{vm}{path}"))
         .body(body(""))
         .map_err(|e| Error::Usage(e.to_string()))?;
-    let answer = client.call(request, TIMEOUT).await;
-    let answer = answer.map_err(|e| Error::Vm(format!("{vm}: {e}")))?;
-    Ok((answer.status().as_u16(), answer.into_body().to_vec()))
+    let response = client.call(request, TIMEOUT).await;
+    let response = response.map_err(|e| Error::Vm(format!("{vm}: {e}")))?;
+    Ok((response.status().as_u16(), response.into_body().to_vec()))
 }
 
 /// Reads JSON from a path; none where there is nothing.
--- a/cli/src/files.rs
+++ b/cli/src/files.rs
@@ -14,7 +14,7 @@
 
 const ORGANISATIONS: &str = "organisation";
 
-fn failed(path: &Path) -> impl FnOnce(std::io::Error) -> Error {
+fn file_error(path: &Path) -> impl FnOnce(std::io::Error) -> Error {
     let path = path.display().to_string();
     move |e| Error::File(path, e)
 }
@@ -23,15 +23,15 @@
 pub fn read(dir: &Path) -> Result<Texts, Error> {
     let mut texts = Texts::new();
     let fleet = dir.join(Name::Fleet.path());
-    texts.insert(Name::Fleet, fs::read_to_string(&fleet).map_err(failed(&fleet))?.into());
+    texts.insert(Name::Fleet, fs::read_to_string(&fleet).map_err(file_error(&fleet))?.into());
     let organisations = dir.join(ORGANISATIONS);
     if !organisations.exists() {
         return Ok(texts);
     }
-    for entry in fs::read_dir(&organisations).map_err(failed(&organisations))? {
-        let path = entry.map_err(failed(&organisations))?.path();
+    for entry in fs::read_dir(&organisations).map_err(file_error(&organisations))? {
+        let path = entry.map_err(file_error(&organisations))?.path();
         if let Some(name) = name_of(&path)? {
-            texts.insert(name, fs::read_to_string(&path).map_err(failed(&path))?.into());
+            texts.insert(name, fs::read_to_string(&path).map_err(file_error(&path))?.into());
         }
     }
     Ok(texts)
@@ -60,7 +60,7 @@
     if !path.exists() {
         return Ok(Base::default());
     }
-    let text = fs::read(&path).map_err(failed(&path))?;
+    let text = fs::read(&path).map_err(file_error(&path))?;
     serde_json::from_slice(&text).map_err(|e| Error::File(path.display().to_string(), e.into()))
 }
 
@@ -68,21 +68,21 @@
 pub fn write_base(dir: &Path, base: &Base) -> Result<(), Error> {
     let text = serde_json::to_string_pretty(base).expect("plain data");
     let path = dir.join(BASE);
-    fs::write(&path, text + "\n").map_err(failed(&path))
+    fs::write(&path, text + "\n").map_err(file_error(&path))
 }
 
 /// Writes the texts of all branches, and takes away files of branches that are gone.
 pub fn write(dir: &Path, texts: &Texts) -> Result<(), Error> {
     let organisations = dir.join(ORGANISATIONS);
-    fs::create_dir_all(&organisations).map_err(failed(&organisations))?;
+    fs::create_dir_all(&organisations).map_err(file_error(&organisations))?;
     for (name, text) in texts {
         let path = dir.join(name.path());
-        fs::write(&path, text.as_bytes()).map_err(failed(&path))?;
+        fs::write(&path, text.as_bytes()).map_err(file_error(&path))?;
     }
-    for entry in fs::read_dir(&organisations).map_err(failed(&organisations))? {
-        let path = entry.map_err(failed(&organisations))?.path();
+    for entry in fs::read_dir(&organisations).map_err(file_error(&organisations))? {
+        let path = entry.map_err(file_error(&organisations))?.path();
         if name_of(&path)?.is_some_and(|name| !texts.contains_key(&name)) {
-            fs::remove_file(&path).map_err(failed(&path))?;
+            fs::remove_file(&path).map_err(file_error(&path))?;
         }
     }
     Ok(())
@@ -94,7 +94,7 @@
         return Ok(true);
     }
     let entries: Vec<PathBuf> =
-        fs::read_dir(dir).map_err(failed(dir))?.filter_map(|e| e.ok().map(|e| e.path())).collect();
+        fs::read_dir(dir).map_err(file_error(dir))?.filter_map(|e| e.ok().map(|e| e.path())).collect();
     if entries.is_empty() {
         return Ok(true);
     }
--- a/cli/src/held.rs
+++ b/cli/src/held.rs
@@ -12,12 +12,12 @@
 /// Shows the requests that are held or run alone, by what each VM knows.
 pub async fn show(args: &Status, output: Output) -> Result<(), Error> {
     let client = Client::default();
-    let mut silent = None;
+    let mut failure = None;
     for vm in args.vms() {
         let dump = match client::json::<Value>(&client, *vm, "/dump").await {
             Ok(dump) => dump.unwrap_or_default(),
             Err(e) => {
-                silent = Some(e);
+                failure = Some(e);
                 continue;
             }
         };
@@ -30,13 +30,13 @@
         for suspect in dump["suspects"].as_array().unwrap_or(&none) {
             let held = dump["held"].as_array().unwrap_or(&none).iter();
             let listed = held.clone().find(|h| h["fingerprint"] == suspect["fingerprint"]);
-            output.line(&format!("{vm:<22} {}", sentence(suspect, listed)));
+            output.line(&format!("{vm:<22} {}", describe(suspect, listed)));
         }
     }
-    silent.map_or(Ok(()), Err)
+    failure.map_or(Ok(()), Err)
 }
 
-fn sentence(suspect: &Value, listed: Option<&Value>) -> String {
+fn describe(suspect: &Value, listed: Option<&Value>) -> String {
     let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
     let what = if suspect["alone"] == true {
         "runs alone".to_owned()
--- a/cli/src/show.rs
+++ b/cli/src/show.rs
@@ -53,14 +53,14 @@
     };
     let organisation = name.parse::<id::Organisation>().ok();
     let Some(found) = organisation.and_then(|o| tree.organisations.get(&o)) else {
-        return Err(missing("organisation", name, tree.organisations.keys().map(AsRef::as_ref)));
+        return Err(not_found("organisation", name, tree.organisations.keys().map(AsRef::as_ref)));
     };
     let Some(kind) = kind else { return Ok(&found.base) };
     let effective = kind.parse::<id::Kind>().ok().and_then(|k| found.kinds.get(&k));
-    effective.ok_or_else(|| missing("kind", kind, found.kinds.keys().map(AsRef::as_ref)))
+    effective.ok_or_else(|| not_found("kind", kind, found.kinds.keys().map(AsRef::as_ref)))
 }
 
-fn missing<'a>(what: &str, name: &str, known: impl Iterator<Item = &'a str>) -> Error {
+fn not_found<'a>(what: &str, name: &str, known: impl Iterator<Item = &'a str>) -> Error {
     let hint = nearest(name, known).map(|n| format!("; did you mean `{n}`?")).unwrap_or_default();
     Error::NotFound(format!("there is no {what} `{name}`{hint}"))
 }
--- a/cli/src/status.rs
+++ b/cli/src/status.rs
@@ -13,7 +13,7 @@
 /// Shows the state of VMs.
 pub async fn status(args: &Status, output: Output) -> Result<(), Error> {
     let client = Client::default();
-    let mut silent = None;
+    let mut failure = None;
     for vm in args.vms() {
         match client::json::<Value>(&client, *vm, "/dump").await {
             Ok(Some(dump)) if output.json => output.line(&object(*vm, &dump).to_string()),
@@ -21,11 +21,11 @@
             Ok(None) => {}
             Err(e) => {
                 output.line(&format!("{vm:<22} {}", output.mark(Mark::Bad, "no answer")));
-                silent = Some(e);
+                failure = Some(e);
             }
         }
     }
-    silent.map_or(Ok(()), Err)
+    failure.map_or(Ok(()), Err)
 }
 
 fn object(vm: SocketAddr, dump: &Value) -> Value {
@@ -95,8 +95,8 @@
         0 => {}
         cold => notes.push(format!("{cold} cold")),
     }
-    for of in limited(dump) {
-        let (upstream, limit) = (of["upstream"].as_str().unwrap_or_default(), &of["limit"]);
+    for entry in limited(dump) {
+        let (upstream, limit) = (entry["upstream"].as_str().unwrap_or_default(), &entry["limit"]);
         let source = limit["source"].as_str().unwrap_or_default();
         let (rate, sent) = (&limit["rate"], &limit["sent_last_second"]);
         let since_s = limit["since_ms"].as_u64().unwrap_or(0) / 1_000;
--- a/cli/src/vm.rs
+++ b/cli/src/vm.rs
@@ -17,13 +17,13 @@
 use crate::output::{Mark, Output};
 
 /// Lines that may wait to be written.
-const LINES: usize = 256;
+const MAX_QUEUED_LINES: usize = 256;
 
 /// Shows a request's record.
 pub async fn why(args: &Why, output: Output) -> Result<(), Error> {
     let client = Client::default();
     let path = format!("/why/{}", args.request);
-    let mut silent = Vec::new();
+    let mut failures = Vec::new();
     for vm in args.vms() {
         match client::json::<Record>(&client, *vm, &path).await {
             Ok(Some(record)) if output.json => {
@@ -35,11 +35,11 @@
                 return Ok(());
             }
             Ok(None) => {}
-            Err(e) => silent.push(e.to_string()),
+            Err(e) => failures.push(e.to_string()),
         }
     }
     let mut why = format!("no VM that was asked has a record of {}", args.request);
-    for e in silent {
+    for e in failures {
         why.push_str(&format!("\n{e}"));
     }
     Err(Error::NotFound(why))
@@ -48,11 +48,11 @@
 /// Watches decisions.
 pub async fn watch(args: &Watch, output: Output) -> Result<(), Error> {
     let client = Client::default();
-    let (sender, mut lines) = mpsc::channel(LINES);
+    let (sender, mut lines) = mpsc::channel(MAX_QUEUED_LINES);
     for vm in args.vms() {
         let (client, vm, sender) = (client.clone(), *vm, sender.clone());
         tokio::spawn(async move {
-            if let Err(e) = follow(&client, vm, &sender).await {
+            if let Err(e) = read_decisions(&client, vm, &sender).await {
                 let _ = sender.send(Err(e)).await;
             }
         });
@@ -78,7 +78,7 @@
     Ok(())
 }
 
-async fn follow(
+async fn read_decisions(
     client: &Client,
     vm: SocketAddr,
     lines: &mpsc::Sender<Result<Item, Error>>,
@@ -86,13 +86,13 @@
     let failed = |e: &dyn std::fmt::Display| Error::Vm(format!("{vm}: {e}"));
     let request =
         Request::get(format!("http://{vm}/decisions")).body(body("")).map_err(|e| failed(&e))?;
-    let mut answer = client.send(request).await.map_err(|e| failed(&e))?.into_body();
-    let mut rest = Vec::new();
-    while let Some(frame) = answer.frame().await {
+    let mut response = client.send(request).await.map_err(|e| failed(&e))?.into_body();
+    let mut buffer = Vec::new();
+    while let Some(frame) = response.frame().await {
         let bytes = frame.map_err(|e| failed(&e))?.into_data().unwrap_or_else(|_| Bytes::new());
-        rest.extend_from_slice(&bytes);
-        while let Some(end) = rest.iter().position(|b| *b == b'\n') {
-            let text: Vec<u8> = rest.drain(..=end).collect();
+        buffer.extend_from_slice(&bytes);
+        while let Some(end) = buffer.iter().position(|b| *b == b'\n') {
+            let text: Vec<u8> = buffer.drain(..=end).collect();
             let line = serde_json::from_slice(&text).map_err(|e| failed(&e))?;
             if lines.send(Ok(line)).await.is_err() {
                 return Ok(());
