--- a/cli/src/app.rs
+++ b/cli/src/app.rs
@@ -8,30 +8,30 @@
 use foldlock_base::id;
 use foldlock_request::fingerprint::Fingerprint;
 
-/// Drives foldlock: edits the tree of settings and reads what the VMs show.
+/// Operates foldlock: manages the settings and inspects the VMs.
 #[derive(Debug, Parser)]
 #[command(
     name = "foldlock",
     version,
     after_help = "Examples:\n  foldlock check settings/\n  foldlock apply settings/ --kv \
                   10.0.9.1:2379\n  foldlock show settings/ acme/audit --origin\n  foldlock why \
-                  vm-1-18f0-2a --vm 10.0.0.1:8081 --vm 10.0.0.2:8081\n\nExit codes: 0 done, 1 \
-                  failed, 2 bad command line, 3 the settings have faults, 4 another change came \
-                  first, 5 not found."
+                  vm-1-18f0-2a --vm 10.0.0.1:8081 --vm 10.0.0.2:8081\n\nExit codes: 0 success, 1 \
+                  failure, 2 invalid command line, 3 invalid settings, 4 conflict with another \
+                  change, 5 not found."
 )]
 pub struct App {
-    /// When to colour.
+    /// When to use colours.
     #[arg(long, global = true, value_enum, default_value_t = Color::Auto)]
     pub color: Color,
-    /// Write JSON, for scripts.
+    /// Print JSON, for scripts.
     #[arg(long, global = true)]
     pub json: bool,
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// When to colour.
+/// When to use colours.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Color {
     /// On a terminal, unless NO_COLOR is set.
@@ -42,36 +42,36 @@
     Never,
 }
 
-/// What to do.
+/// The commands.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Check a directory of settings, and say what is wrong with them.
+    /// Check a directory of settings and report errors.
     Check(Tree),
-    /// Write the accepted settings to a directory, to be edited and applied.
+    /// Download the accepted settings to a directory, for editing.
     Fetch(Fetch),
-    /// Check a directory of settings and make it the accepted version.
+    /// Check a directory of settings and publish it as the accepted version.
     ///
-    /// The directory's `.base.json`, which `fetch` and `apply` write, says which version it was
-    /// made from. Branches that others changed since are kept; where they changed the same ones,
-    /// nothing is applied.
+    /// The directory's `.base.json`, which `fetch` and `apply` write, names the version that the
+    /// directory is based on. Branches that others changed since then are kept; if they changed the
+    /// same branches, nothing is applied.
     Apply(Apply),
     /// Show the effective settings of a branch: ORGANISATION or ORGANISATION/KIND.
     Show(Show),
-    /// Show why a request ran where and when it did.
+    /// Show the decisions that placed a request.
     Why(Why),
-    /// Watch decisions live.
+    /// Follow the decisions of VMs as they are made.
     Watch(Watch),
-    /// Show the state of VMs: ready, version, requests.
+    /// Show the state of VMs: readiness, settings version, number of requests.
     Status(Status),
-    /// Show the requests that are kept from all upstreams, or run alone, for what ended under them.
+    /// Show the requests that are quarantined or isolated because upstreams crashed while running them.
     Held(Status),
-    /// Let such a request go: it may run beside others again.
+    /// Release a request from quarantine or isolation, so that it may share upstreams again.
     Release(Release),
-    /// Show all that a VM knows.
+    /// Show the whole state of a VM.
     Dump(OneVm),
-    /// Print the hash of a bearer key that is read from standard input, for the settings.
+    /// Read a bearer key from standard input and print its hash, for use in the settings.
     HashKey,
-    /// Print the JSON schema of a branch's file.
+    /// Print the JSON schema of a branch of the settings.
     Schema(SchemaOf),
     /// Print shell completions.
     Completions(Completions),
@@ -84,40 +84,40 @@
     pub dir: PathBuf,
 }
 
-/// Where to fetch to.
+/// Arguments of `fetch`.
 #[derive(Debug, Args)]
 pub struct Fetch {
-    /// The directory. It has to be empty, or fetched before.
+    /// The directory, which must be empty or fetched without later edits.
     pub dir: PathBuf,
-    /// The key-value service, IP:port.
+    /// Address of the key-value service, IP:port.
     #[arg(long, env = "FOLDLOCK_KV")]
     pub kv: SocketAddr,
 }
 
-/// What to apply.
+/// Arguments of `apply`.
 #[derive(Debug, Args)]
 pub struct Apply {
-    /// The directory.
+    /// The directory of settings.
     pub dir: PathBuf,
-    /// The key-value service, IP:port.
+    /// Address of the key-value service, IP:port.
     #[arg(long, env = "FOLDLOCK_KV")]
     pub kv: SocketAddr,
-    /// Who makes the change.
+    /// Author of the change.
     #[arg(long, env = "USER", default_value = "unknown")]
     pub author: String,
-    /// Wait until each of these VMs has the change in force: control addresses, IP:port.
+    /// Wait until the change is in force on these VMs: control addresses, IP:port.
     #[arg(long = "vm", env = "FOLDLOCK_VMS", value_delimiter = ',')]
     pub vms: Vec<SocketAddr>,
 }
 
-/// Which effective settings to show.
+/// Arguments of `show`.
 #[derive(Debug, Args)]
 pub struct Show {
-    /// The directory.
+    /// The directory of settings.
     pub dir: PathBuf,
     /// ORGANISATION or ORGANISATION/KIND.
     pub branch: String,
-    /// Say where each value comes from.
+    /// Show where each value is set.
     #[arg(long)]
     pub origin: bool,
 }
@@ -125,36 +125,36 @@
 /// Control addresses of VMs.
 #[derive(Debug, Args)]
 pub struct Vms {
-    /// A VM's control address, IP:port; may be given several times.
+    /// Control address of a VM, IP:port; may be repeated.
     #[arg(long = "vm", env = "FOLDLOCK_VMS", value_delimiter = ',', required = true)]
     pub vms: Vec<SocketAddr>,
 }
 
-/// Which request to explain.
+/// Arguments of `why`.
 #[derive(Debug, Args)]
 pub struct Why {
-    /// The request's id, from the answer's `x-request-id`.
+    /// The request's id, from the response header `x-request-id`.
     pub request: id::Request,
     #[command(flatten)]
     vms: Vms,
 }
 
 impl Why {
-    /// The VMs to ask.
+    /// The VMs to query.
     pub fn vms(&self) -> &[SocketAddr] {
         &self.vms.vms
     }
 }
 
-/// What to watch.
+/// Arguments of `watch`.
 #[derive(Debug, Args)]
 pub struct Watch {
     #[command(flatten)]
     vms: Vms,
-    /// Only this organisation's requests.
+    /// Show only requests of this organisation.
     #[arg(long)]
     pub organisation: Option<id::Organisation>,
-    /// Stop after so many decisions.
+    /// Stop after this number of decisions.
     #[arg(long)]
     pub count: Option<u64>,
 }
@@ -166,7 +166,7 @@
     }
 }
 
-/// Whose state to show.
+/// Arguments of `status` and `held`.
 #[derive(Debug, Args)]
 pub struct Status {
     #[command(flatten)]
@@ -174,44 +174,44 @@
 }
 
 impl Status {
-    /// The VMs to ask.
+    /// The VMs to query.
     pub fn vms(&self) -> &[SocketAddr] {
         &self.vms.vms
     }
 }
 
-/// Which request to let go.
+/// Arguments of `release`.
 #[derive(Debug, Args)]
 pub struct Release {
-    /// Its fingerprint, from `held` or from the log.
+    /// The request's fingerprint, from `held` or the log.
     pub fingerprint: Fingerprint,
     #[command(flatten)]
     vms: Vms,
 }
 
 impl Release {
-    /// The VMs to tell; the directory tells the others.
+    /// The VMs to send the release to; the others receive it through the directory.
     pub fn vms(&self) -> &[SocketAddr] {
         &self.vms.vms
     }
 }
 
-/// One VM.
+/// Arguments of `dump`.
 #[derive(Debug, Args)]
 pub struct OneVm {
-    /// The VM's control address, IP:port.
+    /// Control address of the VM, IP:port.
     pub vm: SocketAddr,
 }
 
-/// Which schema to print.
+/// Arguments of `schema`.
 #[derive(Debug, Args)]
 pub struct SchemaOf {
-    /// `fleet`, or `organisation/NAME` with any name.
+    /// The branch: `fleet`, or `organisation/NAME` with any name.
     #[arg(default_value = "fleet")]
     pub branch: String,
 }
 
-/// Completions for a shell.
+/// Arguments of `completions`.
 #[derive(Debug, Args)]
 pub struct Completions {
     /// The shell.
--- a/cli/src/apply.rs
+++ b/cli/src/apply.rs
@@ -15,18 +15,18 @@
 use crate::files;
 use crate::output::{Mark, Output};
 
-/// How long VMs have to put a change in force before the command gives up waiting.
+/// Time-out for a change to be in force on all VMs.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often VMs are asked.
+/// Interval at which a VM is polled for its version.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Fetches the accepted settings.
+/// Downloads the accepted settings.
 pub async fn fetch(args: &Fetch, output: Output) -> Result<(), Error> {
     if !files::can_fetch(&args.dir)? {
         let dir = args.dir.display();
         return Err(Error::Usage(format!(
-            "{dir} has changes that are not applied, or other files"
+            "{dir} has unapplied changes or other files"
         )));
     }
     let store = HttpStore::new(Client::default(), &args.kv.to_string());
@@ -52,7 +52,7 @@
     in_force_ms: Option<u64>,
 }
 
-/// Applies a directory.
+/// Publishes a directory of settings.
 pub async fn run(args: &Apply, output: Output) -> Result<(), Error> {
     let (texts, _) = files::tree(&args.dir)?;
     let base = files::base(&args.dir)?;
@@ -83,7 +83,7 @@
     Ok(())
 }
 
-/// Brings the directory to the accepted version, which may hold others' changes too.
+/// Writes the accepted version to the directory; it may contain changes of others too.
 async fn write_accepted(
     args: &Apply,
     store: &HttpStore,
@@ -96,13 +96,13 @@
     files::write_base(&args.dir, &Base::from(head))
 }
 
-/// An id that no other change has.
+/// A unique id of a change.
 fn change_id(author: &str) -> String {
     let nanos = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos());
     format!("{author}-{}-{nanos:x}", std::process::id())
 }
 
-/// Waits until each VM has a version in force. Gives when that was; none without VMs.
+/// Waits until a version is in force on all VMs and returns when that was; `None` without VMs.
 async fn wait_in_force(client: &Client, vms: &[SocketAddr], version: u64) -> Result<Option<Instant>, Error> {
     let deadline = Instant::now() + IN_FORCE_TIMEOUT;
     for vm in vms {
@@ -112,7 +112,7 @@
                 break;
             }
             if Instant::now() > deadline {
-                let why = format!("{vm}: version {version} is accepted but not in force there");
+                let why = format!("{vm}: version {version} is accepted but not yet in force on this VM");
                 return Err(Error::Vm(why));
             }
             tokio::time::sleep(POLL_INTERVAL).await;
--- a/cli/src/check.rs
+++ b/cli/src/check.rs
@@ -19,7 +19,7 @@
     services: usize,
 }
 
-/// Checks a directory.
+/// Checks a directory of settings.
 pub fn run(args: &Tree, output: Output) -> Result<(), Error> {
     let (_, tree) = files::tree(&args.dir)?;
     let counts = Counts {
@@ -46,7 +46,7 @@
     Ok(())
 }
 
-/// Prints the schema of a branch.
+/// Prints the JSON schema of a branch.
 pub fn schema(args: &SchemaOf, output: Output) -> Result<(), Error> {
     let branch: Name = args.branch.parse().map_err(Error::Usage)?;
     let text = serde_json::to_string_pretty(check::schema(&branch)).expect("plain data");
--- a/cli/src/client.rs
+++ b/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Asking VMs.
+//! Requests to the control addresses of VMs.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,15 +9,15 @@
 
 use crate::error::Error;
 
-/// How long a VM has to answer.
+/// Response time-out of a VM.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Reads a path of a VM's control address: the status and the body.
+/// Sends a GET request to a VM and returns the status and body.
 pub async fn get(client: &Client, vm: SocketAddr, path: &str) -> Result<(u16, Vec<u8>), Error> {
     call(client, Method::GET, vm, path).await
 }
 
-/// Calls a path of a VM's control address: the status and the body.
+/// Sends a request without a body to a VM and returns the status and body.
 pub async fn call(
     client: &Client,
     method: Method,
@@ -34,7 +34,7 @@
     Ok((response.status().as_u16(), response.into_body().to_vec()))
 }
 
-/// Reads JSON from a path; none where there is nothing.
+/// Reads JSON from a path of a VM; `None` on status 404.
 pub async fn json<T: DeserializeOwned>(
     client: &Client,
     vm: SocketAddr,
@@ -44,8 +44,8 @@
     match status {
         200 => serde_json::from_slice(&bytes)
             .map(Some)
-            .map_err(|e| Error::Vm(format!("{vm}: the answer cannot be read: {e}"))),
+            .map_err(|e| Error::Vm(format!("{vm}: invalid response: {e}"))),
         404 => Ok(None),
-        status => Err(Error::Vm(format!("{vm}: status {status}"))),
+        status => Err(Error::Vm(format!("{vm}: unexpected status {status}"))),
     }
 }
--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -10,19 +10,19 @@
 /// Why a command failed.
 #[derive(Debug)]
 pub enum Error {
-    /// A file or directory.
+    /// A file or directory could not be read or written.
     File(String, std::io::Error),
-    /// The arguments make no sense together.
+    /// The arguments are invalid.
     Usage(String),
-    /// The settings have faults.
+    /// The settings are invalid.
     Faults(Vec<Fault>),
     /// The change was not accepted.
     Refused(Refusal),
-    /// The key-value service.
+    /// The key-value service failed.
     Store(Failure),
-    /// A VM does not answer, or not as it should.
+    /// A VM does not respond, or its response is unexpected.
     Vm(String),
-    /// What was asked for is not there.
+    /// The requested item does not exist.
     NotFound(String),
 }
 
--- a/cli/src/files.rs
+++ b/cli/src/files.rs
@@ -1,4 +1,4 @@
-//! A directory of settings.
+//! Reads and writes a directory of settings.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -9,7 +9,7 @@
 
 use crate::error::Error;
 
-/// The file that says which version the directory was made from.
+/// The file that names the version that the directory is based on.
 pub const BASE: &str = ".base.json";
 
 const ORGANISATIONS: &str = "organisation";
@@ -37,7 +37,7 @@
     Ok(texts)
 }
 
-/// The branch that a file holds; none for files of other kinds.
+/// The branch that a file contains; `None` for files with another extension.
 fn name_of(path: &Path) -> Result<Option<Name>, Error> {
     if path.extension().is_none_or(|e| e != EXTENSION) {
         return Ok(None);
@@ -47,14 +47,15 @@
     Ok(Some(Name::Organisation(id)))
 }
 
-/// Reads and checks a directory.
+/// Reads and checks the settings in a directory.
 pub fn tree(dir: &Path) -> Result<(Texts, Tree), Error> {
     let texts = read(dir)?;
     let tree = Tree::build(&texts).map_err(Error::Faults)?;
     Ok((texts, tree))
 }
 
-/// Reads the version that a directory was made from; that before the first where it names none.
+/// Reads the version that a directory is based on; the default, before the first version, if it
+/// names none.
 pub fn base(dir: &Path) -> Result<Base, Error> {
     let path = dir.join(BASE);
     if !path.exists() {
@@ -64,14 +65,14 @@
     serde_json::from_slice(&text).map_err(|e| Error::File(path.display().to_string(), e.into()))
 }
 
-/// Writes the version that a directory now is.
+/// Writes the version that a directory is based on.
 pub fn write_base(dir: &Path, base: &Base) -> Result<(), Error> {
     let text = serde_json::to_string_pretty(base).expect("plain data");
     let path = dir.join(BASE);
     fs::write(&path, text + "\n").map_err(file_error(&path))
 }
 
-/// Writes the texts of all branches, and takes away files of branches that are gone.
+/// Writes the texts of all branches and removes files of branches that no longer exist.
 pub fn write(dir: &Path, texts: &Texts) -> Result<(), Error> {
     let organisations = dir.join(ORGANISATIONS);
     fs::create_dir_all(&organisations).map_err(file_error(&organisations))?;
@@ -88,7 +89,8 @@
     Ok(())
 }
 
-/// Whether a directory can be fetched into: it is empty, or its files are as they were fetched.
+/// Whether `fetch` may write to a directory: it is empty, or its files are unchanged since they were
+/// fetched.
 pub fn can_fetch(dir: &Path) -> Result<bool, Error> {
     if !dir.exists() {
         return Ok(true);
--- a/cli/src/held.rs
+++ b/cli/src/held.rs
@@ -1,4 +1,5 @@
-//! `held` and `release`: requests under which upstreams ended.
+//! `held` and `release`: requests that are quarantined or isolated because upstreams crashed while
+//! running them.
 
 use foldlock_connection::http::Client;
 use hyper::Method;
@@ -9,7 +10,7 @@
 use crate::error::Error;
 use crate::output::Output;
 
-/// Shows the requests that are held or run alone, by what each VM knows.
+/// Shows the requests that are quarantined or isolated, as each VM reports them.
 pub async fn show(args: &Status, output: Output) -> Result<(), Error> {
     let client = Client::default();
     let mut failure = None;
@@ -39,21 +40,21 @@
 fn describe(suspect: &Value, listed: Option<&Value>) -> String {
     let text = |value: &Value| value.as_str().unwrap_or_default().to_owned();
     let what = if suspect["alone"] == true {
-        "runs alone".to_owned()
+        "is isolated".to_owned()
     } else {
         let seconds = suspect["held_ms"].as_u64().unwrap_or(0) as f64 / 1e3;
-        format!("is held for {seconds:.1} s")
+        format!("is quarantined for {seconds:.1} s")
     };
     let from = listed.map_or_else(String::new, |entry| {
         let (path, organisation) = (text(&entry["path"]), text(&entry["organisation"]));
         let (request, vm) = (text(&entry["request"]), text(&entry["vm"]));
-        format!("; {path} of {organisation}, last as {request} at {vm}")
+        format!("; {path} of {organisation}, latest request {request} at {vm}")
     });
     let fingerprint = text(&suspect["fingerprint"]);
-    format!("{fingerprint} {what}: {} upstreams ended under it{from}", suspect["ended"])
+    format!("{fingerprint} {what}: {} upstreams crashed while running it{from}", suspect["ended"])
 }
 
-/// Lets a request go.
+/// Releases a request from quarantine or isolation.
 pub async fn release(args: &Release, output: Output) -> Result<(), Error> {
     let client = Client::default();
     let path = format!("/release/{}", args.fingerprint);
@@ -62,13 +63,13 @@
         match client::call(&client, Method::POST, *vm, &path).await? {
             (200, _) => released = true,
             (404, _) => {}
-            (status, _) => return Err(Error::Vm(format!("{vm}: status {status}"))),
+            (status, _) => return Err(Error::Vm(format!("{vm}: unexpected status {status}"))),
         }
     }
     if !released {
-        let why = format!("no VM that was asked holds anything against {}", args.fingerprint);
+        let why = format!("{} is not suspected at any of the queried VMs", args.fingerprint);
         return Err(Error::NotFound(why));
     }
-    output.line(&format!("{} may run beside others again", args.fingerprint));
+    output.line(&format!("{} is released and may share upstreams again", args.fingerprint));
     Ok(())
 }
--- a/cli/src/lib.rs
+++ b/cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' command: checking and applying settings, and reading what VMs show.
+//! The `foldlock` command, with which operators manage the settings and inspect the VMs.
 
 pub mod app;
 pub mod apply;
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command.
+//! The `foldlock` command.
 
 use std::process::ExitCode;
 
--- a/cli/src/output.rs
+++ b/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! Writing for people and for scripts.
+//! Output as text or JSON.
 
 use std::io::{IsTerminal, Write, stdout};
 
@@ -6,27 +6,27 @@
 
 use crate::app::Color;
 
-/// How to write.
+/// Writes to standard output.
 #[derive(Debug, Clone, Copy)]
 pub struct Output {
-    /// JSON in place of text.
+    /// Whether to write JSON instead of text.
     pub json: bool,
     color: bool,
 }
 
-/// What a word is coloured for.
+/// The meaning of a coloured text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mark {
-    /// Good.
+    /// A good state, in green.
     Good,
-    /// Bad.
+    /// A bad state, in red.
     Bad,
-    /// Less important.
+    /// Less important text, dimmed.
     Dim,
 }
 
 impl Output {
-    /// Decides on colour.
+    /// Creates an output, with colours if requested or supported.
     pub fn new(json: bool, color: Color) -> Output {
         let plain = std::env::var_os("NO_COLOR").is_some_and(|v| !v.is_empty());
         let color = match color {
@@ -37,7 +37,7 @@
         Output { json, color }
     }
 
-    /// A word in colour, where there is colour.
+    /// The text in the colour of `mark`, or unchanged if colours are off.
     pub fn mark(&self, mark: Mark, text: &str) -> String {
         if !self.color {
             return text.to_owned();
@@ -50,7 +50,7 @@
         format!("\x1b[{code}m{text}\x1b[0m")
     }
 
-    /// Writes a line. A reader who has gone away is no error.
+    /// Writes a line. Write errors are ignored, as the reader of a pipe may have closed it.
     pub fn line(&self, text: &str) {
         let _ = writeln!(stdout(), "{text}");
     }
--- a/cli/src/show.rs
+++ b/cli/src/show.rs
@@ -1,4 +1,4 @@
-//! `show`: the effective settings of a branch and where each value comes from.
+//! `show`: the effective settings of a branch and where each value is set.
 
 use foldlock_base::id;
 use foldlock_version::check::nearest;
@@ -10,7 +10,7 @@
 use crate::files;
 use crate::output::{Mark, Output};
 
-/// Shows a branch.
+/// Shows the effective settings of a branch.
 pub fn run(args: &Show, output: Output) -> Result<(), Error> {
     let (_, tree) = files::tree(&args.dir)?;
     let effective = find(&tree, &args.branch)?;
--- a/cli/src/status.rs
+++ b/cli/src/status.rs
@@ -1,4 +1,4 @@
-//! `status`: the state of VMs, a line for each.
+//! `status`: the state of each VM on one line.
 
 use std::net::SocketAddr;
 
@@ -20,7 +20,7 @@
             Ok(Some(dump)) => output.line(&row(*vm, &dump, output)),
             Ok(None) => {}
             Err(e) => {
-                output.line(&format!("{vm:<22} {}", output.mark(Mark::Bad, "no answer")));
+                output.line(&format!("{vm:<22} {}", output.mark(Mark::Bad, "no response")));
                 failure = Some(e);
             }
         }
@@ -62,19 +62,19 @@
     )
 }
 
-/// The number of peers; a VM of a fleet names each.
+/// The number of peers: a VM's dump has it as a number or, in a fleet, as the list of the peers.
 fn peers(dump: &Value) -> Value {
     dump["peers"].as_array().map_or_else(|| dump["peers"].clone(), |peers| json!(peers.len()))
 }
 
-/// Upstreams that are cold.
+/// The number of upstreams that are cold.
 fn cold(dump: &Value) -> usize {
     let upstreams = dump["upstreams"].as_array();
     let is_cold = |upstream: &&Value| upstream["cold_ms"].as_u64().is_some_and(|left| left > 0);
     upstreams.map_or(0, |upstreams| upstreams.iter().filter(is_cold).count())
 }
 
-/// Upstreams that name a rate limit, with what is known of it.
+/// Upstreams with a rate limit, and the limit.
 fn limited(dump: &Value) -> Vec<Value> {
     let upstreams = dump["upstreams"].as_array().into_iter().flatten();
     let limited = upstreams.filter(|upstream| upstream["rate_limit"].is_object());
@@ -83,7 +83,7 @@
         .collect()
 }
 
-/// What is not as usual.
+/// Unusual conditions of a VM.
 fn notes(dump: &Value) -> String {
     let mut notes = Vec::new();
     for hall in dump["drained_halls"].as_array().into_iter().flatten() {
@@ -101,14 +101,14 @@
         let (rate, sent) = (&limit["rate"], &limit["sent_last_second"]);
         let since_s = limit["since_ms"].as_u64().unwrap_or(0) / 1_000;
         notes.push(format!(
-            "{upstream} takes {rate}/s since {since_s} s by {source}, {sent} sent in the last second"
+            "{upstream} limited to {rate}/s for {since_s} s by {source}, {sent} sent in the last second"
         ));
     }
     let unread = &dump["unread"];
     if let Some(bytes) = unread["bytes"].as_u64().filter(|bytes| *bytes > 0) {
         let largest = unread["largest"][0]["request"].as_str().unwrap_or_default();
         let answers = &unread["answers"];
-        notes.push(format!("{bytes} bytes unread of {answers} answers, most of {largest}"));
+        notes.push(format!("{bytes} unread bytes of {answers} responses, most of {largest}"));
     }
     notes.iter().map(|note| format!("  {note}")).collect()
 }
--- a/cli/src/vm.rs
+++ b/cli/src/vm.rs
@@ -1,4 +1,4 @@
-//! `why`, `watch` and `dump`: what VMs show.
+//! `why`, `watch` and `dump`: decisions and state of VMs.
 
 use std::net::SocketAddr;
 
@@ -16,10 +16,10 @@
 use crate::error::Error;
 use crate::output::{Mark, Output};
 
-/// Lines that may wait to be written.
+/// Maximum number of decisions that are queued for output.
 const MAX_QUEUED_LINES: usize = 256;
 
-/// Shows a request's record.
+/// Shows the recorded decisions of a request.
 pub async fn why(args: &Why, output: Output) -> Result<(), Error> {
     let client = Client::default();
     let path = format!("/why/{}", args.request);
@@ -38,14 +38,14 @@
             Err(e) => failures.push(e.to_string()),
         }
     }
-    let mut why = format!("no VM that was asked has a record of {}", args.request);
+    let mut why = format!("none of the queried VMs has a record of {}", args.request);
     for e in failures {
         why.push_str(&format!("\n{e}"));
     }
     Err(Error::NotFound(why))
 }
 
-/// Watches decisions.
+/// Prints decisions as VMs make them.
 pub async fn watch(args: &Watch, output: Output) -> Result<(), Error> {
     let client = Client::default();
     let (sender, mut lines) = mpsc::channel(MAX_QUEUED_LINES);
@@ -99,10 +99,10 @@
             }
         }
     }
-    Err(failed(&"the VM ended the stream"))
+    Err(failed(&"the VM closed the stream"))
 }
 
-/// Shows all that a VM knows.
+/// Shows the whole state of a VM.
 pub async fn dump(args: &OneVm, output: Output) -> Result<(), Error> {
     let dump: Option<Value> = client::json(&Client::default(), args.vm, "/dump").await?;
     let dump = dump.ok_or_else(|| Error::NotFound(format!("{} has no dump", args.vm)))?;
--- a/cli/tests/command.rs
+++ b/cli/tests/command.rs
@@ -1,4 +1,4 @@
-//! The operators' command, as they call it.
+//! The `foldlock` command, run as a process.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -20,7 +20,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../examples").join(name)
 }
 
-/// A copy of the tour's settings.
+/// A copy of the settings of the tour example.
 fn settings() -> TempDir {
     let dir = TempDir::new().unwrap();
     std::fs::create_dir(dir.path().join("organisation")).unwrap();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn check_names_place_and_nearest() {
+fn check_reports_position_and_nearest_name() {
     let dir = settings();
     edit(&dir, "\"priority\": 1", "\"prioritty\": 1");
     let output = foldlock(&["check", text(&dir)]);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn show_tells_origins() {
+fn show_prints_origins() {
     let dir = settings();
     let output = foldlock(&["show", text(&dir), "tour/hint", "--origin", "--json"]);
     let value: serde_json::Value = serde_json::from_slice(&output.stdout).unwrap();
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn show_of_an_unknown_kind() {
+fn show_of_an_unknown_kind_suggests_the_nearest() {
     let dir = settings();
     check(
         &foldlock(&["show", text(&dir), "tour/hnt"]),
@@ -94,7 +94,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn of_two_who_apply_the_second_is_told_and_nothing_is_overwritten() {
+async fn a_conflicting_apply_fails_and_overwrites_nothing() {
     let address = ([127, 0, 0, 1], 0).into();
     let kv = kv::serve(address, kv::Settings::default()).await.unwrap();
     let at = kv.served.address.to_string();
@@ -126,13 +126,13 @@
         "#]],
     );
     let again = run(args(&["fetch", text(&second), "--kv", &at])).await;
-    assert_eq!(again.status.code(), Some(2), "changes that are not applied are kept");
+    assert_eq!(again.status.code(), Some(2), "fetch keeps unapplied changes");
     let store = HttpStore::new(Client::default(), &at);
     assert_eq!(read_head(&store).await.unwrap().0.version, 2);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_first_apply_of_many_branches_waits_for_the_stores_rate() {
+async fn a_first_apply_of_many_branches_retries_at_the_stores_rate_limit() {
     let address = ([127, 0, 0, 1], 0).into();
     let settings = kv::Settings { writes_per_s: 20.0, ..kv::Settings::default() };
     let kv = kv::serve(address, settings).await.unwrap();
@@ -157,8 +157,8 @@
     assert_eq!(value["properties"]["keys"]["type"], "array");
 }
 
-/// A VM that holds one request and has another run alone.
-async fn vm_that_holds() -> standin::server::Served {
+/// A VM with one quarantined and one isolated request.
+async fn vm_with_suspects() -> standin::server::Served {
     let dump = json!({
         "suspects": [
             {"fingerprint": "00000000000000aa", "ended": 3, "proofs": 1, "held_ms": 14_900, "alone": false},
@@ -184,22 +184,22 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn held_tells_what_is_kept_from_the_upstreams_and_release_lets_it_go() {
-    let vm = vm_that_holds().await;
+async fn held_lists_quarantined_requests_and_release_ends_the_quarantine() {
+    let vm = vm_with_suspects().await;
     let address = vm.address.to_string();
     let output = foldlock(&["held", "--vm", &address]);
     let shown = String::from_utf8_lossy(&output.stdout);
-    // The port differs with each run, and so does the padding behind it.
+    // The port, and so the padding after it, differs between runs.
     let sentences: Vec<&str> =
         shown.lines().map(|line| line.strip_prefix(&address).unwrap().trim_start()).collect();
-    let held = "00000000000000aa is held for 14.9 s: 3 upstreams ended under it; /audit/1 of acme, last as \
-                r-1 at vm-2";
-    assert_eq!(sentences, [held, "00000000000000bb runs alone: 2 upstreams ended under it"]);
+    let held = "00000000000000aa is quarantined for 14.9 s: 3 upstreams crashed while running it; /audit/1 of \
+                acme, latest request r-1 at vm-2";
+    assert_eq!(sentences, [held, "00000000000000bb is isolated: 2 upstreams crashed while running it"]);
     check(
         &foldlock(&["release", "00000000000000aa", "--vm", &address]),
         0,
         expect![[r#"
-            00000000000000aa may run beside others again
+            00000000000000aa is released and may share upstreams again
         "#]],
         expect![""],
     );
--- a/cli/tests/status.rs
+++ b/cli/tests/status.rs
@@ -1,4 +1,4 @@
-//! `foldlock status` before a VM of a fleet that says what is not as usual.
+//! `foldlock status` for a VM of a fleet, with and without unusual conditions.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -8,7 +8,7 @@
 use expect_test::expect;
 use serde_json::{Value, json};
 
-/// A VM that answers one call with this dump.
+/// A VM that responds to one request with this dump.
 fn vm(dump: Value) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_vm_where_all_is_as_usual_has_a_short_line() {
+fn a_vm_without_unusual_conditions_has_a_short_line() {
     expect![[r#"
         VM        front-a-1    ariana         ready  version 7  3 requests  2 peers
     "#]]
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn what_is_not_as_usual_is_named() {
+fn unusual_conditions_are_listed() {
     let mut dump = dump();
     dump["drained_halls"] =
         json!([{"name": "la-marsa", "drained": true, "revision": {"era": 0, "number": 5498}}]);
@@ -67,7 +67,7 @@
         "largest": [{"request": "r-17", "bytes": 1_000_000}, {"request": "r-9", "bytes": 250_000}],
     });
     expect![[r#"
-        VM        front-a-1    ariana         ready  version 7  3 requests  2 peers  la-marsa drained by 0.5498  1 cold  i-3 takes 2.5/s since 12 s by front-a-2, 2 sent in the last second  1250000 bytes unread of 2 answers, most of r-17
+        VM        front-a-1    ariana         ready  version 7  3 requests  2 peers  la-marsa drained by 0.5498  1 cold  i-3 limited to 2.5/s for 12 s by front-a-2, 2 sent in the last second  1250000 unread bytes of 2 responses, most of r-17
     "#]].assert_eq(&status(dump.clone(), &[]));
     let object: Value = serde_json::from_str(&status(dump, &["--json"])).unwrap();
     assert_eq!(object["cold"], 1);
