--- a/base/src/id.rs
+++ b/base/src/id.rs
@@ -144,5 +144,5 @@
 );
 id!(
     /// A reservation of engine memory.
-    Hold
+    Reservation
 );
--- a/connection/src/engine.rs
+++ b/connection/src/engine.rs
@@ -72,7 +72,7 @@
 #[derive(Debug, Clone)]
 pub struct Held {
     /// The hold.
-    pub hold: id::Hold,
+    pub hold: id::Reservation,
     /// The segments before this one.
     pub context: Context,
 }
@@ -187,13 +187,13 @@
     /// Holds memory for a time. Asking again with the same id renews the hold.
     fn hold(
         &self,
-        hold: &id::Hold,
+        hold: &id::Reservation,
         tokens: Tokens,
         ttl: Duration,
     ) -> impl Future<Output = Result<(), Failure>> + Send;
 
     /// Gives a hold back.
-    fn release(&self, hold: &id::Hold) -> impl Future<Output = Result<(), Failure>> + Send;
+    fn release(&self, hold: &id::Reservation) -> impl Future<Output = Result<(), Failure>> + Send;
 
     /// Computes a segment of a prompt into a hold and exports its state.
     fn prefill(
@@ -358,12 +358,12 @@
         serde_json::from_slice(&bytes).map_err(|e| Failure::Broken(e.to_string()))
     }
 
-    async fn hold(&self, hold: &id::Hold, tokens: Tokens, ttl: Duration) -> Result<(), Failure> {
+    async fn hold(&self, hold: &id::Reservation, tokens: Tokens, ttl: Duration) -> Result<(), Failure> {
         let path = format!("/v1/holds/{hold}?tokens={tokens}&ttl_ms={}", ttl.as_millis());
         self.call(self.request(Method::PUT, &path), Bytes::new()).await.map(drop)
     }
 
-    async fn release(&self, hold: &id::Hold) -> Result<(), Failure> {
+    async fn release(&self, hold: &id::Reservation) -> Result<(), Failure> {
         let path = format!("/v1/holds/{hold}");
         self.call(self.request(Method::DELETE, &path), Bytes::new()).await.map(drop)
     }
--- a/connection/src/wire.rs
+++ b/connection/src/wire.rs
@@ -190,7 +190,7 @@
     /// The tokens of the segment.
     pub tokens: Tokens,
     /// The hold; absent where the prompt fits one engine.
-    pub hold: Option<id::Hold>,
+    pub hold: Option<id::Reservation>,
 }
 
 /// A home's answer to an [`Ask`].
--- a/daemon/src/group.rs
+++ b/daemon/src/group.rs
@@ -73,7 +73,7 @@
     }
 }
 
-fn reservations(segments: &[Segment], flights: &[Flight<System>]) -> Vec<(HttpEngine, id::Hold)> {
+fn reservations(segments: &[Segment], flights: &[Flight<System>]) -> Vec<(HttpEngine, id::Reservation)> {
     let pair = |(s, f): (&Segment, &Flight<System>)| Some((f.client.clone(), s.hold.clone()?));
     segments.iter().zip(flights).filter_map(pair).collect()
 }
@@ -143,7 +143,7 @@
     job.process.engines.assign(&query, &segment.engine)
 }
 
-async fn renew(reservations: Vec<(HttpEngine, id::Hold)>) {
+async fn renew(reservations: Vec<(HttpEngine, id::Reservation)>) {
     loop {
         tokio::time::sleep(RENEW_INTERVAL).await;
         for (engine, hold) in &reservations {
