--- a/base/src/error.rs
+++ b/base/src/error.rs
@@ -165,7 +165,7 @@
 }
 
 impl Sent {
-    /// Restores the proof that the request did not run, given the refusal of the only attempt.
+    /// Restores the proof that the request did not run, given the refusal.
     pub fn refused(self, _proof: Refusal) -> Unsent {
         Unsent(())
     }
--- a/cli/src/app.rs
+++ b/cli/src/app.rs
@@ -80,7 +80,7 @@
 /// A directory of settings.
 #[derive(Debug, Args)]
 pub struct Tree {
-    /// The directory: `fleet.jsonc` and `organisation/NAME.jsonc`.
+    /// The directory, with `fleet.jsonc` and `organisation/NAME.jsonc`.
     pub dir: PathBuf,
 }
 
--- a/cli/src/apply.rs
+++ b/cli/src/apply.rs
@@ -25,9 +25,7 @@
 pub async fn fetch(args: &Fetch, output: Output) -> Result<(), Error> {
     if !files::can_fetch(&args.dir)? {
         let dir = args.dir.display();
-        return Err(Error::Usage(format!(
-            "{dir} has unapplied changes or other files"
-        )));
+        return Err(Error::Usage(format!("{dir} has unapplied changes or other files")));
     }
     let store = HttpStore::new(Client::default(), &args.kv.to_string());
     let (head, _) = read_head(&store).await.map_err(Error::Store)?;
@@ -90,7 +88,8 @@
     head: &Head,
     own: &foldlock_version::tree::Texts,
 ) -> Result<(), Error> {
-    let own_texts = own.values().map(|t| (foldlock_version::head::Hash::of(t), t.clone())).collect();
+    let own_texts =
+        own.values().map(|t| (foldlock_version::head::Hash::of(t), t.clone())).collect();
     let texts = read_texts(store, head, &own_texts).await.map_err(Error::Store)?;
     files::write(&args.dir, &texts)?;
     files::write_base(&args.dir, &Base::from(head))
@@ -103,7 +102,11 @@
 }
 
 /// Waits until a version is in force on all VMs and returns when that was; `None` without VMs.
-async fn wait_in_force(client: &Client, vms: &[SocketAddr], version: u64) -> Result<Option<Instant>, Error> {
+async fn wait_in_force(
+    client: &Client,
+    vms: &[SocketAddr],
+    version: u64,
+) -> Result<Option<Instant>, Error> {
     let deadline = Instant::now() + IN_FORCE_TIMEOUT;
     for vm in vms {
         loop {
@@ -112,7 +115,8 @@
                 break;
             }
             if Instant::now() > deadline {
-                let why = format!("{vm}: version {version} is accepted but not yet in force on this VM");
+                let why =
+                    format!("{vm}: version {version} is accepted but not yet in force on this VM");
                 return Err(Error::Vm(why));
             }
             tokio::time::sleep(POLL_INTERVAL).await;
--- a/cli/src/files.rs
+++ b/cli/src/files.rs
@@ -95,8 +95,10 @@
     if !dir.exists() {
         return Ok(true);
     }
-    let entries: Vec<PathBuf> =
-        fs::read_dir(dir).map_err(file_error(dir))?.filter_map(|e| e.ok().map(|e| e.path())).collect();
+    let entries: Vec<PathBuf> = fs::read_dir(dir)
+        .map_err(file_error(dir))?
+        .filter_map(|e| e.ok().map(|e| e.path()))
+        .collect();
     if entries.is_empty() {
         return Ok(true);
     }
--- a/cli/tests/command.rs
+++ b/cli/tests/command.rs
@@ -194,7 +194,10 @@
         shown.lines().map(|line| line.strip_prefix(&address).unwrap().trim_start()).collect();
     let held = "00000000000000aa is quarantined for 14.9 s: 3 upstreams crashed while running it; /audit/1 of \
                 acme, latest request r-1 at vm-2";
-    assert_eq!(sentences, [held, "00000000000000bb is isolated: 2 upstreams crashed while running it"]);
+    assert_eq!(
+        sentences,
+        [held, "00000000000000bb is isolated: 2 upstreams crashed while running it"]
+    );
     check(
         &foldlock(&["release", "00000000000000aa", "--vm", &address]),
         0,
--- a/connection/src/engine.rs
+++ b/connection/src/engine.rs
@@ -358,7 +358,12 @@
         serde_json::from_slice(&bytes).map_err(|e| Failure::Broken(e.to_string()))
     }
 
-    async fn hold(&self, hold: &id::Reservation, tokens: Tokens, ttl: Duration) -> Result<(), Failure> {
+    async fn hold(
+        &self,
+        hold: &id::Reservation,
+        tokens: Tokens,
+        ttl: Duration,
+    ) -> Result<(), Failure> {
         let path = format!("/v1/holds/{hold}?tokens={tokens}&ttl_ms={}", ttl.as_millis());
         self.call(self.request(Method::PUT, &path), Bytes::new()).await.map(drop)
     }
--- a/daemon/src/group.rs
+++ b/daemon/src/group.rs
@@ -73,7 +73,10 @@
     }
 }
 
-fn reservations(segments: &[Segment], flights: &[Flight<System>]) -> Vec<(HttpEngine, id::Reservation)> {
+fn reservations(
+    segments: &[Segment],
+    flights: &[Flight<System>],
+) -> Vec<(HttpEngine, id::Reservation)> {
     let pair = |(s, f): (&Segment, &Flight<System>)| Some((f.client.clone(), s.hold.clone()?));
     segments.iter().zip(flights).filter_map(pair).collect()
 }
