--- a/cli/src/apply.rs
+++ b/cli/src/apply.rs
@@ -15,19 +15,17 @@
 use crate::files;
 use crate::output::{Mark, Output};
 
-/// How long VMs have to put a change in force before the command gives up waiting.
-const IN_FORCE: Duration = Duration::from_secs(10);
+/// Time-out for a change to be in force on all VMs.
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often VMs are asked.
-const POLL: Duration = Duration::from_millis(20);
+/// Interval at which a VM is polled for its version.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Fetches the accepted settings.
+/// Downloads the accepted settings.
 pub async fn fetch(args: &Fetch, output: Output) -> Result<(), Error> {
     if !files::can_fetch(&args.dir)? {
         let dir = args.dir.display();
-        return Err(Error::Usage(format!(
-            "{dir} has changes that are not applied, or other files"
-        )));
+        return Err(Error::Usage(format!("{dir} has unapplied changes or other files")));
     }
     let store = HttpStore::new(Client::default(), &args.kv.to_string());
     let (head, _) = read_head(&store).await.map_err(Error::Store)?;
@@ -52,7 +50,7 @@
     in_force_ms: Option<u64>,
 }
 
-/// Applies a directory.
+/// Publishes a directory of settings.
 pub async fn run(args: &Apply, output: Output) -> Result<(), Error> {
     let (texts, _) = files::tree(&args.dir)?;
     let base = files::base(&args.dir)?;
@@ -66,16 +64,16 @@
         Outcome::Accepted(head) => (head, true),
         Outcome::Unchanged(head) => (head, false),
     };
-    settle(args, &store, &head, &texts).await?;
-    let in_force = wait(&client, &args.vms, head.version).await?;
+    write_accepted(args, &store, &head, &texts).await?;
+    let in_force = wait_in_force(&client, &args.vms, head.version).await?;
     let in_force_ms = in_force.map(|at| (at - started).as_millis() as u64);
     let applied = Applied { version: head.version, changed, in_force_ms };
     if output.json {
         output.value(&applied);
         return Ok(());
     }
-    let word = if changed { "accepted" } else { "unchanged" };
-    let mut line = format!("{}: version {}", output.mark(Mark::Good, word), head.version);
+    let result = if changed { "accepted" } else { "unchanged" };
+    let mut line = format!("{}: version {}", output.mark(Mark::Good, result), head.version);
     if let Some(ms) = in_force_ms {
         line.push_str(&format!(", in force on {} VMs after {ms} ms", args.vms.len()));
     }
@@ -83,39 +81,45 @@
     Ok(())
 }
 
-/// Brings the directory to the accepted version, which may hold others' changes too.
-async fn settle(
+/// Writes the accepted version to the directory; it may contain changes of others too.
+async fn write_accepted(
     args: &Apply,
     store: &HttpStore,
     head: &Head,
     own: &foldlock_version::tree::Texts,
 ) -> Result<(), Error> {
-    let known = own.values().map(|t| (foldlock_version::head::Hash::of(t), t.clone())).collect();
-    let texts = read_texts(store, head, &known).await.map_err(Error::Store)?;
+    let own_texts =
+        own.values().map(|t| (foldlock_version::head::Hash::of(t), t.clone())).collect();
+    let texts = read_texts(store, head, &own_texts).await.map_err(Error::Store)?;
     files::write(&args.dir, &texts)?;
     files::write_base(&args.dir, &Base::from(head))
 }
 
-/// An id that no other change has.
+/// A unique id of a change.
 fn change_id(author: &str) -> String {
     let nanos = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos());
     format!("{author}-{}-{nanos:x}", std::process::id())
 }
 
-/// Waits until each VM has a version in force. Gives when that was; none without VMs.
-async fn wait(client: &Client, vms: &[SocketAddr], version: u64) -> Result<Option<Instant>, Error> {
-    let until = Instant::now() + IN_FORCE;
+/// Waits until a version is in force on all VMs and returns when that was; `None` without VMs.
+async fn wait_in_force(
+    client: &Client,
+    vms: &[SocketAddr],
+    version: u64,
+) -> Result<Option<Instant>, Error> {
+    let deadline = Instant::now() + IN_FORCE_TIMEOUT;
     for vm in vms {
         loop {
             let head: Option<Head> = client::json(client, *vm, "/version").await?;
             if head.is_some_and(|h| h.version >= version) {
                 break;
             }
-            if Instant::now() > until {
-                let why = format!("{vm}: version {version} is accepted but not in force there");
+            if Instant::now() > deadline {
+                let why =
+                    format!("{vm}: version {version} is accepted but not yet in force on this VM");
                 return Err(Error::Vm(why));
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
     Ok((!vms.is_empty()).then(Instant::now))
--- a/connection/src/engine.rs
+++ b/connection/src/engine.rs
@@ -72,7 +72,7 @@
 #[derive(Debug, Clone)]
 pub struct Segment {
     /// Id of the reservation.
-    pub reservation: id::Hold,
+    pub reservation: id::Reservation,
     /// State of the previous segments.
     pub context: Context,
 }
@@ -187,13 +187,13 @@
     /// Reserves memory for `ttl`. A further call with the same id renews the reservation.
     fn reserve(
         &self,
-        hold: &id::Hold,
+        hold: &id::Reservation,
         tokens: Tokens,
         ttl: Duration,
     ) -> impl Future<Output = Result<(), Failure>> + Send;
 
     /// Releases a reservation.
-    fn release(&self, hold: &id::Hold) -> impl Future<Output = Result<(), Failure>> + Send;
+    fn release(&self, hold: &id::Reservation) -> impl Future<Output = Result<(), Failure>> + Send;
 
     /// Runs the prefill of a segment into its reservation and exports the resulting state.
     fn prefill(
@@ -300,7 +300,7 @@
         return Err(Failure::Gone);
     }
     let why = format!("status {status}: {}", String::from_utf8_lossy(response.body()).trim());
-    match Refusal::read(status, header_text(&response, Refusal::HEADER)) {
+    match Refusal::from_response(status, header_text(&response, Refusal::HEADER)) {
         Some(proof) => {
             let leaving = header_text(&response, header::LEAVING) == Some("true");
             Err(Failure::NotRun { proof, leaving, why })
@@ -359,12 +359,17 @@
         serde_json::from_slice(&bytes).map_err(|e| Failure::Broken(e.to_string()))
     }
 
-    async fn reserve(&self, hold: &id::Hold, tokens: Tokens, ttl: Duration) -> Result<(), Failure> {
+    async fn reserve(
+        &self,
+        hold: &id::Reservation,
+        tokens: Tokens,
+        ttl: Duration,
+    ) -> Result<(), Failure> {
         let path = format!("/v1/holds/{hold}?tokens={tokens}&ttl_ms={}", ttl.as_millis());
         self.call(self.request(Method::PUT, &path), Bytes::new()).await.map(drop)
     }
 
-    async fn release(&self, hold: &id::Hold) -> Result<(), Failure> {
+    async fn release(&self, hold: &id::Reservation) -> Result<(), Failure> {
         let path = format!("/v1/holds/{hold}");
         self.call(self.request(Method::DELETE, &path), Bytes::new()).await.map(drop)
     }
