--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -1,5 +1,5 @@
-//! A model engine: batches continuously under a token budget a step, prefills in chunks by
-//! priority, caches prefixes in limited memory, keeps streams for resuming and holds for a time.
+//! A model engine: continuous batching under a token budget per pass, chunked prefill by priority,
+//! a prefix cache in limited memory, streams that can be resumed, and reservations that expire.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -15,34 +15,34 @@
 use crate::server::LEAVING;
 use crate::stream::Stream;
 
-/// How an engine is made.
+/// Settings of an engine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
     /// The models it serves.
     pub models: Vec<String>,
-    /// Tokens that its memory holds.
+    /// Memory capacity in tokens.
     pub memory: u64,
-    /// Tokens that one step computes at most.
+    /// Maximum number of tokens computed in one pass.
     pub step_tokens: u64,
-    /// Milliseconds of a step by itself.
+    /// Fixed cost of a pass in milliseconds.
     pub step_ms: f64,
-    /// Milliseconds a token in a step.
+    /// Additional cost of each token in a pass, in milliseconds.
     pub token_ms: f64,
-    /// Milliseconds a prompt token and token of context before it: the part that grows with the
-    /// square of the length.
+    /// Milliseconds for each pair of a prompt token and a token of context before it: the share of
+    /// the cost that grows with the square of the prompt length.
     pub context_ms: f64,
-    /// How many times as fast as these figures it runs.
+    /// Factor by which the engine runs faster than these costs.
     pub speed: f64,
-    /// Requests that wait at most; beyond that it refuses.
+    /// Maximum number of queued requests; further ones are refused.
     pub max_waiting: usize,
-    /// How old its reports are, milliseconds.
+    /// Age of the reports it serves, in milliseconds.
     pub report_lag_ms: u64,
-    /// How late its cache events are, milliseconds.
+    /// Delay of its cache events, in milliseconds.
     pub cache_lag_ms: u64,
-    /// Each how manieth cache event is lost; 0 for none.
+    /// Every n-th cache event is lost; 0 for none.
     pub cache_gap: u64,
-    /// Whether it checks the fence of orders.
+    /// Whether orders with an older fence are refused.
     pub checks_fence: bool,
 }
 
@@ -65,34 +65,34 @@
     }
 }
 
-/// What a request asks for.
+/// A request to generate or to prefill.
 #[derive(Debug, Clone, Default)]
 pub struct Ask {
     /// The request's id.
     pub request: String,
     /// The model.
     pub model: String,
-    /// The prompt, or its last segment.
+    /// The prompt, or its segment for this engine.
     pub prompt: bytes::Bytes,
-    /// The most tokens to generate; 0 to prefill only.
+    /// Maximum number of tokens to generate; 0 to prefill only.
     pub max_tokens: u64,
-    /// Lower goes first.
+    /// Priority; lower values are served first.
     pub priority: u8,
-    /// The index of the first token.
+    /// The index of the first generated token.
     pub first_index: u64,
-    /// Until when it may run.
+    /// Time after which the request is aborted.
     pub deadline: Duration,
-    /// How long the stream is kept without a reader.
+    /// How long the request keeps running without a reader.
     pub linger: Duration,
-    /// The hold whose memory it uses.
+    /// The reservation whose memory it uses.
     pub hold: Option<String>,
-    /// Tokens before this segment, on other engines.
+    /// Tokens of the segments before this one, which are on other engines.
     pub context_tokens: u64,
-    /// The state after the segments before this one.
+    /// The prefix state after the segments before this one.
     pub context_state: Option<u64>,
 }
 
-/// Why an ask is refused: the status and the reason. Nothing ran.
+/// Why a request is refused before it runs: the HTTP status and the reason.
 pub type Refusal = (u16, &'static str);
 
 struct Job {
@@ -123,7 +123,7 @@
     filled: u64,
 }
 
-/// What the report says; the field names are the protocol's.
+/// The engine's load report; the field names are those of the protocol.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Report {
     seq: u64,
@@ -136,7 +136,7 @@
     used: u64,
 }
 
-/// An event of the prefix cache.
+/// An event of the prefix cache: blocks that were stored.
 #[derive(Debug, Clone, Serialize)]
 pub struct CacheEvent {
     seq: u64,
@@ -145,22 +145,22 @@
     at: Option<Instant>,
 }
 
-/// What tests look at.
+/// Counters for tests.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Stats {
     /// Tokens of memory in use.
     pub used: u64,
-    /// Tokens of memory that holds have taken.
+    /// Tokens of memory that are reserved.
     pub held: u64,
-    /// Streams that are kept.
+    /// Number of streams that can be read.
     pub streams: usize,
-    /// How many times each request was begun, over all its streams.
+    /// How many times each request was started, over all its streams, by request id.
     pub runs: BTreeMap<String, u32>,
-    /// Requests begun.
+    /// Number of requests started.
     pub begun: u64,
-    /// Prompt tokens computed.
+    /// Number of prompt tokens computed.
     pub computed: u64,
-    /// Milliseconds since the newest request was begun.
+    /// Milliseconds since the last request was started.
     pub idle_ms: u64,
 }
 
@@ -193,7 +193,7 @@
 }
 
 impl Engine {
-    /// An idle engine. [`Engine::run`] makes it work.
+    /// Creates an idle engine; [`Engine::run`] processes its requests.
     pub fn new(settings: Settings) -> Arc<Engine> {
         Arc::new(Engine {
             state: Mutex::default(),
@@ -206,7 +206,7 @@
         })
     }
 
-    /// Takes a request, or says no.
+    /// Queues a request, or refuses it.
     pub fn begin(&self, ask: Ask) -> Result<Arc<Stream>, Refusal> {
         let blocks = prefix::blocks(&ask.prompt, usize::MAX);
         let start = ask.context_state.unwrap_or(prefix::START);
@@ -273,12 +273,12 @@
         }
     }
 
-    /// A stream that is kept.
+    /// The stream with this id, unless it has been removed.
     pub fn stream(&self, id: &str) -> Option<Arc<Stream>> {
         self.state.lock().unwrap().streams.get(id).cloned()
     }
 
-    /// Ends a stream.
+    /// Aborts a stream; false if there is none with this id.
     pub fn cancel(&self, id: &str) -> bool {
         let mut inner = self.state.lock().unwrap();
         let found = inner.streams.remove(id);
@@ -289,7 +289,7 @@
         found.is_some()
     }
 
-    /// Holds memory for a time, or renews a hold.
+    /// Reserves memory for `ttl`, or renews the reservation with this id.
     pub fn hold(&self, id: &str, tokens: u64, ttl: Duration) -> Result<(), Refusal> {
         let mut inner = self.state.lock().unwrap();
         let until = Instant::now() + ttl;
@@ -309,7 +309,7 @@
         Ok(())
     }
 
-    /// Gives a hold back.
+    /// Releases a reservation and aborts the requests that use it.
     pub fn release(&self, id: &str) -> bool {
         let mut inner = self.state.lock().unwrap();
         let Some(hold) = inner.holds.remove(id) else { return false };
@@ -321,13 +321,13 @@
         true
     }
 
-    /// Exports what a hold has computed: its tokens and state.
+    /// Exports the result in a reservation: the number of computed tokens and the prefix state.
     pub fn export(&self, id: &str) -> Option<(u64, u64)> {
         let inner = self.state.lock().unwrap();
         inner.holds.get(id).map(|h| (h.filled, h.state))
     }
 
-    /// Imports another engine's export into a hold.
+    /// Imports another engine's export into a reservation.
     pub fn import(&self, id: &str, tokens: u64, state: u64) -> Result<(), Refusal> {
         let mut inner = self.state.lock().unwrap();
         let hold = inner.holds.get_mut(id).ok_or((409, "no such hold"))?;
@@ -339,7 +339,7 @@
         Ok(())
     }
 
-    /// Takes an order to serve these models, under a fence.
+    /// Replaces the models that are served; an order with an older fence is refused.
     pub fn order(&self, fence: u64, models: Vec<String>) -> Result<(), Refusal> {
         let mut inner = self.state.lock().unwrap();
         if self.settings.checks_fence && fence < inner.fence {
@@ -350,22 +350,22 @@
         Ok(())
     }
 
-    /// Takes no more new work, or takes it again.
+    /// Sets whether the engine is leaving; while it is, new requests are refused.
     pub fn leave(&self, leaving: bool) {
         self.state.lock().unwrap().leaving = leaving;
     }
 
-    /// Runs at another speed from now on.
+    /// Changes the speed factor.
     pub fn set_speed(&self, speed: f64) {
         *self.speed.lock().unwrap() = speed;
     }
 
-    /// Adds a fault for the next streams.
+    /// Injects a fault into the next streams.
     pub fn add_fault(&self, fault: Fault) {
         self.state.lock().unwrap().faults.push_back(fault);
     }
 
-    /// The report as it was some time ago.
+    /// The newest report that is at least `report_lag_ms` old, or else the oldest one.
     pub fn report(&self) -> Report {
         let mut inner = self.state.lock().unwrap();
         let now = self.report_now(&inner);
@@ -391,7 +391,7 @@
         }
     }
 
-    /// The cache events after `seq` that are old enough to be told.
+    /// The cache events after `seq` that are at least `cache_lag_ms` old.
     pub fn cache_events(&self, seq: u64) -> Vec<CacheEvent> {
         let lag = Duration::from_millis(self.settings.cache_lag_ms);
         let inner = self.state.lock().unwrap();
@@ -399,7 +399,7 @@
         inner.cache_events.iter().filter(told).cloned().collect()
     }
 
-    /// What tests look at.
+    /// Counters for tests.
     pub fn stats(&self) -> Stats {
         let inner = self.state.lock().unwrap();
         Stats {
@@ -413,7 +413,7 @@
         }
     }
 
-    /// Works until the task is ended.
+    /// Processes requests until the task is aborted.
     pub async fn run(self: Arc<Engine>) {
         loop {
             let planned = self.plan();
@@ -433,7 +433,8 @@
         }
     }
 
-    /// Chooses the tokens of the next step: one for each answer, then prefill by priority.
+    /// Selects the tokens of the next pass: one for each decoding request, then prefill by
+    /// priority.
     fn plan(&self) -> Vec<Chunk> {
         let mut inner = self.state.lock().unwrap();
         self.reap(&mut inner);
@@ -526,7 +527,7 @@
         }
     }
 
-    /// Takes away what has ended, and gives its memory back.
+    /// Removes finished requests, streams and reservations, and releases their memory.
     fn reap(&self, inner: &mut State) {
         let now = Instant::now();
         let mut memory = self.memory.lock().unwrap();
@@ -563,10 +564,10 @@
     }
 }
 
-/// How long a finished stream without a reader can still be read again.
+/// How long a finished stream without a reader can still be resumed.
 const FINISHED_KEPT: Duration = Duration::from_secs(5);
 
-/// A step shorter than this is not slept for: timers are no finer than a millisecond.
+/// Shorter passes yield instead of sleeping, since the timer resolution is a millisecond.
 const LEAST_SLEEP: Duration = Duration::from_micros(200);
 
 struct Chunk {
--- a/standin/src/engine_http.rs
+++ b/standin/src/engine_http.rs
@@ -1,4 +1,4 @@
-//! The engine's protocol over HTTP.
+//! HTTP server for the protocol of a model engine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,11 +18,11 @@
 use crate::server::{self, Body, Served, header, json, query, refused, text};
 use crate::stream::Stream;
 
-/// An engine that is served.
+/// An engine and its HTTP server.
 pub struct Serving {
     /// The engine.
     pub engine: Arc<Engine>,
-    /// Its listener.
+    /// The HTTP server.
     pub served: Served,
     work: tokio::task::JoinHandle<()>,
 }
@@ -33,7 +33,7 @@
     }
 }
 
-/// Makes an engine and serves it on `address`.
+/// Creates an engine and serves it on `address`.
 pub async fn serve(address: SocketAddr, settings: Settings) -> std::io::Result<Serving> {
     let engine = Engine::new(settings);
     let work = tokio::spawn(engine.clone().run());
@@ -153,7 +153,7 @@
     }
 }
 
-/// Computes a segment and answers with its exported state.
+/// Prefills a segment and responds with its exported state.
 async fn prefill(engine: Arc<Engine>, request: Request<Incoming>) -> Response<Body> {
     let mut ask = ask(request).await;
     ask.max_tokens = 0;
@@ -185,7 +185,7 @@
     }
 }
 
-/// Counts a reader of a stream for as long as it lives.
+/// Guard that registers a reader of a stream until dropped.
 struct Reader(Arc<Stream>);
 
 impl Reader {
@@ -224,7 +224,7 @@
 }
 
 impl Writer {
-    /// Waits for output and writes all that is there as events.
+    /// Waits for output and encodes all available tokens as events.
     async fn next_bytes(&mut self) -> Option<std::io::Result<Bytes>> {
         if self.ended {
             return None;
--- a/standin/src/fault.rs
+++ b/standin/src/fault.rs
@@ -1,38 +1,38 @@
-//! Faults that a test asks of a stand-in.
+//! Faults that tests inject into a stand-in.
 
 use serde::{Deserialize, Serialize};
 
-/// What goes wrong with a stream.
+/// The kind of a fault in a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Nothing more comes; the connection stays open.
+    /// No more events are sent, and the connection stays open.
     Freeze,
-    /// The connection is cut.
+    /// The connection is closed.
     Cut,
-    /// An event of another request comes.
+    /// An event of another request is sent.
     Cross,
-    /// The event comes twice.
+    /// The event is sent twice.
     Double,
     /// The event is left out.
     Skip,
-    /// The event changes places with the next one.
+    /// The event is swapped with the next one.
     Reorder,
-    /// The request is refused, truthfully.
+    /// The request is refused and does not run.
     Refuse,
-    /// The request runs and the connection is cut in place of the answer.
+    /// The request runs, and the connection is closed instead of a response.
     LoseAnswer,
 }
 
-/// A fault of the next streams.
+/// A fault to inject into the next streams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
-    /// What goes wrong.
+    /// The kind of the fault.
     pub kind: Kind,
-    /// At which token, counted from the stream's first.
+    /// Index of the affected token, counted from the stream's first.
     #[serde(default)]
     pub at: u64,
-    /// For how many streams.
+    /// Number of streams to affect.
     #[serde(default = "one")]
     pub count: u32,
 }
--- a/standin/src/memory.rs
+++ b/standin/src/memory.rs
@@ -1,13 +1,13 @@
-//! An engine's memory: what streams and holds use, and the prefix cache in what is left.
+//! An engine's memory: used by requests and reservations; the prefix cache takes the remainder.
 
 use std::collections::{BTreeMap, HashMap};
 
 use foldlock_base::prefix::BLOCK;
 
-/// Tokens of a cached block.
+/// Tokens in a block of the prefix cache.
 pub const BLOCK_TOKENS: u64 = (BLOCK / crate::answer::TOKEN_LEN) as u64;
 
-/// Memory in tokens.
+/// Memory, counted in tokens, with an LRU prefix cache.
 #[derive(Debug)]
 pub struct Memory {
     total: u64,
@@ -18,22 +18,23 @@
 }
 
 impl Memory {
-    /// Empty memory for `total` tokens.
+    /// Creates an empty memory of `total` tokens.
     pub fn new(total: u64) -> Memory {
         Memory { total, used: 0, blocks: HashMap::new(), by_age: BTreeMap::new(), stamp: 0 }
     }
 
-    /// Tokens in all.
+    /// The capacity in tokens.
     pub fn total(&self) -> u64 {
         self.total
     }
 
-    /// Tokens in use, the cache aside.
+    /// Tokens in use, without the prefix cache.
     pub fn used(&self) -> u64 {
         self.used
     }
 
-    /// Takes tokens, at the cost of the cache; false, and nothing taken, where they do not fit.
+    /// Reserves tokens, and evicts cached blocks for them; false if they do not fit, with nothing
+    /// reserved.
     pub fn take(&mut self, tokens: u64) -> bool {
         if self.used + tokens > self.total {
             return false;
@@ -43,13 +44,13 @@
         true
     }
 
-    /// Gives tokens back.
+    /// Releases tokens.
     pub fn give(&mut self, tokens: u64) {
         assert!(tokens <= self.used, "memory is given back once only");
         self.used -= tokens;
     }
 
-    /// How many of the leading blocks are cached, in tokens.
+    /// Length of the cached prefix of `blocks`, in tokens.
     pub fn cached(&mut self, blocks: &[u64]) -> u64 {
         let hits = blocks.iter().take_while(|b| self.blocks.contains_key(b)).count();
         for block in &blocks[..hits] {
@@ -58,7 +59,7 @@
         hits as u64 * BLOCK_TOKENS
     }
 
-    /// Caches blocks, as far as there is room.
+    /// Adds blocks to the cache and evicts the least recently used ones beyond the free memory.
     pub fn cache(&mut self, blocks: &[u64]) {
         for block in blocks {
             self.touch(*block);
--- a/standin/src/stream.rs
+++ b/standin/src/stream.rs
@@ -1,4 +1,4 @@
-//! The answer to one request, as an engine writes it and readers read it.
+//! The output of one request, written by the engine and read by HTTP responses.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
@@ -8,31 +8,31 @@
 use crate::engine::Ask;
 use crate::fault::Fault;
 
-/// What a stream's readers see.
+/// The output of a stream so far.
 #[derive(Debug, Default)]
 pub struct Output {
-    /// The tokens so far.
+    /// The generated tokens.
     pub tokens: Vec<String>,
-    /// Why it ended, once it has.
+    /// The finish reason, once generation is complete.
     pub end: Option<&'static str>,
-    /// The prefix state after the prompt, once it is computed.
+    /// The prefix state after the prompt, once the prompt is computed.
     pub state: Option<u64>,
-    /// Whether it was broken off.
+    /// Whether the request was aborted.
     pub dead: bool,
 }
 
-/// A stream: the answer to one request.
+/// The stream of one request.
 #[derive(Debug)]
 pub struct Stream {
-    /// Its id.
+    /// The stream's id.
     pub id: String,
-    /// The request.
+    /// The request's id.
     pub request: String,
-    /// The index of its first token.
+    /// The index of the first token.
     pub first_index: u64,
-    /// Prompt tokens that were cached.
+    /// Number of prompt tokens found in the prefix cache.
     pub cached: u64,
-    /// What goes wrong with it.
+    /// The fault to inject.
     pub fault: Option<Fault>,
     output: Mutex<Output>,
     readers: Mutex<Readers>,
@@ -46,7 +46,7 @@
 }
 
 impl Stream {
-    /// An empty stream without a reader.
+    /// Creates an empty stream without a reader.
     pub fn new(id: String, ask: &Ask, cached: u64, fault: Option<Fault>) -> Stream {
         Stream {
             id,
@@ -60,35 +60,35 @@
         }
     }
 
-    /// Looks at the output.
+    /// Reads the output.
     pub fn look<R>(&self, f: impl FnOnce(&Output) -> R) -> R {
         f(&self.output.lock().unwrap())
     }
 
-    /// Waits for more output. Take the waiter before looking.
+    /// Resolves at the next change of the output. Call it before reading, or a change is missed.
     pub fn changed(&self) -> tokio::sync::futures::Notified<'_> {
         self.changed.notified()
     }
 
-    /// Counts a reader in.
+    /// Registers a reader.
     pub fn attach(&self) {
         self.readers.lock().unwrap().count += 1;
     }
 
-    /// Counts a reader out.
+    /// Unregisters a reader.
     pub fn detach(&self) {
         let mut readers = self.readers.lock().unwrap();
         readers.count -= 1;
         readers.left_at = Instant::now();
     }
 
-    /// Whether it has had no reader for this long.
+    /// Whether the stream has had no reader for longer than `linger`.
     pub fn abandoned(&self, linger: Duration) -> bool {
         let readers = self.readers.lock().unwrap();
         readers.count == 0 && readers.left_at.elapsed() > linger
     }
 
-    /// Changes the output and wakes the readers.
+    /// Changes the output and notifies the readers.
     pub fn write(&self, f: impl FnOnce(&mut Output)) {
         f(&mut self.output.lock().unwrap());
         self.changed.notify_waiters();
