--- a/standin/src/kv.rs
+++ b/standin/src/kv.rs
@@ -1,5 +1,5 @@
-//! The key-value service: compare-and-swap, leases and watches under rate limits that count each
-//! call, with outages, slowness and answers lost after the write.
+//! The key-value service: compare-and-swap, leases and watches under rate limits that count every
+//! call, with injected outages, latency and responses lost after the write.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,24 +14,24 @@
 
 use crate::server::{self, Body, Served, header, json, query, text};
 
-/// The largest value, bytes.
+/// Maximum size of a value in bytes.
 const MAX_VALUE: usize = 1 << 20;
 
-/// How the service behaves; can be changed while it runs.
+/// Settings of the service; they can be changed while it runs.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Writes a second; 0 for no limit.
+    /// Rate limit of writes per second; 0 for no limit.
     pub writes_per_s: f64,
-    /// Reads a second, watches among them; 0 for no limit.
+    /// Rate limit of reads and watches per second; 0 for no limit.
     pub reads_per_s: f64,
-    /// How long each call takes, milliseconds.
+    /// Latency of each call in milliseconds.
     pub delay_ms: u64,
-    /// Whether it is down: calls hang until their caller gives up.
+    /// Whether the service is down: calls hang until the client times out.
     pub down: bool,
-    /// How many of the next writes take effect without an answer.
+    /// Number of next writes that take effect without a response.
     pub lose_answers: u32,
-    /// Each how manieth write takes effect without an answer; 0 for none.
+    /// Every n-th write takes effect without a response; 0 for none.
     pub lose_each: u64,
 }
 
@@ -48,16 +48,16 @@
     }
 }
 
-/// Calls so far.
+/// Counters of the calls so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
-    /// Reads and watches.
+    /// Number of reads and watches.
     pub reads: u64,
-    /// Writes.
+    /// Number of writes.
     pub writes: u64,
-    /// Calls refused for their rate.
+    /// Number of calls refused by a rate limit.
     pub limited: u64,
-    /// Keys.
+    /// Number of keys.
     pub keys: u64,
 }
 
@@ -67,7 +67,7 @@
     lease: Option<u64>,
 }
 
-/// A rate limit with a second's worth of burst.
+/// A token bucket whose capacity is the tokens of one second.
 struct Bucket {
     left: f64,
     at: Instant,
@@ -99,17 +99,17 @@
     settings: Settings,
 }
 
-/// The service.
+/// The key-value service.
 pub struct Kv {
     state: Mutex<State>,
     changed: Notify,
 }
 
-/// A service that is served.
+/// A key-value service and its HTTP server.
 pub struct Serving {
-    /// The service.
+    /// The key-value service.
     pub kv: Arc<Kv>,
-    /// Its listener.
+    /// The HTTP server.
     pub served: Served,
 }
 
@@ -134,13 +134,13 @@
 }
 
 impl Kv {
-    /// Changes how the service behaves.
+    /// Changes the settings.
     pub fn adjust(&self, f: impl FnOnce(&mut Settings)) {
         f(&mut self.state.lock().unwrap().settings);
         self.changed.notify_waiters();
     }
 
-    /// The calls so far.
+    /// The counters.
     pub fn stats(&self) -> Stats {
         let state = self.state.lock().unwrap();
         Stats { keys: state.values.len() as u64, ..state.stats }
@@ -166,7 +166,7 @@
         state.values.get(key).map(|v| (v.bytes.clone(), v.revision))
     }
 
-    /// Writes or deletes; gives the revision, none on a conflict.
+    /// Writes or deletes a key; returns the new revision, or none on a conflict.
     fn write(
         &self,
         key: &str,
@@ -195,7 +195,7 @@
         Some(revision)
     }
 
-    /// Whether the answer to this write is lost.
+    /// Whether the response to this write is lost.
     fn loses(&self) -> bool {
         let mut state = self.state.lock().unwrap();
         let writes = state.stats.writes;
@@ -277,7 +277,7 @@
     }
 }
 
-/// Makes a lease, or renews the one that is named.
+/// Creates a lease, or renews the one whose id is given.
 fn lease(kv: &Kv, request: &Request<Incoming>) -> Response<Body> {
     if !kv.allowed(true) {
         return text(429, "");
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,7 +1,7 @@
 //! Stand-ins of the systems around foldlock, for tests and measurements only: a model engine, a
 //! plain service, the key-value service, the list of VMs and the weight store. Each serves the
-//! protocol of docs/UPSTREAMS.md on loopback, says no where the real one would, and fails on
-//! request.
+//! protocol of docs/UPSTREAMS.md on loopback, refuses requests that the real system would refuse,
+//! and injects faults on request.
 
 pub mod answer;
 pub mod client;
--- a/standin/src/plain.rs
+++ b/standin/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service with calls that may not be repeated; it counts the runs of each.
+//! A plain service with calls that must not be repeated; it counts how often each one ran.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,42 +11,42 @@
 
 use crate::server::{self, Body, Served, header, json, query, refused, text};
 
-/// The header by which a caller names a call, so that its runs can be counted.
+/// The header that identifies a call, so that its runs can be counted.
 pub const CALL: &str = "idempotency-key";
 
-/// What tests look at.
+/// Counters for tests.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Stats {
-    /// Calls that ran.
+    /// Number of calls that ran.
     pub runs: u64,
-    /// Calls that ran, by their idempotency key.
+    /// Number of calls that ran, by idempotency key.
     pub by_key: BTreeMap<String, u32>,
 }
 
-/// How the service behaves.
+/// Settings of the service.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// How long a call takes, milliseconds.
+    /// Latency of a call in milliseconds.
     pub delay_ms: u64,
-    /// Whether it refuses new work.
+    /// Whether the service is leaving and refuses new calls.
     pub leaving: bool,
-    /// How many of the next calls run without an answer.
+    /// Number of next calls that run without a response.
     pub lose_answers: u32,
 }
 
-/// The service.
+/// The plain service.
 #[derive(Default)]
 pub struct Plain {
     stats: Mutex<Stats>,
     settings: Mutex<Settings>,
 }
 
-/// A service that is served.
+/// A plain service and its HTTP server.
 pub struct Serving {
-    /// The service.
+    /// The plain service.
     pub plain: Arc<Plain>,
-    /// Its listener.
+    /// The HTTP server.
     pub served: Served,
 }
 
@@ -61,12 +61,12 @@
 }
 
 impl Plain {
-    /// What tests look at.
+    /// Counters for tests.
     pub fn stats(&self) -> Stats {
         self.stats.lock().unwrap().clone()
     }
 
-    /// Changes how the service behaves.
+    /// Changes the settings.
     pub fn adjust(&self, f: impl FnOnce(&mut Settings)) {
         f(&mut self.settings.lock().unwrap());
     }
--- a/standin/src/port.rs
+++ b/standin/src/port.rs
@@ -1,21 +1,21 @@
-//! Ports for processes that are told where to listen, and start there again after their end.
+//! Ports for processes that listen on a given address and restart on the same one.
 
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// The first port that is given out.
+/// The first port to allocate.
 const FIRST: u16 = 10_000;
 
-/// How many there are: they end below the range from which the system takes the ports of outgoing
-/// connections (32,768 and up). A port from there may be taken while nobody listens on it.
+/// Number of ports to allocate from. They end below the ephemeral range (32,768 and up): the system
+/// may use a port of that range for an outgoing connection while no process listens on it.
 const COUNT: u16 = 22_000;
 
-/// Ports between those that two test processes begin with.
+/// Distance between the first ports of test processes with consecutive process ids.
 const APART: u32 = 499;
 
 static GIVEN: AtomicU16 = AtomicU16::new(0);
 
-/// A loopback address that is free for TCP and UDP and not given out again soon.
+/// A loopback address that is free for TCP and UDP. A port is reused only after all others.
 pub fn free() -> SocketAddr {
     let first = (std::process::id().wrapping_mul(APART) % u32::from(COUNT)) as u16;
     loop {
--- a/standin/src/server.rs
+++ b/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server that the stand-ins share.
+//! The HTTP server that the stand-ins share.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -15,18 +15,18 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-/// The body of an answer.
+/// The body of a response.
 pub type Body = BoxBody<Bytes, std::io::Error>;
 
-/// A stand-in that is served; it stops when this is dropped.
+/// Handle of a running server, which stops when this is dropped.
 pub struct Served {
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
     task: JoinHandle<()>,
 }
 
 impl Served {
-    /// Waits for as long as it is served.
+    /// Waits until the server stops.
     pub async fn wait(&mut self) {
         let _ = (&mut self.task).await;
     }
@@ -66,21 +66,21 @@
     Ok(Served { address, task })
 }
 
-/// An answer with a text.
+/// A response with a text body.
 pub fn text(status: u16, text: impl Into<Bytes>) -> Response<Body> {
     let body = Full::new(text.into()).map_err(|never| match never {}).boxed();
     Response::builder().status(status).body(body).expect("a status and a body")
 }
 
-/// An answer with JSON.
+/// A response with a JSON body and status 200.
 pub fn json<T: Serialize>(value: &T) -> Response<Body> {
     text(200, serde_json::to_vec(value).expect("plain data"))
 }
 
-/// The reason of a refusal by one who takes no more new work.
+/// The reason with which a leaving upstream refuses new requests.
 pub const LEAVING: &str = "leaving";
 
-/// A refusal that says that nothing ran.
+/// A response that refuses a request and states that it did not run.
 pub fn refused(status: u16, why: &str) -> Response<Body> {
     let mut answer = text(status, why.to_owned());
     let no = hyper::header::HeaderValue::from_static("no");
@@ -92,7 +92,7 @@
     answer
 }
 
-/// A value of the query, parsed.
+/// Parses a parameter of the query string.
 pub fn query<T: std::str::FromStr>(request: &Request<Incoming>, name: &str) -> Option<T> {
     let query = request.uri().query()?;
     query
@@ -102,12 +102,12 @@
         .and_then(|(_, value)| value.parse().ok())
 }
 
-/// A header, parsed.
+/// Parses a header.
 pub fn header<T: std::str::FromStr>(request: &Request<Incoming>, name: &str) -> Option<T> {
     request.headers().get(name)?.to_str().ok()?.parse().ok()
 }
 
-/// The whole body.
+/// Reads the complete body of a request; empty if the connection breaks.
 pub async fn whole(request: Request<Incoming>) -> Bytes {
     request.into_body().collect().await.map(|b| b.to_bytes()).unwrap_or_default()
 }
--- a/standin/src/vms.rs
+++ b/standin/src/vms.rs
@@ -1,4 +1,4 @@
-//! The list of live and leaving VMs, which lags.
+//! The list of live and leaving VMs, whose changes become visible after a delay.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -10,21 +10,21 @@
 
 use crate::server::{self, Body, Served, json, text};
 
-/// The list with its past.
+/// The list and its earlier versions.
 pub struct List {
     lag: Mutex<Duration>,
     past: Mutex<Vec<(Instant, Listing)>>,
 }
 
-/// A list that is served.
+/// A list and its HTTP server.
 pub struct Serving {
     /// The list.
     pub list: Arc<List>,
-    /// Its listener.
+    /// The HTTP server.
     pub served: Served,
 }
 
-/// Serves an empty list on `address` that shows changes `lag` late.
+/// Serves an empty list on `address` whose changes become visible after `lag`.
 pub async fn serve(address: SocketAddr, lag: Duration) -> std::io::Result<Serving> {
     let past = Mutex::new(vec![(Instant::now(), Listing::default())]);
     let list = Arc::new(List { lag: Mutex::new(lag), past });
@@ -36,7 +36,7 @@
 }
 
 impl List {
-    /// Changes the list; readers see it after the lag.
+    /// Replaces the list; clients see the change after the lag.
     pub fn set(&self, listing: Listing) {
         self.past.lock().unwrap().push((Instant::now(), listing));
     }
--- a/standin/src/weights.rs
+++ b/standin/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store: gives the size of a model's weights at a limited rate.
+//! The weight store: serves fetches of model weights at a limited rate.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -9,21 +9,22 @@
 
 use crate::server::{self, Body, Served, text};
 
-/// The store: one fetch at a time, each for a fixed time; beyond a queue it refuses.
+/// A store that serves one fetch at a time, each in a fixed time, and refuses those that exceed
+/// its queue.
 pub struct Store {
     fetch: Duration,
     queue: usize,
     free_at: Mutex<Instant>,
 }
 
-/// Serves a weight store on `address` whose fetches take `fetch` each; at most `queue` wait.
+/// Serves a weight store on `address`: each fetch takes `fetch`, and at most `queue` are queued.
 pub async fn serve(address: SocketAddr, fetch: Duration, queue: usize) -> std::io::Result<Served> {
     let store = Arc::new(Store { fetch, queue, free_at: Mutex::new(Instant::now()) });
     server::serve(address, move |request| answer(store.clone(), request)).await
 }
 
 impl Store {
-    /// When a fetch that comes now is done; none where too many wait.
+    /// Queues a fetch and returns the time of its completion; none if the queue is full.
     fn book(&self) -> Option<Instant> {
         let mut free_at = self.free_at.lock().unwrap();
         let now = Instant::now();
