--- a/standin/src/client.rs
+++ b/standin/src/client.rs
@@ -1,4 +1,4 @@
-//! A caller: sends requests to foldlock and checks what comes back.
+//! An HTTP client of foldlock: sends requests and parses the responses.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,57 +9,57 @@
 use hyper::{Request, Response};
 use serde_json::{Value, json};
 
-/// A request to be sent.
+/// A completion request.
 #[derive(Debug, Clone, Default)]
 pub struct Ask {
     /// The bearer key.
     pub key: String,
-    /// The kind, if one is named.
+    /// The request kind; none to use the default.
     pub kind: Option<String>,
     /// The model.
     pub model: String,
     /// The prompt.
     pub prompt: String,
-    /// The most tokens.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u64,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
-    /// The time it has.
+    /// The timeout sent with the request.
     pub timeout: Option<Duration>,
     /// The idempotency key.
     pub idempotency_key: Option<String>,
 }
 
-/// What came of it.
+/// The parsed response.
 #[derive(Debug, Clone, Default)]
 pub struct Answer {
-    /// The HTTP status; 0 where the connection broke before one.
+    /// The HTTP status; 0 if the connection broke before the response head.
     pub status: u16,
     /// The request's id.
     pub request: String,
-    /// The answer's text.
+    /// The generated text.
     pub text: String,
-    /// Tokens that came as events.
+    /// Number of generated tokens.
     pub tokens: u64,
     /// The cursor of the last event.
     pub cursor: Option<String>,
-    /// Whether the answer came to its end.
+    /// Whether the response was received completely.
     pub complete: bool,
     /// The error's kind.
     pub kind: Option<String>,
-    /// The error's `ran`.
+    /// The error's `ran` field: whether the request may have run.
     pub ran: Option<String>,
-    /// When to come back.
+    /// Time after which the caller may retry.
     pub retry_after: Option<Duration>,
-    /// When the first token came, from when it was sent.
+    /// Time from sending the request to the first token.
     pub first_token: Option<Duration>,
-    /// When the end came.
+    /// Time from sending the request to the end of the response.
     pub total: Duration,
-    /// The longest time between two tokens.
+    /// The longest time between two consecutive tokens.
     pub longest_gap: Duration,
 }
 
-/// Sends a request and reads its answer to the end.
+/// Sends a request and reads the response to its end.
 pub async fn ask(client: &Client, vm: SocketAddr, ask: &Ask) -> Answer {
     let body_text = json!({
         "model": ask.model,
@@ -82,7 +82,7 @@
     read(client, request.body(body(body_text)).expect("plain headers")).await
 }
 
-/// Goes on with a stream from a cursor.
+/// Resumes a stream from a cursor.
 pub async fn resume(client: &Client, vm: SocketAddr, key: &str, cursor: &str) -> Answer {
     let request = Request::get(format!("http://{vm}/v1/streams"))
         .header("authorization", format!("Bearer {key}"))
--- a/standin/src/fleet.rs
+++ b/standin/src/fleet.rs
@@ -1,5 +1,5 @@
-//! A whole fleet on loopback: stand-ins in this process, and `foldlockd` processes that this one
-//! starts and ends. Tests and measurements share it.
+//! A complete fleet on loopback for tests and measurements: stand-ins in this process, and
+//! `foldlockd` child processes.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
@@ -21,42 +21,42 @@
 
 use crate::{engine, engine_http, kv, plain, vms};
 
-/// How long a condition is waited for before a test gives up.
+/// Time within which an awaited condition has to hold; then the test fails.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
-/// How often a condition is looked at.
+/// Interval at which an awaited condition is polled.
 const LOOK: Duration = Duration::from_millis(10);
 
-/// The halls of a fleet.
+/// The data halls of a fleet.
 pub const HALLS: [&str; 3] = ["charguia", "lac-deux", "ariana"];
 
 /// The model of a fleet.
 pub const MODEL: &str = "base";
 
-/// What a fleet is made of.
+/// The configuration of a fleet.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// The `foldlockd` program.
+    /// Path of the `foldlockd` executable.
     pub program: PathBuf,
-    /// VMs.
+    /// Number of VMs.
     pub vms: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Servers of the plain service.
+    /// Number of servers of the plain service.
     pub plains: usize,
-    /// Organisations; their keys are `key-0`, `key-1` and so on.
+    /// Number of organisations; their keys are `key-0`, `key-1` and so on.
     pub organisations: usize,
     /// The engines' settings.
     pub engine: engine::Settings,
     /// The key-value service's settings.
     pub kv: kv::Settings,
-    /// How late the list of VMs is.
+    /// Delay after which changes of the list of VMs are visible.
     pub list_lag: Duration,
-    /// What the fleet's branch sets for each request.
+    /// Policy in the fleet's branch of the settings, which applies to every request.
     pub policy: Value,
-    /// What each organisation's branch sets, beside its keys.
+    /// Settings in each organisation's branch, in addition to its keys.
     pub organisation: Value,
-    /// More arguments for each VM.
+    /// Additional arguments of each `foldlockd` process.
     pub arguments: Vec<String>,
 }
 
@@ -83,9 +83,9 @@
 pub struct Vm {
     /// Its name.
     pub name: String,
-    /// Where callers connect.
+    /// The address for callers.
     pub listen: SocketAddr,
-    /// Where peers and operators connect.
+    /// The address for peers and operators.
     pub control: SocketAddr,
     child: Child,
 }
@@ -96,13 +96,13 @@
         let _ = kill(Pid::from_raw(self.child.id() as i32), signal);
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Whether it has ended, and how.
+    /// Whether the process exited with success; none while it runs.
     pub fn ended(&mut self) -> Option<bool> {
         self.child.try_wait().ok().flatten().map(|status| status.success())
     }
@@ -119,9 +119,9 @@
     }
 }
 
-/// A fleet that runs until dropped.
+/// A running fleet; it stops when dropped.
 pub struct Fleet {
-    /// The plan.
+    /// The configuration.
     pub plan: Plan,
     /// The key-value service.
     pub kv: kv::Serving,
@@ -133,7 +133,7 @@
     pub plains: Vec<plain::Serving>,
     /// The VMs.
     pub vms: Vec<Vm>,
-    /// A client.
+    /// The HTTP client.
     pub client: Client,
     started: usize,
 }
@@ -143,7 +143,7 @@
 }
 
 impl Fleet {
-    /// Starts stand-ins and VMs, applies settings and waits until each VM serves.
+    /// Starts stand-ins and VMs, publishes settings and waits until every VM is ready.
     pub async fn start(plan: Plan) -> Fleet {
         let mut fleet = Fleet::stand_ins(plan).await;
         for _ in 0..fleet.plan.vms {
@@ -155,7 +155,7 @@
         fleet
     }
 
-    /// Starts only the stand-ins.
+    /// Starts the stand-ins without VMs.
     pub async fn stand_ins(plan: Plan) -> Fleet {
         let kv = kv::serve(loopback(), plan.kv.clone()).await.expect("a free port");
         let list = vms::serve(loopback(), plan.list_lag).await.expect("a free port");
@@ -173,7 +173,7 @@
         Fleet { plan, kv, list, engines, plains, vms: Vec::new(), client, started: 0 }
     }
 
-    /// Starts one more VM and lists it.
+    /// Starts another VM and adds it to the list of VMs; returns its index.
     pub fn add_vm(&mut self) -> usize {
         let index = self.started;
         self.started += 1;
@@ -199,7 +199,7 @@
         self.vms.len() - 1
     }
 
-    /// Lists the VMs that there are.
+    /// Writes the present VMs to the list of VMs.
     pub fn relist(&self) {
         let listed = |vm: &Vm| Listed {
             name: vm.name.clone(),
@@ -211,7 +211,7 @@
         self.list.list.set(Listing { vms, upstreams: Vec::new() });
     }
 
-    /// The texts of settings for this fleet.
+    /// The texts of this fleet's settings.
     pub fn texts(&self) -> Texts {
         let mut texts = Texts::new();
         texts.insert(Name::Fleet, self.fleet_text().to_string().into());
@@ -263,19 +263,19 @@
         })
     }
 
-    /// The key-value service as operators reach it.
+    /// A client of the key-value service, as operators use it.
     pub fn store(&self) -> HttpStore {
         HttpStore::new(self.client.clone(), &self.kv.served.address.to_string())
     }
 
-    /// Applies settings on top of the accepted ones.
+    /// Publishes settings based on the accepted version.
     pub async fn publish(&self, author: &str, texts: &Texts) -> Result<u64, Refusal> {
         let store = self.store();
         let (head, _) = read_head(&store).await.map_err(Refusal::Store)?;
         self.publish_from(author, &Base::from(&head), texts).await
     }
 
-    /// Applies settings that were made from a version.
+    /// Publishes settings based on a given version.
     pub async fn publish_from(
         &self,
         author: &str,
@@ -290,7 +290,7 @@
         }
     }
 
-    /// Waits until each VM is ready and knows each other one.
+    /// Waits until every VM is ready and has all others as members.
     pub async fn wait_ready(&self) {
         for vm in &self.vms {
             let others = self.vms.len() - 1;
@@ -303,12 +303,12 @@
         }
     }
 
-    /// A VM's dump.
+    /// The state dump of a VM.
     pub async fn dump(&self, vm: &Vm) -> Option<Value> {
         serde_json::from_slice(&self.control(vm, "/dump").await?).ok()
     }
 
-    /// Reads a path of a VM's control address.
+    /// Gets a path from a VM's control address.
     pub async fn control(&self, vm: &Vm, path: &str) -> Option<Vec<u8>> {
         let request = Request::get(format!("http://{}{path}", vm.control)).body(body("")).ok()?;
         let answer = self.client.call(request, Duration::from_secs(2)).await.ok()?;
@@ -320,7 +320,7 @@
         self.engines.iter().map(|e| e.engine.stats().used).sum()
     }
 
-    /// How many times each request was begun, over all engines.
+    /// How many times each request was started, over all engines, by request id.
     pub fn runs(&self) -> BTreeMap<String, u32> {
         let mut runs = BTreeMap::new();
         for engine in &self.engines {
@@ -337,7 +337,7 @@
     HALLS[index % HALLS.len()]
 }
 
-/// Waits until a condition holds; panics where it does not within [`PATIENCE`].
+/// Waits until a condition holds; panics if it does not within [`PATIENCE`].
 pub async fn wait_for(what: &str, condition: impl AsyncFn() -> bool) {
     let until = Instant::now() + PATIENCE;
     while !condition().await {
--- a/standin/src/workload.rs
+++ b/standin/src/workload.rs
@@ -1,4 +1,4 @@
-//! Workloads: seeded arrivals of requests by kind, with lengths, shared prefixes and bursts.
+//! Workloads: seeded arrivals of requests by kind, with prompt lengths, shared prefixes and bursts.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::answer::TOKEN_LEN;
 use crate::engine;
 
-/// A workload, as its file says.
+/// A workload, in the format of its file.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workload {
@@ -18,7 +18,7 @@
     pub name: String,
     /// The kinds of request.
     pub kinds: Vec<Kind>,
-    /// Times at which more comes.
+    /// Periodic bursts of the request rate.
     #[serde(default)]
     pub burst: Option<Burst>,
 }
@@ -29,72 +29,72 @@
 pub struct Kind {
     /// Its name, as in the settings.
     pub kind: String,
-    /// Its share of all requests, in any unit.
+    /// Weight of this kind among all requests.
     pub share: f64,
-    /// The least and the most prompt tokens; lengths between are log-uniform.
+    /// Minimum and maximum of the prompt tokens, distributed log-uniformly.
     pub tokens: (u64, u64),
-    /// The least and the most answer tokens.
+    /// Minimum and maximum of the answer tokens.
     pub answer: (u64, u64),
-    /// Tokens at the beginning of a prompt that it shares with others.
+    /// Length of the prefix that prompts share, in tokens.
     #[serde(default)]
     pub prefix_tokens: u64,
-    /// How many shared beginnings there are.
+    /// Number of different shared prefixes.
     #[serde(default)]
     pub prefixes: u64,
-    /// The time a request has at engine speed 1, milliseconds.
+    /// Request timeout at engine speed 1, in milliseconds.
     pub timeout_ms: u64,
 }
 
-/// A burst.
+/// Periodic bursts.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Burst {
-    /// How often, seconds.
+    /// Period in seconds.
     pub every_s: f64,
-    /// How long, seconds.
+    /// Duration of each burst in seconds.
     pub for_s: f64,
-    /// How many times the rate.
+    /// Factor of the rate during a burst.
     pub factor: f64,
 }
 
-/// One request to be sent.
+/// A request of the workload.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// When, from the start.
+    /// Time from the start of the run.
     pub at: Duration,
-    /// Its kind, an index into the workload's.
+    /// Index into the workload's kinds.
     pub kind: usize,
-    /// Which of the organisations sends it.
+    /// Index of the organisation that sends it.
     pub organisation: usize,
-    /// The prompt's tokens.
+    /// Prompt tokens.
     pub tokens: u64,
-    /// The answer's tokens.
+    /// Answer tokens.
     pub answer: u64,
-    /// Which shared beginning it has.
+    /// Index of the shared prefix, if any.
     pub prefix: Option<u64>,
-    /// Makes the rest of the prompt its own.
+    /// Seed of the part of the prompt that is not shared.
     pub seed: u64,
-    /// The time it has.
+    /// The request timeout.
     pub timeout: Duration,
 }
 
-/// How arrivals are made from a workload.
+/// Parameters from which arrivals are generated.
 #[derive(Debug, Clone, Copy)]
 pub struct Plan {
-    /// The seed.
+    /// Seed of the random draws.
     pub seed: u64,
-    /// Requests a second outside of bursts.
+    /// Requests per second outside of bursts.
     pub rate: f64,
-    /// For how long.
+    /// Duration of the run.
     pub length: Duration,
-    /// How many organisations send.
+    /// Number of organisations that send requests.
     pub organisations: usize,
-    /// How many times as fast as their settings engines run.
+    /// Speed factor of the engines; timeouts are divided by it.
     pub speed: f64,
 }
 
 impl Workload {
-    /// Reads a workload from JSON with comments.
+    /// Parses a workload from JSON with comments.
     pub fn parse(text: &str) -> Result<Workload, String> {
         let value = jsonc_parser::parse_to_serde_value(text, &Default::default())
             .map_err(|e| e.to_string())?
@@ -102,20 +102,20 @@
         serde_json::from_value(value).map_err(|e| e.to_string())
     }
 
-    /// The workload without its prompts of at least this length.
+    /// The workload without the kinds whose prompts can have `tokens` tokens or more.
     pub fn below(&self, tokens: u64) -> Workload {
         let kinds = self.kinds.iter().filter(|k| k.tokens.1 < tokens).cloned().collect();
         Workload { kinds, ..self.clone() }
     }
 
-    /// The share of requests that kinds below this length are.
+    /// Share of requests of the kinds whose prompts are always shorter than `tokens` tokens.
     pub fn share_below(&self, tokens: u64) -> f64 {
         let all: f64 = self.kinds.iter().map(|k| k.share).sum();
         let below = self.kinds.iter().filter(|k| k.tokens.1 < tokens).map(|k| k.share);
         below.sum::<f64>() / all
     }
 
-    /// The mean engine seconds of a request at speed 1, by sampling.
+    /// Mean engine time of a request at speed 1 in seconds, estimated by sampling.
     pub fn cost(&self, engine: &engine::Settings) -> f64 {
         const SAMPLES: usize = 4_000;
         let mut rng = StdRng::seed_from_u64(1);
@@ -139,7 +139,7 @@
         *indexes.choose_weighted(rng, |i| self.kinds[*i].share).expect("kinds have shares")
     }
 
-    /// The arrivals, open-loop: a Poisson process whose rate bursts.
+    /// The open-loop arrivals: a Poisson process whose rate is higher during bursts.
     pub fn arrivals(&self, plan: Plan) -> Vec<Arrival> {
         let mut rng = StdRng::seed_from_u64(plan.seed);
         let mut at = 0.0;
@@ -203,7 +203,7 @@
     }
 }
 
-/// Adds words of one token each until the text has so many bytes.
+/// Appends random words of one token each until the text has `bytes` bytes.
 fn words(rng: &mut StdRng, text: &mut String, bytes: usize) {
     while text.len() < bytes {
         let word: u32 = rng.random();
