--- a/standin/examples/load/ask.rs
+++ b/standin/examples/load/ask.rs
@@ -1,4 +1,4 @@
-//! One request, for trying out.
+//! Sends a single request, for manual trials.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,30 +8,30 @@
 
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// Where callers connect, IP:port.
+    /// The VM's address for callers, IP:port.
     vm: SocketAddr,
     /// The bearer key.
     #[arg(long)]
     key: String,
-    /// The kind of request.
+    /// The request kind.
     #[arg(long)]
     kind: Option<String>,
     /// The model.
     #[arg(long, default_value = "base")]
     model: String,
-    /// The prompt's tokens.
+    /// Prompt tokens.
     #[arg(long, default_value_t = 200)]
     tokens: usize,
-    /// The answer's tokens.
+    /// Answer tokens.
     #[arg(long, default_value_t = 8)]
     answer: u64,
     /// The idempotency key.
     #[arg(long)]
     once: Option<String>,
-    /// POST to this path of a plain service instead.
+    /// Send a POST to this path of a plain service instead.
     #[arg(long)]
     plain: Option<String>,
-    /// Print only the request's id on standard output, the rest on standard error.
+    /// Print only the request's id to standard output, and the rest to standard error.
     #[arg(long)]
     id: bool,
 }
--- a/standin/examples/load/capacity.rs
+++ b/standin/examples/load/capacity.rs
@@ -1,4 +1,4 @@
-//! The slopes of the control plane: real VMs at several sizes, without load but for heartbeats.
+//! Cost of the control plane at several sizes, with real VMs and no load except heartbeats.
 
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
@@ -12,21 +12,21 @@
 
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// Numbers of VMs, at 20 engines.
+    /// Numbers of VMs to measure, with 20 engines.
     #[arg(long, value_delimiter = ',', default_values_t = [2, 4, 8, 16, 32])]
     vms: Vec<usize>,
-    /// Numbers of engines, at 8 VMs.
+    /// Numbers of engines to measure, with 8 VMs.
     #[arg(long, value_delimiter = ',', default_values_t = [10, 40, 80, 160])]
     engines: Vec<usize>,
-    /// Numbers of organisations, at 8 VMs and 20 engines.
+    /// Numbers of organisations to measure, with 8 VMs and 20 engines.
     #[arg(long, value_delimiter = ',', default_values_t = [10, 150, 450])]
     organisations: Vec<usize>,
-    /// Seconds of each measurement.
+    /// Duration of each measurement in seconds.
     #[arg(long, default_value_t = 6.0)]
     seconds: f64,
 }
 
-/// What one size gave, means over the VMs.
+/// The result at one size; each figure is the mean over the VMs.
 struct Point {
     vms: usize,
     engines: usize,
@@ -111,7 +111,7 @@
     table.print(json);
 }
 
-/// A straight line by least squares, with the largest residual.
+/// Linear least-squares fit: intercept, slope and largest residual.
 fn fit(points: &[Point], x: fn(&Point) -> f64, y: fn(&Point) -> f64) -> (f64, f64, f64) {
     let n = points.len() as f64;
     let mean_x = points.iter().map(x).sum::<f64>() / n;
@@ -164,7 +164,7 @@
     }
 }
 
-/// Sums over the VMs.
+/// Sums over all VMs.
 #[derive(Default)]
 struct Sample {
     bytes: f64,
--- a/standin/examples/load/main.rs
+++ b/standin/examples/load/main.rs
@@ -1,4 +1,4 @@
-//! The load tool: open-loop, seeded, with tables for people and JSON for scripts.
+//! The load tool: open-loop, seeded, with output in Markdown tables or JSON.
 //!
 //! `cargo run --release --example load -- --help`
 
@@ -18,10 +18,10 @@
 #[derive(Parser)]
 #[command(about = "Sends load through foldlockd processes on loopback and measures")]
 struct App {
-    /// The `foldlockd` program; by default the one built beside this tool.
+    /// Path of the `foldlockd` executable; by default the one built with this tool.
     #[arg(long, global = true)]
     program: Option<PathBuf>,
-    /// Write JSON.
+    /// Print JSON instead of Markdown tables.
     #[arg(long, global = true)]
     json: bool,
     #[command(subcommand)]
@@ -30,19 +30,20 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Send one request and print what comes back.
+    /// Send one request and print the response.
     Ask(ask::Args),
-    /// Measure what foldlock adds to an unloaded request, tokens a second and memory a stream.
+    /// Measure foldlock's overhead: added latency without load, tokens per second and memory per
+    /// stream.
     Overhead(overhead::Args),
     /// Compare routing policies under a workload.
     Policies(policies::Args),
-    /// Measure the promises' figures.
+    /// Measure the figures of docs/PROMISES.md.
     Promises(promises::Args),
-    /// Measure the slopes of the control plane.
+    /// Measure how the cost of the control plane grows with VMs, engines and organisations.
     Capacity(capacity::Args),
 }
 
-/// The program beside this tool: examples lie one directory below binaries.
+/// Path of `foldlockd`: cargo puts examples one directory below the binaries.
 fn program(named: Option<PathBuf>) -> PathBuf {
     named.unwrap_or_else(|| {
         let own = std::env::current_exe().expect("a program knows itself");
--- a/standin/examples/load/oracle.rs
+++ b/standin/examples/load/oracle.rs
@@ -1,5 +1,5 @@
-//! The upper bound: one dispatcher that sees all work at once, with no delay, in front of the same
-//! engines, by the same score.
+//! Upper bound for routing policies: a single dispatcher with complete and immediate information
+//! in front of the same engines, using the same score.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -27,7 +27,7 @@
     memory: u64,
 }
 
-/// A request that counts at an engine until dropped.
+/// A request that counts toward an engine's load until dropped.
 struct Flight<'a> {
     oracle: &'a Oracle,
     engine: usize,
@@ -52,7 +52,7 @@
         Oracle { engines, locals, changed: Notify::new(), memory }
     }
 
-    /// Serves a request. One longer than an engine is not served.
+    /// Serves a request; one that exceeds the memory of an engine gets no answer.
     pub(crate) async fn send(&self, arrival: Arc<Arrival>, prompt: String) -> Answer {
         let started = Instant::now();
         let mut answer = Answer::default();
--- a/standin/examples/load/overhead.rs
+++ b/standin/examples/load/overhead.rs
@@ -1,4 +1,4 @@
-//! What foldlock adds: time to an unloaded request, processor time a token, memory a stream.
+//! Overhead of foldlock: added latency without load, processor time per token, memory per stream.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -17,16 +17,16 @@
 
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// Unloaded requests of each kind.
+    /// Number of requests for the latency, each sent directly and through foldlock.
     #[arg(long, default_value_t = 3000)]
     requests: usize,
-    /// Streams for the throughput.
+    /// Number of concurrent streams for the throughput.
     #[arg(long, default_value_t = 64)]
     streams: usize,
-    /// Tokens of each of them.
+    /// Tokens of each stream for the throughput.
     #[arg(long, default_value_t = 4000)]
     tokens: u64,
-    /// Streams for the memory.
+    /// Number of open streams for the memory.
     #[arg(long, default_value_t = 2000)]
     open: usize,
 }
@@ -85,7 +85,7 @@
     }
 }
 
-/// The same request directly and through foldlock, in turn.
+/// Sends the same request alternately to the engine directly and through foldlock.
 async fn unloaded(args: &Args, fleet: &Fleet, table: &mut Table) {
     let direct = HttpEngine::new(Client::default(), &fleet.engines[0].served.address.to_string());
     let (mut to_engine, mut through) = (Times::default(), Times::default());
@@ -116,7 +116,7 @@
     table.row(vec![what.to_owned(), format!("{p50:.3}"), format!("{p99:.3}"), count]);
 }
 
-/// Tokens a second through one thread, and by processor time.
+/// Tokens per second with one thread, and per second of processor time.
 async fn throughput(args: &Args, fleet: &Fleet, table: &mut Table) {
     let listen = fleet.vms[0].listen;
     let before = processor_seconds(fleet.vms[0].pid());
@@ -150,7 +150,7 @@
     value("bytes a token to the caller", format!("{:.0}", bytes as f64 / tokens));
 }
 
-/// Resident memory that open streams add.
+/// Resident memory added by open streams.
 async fn memory(args: &Args, fleet: &Fleet, table: &mut Table) {
     let pid = fleet.vms[0].pid();
     let before = resident_bytes(pid);
@@ -158,7 +158,7 @@
     for _ in 0..args.open {
         let (client, kept) = (fleet.client.clone(), kept.clone());
         let request = request(fleet.vms[0].listen, 5_000);
-        // Slower than the listener's backlog fills.
+        // Limits the connection rate so that the listener's backlog does not overflow.
         tokio::time::sleep(Duration::from_millis(1)).await;
         tokio::spawn(async move {
             if let Ok(answer) = client.send(request).await {
@@ -178,7 +178,7 @@
     table.row(vec![what, String::new(), String::new(), format!("{each:.1}")]);
 }
 
-/// Processor seconds that a process used: its 14th and 15th field of `stat`, in ticks of 10 ms.
+/// Processor seconds used by a process: the 14th and 15th field of `stat`, in ticks of 10 ms.
 pub(crate) fn processor_seconds(pid: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields: Vec<&str> = stat.rsplit(") ").next().unwrap_or_default().split(' ').collect();
--- a/standin/examples/load/policies.rs
+++ b/standin/examples/load/policies.rs
@@ -1,4 +1,5 @@
-//! Comparing routing policies: the same arrivals, in turn, through real VMs and stand-in engines.
+//! Compares routing policies: sends the same arrivals with each policy through real VMs to stand-in
+//! engines.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -16,10 +17,11 @@
 use crate::run::{BANDS, Outcome, first_tokens, open_loop};
 use crate::table::{Table, Times};
 
-/// Requests that arrive before this part of a run do not count: models are learnt first.
+/// Share of a run, from its start, whose arrivals are not counted, since the speed models are
+/// still being learnt.
 const WARM_UP: f64 = 0.25;
 
-/// A prompt of this many tokens is a long one, when short ones are measured without them.
+/// Minimum length of the prompts that are left out to measure short ones alone, in tokens.
 const LONG: u64 = 100_001;
 
 #[derive(clap::Args, Clone)]
@@ -27,39 +29,39 @@
     /// The workload files.
     #[arg(long = "workload", default_values = ["examples/workloads/tunis.jsonc", "examples/workloads/hcm.jsonc"])]
     workloads: Vec<PathBuf>,
-    /// Loads, as parts of the engines' capacity.
+    /// Loads, as fractions of the engines' capacity.
     #[arg(long, value_delimiter = ',', default_values_t = [0.5, 0.8, 1.0, 1.5, 2.0])]
     loads: Vec<f64>,
-    /// The load at which report lags and the slowdown are compared.
+    /// The load at which report lags and the slowdown by long prompts are compared.
     #[arg(long, default_value_t = 0.8)]
     at: f64,
-    /// Report lags that are compared, milliseconds.
+    /// Report lags to compare, in milliseconds.
     #[arg(long, value_delimiter = ',', default_values_t = [0, 1000, 5000])]
     lags: Vec<u64>,
-    /// Only these routes, by their names in the settings, and `oracle`.
+    /// Compare only these routing policies: names as in the settings, or `oracle`.
     #[arg(long, value_delimiter = ',')]
     routes: Vec<String>,
-    /// Seconds of each run.
+    /// Duration of each run in seconds.
     #[arg(long, default_value_t = 20.0)]
     seconds: f64,
-    /// How many times as fast as their settings engines run.
+    /// Factor by which the engines run faster than their settings.
     #[arg(long, default_value_t = 4.0)]
     speed: f64,
-    /// VMs.
+    /// Number of VMs.
     #[arg(long, default_value_t = 8)]
     vms: usize,
-    /// Engines.
+    /// Number of engines.
     #[arg(long, default_value_t = 20)]
     engines: usize,
-    /// The seed.
+    /// Seed of the arrivals.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Write SVG plots into this directory.
+    /// Write SVG plots to this directory.
     #[arg(long)]
     plots: Option<PathBuf>,
 }
 
-/// Whose choice is measured.
+/// The policy that is measured.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Policy {
     Route(Route),
@@ -79,18 +81,18 @@
     }
 }
 
-/// One run.
+/// The parameters of one run.
 #[derive(Clone)]
 struct Case {
     policy: Policy,
     load: f64,
     lag: u64,
     workload: Arc<Workload>,
-    /// The share of the workload's rate that is sent: less than 1 where kinds are left out.
+    /// Fraction of the complete workload's rate that is sent; below 1 if kinds are left out.
     share: f64,
 }
 
-/// What a run gave.
+/// The result of one run.
 struct Result {
     case: Case,
     bands: Vec<Times>,
@@ -183,14 +185,14 @@
     }
 }
 
-/// Runs one case in a fresh fleet.
+/// Runs one case in a new fleet.
 async fn measure(args: &Args, program: &Path, case: Case) -> Result {
     let engine = engine::Settings {
         speed: args.speed,
         report_lag_ms: case.lag,
         ..engine::Settings::default()
     };
-    // Capacity is that of the whole workload, also where kinds are left out.
+    // The rate is derived from the capacity for the complete workload, even if kinds are left out.
     let cost = case.workload.cost(&engine);
     let rate = case.load * args.engines as f64 * args.speed / cost * case.share;
     let rate = if case.share < 1.0 { rate_of_whole(args, &case, &engine) } else { rate };
@@ -224,7 +226,7 @@
     result
 }
 
-/// The rate of the kinds that are left, as it is within the whole workload.
+/// The rate of the remaining kinds, equal to their rate within the complete workload.
 fn rate_of_whole(args: &Args, case: &Case, engine: &engine::Settings) -> f64 {
     let path = args.workloads.iter().find_map(|p| {
         let text = std::fs::read_to_string(p).ok()?;
@@ -287,7 +289,7 @@
     .await
 }
 
-/// A caller who was told to come back does so, once.
+/// Retries once after the time in `retry-after-ms`; returns whether the retry was admitted.
 async fn come_back(fleet: &Fleet, vm: usize, ask: &Ask, answer: &Answer) -> Option<bool> {
     let after = answer.retry_after?;
     tokio::time::sleep(after).await;
--- a/standin/examples/load/promises.rs
+++ b/standin/examples/load/promises.rs
@@ -1,4 +1,4 @@
-//! The figures of docs/PROMISES.md.
+//! Measures the figures of docs/PROMISES.md.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -19,16 +19,16 @@
 
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// Requests whose engine freezes.
+    /// Number of requests whose engine freezes.
     #[arg(long, default_value_t = 3000)]
     requests: usize,
-    /// Claims a second.
+    /// Claims per second.
     #[arg(long, default_value_t = 1000.0)]
     claims: f64,
-    /// Seconds of claims.
+    /// Duration of the claims in seconds.
     #[arg(long, default_value_t = 5.0)]
     seconds: f64,
-    /// Changes of settings.
+    /// Number of settings changes.
     #[arg(long, default_value_t = 40)]
     changes: usize,
 }
@@ -58,7 +58,7 @@
     }
 }
 
-/// How late answers are when engines freeze, before the first token or in the middle.
+/// Delay of responses past their deadline when engines freeze before the first token or later.
 async fn deadlines(args: &Args, program: &Path, table: &mut Table) {
     let policy = json!({ "retries": 0, "timeout_ms": 10_000 });
     let fleet = Arc::new(Fleet::start(Plan { policy, ..Plan::small(program) }).await);
@@ -86,12 +86,12 @@
     row(table, "answer past its deadline, engines frozen", &late, value);
 }
 
-/// What a claim adds to a plain call, and what it costs the key-value service.
+/// Latency that a claim adds to a plain call, and its writes to the key-value service.
 async fn claims(args: &Args, program: &Path, table: &mut Table) {
     let kv = kv::Settings { delay_ms: 5, ..kv::Settings::default() };
     let fleet = Arc::new(Fleet::start(Plan { kv, ..Plan::small(program) }).await);
     let count = (args.claims * args.seconds) as usize;
-    // The first claim makes the writer read the log.
+    // Warm-up: at the first claim the writer reads the claims log.
     let _ = call(&fleet, 0, Method::POST, Some("warm".to_owned())).await;
     let mut with = Times::default();
     let mut without = Times::default();
@@ -150,7 +150,7 @@
     started.elapsed()
 }
 
-/// How long it takes until a change is in force on all of eight VMs, from before its first write.
+/// Time from before the first write of a settings change until it is in force on all eight VMs.
 async fn changes(args: &Args, program: &Path, table: &mut Table) {
     let kv = kv::Settings { delay_ms: 5, ..kv::Settings::default() };
     let fleet = Fleet::start(Plan { vms: 8, kv, ..Plan::small(program) }).await;
@@ -185,7 +185,7 @@
     row(table, "a change in force on 8 VMs (aim 1 s)", &times, value);
 }
 
-/// Going on from a cursor against asking again, at several points of an answer.
+/// Compares resuming from a cursor with sending the request again, at several points of an answer.
 async fn resumes(program: &Path, table: &mut Table) {
     let engine = engine::Settings { speed: 1.0, ..engine::Settings::default() };
     let fleet = Fleet::start(Plan { engine, ..Plan::small(program) }).await;
@@ -202,7 +202,8 @@
             assert!(rest.complete, "{rest:?}");
             resumed.add(rest.first_token.unwrap_or_default().as_secs_f64());
             again_resumed += computed() - before;
-            // Asking again means another engine's cache as often as not.
+            // The changed prompt avoids prefix cache hits: a request that is sent again often
+            // runs on an engine that has not cached its prompt.
             ask.prompt.push_str("x ");
             ask.prompt.insert_str(0, "again ");
             let before = computed();
@@ -226,7 +227,7 @@
     }
 }
 
-/// Reads an answer up to a token, then leaves; gives the cursor.
+/// Reads a response up to a token, then closes the connection; returns the cursor of that token.
 async fn partial(client: &Client, vm: std::net::SocketAddr, ask: &Ask, tokens: usize) -> String {
     let text = json!({ "model": ask.model, "prompt": ask.prompt, "max_tokens": ask.max_tokens,
                        "stream": true });
--- a/standin/examples/load/run.rs
+++ b/standin/examples/load/run.rs
@@ -1,4 +1,4 @@
-//! One run of a workload: open-loop arrivals against a target, with what came of each.
+//! Runs a workload: sends open-loop arrivals to a target and records the outcome of each.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -9,19 +9,20 @@
 
 use crate::table::Times;
 
-/// A request with what came of it.
+/// A request and its outcome.
 pub(crate) struct Outcome {
     pub(crate) arrival: Arrival,
     pub(crate) answer: Answer,
-    /// Seconds to the first token, from when it should have been sent.
+    /// Seconds from the scheduled send time to the first token.
     pub(crate) first_token: Option<f64>,
-    /// Whether the whole answer came within its time and is its prompt's.
+    /// Whether the complete and correct answer arrived within the timeout.
     pub(crate) good: bool,
-    /// Whether a caller who came back when told to was then let in; none where it was not told.
+    /// Whether a retry after the time in `retry-after-ms` was admitted; none without that header.
     pub(crate) admitted_later: Option<bool>,
 }
 
-/// Sends each arrival at its time; one that is late is sent at once, and its lateness counts.
+/// Sends each arrival at its scheduled time. A late one is sent at once; its delay is added to its
+/// times.
 pub(crate) async fn open_loop<F, R>(
     workload: &Arc<Workload>,
     arrivals: Vec<Arrival>,
@@ -71,7 +72,7 @@
     Outcome { arrival, answer, first_token, good, admitted_later }
 }
 
-/// The bands of prompt lengths, by their upper ends.
+/// Bands of prompt lengths: name and maximum number of tokens.
 pub(crate) const BANDS: [(&str, u64); 5] = [
     ("4k", 4_000),
     ("32k", 32_000),
@@ -80,7 +81,7 @@
     ("beyond", u64::MAX),
 ];
 
-/// Times to the first token by band.
+/// Times to first token by band.
 pub(crate) fn first_tokens(outcomes: &[Outcome]) -> Vec<Times> {
     let mut bands: Vec<Times> = BANDS.iter().map(|_| Times::default()).collect();
     for outcome in outcomes {
--- a/standin/examples/load/table.rs
+++ b/standin/examples/load/table.rs
@@ -1,9 +1,9 @@
-//! Tables in Markdown, and histograms.
+//! Markdown tables and histograms.
 
 use hdrhistogram::Histogram;
 use serde_json::{Map, Value};
 
-/// A table that is printed as Markdown, or as JSON rows.
+/// A table, printed as Markdown or as JSON rows.
 pub(crate) struct Table {
     columns: Vec<&'static str>,
     rows: Vec<Vec<String>>,
@@ -42,7 +42,7 @@
     }
 }
 
-/// A histogram of microseconds.
+/// A histogram of times, recorded in microseconds.
 pub(crate) struct Times(Histogram<u64>);
 
 impl Default for Times {
@@ -65,7 +65,7 @@
         self.0.value_at_percentile(percentile) as f64 / 1e3
     }
 
-    /// A percentile in milliseconds, as a cell.
+    /// A percentile in milliseconds, formatted as a table cell.
     pub(crate) fn cell(&self, percentile: f64) -> String {
         if self.0.is_empty() { "-".to_owned() } else { format!("{:.1}", self.ms(percentile)) }
     }
--- a/standin/examples/standin.rs
+++ b/standin/examples/standin.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of the outside systems, one subcommand each.
+//! Runs the stand-ins of the outside systems, one subcommand each.
 //!
 //! `cargo run --release --example standin -- all --help`
 
@@ -19,24 +19,24 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// A model engine.
+    /// Run a model engine.
     Engine(Engine),
-    /// A plain service.
+    /// Run a plain service.
     Plain(Address),
-    /// The key-value service.
+    /// Run the key-value service.
     Kv(Kv),
-    /// The list of VMs.
+    /// Run the list of VMs.
     Vms(Vms),
-    /// The weight store.
+    /// Run the weight store.
     Weights(Address),
-    /// Several of them in one process, on consecutive ports: the key-value service, the list, the
-    /// plain services, the engines.
+    /// Run several stand-ins in one process, on consecutive ports: the key-value service, the list
+    /// of VMs, the plain services, the engines.
     All(All),
 }
 
 #[derive(Args)]
 struct Address {
-    /// IP:port.
+    /// The address to listen on, IP:port.
     #[arg(long, default_value = "127.0.0.1:0")]
     address: SocketAddr,
 }
@@ -45,7 +45,7 @@
 struct Engine {
     #[command(flatten)]
     address: Address,
-    /// A file of JSON with an engine's settings.
+    /// JSON file with the engine's settings.
     #[arg(long)]
     settings: Option<PathBuf>,
 }
@@ -54,7 +54,7 @@
 struct Kv {
     #[command(flatten)]
     address: Address,
-    /// How long each call takes, milliseconds.
+    /// Latency of each call in milliseconds.
     #[arg(long, default_value_t = 0)]
     delay_ms: u64,
 }
@@ -63,43 +63,43 @@
 struct Vms {
     #[command(flatten)]
     address: Address,
-    /// How late changes show, milliseconds.
+    /// Delay after which changes of the list are visible, in milliseconds.
     #[arg(long, default_value_t = 1000)]
     lag_ms: u64,
 }
 
 #[derive(Args)]
 struct All {
-    /// The address of the first; the others follow on the ports behind it.
+    /// The address of the first stand-in; the others listen on the ports after it.
     #[arg(long, default_value = "127.0.0.1:7100")]
     first: SocketAddr,
-    /// Engines.
+    /// Number of engines.
     #[arg(long, default_value_t = 4)]
     engines: u16,
-    /// Plain services.
+    /// Number of plain services.
     #[arg(long, default_value_t = 1)]
     plains: u16,
-    /// How many times as fast as their settings engines run.
+    /// Factor by which the engines run faster than their settings.
     #[arg(long, default_value_t = 1.0)]
     speed: f64,
-    /// A file of JSON with the engines' settings.
+    /// JSON file with the engines' settings.
     #[arg(long)]
     settings: Option<PathBuf>,
-    /// How long each call to the key-value service takes, milliseconds.
+    /// Latency of each call to the key-value service, in milliseconds.
     #[arg(long, default_value_t = 2)]
     kv_delay_ms: u64,
-    /// How late changes of the list show, milliseconds.
+    /// Delay after which changes of the list are visible, in milliseconds.
     #[arg(long, default_value_t = 500)]
     lag_ms: u64,
-    /// A VM of the list, NAME=IP:PORT@HALL; may be given several times.
+    /// A VM in the list, NAME=IP:PORT@HALL; may be given several times.
     #[arg(long = "vm", value_parser = listed)]
     vms: Vec<Listed>,
-    /// How old engines' reports are, milliseconds.
+    /// Age of the reports that engines serve, in milliseconds.
     #[arg(long)]
     report_lag_ms: Option<u64>,
 }
 
-/// Reads NAME=IP:PORT@HALL.
+/// Parses NAME=IP:PORT@HALL.
 fn listed(text: &str) -> Result<Listed, String> {
     let parts = text.split_once('=').and_then(|(n, rest)| Some((n, rest.split_once('@')?)));
     let (name, (address, hall)) = parts.ok_or("a VM is NAME=IP:PORT@HALL")?;
