--- a/daemon/tests/common/mod.rs
+++ b/daemon/tests/common/mod.rs
@@ -45,6 +45,6 @@
 pub(crate) fn assert_whole(answer: &Answer, ask: &Ask) {
     assert_eq!(answer.status, 200, "{answer:?}");
     assert!(answer.complete, "{answer:?}");
-    let expected = standin::answer::whole(ask.prompt.as_bytes(), ask.max_tokens);
+    let expected = standin::answer::generate(ask.prompt.as_bytes(), ask.max_tokens);
     assert_eq!(answer.text, expected);
 }
--- a/daemon/tests/streams.rs
+++ b/daemon/tests/streams.rs
@@ -110,7 +110,7 @@
     let cursor = cut.cursor.expect("some tokens came");
     let rest = client::resume(&fleet.client, fleet.vms[1].listen, "key-0", &cursor).await;
     assert!(rest.complete, "{rest:?}");
-    let whole = standin::answer::whole(ask.prompt.as_bytes(), ask.max_tokens);
+    let whole = standin::answer::generate(ask.prompt.as_bytes(), ask.max_tokens);
     assert_eq!(cut.text + &rest.text, whole);
     assert_eq!(fleet.runs().values().sum::<u32>(), 1, "nothing was computed again");
     let other = client::resume(&fleet.client, fleet.vms[1].listen, "key-1", &cursor).await;
--- a/standin/examples/load/run.rs
+++ b/standin/examples/load/run.rs
@@ -38,7 +38,7 @@
         let due = start + arrival.at;
         let (workload, send) = (workload.clone(), send.clone());
         let prompt = arrival.prompt(&workload);
-        let expected = standin::answer::whole(prompt.as_bytes(), arrival.answer);
+        let expected = standin::answer::generate(prompt.as_bytes(), arrival.answer);
         tokio::time::sleep_until(due.into()).await;
         tasks.push(tokio::spawn(one(due, arrival, prompt, expected, send)));
     }
--- a/standin/src/answer.rs
+++ b/standin/src/answer.rs
@@ -15,7 +15,7 @@
 }
 
 /// The complete answer of `tokens` tokens to a prompt.
-pub fn whole(prompt: &[u8], tokens: u64) -> String {
+pub fn generate(prompt: &[u8], tokens: u64) -> String {
     let mut state = prefix::state(prefix::START, prompt);
     (0..tokens)
         .map(|_| {
