--- a/daemon/tests/common/mod.rs
+++ b/daemon/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use serde_json::json;
-use standin::client::{self, Answer, Ask};
+use standin::client::{self, Answer, Request};
 use standin::fleet::{Fleet, MODEL, Plan};
 
 /// The plan of a small fleet.
@@ -24,25 +24,25 @@
 }
 
 /// A streamed request of the first organisation.
-pub(crate) fn ask(prompt: String, max_tokens: u64) -> Ask {
-    Ask {
+pub(crate) fn ask(prompt: String, max_tokens: u64) -> Request {
+    Request {
         key: "key-0".to_owned(),
         model: MODEL.to_owned(),
         prompt,
         max_tokens,
         stream: true,
         timeout: Some(Duration::from_secs(20)),
-        ..Ask::default()
+        ..Request::default()
     }
 }
 
 /// Sends a request through a VM.
-pub(crate) async fn send(fleet: &Fleet, vm: usize, ask: &Ask) -> Answer {
-    client::ask(&fleet.client, fleet.vms[vm].listen, ask).await
+pub(crate) async fn send(fleet: &Fleet, vm: usize, ask: &Request) -> Answer {
+    client::send(&fleet.client, fleet.vms[vm].listen, ask).await
 }
 
 /// Checks that an answer is whole and its prompt's.
-pub(crate) fn assert_whole(answer: &Answer, ask: &Ask) {
+pub(crate) fn assert_whole(answer: &Answer, ask: &Request) {
     assert_eq!(answer.status, 200, "{answer:?}");
     assert!(answer.complete, "{answer:?}");
     let expected = standin::answer::generate(ask.prompt.as_bytes(), ask.max_tokens);
--- a/daemon/tests/deadline.rs
+++ b/daemon/tests/deadline.rs
@@ -7,7 +7,7 @@
 use common::{ask, plan, prompt, send};
 use nix::sys::signal::Signal;
 use serde_json::json;
-use standin::client::{self, Ask};
+use standin::client::{self, Request};
 use standin::fault::{Fault, Kind};
 use standin::fleet::{Fleet, Plan, wait_for};
 
@@ -21,7 +21,7 @@
         engine.engine.add_fault(Fault { kind: Kind::Freeze, at, count: 99 });
     }
     let timeout = Duration::from_millis(600);
-    let ask = Ask { timeout: Some(timeout), ..ask(prompt(100), 500) };
+    let ask = Request { timeout: Some(timeout), ..ask(prompt(100), 500) };
     let asks = (0..12).map(|i| send(&fleet, i % 3, &ask));
     for answer in futures::future::join_all(asks).await {
         assert!(!answer.complete);
@@ -49,10 +49,10 @@
     plan.engine.speed = 0.5;
     let fleet = Fleet::start(Plan { policy, ..plan }).await;
     for stream in [true, false] {
-        let ask = Ask { stream, ..ask(prompt(100), 5_000) };
+        let ask = Request { stream, ..ask(prompt(100), 5_000) };
         let listen = fleet.vms[0].listen;
         let client = fleet.client.clone();
-        let caller = tokio::spawn(async move { client::ask(&client, listen, &ask).await });
+        let caller = tokio::spawn(async move { client::send(&client, listen, &ask).await });
         wait_for("the request to run", async || fleet.memory_used() > 0).await;
         caller.abort();
         wait_for("memory to be free", async || fleet.memory_used() == 0).await;
@@ -64,7 +64,7 @@
     let mut fleet = Fleet::start(plan()).await;
     fleet.kv.kv.adjust(|s| s.down = true);
     fleet.vms[2].signal(Signal::SIGSTOP);
-    let asks: Vec<Ask> = (0..10).map(|i| ask(prompt(100 + i), 10)).collect();
+    let asks: Vec<Request> = (0..10).map(|i| ask(prompt(100 + i), 10)).collect();
     for (i, ask) in asks.iter().enumerate() {
         let answer = send(&fleet, i % 2, ask).await;
         common::assert_whole(&answer, ask);
@@ -82,7 +82,7 @@
         let ask = ask(prompt(20_000), 20);
         let listen = fleet.vms[vm].listen;
         let client = fleet.client.clone();
-        let caller = tokio::spawn(async move { client::ask(&client, listen, &ask).await });
+        let caller = tokio::spawn(async move { client::send(&client, listen, &ask).await });
         wait_for("a group to be held", async || {
             fleet.engines.iter().map(|e| e.engine.stats().held).sum::<u64>() > 0
         })
@@ -98,7 +98,7 @@
     let fleet = Fleet::start(plan()).await;
     // At the prior speed of 50 us a token, 380,000 tokens take far longer than a second.
     let timeout = Duration::from_secs(1);
-    let ask = Ask { timeout: Some(timeout), ..ask(prompt(380_000), 5) };
+    let ask = Request { timeout: Some(timeout), ..ask(prompt(380_000), 5) };
     let answer = send(&fleet, 0, &ask).await;
     assert_eq!(answer.kind.as_deref(), Some("overloaded"), "{answer:?}");
     assert_eq!(answer.ran.as_deref(), Some("no"));
--- a/daemon/tests/leaving.rs
+++ b/daemon/tests/leaving.rs
@@ -7,7 +7,7 @@
 use common::{ask, plan, prompt, send};
 use foldlock_connection::vms::{Listed, Listing};
 use nix::sys::signal::Signal;
-use standin::client::{self, Answer, Ask};
+use standin::client::{self, Answer, Request};
 use standin::fleet::{Fleet, Plan, wait_for};
 
 /// Sends requests through all VMs until no engine but the leaving one gets any.
@@ -98,7 +98,7 @@
 async fn keep_sending(
     client: foldlock_connection::http::Client,
     vm: (std::net::SocketAddr, std::net::SocketAddr),
-) -> Vec<(Answer, Ask)> {
+) -> Vec<(Answer, Request)> {
     let mut answers = Vec::new();
     loop {
         let ready = hyper::Request::get(format!("http://{}/ready", vm.1))
@@ -109,7 +109,7 @@
             return answers;
         }
         let ask = ask(prompt(40 + answers.len()), 20);
-        answers.push((client::ask(&client, vm.0, &ask).await, ask));
+        answers.push((client::send(&client, vm.0, &ask).await, ask));
     }
 }
 
@@ -123,7 +123,7 @@
         let first = (fleet.vms[0].listen, fleet.vms[0].control);
         let long = ask(prompt(100), 60);
         let (client, sent) = (fleet.client.clone(), long.clone());
-        let begun = tokio::spawn(async move { client::ask(&client, first.0, &sent).await });
+        let begun = tokio::spawn(async move { client::send(&client, first.0, &sent).await });
         let load = tokio::spawn(keep_sending(fleet.client.clone(), first));
         wait_for("the request to run", async || fleet.memory_used() > 0).await;
         fleet.vms[0].signal(Signal::SIGTERM);
@@ -169,7 +169,7 @@
     let mut begun = Vec::new();
     for vm in [0, 1] {
         let (client, sent, listen) = (fleet.client.clone(), ask.clone(), fleet.vms[vm].listen);
-        begun.push(tokio::spawn(async move { client::ask(&client, listen, &sent).await }));
+        begun.push(tokio::spawn(async move { client::send(&client, listen, &sent).await }));
     }
     run_at_once(&fleet, &begun).await;
     fleet.vms[0].signal(Signal::SIGTERM);
@@ -190,7 +190,7 @@
     let mut begun = Vec::new();
     for vm in &fleet.vms {
         let (client, sent, listen) = (fleet.client.clone(), ask.clone(), vm.listen);
-        begun.push(tokio::spawn(async move { client::ask(&client, listen, &sent).await }));
+        begun.push(tokio::spawn(async move { client::send(&client, listen, &sent).await }));
     }
     run_at_once(&fleet, &begun).await;
     for vm in &fleet.vms {
--- a/daemon/tests/once.rs
+++ b/daemon/tests/once.rs
@@ -8,7 +8,7 @@
 use foldlock_connection::http::body;
 use hyper::Request;
 use nix::sys::signal::Signal;
-use standin::client::Ask;
+use standin::client;
 use standin::fault::{Fault, Kind};
 use standin::fleet::{Fleet, wait_for};
 
@@ -34,8 +34,8 @@
     fleet.plains.iter().filter_map(|p| p.plain.stats().by_key.get(key).copied()).sum()
 }
 
-fn paid(key: &str) -> Ask {
-    Ask {
+fn paid(key: &str) -> client::Request {
+    client::Request {
         kind: Some("paid".to_owned()),
         idempotency_key: Some(key.to_owned()),
         ..ask(prompt(50), 5)
--- a/daemon/tests/path.rs
+++ b/daemon/tests/path.rs
@@ -6,7 +6,7 @@
 use expect_test::expect;
 use foldlock_connection::http::body;
 use hyper::Request;
-use standin::client::Ask;
+use standin::client;
 use standin::fleet::{Fleet, Plan, wait_for};
 
 #[tokio::test(flavor = "multi_thread")]
@@ -14,7 +14,7 @@
     let fleet = Fleet::start(plan()).await;
     for vm in 0..3 {
         for stream in [true, false] {
-            let ask = Ask { stream, ..ask(prompt(300 + vm), 12) };
+            let ask = client::Request { stream, ..ask(prompt(300 + vm), 12) };
             let answer = send(&fleet, vm, &ask).await;
             assert_whole(&answer, &ask);
             assert!(answer.request.starts_with(&format!("vm-{vm}-")), "{answer:?}");
@@ -44,7 +44,7 @@
     plan.engine.memory = 8_000;
     plan.engine.speed = 100.0;
     let fleet = Fleet::start(Plan { engines: 12, ..plan }).await;
-    let asks: Vec<Ask> = (0..9).map(|i| ask(prompt(15_000 + i), 5)).collect();
+    let asks: Vec<client::Request> = (0..9).map(|i| ask(prompt(15_000 + i), 5)).collect();
     let sent = asks.iter().enumerate().map(|(i, ask)| send(&fleet, i % 3, ask));
     for (answer, ask) in futures::future::join_all(sent).await.iter().zip(&asks) {
         assert_whole(answer, ask);
@@ -60,7 +60,7 @@
     let fleet = Fleet::start(Plan { vms: 1, engines: 1, ..plan }).await;
     // Well above what it takes, and below the time after which a home gives up searching.
     let timeout = Some(std::time::Duration::from_millis(1_800));
-    let ask = Ask { timeout, ..ask(prompt(20_000), 3) };
+    let ask = client::Request { timeout, ..ask(prompt(20_000), 3) };
     assert_whole(&send(&fleet, 0, &ask).await, &ask);
 }
 
--- a/daemon/tests/streams.rs
+++ b/daemon/tests/streams.rs
@@ -5,7 +5,7 @@
 use common::{ask, assert_whole, paid_plan, plan, prompt, send};
 use foldlock_request::cursor::{Cursor, Key};
 use serde_json::json;
-use standin::client::{self, Ask};
+use standin::client::{self, Request};
 use standin::fault::{Fault, Kind};
 use standin::fleet::{Fleet, Plan, wait_for};
 
@@ -67,7 +67,7 @@
     let ask = ask(prompt(100), 200);
     let listen = fleet.vms[0].listen;
     let (client, sent) = (fleet.client.clone(), ask.clone());
-    let answer = tokio::spawn(async move { client::ask(&client, listen, &sent).await });
+    let answer = tokio::spawn(async move { client::send(&client, listen, &sent).await });
     wait_for("the answer to begin", async || {
         fleet.engines.iter().any(|e| e.engine.stats().streams > 0)
     })
@@ -83,7 +83,7 @@
     for engine in &fleet.engines {
         engine.engine.add_fault(Fault { kind: Kind::Cut, at: 3, count: 9 });
     }
-    let ask = Ask { kind: Some("paid".to_owned()), ..ask(prompt(100), 30) };
+    let ask = Request { kind: Some("paid".to_owned()), ..ask(prompt(100), 30) };
     let answer = send(&fleet, 0, &ask).await;
     assert!(!answer.complete);
     assert_eq!(answer.kind.as_deref(), Some("upstream_failed"));
@@ -99,7 +99,7 @@
     let ask = ask(prompt(100), 150);
     let listen = fleet.vms[0].listen;
     let (client, sent) = (fleet.client.clone(), ask.clone());
-    let cut = tokio::spawn(async move { client::ask(&client, listen, &sent).await });
+    let cut = tokio::spawn(async move { client::send(&client, listen, &sent).await });
     wait_for("a token", async || {
         fleet.engines.iter().any(|e| e.engine.stats().streams > 0 && e.engine.stats().idle_ms > 100)
     })
--- a/standin/examples/load/ask.rs
+++ b/standin/examples/load/ask.rs
@@ -42,7 +42,7 @@
         return plain(&client, &args, path).await;
     }
     let prompt: String = (0..args.tokens).map(|i| format!("{:03} ", i % 1000)).collect();
-    let ask = client::Ask {
+    let request = client::Request {
         key: args.key,
         kind: args.kind,
         model: args.model,
@@ -52,7 +52,7 @@
         timeout: None,
         idempotency_key: args.once,
     };
-    let answer = client::ask(&client, args.vm, &ask).await;
+    let answer = client::send(&client, args.vm, &request).await;
     let first = answer.first_token.map_or(0.0, |d| d.as_secs_f64() * 1e3);
     let total = answer.total.as_secs_f64() * 1e3;
     let what = match &answer.kind {
--- a/standin/examples/load/policies.rs
+++ b/standin/examples/load/policies.rs
@@ -8,7 +8,7 @@
 
 use foldlock_version::policy::Route;
 use serde_json::json;
-use standin::client::{self, Answer, Ask};
+use standin::client::{self, Answer, Request};
 use standin::engine;
 use standin::fleet::{Fleet, MODEL, Plan};
 use standin::workload::{Arrival, Plan as Arrivals, Workload};
@@ -271,7 +271,7 @@
         let (fleet, next, names) = (fleet.clone(), next.clone(), names.clone());
         async move {
             let vm = next.fetch_add(1, Ordering::Relaxed) % fleet.vms.len();
-            let ask = Ask {
+            let request = Request {
                 key: format!("key-{}", arrival.organisation),
                 kind: Some(names[arrival.kind].clone()),
                 model: MODEL.to_owned(),
@@ -281,20 +281,20 @@
                 timeout: Some(arrival.timeout),
                 idempotency_key: None,
             };
-            let answer = client::ask(&fleet.client, fleet.vms[vm].listen, &ask).await;
-            let later = come_back(&fleet, vm, &ask, &answer).await;
-            (answer, later)
+            let answer = client::send(&fleet.client, fleet.vms[vm].listen, &request).await;
+            let retry_admitted = retry_once(&fleet, vm, &request, &answer).await;
+            (answer, retry_admitted)
         }
     })
     .await
 }
 
 /// Retries once after the time in `retry-after-ms`; returns whether the retry was admitted.
-async fn come_back(fleet: &Fleet, vm: usize, ask: &Ask, answer: &Answer) -> Option<bool> {
+async fn retry_once(fleet: &Fleet, vm: usize, request: &Request, answer: &Answer) -> Option<bool> {
     let after = answer.retry_after?;
     tokio::time::sleep(after).await;
-    let again = client::ask(&fleet.client, fleet.vms[vm].listen, ask).await;
-    Some(again.status == 200)
+    let answer = client::send(&fleet.client, fleet.vms[vm].listen, request).await;
+    Some(answer.status == 200)
 }
 
 async fn through_oracle(
--- a/standin/examples/load/promises.rs
+++ b/standin/examples/load/promises.rs
@@ -9,7 +9,7 @@
 use http_body_util::BodyExt;
 use hyper::{Method, Request};
 use serde_json::json;
-use standin::client::{self, Ask};
+use standin::client;
 use standin::engine;
 use standin::fault::{Fault, Kind};
 use standin::fleet::{Fleet, MODEL, Plan};
@@ -47,14 +47,14 @@
     table.row(vec![figure.to_owned(), cell(50.0), cell(99.0), cell(99.9), value]);
 }
 
-fn ask(prompt_tokens: usize, max_tokens: u64) -> Ask {
-    Ask {
+fn request(prompt_tokens: usize, max_tokens: u64) -> client::Request {
+    client::Request {
         key: "key-0".to_owned(),
         model: MODEL.to_owned(),
         prompt: "abc ".repeat(prompt_tokens),
         max_tokens,
         stream: true,
-        ..Ask::default()
+        ..client::Request::default()
     }
 }
 
@@ -73,8 +73,8 @@
         tokio::time::sleep(Duration::from_millis(2)).await;
         tasks.push(tokio::spawn(async move {
             let timeout = Duration::from_millis(300 + (i as u64 * 7) % 700);
-            let ask = Ask { timeout: Some(timeout), ..ask(50, 100) };
-            let answer = client::ask(&fleet.client, fleet.vms[i % 3].listen, &ask).await;
+            let request = client::Request { timeout: Some(timeout), ..request(50, 100) };
+            let answer = client::send(&fleet.client, fleet.vms[i % 3].listen, &request).await;
             answer.total.saturating_sub(timeout)
         }));
     }
@@ -194,9 +194,9 @@
         let (mut resumed, mut rerun) = (Times::default(), Times::default());
         let (mut again_resumed, mut again_rerun) = (0, 0);
         for round in 0..5 {
-            let mut ask = ask(8_000, 100);
-            ask.prompt = format!("{cut} {round} {}", ask.prompt);
-            let cursor = partial(&fleet.client, fleet.vms[0].listen, &ask, cut).await;
+            let mut request = request(8_000, 100);
+            request.prompt = format!("{cut} {round} {}", request.prompt);
+            let cursor = partial(&fleet.client, fleet.vms[0].listen, &request, cut).await;
             let before = computed();
             let rest = client::resume(&fleet.client, fleet.vms[1].listen, "key-0", &cursor).await;
             assert!(rest.complete, "{rest:?}");
@@ -204,10 +204,10 @@
             again_resumed += computed() - before;
             // The changed prompt avoids prefix cache hits: a request that is sent again often
             // runs on an engine that has not cached its prompt.
-            ask.prompt.push_str("x ");
-            ask.prompt.insert_str(0, "again ");
+            request.prompt.push_str("x ");
+            request.prompt.insert_str(0, "again ");
             let before = computed();
-            let whole = client::ask(&fleet.client, fleet.vms[1].listen, &ask).await;
+            let whole = client::send(&fleet.client, fleet.vms[1].listen, &request).await;
             rerun.add(whole.total.as_secs_f64() * f64::from(cut as u32) / 100.0);
             again_rerun += computed() - before + cut as u64;
         }
@@ -228,11 +228,11 @@
 }
 
 /// Reads a response up to a token, then closes the connection; returns the cursor of that token.
-async fn partial(client: &Client, vm: std::net::SocketAddr, ask: &Ask, tokens: usize) -> String {
-    let text = json!({ "model": ask.model, "prompt": ask.prompt, "max_tokens": ask.max_tokens,
+async fn partial(client: &Client, vm: std::net::SocketAddr, request: &client::Request, tokens: usize) -> String {
+    let text = json!({ "model": request.model, "prompt": request.prompt, "max_tokens": request.max_tokens,
                        "stream": true });
     let request = Request::post(format!("http://{vm}/v1/completions"))
-        .header("authorization", format!("Bearer {}", ask.key))
+        .header("authorization", format!("Bearer {}", request.key))
         .body(body(text.to_string()))
         .expect("plain headers");
     let mut answer = client.send(request).await.expect("an answer").into_body();
--- a/standin/src/client.rs
+++ b/standin/src/client.rs
@@ -6,12 +6,12 @@
 use foldlock_connection::http::{Client, Failure, body};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
-use hyper::{Request, Response};
+use hyper::Response;
 use serde_json::{Value, json};
 
 /// A completion request.
 #[derive(Debug, Clone, Default)]
-pub struct Ask {
+pub struct Request {
     /// The bearer key.
     pub key: String,
     /// The request kind; none to use the default.
@@ -60,41 +60,41 @@
 }
 
 /// Sends a request and reads the response to its end.
-pub async fn ask(client: &Client, vm: SocketAddr, ask: &Ask) -> Answer {
+pub async fn send(client: &Client, vm: SocketAddr, request: &Request) -> Answer {
     let body_text = json!({
-        "model": ask.model,
-        "prompt": ask.prompt,
-        "max_tokens": ask.max_tokens,
-        "stream": ask.stream,
+        "model": request.model,
+        "prompt": request.prompt,
+        "max_tokens": request.max_tokens,
+        "stream": request.stream,
     })
     .to_string();
-    let mut request = Request::post(format!("http://{vm}/v1/completions"))
-        .header("authorization", format!("Bearer {}", ask.key));
-    if let Some(kind) = &ask.kind {
-        request = request.header("x-request-kind", kind);
+    let mut message = hyper::Request::post(format!("http://{vm}/v1/completions"))
+        .header("authorization", format!("Bearer {}", request.key));
+    if let Some(kind) = &request.kind {
+        message = message.header("x-request-kind", kind);
     }
-    if let Some(timeout) = ask.timeout {
-        request = request.header("x-request-timeout-ms", timeout.as_millis() as u64);
+    if let Some(timeout) = request.timeout {
+        message = message.header("x-request-timeout-ms", timeout.as_millis() as u64);
     }
-    if let Some(key) = &ask.idempotency_key {
-        request = request.header("idempotency-key", key);
+    if let Some(key) = &request.idempotency_key {
+        message = message.header("idempotency-key", key);
     }
-    read(client, request.body(body(body_text)).expect("plain headers")).await
+    read(client, message.body(body(body_text)).expect("plain headers")).await
 }
 
 /// Resumes a stream from a cursor.
 pub async fn resume(client: &Client, vm: SocketAddr, key: &str, cursor: &str) -> Answer {
-    let request = Request::get(format!("http://{vm}/v1/streams"))
+    let request = hyper::Request::get(format!("http://{vm}/v1/streams"))
         .header("authorization", format!("Bearer {key}"))
         .header("last-event-id", cursor);
     read(client, request.body(body("")).expect("plain headers")).await
 }
 
-async fn read(client: &Client, request: Request<http_body_util::Full<bytes::Bytes>>) -> Answer {
+async fn read(client: &Client, request: hyper::Request<http_body_util::Full<bytes::Bytes>>) -> Answer {
     let mut reader = Reader::default();
     let started = Instant::now();
     match client.send(request).await {
-        Ok(answer) => reader.answer(answer, started).await,
+        Ok(response) => reader.read_response(response, started).await,
         Err(Failure::Connect(_) | Failure::Broken(_)) => {}
     }
     reader.answer.total = started.elapsed();
@@ -104,56 +104,56 @@
 #[derive(Default)]
 struct Reader {
     answer: Answer,
-    rest: Vec<u8>,
-    newest: Option<Instant>,
+    buffer: Vec<u8>,
+    last_token: Option<Instant>,
 }
 
 impl Reader {
-    async fn answer(&mut self, answer: Response<Incoming>, started: Instant) {
+    async fn read_response(&mut self, response: Response<Incoming>, started: Instant) {
         let header = |name: &str| {
-            answer.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned()
+            response.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned()
         };
-        self.answer.status = answer.status().as_u16();
+        self.answer.status = response.status().as_u16();
         self.answer.request = header("x-request-id");
         self.answer.retry_after = header("retry-after-ms").parse().ok().map(Duration::from_millis);
         let events = header("content-type") == "text/event-stream";
-        let mut body = answer.into_body();
+        let mut body = response.into_body();
         while let Some(Ok(frame)) = body.frame().await {
             let Ok(bytes) = frame.into_data() else { continue };
-            self.rest.extend_from_slice(&bytes);
+            self.buffer.extend_from_slice(&bytes);
             if events {
-                self.events(started);
+                self.parse_events(started);
             }
         }
         if !events {
-            self.whole();
+            self.parse_body();
         }
     }
 
-    fn whole(&mut self) {
-        let Ok(value) = serde_json::from_slice::<Value>(&self.rest) else { return };
+    fn parse_body(&mut self) {
+        let Ok(value) = serde_json::from_slice::<Value>(&self.buffer) else { return };
         if let Some(text) = value["choices"][0]["text"].as_str() {
             self.answer.text = text.to_owned();
             self.answer.tokens = value["usage"]["completion_tokens"].as_u64().unwrap_or(0);
             self.answer.complete = true;
         }
-        self.error(&value);
+        self.parse_error(&value);
     }
 
-    fn error(&mut self, value: &Value) {
+    fn parse_error(&mut self, value: &Value) {
         let field = |name: &str| value["error"][name].as_str().map(str::to_owned);
         self.answer.kind = field("kind");
         self.answer.ran = field("ran");
     }
 
-    fn events(&mut self, started: Instant) {
-        while let Some(end) = self.rest.windows(2).position(|w| w == b"\n\n") {
-            let event: Vec<u8> = self.rest.drain(..end + 2).collect();
-            self.event(&String::from_utf8_lossy(&event), started);
+    fn parse_events(&mut self, started: Instant) {
+        while let Some(end) = self.buffer.windows(2).position(|w| w == b"\n\n") {
+            let event: Vec<u8> = self.buffer.drain(..end + 2).collect();
+            self.parse_event(&String::from_utf8_lossy(&event), started);
         }
     }
 
-    fn event(&mut self, event: &str, started: Instant) {
+    fn parse_event(&mut self, event: &str, started: Instant) {
         let line = |name: &str| event.lines().find_map(|l| l.strip_prefix(name));
         let Some(data) = line("data: ") else { return };
         if data == "[DONE]" {
@@ -162,22 +162,22 @@
         }
         let Ok(value) = serde_json::from_str::<Value>(data) else { return };
         if event.starts_with("event: error") {
-            self.error(&value);
+            self.parse_error(&value);
             return;
         }
         let text = value["choices"][0]["text"].as_str().unwrap_or_default();
         if let Some(cursor) = line("id: ") {
-            self.token(text, cursor, started);
+            self.record_token(text, cursor, started);
         }
     }
 
-    fn token(&mut self, text: &str, cursor: &str, started: Instant) {
+    fn record_token(&mut self, text: &str, cursor: &str, started: Instant) {
         let now = Instant::now();
         self.answer.first_token.get_or_insert(now - started);
-        if let Some(newest) = self.newest {
-            self.answer.longest_gap = self.answer.longest_gap.max(now - newest);
+        if let Some(previous) = self.last_token {
+            self.answer.longest_gap = self.answer.longest_gap.max(now - previous);
         }
-        self.newest = Some(now);
+        self.last_token = Some(now);
         self.answer.text.push_str(text);
         self.answer.tokens += 1;
         self.answer.cursor = Some(cursor.to_owned());
