--- a/daemon/tests/once.rs
+++ b/daemon/tests/once.rs
@@ -153,7 +153,7 @@
 async fn an_engine_that_dies_while_it_is_sent_to_is_never_called_not_run() {
     let fleet = Fleet::start(paid_plan()).await;
     for engine in &fleet.engines {
-        engine.engine.add_fault(Fault { kind: Kind::LoseAnswer, at: 0, count: 1 });
+        engine.engine.add_fault(Fault { kind: Kind::LoseResponse, at: 0, count: 1 });
     }
     let answer = send(&fleet, 0, &paid("k")).await;
     assert_eq!(answer.ran.as_deref(), Some("unknown"), "{answer:?}");
--- a/daemon/tests/streams.rs
+++ b/daemon/tests/streams.rs
@@ -26,17 +26,17 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cut_answer_goes_on_elsewhere() {
-    with_fault(Kind::Cut, 9).await;
+    with_fault(Kind::Disconnect, 9).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_crossed_event_never_reaches_the_caller() {
-    with_fault(Kind::Cross, 5).await;
+    with_fault(Kind::WrongRequest, 5).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_doubled_event_is_dropped() {
-    with_fault(Kind::Double, 5).await;
+    with_fault(Kind::Duplicate, 5).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -81,7 +81,7 @@
 async fn a_request_that_may_not_be_repeated_is_not_resumed_elsewhere() {
     let fleet = Fleet::start(paid_plan()).await;
     for engine in &fleet.engines {
-        engine.engine.add_fault(Fault { kind: Kind::Cut, at: 3, count: 9 });
+        engine.engine.add_fault(Fault { kind: Kind::Disconnect, at: 3, count: 9 });
     }
     let ask = Request { kind: Some("paid".to_owned()), ..ask(prompt(100), 30) };
     let answer = send(&fleet, 0, &ask).await;
--- a/standin/src/engine_http.rs
+++ b/standin/src/engine_http.rs
@@ -275,11 +275,11 @@
         };
         match stream.fault.filter(|f| f.at == at as u64).map(|f| f.kind) {
             Some(Kind::Skip) => {}
-            Some(Kind::Double) => {
+            Some(Kind::Duplicate) => {
                 plain(out, at);
                 plain(out, at);
             }
-            Some(Kind::Cross) => line(out, "someone-else", index, Some("xxx "), None),
+            Some(Kind::WrongRequest) => line(out, "someone-else", index, Some("xxx "), None),
             Some(Kind::Reorder) if at + 1 < tokens.len() => {
                 plain(out, at + 1);
                 plain(out, at);
@@ -294,7 +294,7 @@
     }
 
     fn cut(&self, stream: &Stream) -> bool {
-        let cuts = |f: Fault| matches!(f.kind, Kind::Cut | Kind::LoseAnswer);
+        let cuts = |f: Fault| matches!(f.kind, Kind::Disconnect | Kind::LoseResponse);
         stream.fault.is_some_and(|f| cuts(f) && self.next as u64 >= f.at)
     }
 }
--- a/standin/src/fault.rs
+++ b/standin/src/fault.rs
@@ -9,11 +9,14 @@
     /// No more events are sent, and the connection stays open.
     Freeze,
     /// The connection is closed.
-    Cut,
+    #[serde(rename = "cut")]
+    Disconnect,
     /// An event of another request is sent.
-    Cross,
+    #[serde(rename = "cross")]
+    WrongRequest,
     /// The event is sent twice.
-    Double,
+    #[serde(rename = "double")]
+    Duplicate,
     /// The event is left out.
     Skip,
     /// The event is swapped with the next one.
@@ -21,7 +24,8 @@
     /// The request is refused and does not run.
     Refuse,
     /// The request runs, and the connection is closed instead of a response.
-    LoseAnswer,
+    #[serde(rename = "lose_answer")]
+    LoseResponse,
 }
 
 /// A fault to inject into the next streams.
