--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -215,7 +215,7 @@
         let mut inner = self.state.lock().unwrap();
         let fault = self.admit(&mut inner, &ask, prompt_tokens)?;
         let cached = match ask.context_state {
-            None => self.memory.lock().unwrap().cached(&blocks).min(prompt_tokens - 1),
+            None => self.memory.lock().unwrap().cached_prefix(&blocks).min(prompt_tokens - 1),
             Some(_) => 0,
         };
         inner.begun += 1;
@@ -300,7 +300,7 @@
         if inner.leaving {
             return Err((503, LEAVING));
         }
-        if !self.memory.lock().unwrap().take(tokens) {
+        if !self.memory.lock().unwrap().reserve(tokens) {
             return Err((409, "no memory"));
         }
         let hold = Hold { tokens, until, busy: 0, state: prefix::START, filled: 0 };
@@ -313,7 +313,7 @@
     pub fn release(&self, id: &str) -> bool {
         let mut inner = self.state.lock().unwrap();
         let Some(hold) = inner.holds.remove(id) else { return false };
-        self.memory.lock().unwrap().give(hold.tokens);
+        self.memory.lock().unwrap().release(hold.tokens);
         for job in inner.jobs.iter().filter(|j| j.ask.hold.as_deref() == Some(id)) {
             job.stream.write(|o| o.dead = true);
         }
@@ -461,7 +461,7 @@
     fn admit_waiting(&self, inner: &mut State) {
         let mut memory = self.memory.lock().unwrap();
         for job in inner.jobs.iter_mut().filter(|j| !j.admitted) {
-            if !memory.take(job.memory) {
+            if !memory.reserve(job.memory) {
                 break;
             }
             job.admitted = true;
@@ -509,7 +509,7 @@
         if job.ask.context_state.is_some() {
             return Vec::new();
         }
-        self.memory.lock().unwrap().cache(&job.blocks);
+        self.memory.lock().unwrap().insert(&job.blocks);
         job.blocks.clone()
     }
 
@@ -538,7 +538,7 @@
                 || job.stream.abandoned(job.ask.linger);
             if over {
                 if job.admitted {
-                    memory.give(job.memory);
+                    memory.release(job.memory);
                 }
                 if let Some(hold) = job.ask.hold.as_ref().and_then(|h| holds.get_mut(h)) {
                     hold.busy -= 1;
@@ -554,7 +554,7 @@
         holds.retain(|_, hold| {
             let over = hold.until < now;
             if over {
-                memory.give(hold.tokens);
+                memory.release(hold.tokens);
             }
             !over
         });
--- a/standin/src/memory.rs
+++ b/standin/src/memory.rs
@@ -13,14 +13,14 @@
     total: u64,
     used: u64,
     blocks: HashMap<u64, u64>,
-    by_age: BTreeMap<u64, u64>,
-    stamp: u64,
+    by_last_use: BTreeMap<u64, u64>,
+    clock: u64,
 }
 
 impl Memory {
     /// Creates an empty memory of `total` tokens.
     pub fn new(total: u64) -> Memory {
-        Memory { total, used: 0, blocks: HashMap::new(), by_age: BTreeMap::new(), stamp: 0 }
+        Memory { total, used: 0, blocks: HashMap::new(), by_last_use: BTreeMap::new(), clock: 0 }
     }
 
     /// The capacity in tokens.
@@ -35,23 +35,23 @@
 
     /// Reserves tokens, and evicts cached blocks for them; false if they do not fit, with nothing
     /// reserved.
-    pub fn take(&mut self, tokens: u64) -> bool {
+    pub fn reserve(&mut self, tokens: u64) -> bool {
         if self.used + tokens > self.total {
             return false;
         }
         self.used += tokens;
-        self.shrink();
+        self.evict();
         true
     }
 
     /// Releases tokens.
-    pub fn give(&mut self, tokens: u64) {
-        assert!(tokens <= self.used, "memory is given back once only");
+    pub fn release(&mut self, tokens: u64) {
+        assert!(tokens <= self.used, "released {tokens} tokens of {} in use", self.used);
         self.used -= tokens;
     }
 
     /// Length of the cached prefix of `blocks`, in tokens.
-    pub fn cached(&mut self, blocks: &[u64]) -> u64 {
+    pub fn cached_prefix(&mut self, blocks: &[u64]) -> u64 {
         let hits = blocks.iter().take_while(|b| self.blocks.contains_key(b)).count();
         for block in &blocks[..hits] {
             self.touch(*block);
@@ -60,25 +60,25 @@
     }
 
     /// Adds blocks to the cache and evicts the least recently used ones beyond the free memory.
-    pub fn cache(&mut self, blocks: &[u64]) {
+    pub fn insert(&mut self, blocks: &[u64]) {
         for block in blocks {
             self.touch(*block);
         }
-        self.shrink();
+        self.evict();
     }
 
     fn touch(&mut self, block: u64) {
-        self.stamp += 1;
-        if let Some(old) = self.blocks.insert(block, self.stamp) {
-            self.by_age.remove(&old);
+        self.clock += 1;
+        if let Some(old) = self.blocks.insert(block, self.clock) {
+            self.by_last_use.remove(&old);
         }
-        self.by_age.insert(self.stamp, block);
+        self.by_last_use.insert(self.clock, block);
     }
 
-    fn shrink(&mut self) {
+    fn evict(&mut self) {
         let room = (self.total - self.used) / BLOCK_TOKENS;
         while self.blocks.len() as u64 > room {
-            let Some((_, block)) = self.by_age.pop_first() else { return };
+            let Some((_, block)) = self.by_last_use.pop_first() else { return };
             self.blocks.remove(&block);
         }
     }
