--- a/standin/examples/load/oracle.rs
+++ b/standin/examples/load/oracle.rs
@@ -86,25 +86,25 @@
             ..engine::Ask::default()
         });
         let Ok(stream) = begun else { return };
-        stream.attach();
+        stream.add_reader();
         loop {
             let changed = stream.changed();
             tokio::pin!(changed);
             changed.as_mut().enable();
-            let (tokens, ended, dead) = stream.look(|o| (o.tokens.len(), o.end.is_some(), o.dead));
+            let (tokens, ended, aborted) = stream.read(|o| (o.tokens.len(), o.end.is_some(), o.aborted));
             if tokens > 0 && out.first_token.is_none() {
                 out.first_token = Some(started.elapsed());
                 self.first_token(&mut flight, sent.elapsed().as_secs_f64());
             }
-            if ended || dead {
+            if ended || aborted {
                 out.status = 200;
                 out.complete = ended;
-                out.text = stream.look(|o| o.tokens.concat());
+                out.text = stream.read(|o| o.tokens.concat());
                 break;
             }
             changed.await;
         }
-        stream.detach();
+        stream.remove_reader();
     }
 
     async fn place(&self, requirements: &Requirements) -> Flight<'_> {
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -283,7 +283,7 @@
         let mut inner = self.state.lock().unwrap();
         let found = inner.streams.remove(id);
         if let Some(stream) = &found {
-            stream.write(|o| o.dead = true);
+            stream.update(|o| o.aborted = true);
             self.reap(&mut inner);
         }
         found.is_some()
@@ -315,7 +315,7 @@
         let Some(hold) = inner.holds.remove(id) else { return false };
         self.memory.lock().unwrap().release(hold.tokens);
         for job in inner.jobs.iter().filter(|j| j.ask.hold.as_deref() == Some(id)) {
-            job.stream.write(|o| o.dead = true);
+            job.stream.update(|o| o.aborted = true);
         }
         self.reap(&mut inner);
         true
@@ -505,7 +505,7 @@
 
     fn prefilled(&self, job: &Job) -> Vec<u64> {
         let state = job.state;
-        job.stream.write(|o| o.state = Some(state));
+        job.stream.update(|o| o.state = Some(state));
         if job.ask.context_state.is_some() {
             return Vec::new();
         }
@@ -533,9 +533,9 @@
         let mut memory = self.memory.lock().unwrap();
         let State { jobs, holds, streams, .. } = inner;
         jobs.retain(|job| {
-            let over = job.stream.look(|o| o.dead || o.end.is_some())
+            let over = job.stream.read(|o| o.aborted || o.end.is_some())
                 || job.deadline < now
-                || job.stream.abandoned(job.ask.linger);
+                || job.stream.is_abandoned(job.ask.linger);
             if over {
                 if job.admitted {
                     memory.release(job.memory);
@@ -545,8 +545,8 @@
                     hold.filled = job.prompt_tokens;
                     hold.state = job.state;
                 }
-                if job.stream.look(|o| o.end.is_none()) {
-                    job.stream.write(|o| o.dead = true);
+                if job.stream.read(|o| o.end.is_none()) {
+                    job.stream.update(|o| o.aborted = true);
                 }
             }
             !over
@@ -559,7 +559,7 @@
             !over
         });
         streams.retain(|_, s| {
-            !(s.look(|o| o.dead) || s.look(|o| o.end.is_some()) && s.abandoned(FINISHED_KEPT))
+            !(s.read(|o| o.aborted) || s.read(|o| o.end.is_some()) && s.is_abandoned(FINISHED_KEPT))
         });
     }
 }
@@ -584,7 +584,7 @@
     job.generated += 1;
     let done = job.generated >= job.ask.max_tokens;
     let wanted = job.ask.max_tokens > 0;
-    job.stream.write(|o| {
+    job.stream.update(|o| {
         if wanted {
             o.tokens.push(text);
         }
--- a/standin/src/engine_http.rs
+++ b/standin/src/engine_http.rs
@@ -166,7 +166,7 @@
     let _reader = Reader::new(stream.clone());
     loop {
         let changed = stream.changed();
-        match stream.look(|o| (o.state, o.dead)) {
+        match stream.read(|o| (o.state, o.aborted)) {
             (_, true) => return text(500, "broken off"),
             (Some(state), _) => return json(&context(before + tokens, state)),
             _ => changed.await,
@@ -190,14 +190,14 @@
 
 impl Reader {
     fn new(stream: Arc<Stream>) -> Reader {
-        stream.attach();
+        stream.add_reader();
         Reader(stream)
     }
 }
 
 impl Drop for Reader {
     fn drop(&mut self) {
-        self.0.detach();
+        self.0.remove_reader();
     }
 }
 
@@ -234,11 +234,11 @@
             let changed = stream.changed();
             tokio::pin!(changed);
             changed.as_mut().enable();
-            let (bytes, dead) = stream.look(|o| (self.write(&stream, &o.tokens, o.end), o.dead));
+            let (bytes, aborted) = stream.read(|o| (self.write(&stream, &o.tokens, o.end), o.aborted));
             if !bytes.is_empty() {
                 return Some(Ok(bytes.into()));
             }
-            if self.cut(&stream) || dead {
+            if self.cut(&stream) || aborted {
                 self.ended = true;
                 return Some(Err(std::io::Error::other("cut")));
             }
--- a/standin/src/stream.rs
+++ b/standin/src/stream.rs
@@ -18,7 +18,7 @@
     /// The prefix state after the prompt, once the prompt is computed.
     pub state: Option<u64>,
     /// Whether the request was aborted.
-    pub dead: bool,
+    pub aborted: bool,
 }
 
 /// The stream of one request.
@@ -42,7 +42,7 @@
 #[derive(Debug)]
 struct Readers {
     count: u32,
-    left_at: Instant,
+    last_left_at: Instant,
 }
 
 impl Stream {
@@ -55,13 +55,13 @@
             cached,
             fault,
             output: Mutex::default(),
-            readers: Mutex::new(Readers { count: 0, left_at: Instant::now() }),
+            readers: Mutex::new(Readers { count: 0, last_left_at: Instant::now() }),
             changed: Notify::new(),
         }
     }
 
     /// Reads the output.
-    pub fn look<R>(&self, f: impl FnOnce(&Output) -> R) -> R {
+    pub fn read<R>(&self, f: impl FnOnce(&Output) -> R) -> R {
         f(&self.output.lock().unwrap())
     }
 
@@ -71,25 +71,25 @@
     }
 
     /// Registers a reader.
-    pub fn attach(&self) {
+    pub fn add_reader(&self) {
         self.readers.lock().unwrap().count += 1;
     }
 
     /// Unregisters a reader.
-    pub fn detach(&self) {
+    pub fn remove_reader(&self) {
         let mut readers = self.readers.lock().unwrap();
         readers.count -= 1;
-        readers.left_at = Instant::now();
+        readers.last_left_at = Instant::now();
     }
 
     /// Whether the stream has had no reader for longer than `linger`.
-    pub fn abandoned(&self, linger: Duration) -> bool {
+    pub fn is_abandoned(&self, linger: Duration) -> bool {
         let readers = self.readers.lock().unwrap();
-        readers.count == 0 && readers.left_at.elapsed() > linger
+        readers.count == 0 && readers.last_left_at.elapsed() > linger
     }
 
     /// Changes the output and notifies the readers.
-    pub fn write(&self, f: impl FnOnce(&mut Output)) {
+    pub fn update(&self, f: impl FnOnce(&mut Output)) {
         f(&mut self.output.lock().unwrap());
         self.changed.notify_waiters();
     }
