--- a/daemon/tests/deadline.rs
+++ b/daemon/tests/deadline.rs
@@ -84,7 +84,7 @@
         let client = fleet.client.clone();
         let caller = tokio::spawn(async move { client::send(&client, listen, &ask).await });
         wait_for("a group to be held", async || {
-            fleet.engines.iter().map(|e| e.engine.stats().held).sum::<u64>() > 0
+            fleet.engines.iter().map(|e| e.engine.stats().reserved).sum::<u64>() > 0
         })
         .await;
         fleet.vms[vm].kill();
--- a/daemon/tests/leaving.rs
+++ b/daemon/tests/leaving.rs
@@ -38,7 +38,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_reports_leaving_gets_no_new_work() {
     let fleet = Fleet::start(plan()).await;
-    fleet.engines[1].engine.leave(true);
+    fleet.engines[1].engine.set_leaving(true);
     gets_no_new_work(&fleet, 1).await;
 }
 
@@ -48,7 +48,7 @@
     plan.engine.report_lag_ms = 60_000;
     let fleet = Fleet::start(plan).await;
     fleet.kv.kv.adjust(|s| s.down = true);
-    fleet.engines[2].engine.leave(true);
+    fleet.engines[2].engine.set_leaving(true);
     // One VM finds out by a refusal; the caller does not notice.
     wait_for("a refusal", async || {
         let ask = ask(prompt(70), 2);
@@ -87,9 +87,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_stays_is_used_again() {
     let fleet = Fleet::start(plan()).await;
-    fleet.engines[1].engine.leave(true);
+    fleet.engines[1].engine.set_leaving(true);
     gets_no_new_work(&fleet, 1).await;
-    fleet.engines[1].engine.leave(false);
+    fleet.engines[1].engine.set_leaving(false);
     wait_for("work for the engine", async || begun_after(&fleet, 1).await > 0).await;
 }
 
--- a/standin/examples/load/oracle.rs
+++ b/standin/examples/load/oracle.rs
@@ -14,7 +14,7 @@
 use standin::workload::Arrival;
 use tokio::sync::Notify;
 
-struct Local {
+struct State {
     load: Load,
     speed: Model,
 }
@@ -22,7 +22,7 @@
 /// The dispatcher.
 pub(crate) struct Oracle {
     engines: Vec<Arc<Engine>>,
-    locals: Mutex<Vec<Local>>,
+    states: Mutex<Vec<State>>,
     changed: Notify,
     memory: u64,
 }
@@ -37,19 +37,19 @@
 
 impl Drop for Flight<'_> {
     fn drop(&mut self) {
-        let mut locals = self.oracle.locals.lock().unwrap();
-        let local = &mut locals[self.engine];
-        local.load = local.load.minus(self.load);
-        drop(locals);
+        let mut states = self.oracle.states.lock().unwrap();
+        let state = &mut states[self.engine];
+        state.load = state.load.minus(self.load);
+        drop(states);
         self.oracle.changed.notify_waiters();
     }
 }
 
 impl Oracle {
     pub(crate) fn new(engines: Vec<Arc<Engine>>, memory: u64) -> Oracle {
-        let local = |_| Local { load: Load::default(), speed: Model::default() };
-        let locals = Mutex::new((0..engines.len()).map(local).collect());
-        Oracle { engines, locals, changed: Notify::new(), memory }
+        let state = |_| State { load: Load::default(), speed: Model::default() };
+        let states = Mutex::new((0..engines.len()).map(state).collect());
+        Oracle { engines, states, changed: Notify::new(), memory }
     }
 
     /// Serves a request; one that exceeds the memory of an engine gets no answer.
@@ -73,19 +73,19 @@
             memory: Tokens(arrival.tokens + arrival.answer),
             class,
         };
-        let mut flight = self.place(&requirements).await;
+        let mut flight = self.assign(&requirements).await;
         let sent = Instant::now();
-        let begun = self.engines[flight.engine].begin(engine::Ask {
-            request: format!("oracle-{:x}", arrival.seed),
+        let submitted = self.engines[flight.engine].submit(engine::Request {
+            id: format!("oracle-{:x}", arrival.seed),
             model: standin::fleet::MODEL.to_owned(),
             prompt: prompt.into(),
             max_tokens: arrival.answer,
             priority: 3 + class.index() as u8,
             deadline: arrival.timeout,
             linger: Duration::from_secs(5),
-            ..engine::Ask::default()
+            ..engine::Request::default()
         });
-        let Ok(stream) = begun else { return };
+        let Ok(stream) = submitted else { return };
         stream.add_reader();
         loop {
             let changed = stream.changed();
@@ -94,7 +94,7 @@
             let (tokens, ended, aborted) = stream.read(|o| (o.tokens.len(), o.end.is_some(), o.aborted));
             if tokens > 0 && out.first_token.is_none() {
                 out.first_token = Some(started.elapsed());
-                self.first_token(&mut flight, sent.elapsed().as_secs_f64());
+                self.record_first_token(&mut flight, sent.elapsed().as_secs_f64());
             }
             if ended || aborted {
                 out.status = 200;
@@ -107,19 +107,19 @@
         stream.remove_reader();
     }
 
-    async fn place(&self, requirements: &Requirements) -> Flight<'_> {
+    async fn assign(&self, requirements: &Requirements) -> Flight<'_> {
         loop {
             let changed = self.changed.notified();
-            if let Some(flight) = self.try_place(requirements) {
+            if let Some(flight) = self.try_assign(requirements) {
                 return flight;
             }
             let _ = tokio::time::timeout(Duration::from_millis(20), changed).await;
         }
     }
 
-    fn try_place(&self, requirements: &Requirements) -> Option<Flight<'_>> {
-        let mut locals = self.locals.lock().unwrap();
-        let candidate = |(i, l): (usize, &Local)| Candidate {
+    fn try_assign(&self, requirements: &Requirements) -> Option<Flight<'_>> {
+        let mut states = self.states.lock().unwrap();
+        let candidate = |(i, l): (usize, &State)| Candidate {
             engine: format!("engine-{i}").parse().expect("a name"),
             own: l.load,
             fleet: l.load,
@@ -130,7 +130,7 @@
             overdue_s: 0.0,
             long_rank: i as u32,
         };
-        let candidates: Vec<Candidate> = locals.iter().enumerate().map(candidate).collect();
+        let candidates: Vec<Candidate> = states.iter().enumerate().map(candidate).collect();
         let choice = Routes::default().choose(
             Route::LengthAware,
             requirements,
@@ -139,18 +139,18 @@
         )?;
         let chosen = &candidates[choice.index];
         let load = Load::of(requirements.class, requirements.prompt, requirements.memory);
-        locals[choice.index].load = locals[choice.index].load.plus(load);
+        states[choice.index].load = states[choice.index].load.plus(load);
         Some(Flight { oracle: self, engine: choice.index, load, work: chosen.work(requirements) })
     }
 
-    fn first_token(&self, flight: &mut Flight<'_>, seconds: f64) {
+    fn record_first_token(&self, flight: &mut Flight<'_>, seconds: f64) {
         let prefill = flight.load.prefill_only();
         flight.load = flight.load.minus(prefill);
-        let mut locals = self.locals.lock().unwrap();
-        let local = &mut locals[flight.engine];
-        local.load = local.load.minus(prefill);
-        local.speed.learn(flight.work, seconds);
-        drop(locals);
+        let mut states = self.states.lock().unwrap();
+        let state = &mut states[flight.engine];
+        state.load = state.load.minus(prefill);
+        state.speed.learn(flight.work, seconds);
+        drop(states);
         self.changed.notify_waiters();
     }
 }
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -67,9 +67,9 @@
 
 /// A request to generate or to prefill.
 #[derive(Debug, Clone, Default)]
-pub struct Ask {
+pub struct Request {
     /// The request's id.
-    pub request: String,
+    pub id: String,
     /// The model.
     pub model: String,
     /// The prompt, or its segment for this engine.
@@ -85,7 +85,7 @@
     /// How long the request keeps running without a reader.
     pub linger: Duration,
     /// The reservation whose memory it uses.
-    pub hold: Option<String>,
+    pub reservation: Option<String>,
     /// Tokens of the segments before this one, which are on other engines.
     pub context_tokens: u64,
     /// The prefix state after the segments before this one.
@@ -97,7 +97,7 @@
 
 struct Job {
     stream: Arc<Stream>,
-    ask: Ask,
+    request: Request,
     blocks: Vec<u64>,
     prompt_tokens: u64,
     computed: u64,
@@ -109,18 +109,18 @@
 }
 
 impl Job {
-    fn wants(&self) -> u64 {
+    fn remaining_prefill(&self) -> u64 {
         self.prompt_tokens.saturating_sub(self.computed)
     }
 }
 
 #[derive(Debug)]
-struct Hold {
+struct Reservation {
     tokens: u64,
     until: Instant,
-    busy: u32,
+    running_jobs: u32,
     state: u64,
-    filled: u64,
+    computed_tokens: u64,
 }
 
 /// The engine's load report; the field names are those of the protocol.
@@ -151,7 +151,8 @@
     /// Tokens of memory in use.
     pub used: u64,
     /// Tokens of memory that are reserved.
-    pub held: u64,
+    #[serde(rename = "held")]
+    pub reserved: u64,
     /// Number of streams that can be read.
     pub streams: usize,
     /// How many times each request was started, over all its streams, by request id.
@@ -168,7 +169,7 @@
 struct State {
     jobs: Vec<Job>,
     streams: HashMap<String, Arc<Stream>>,
-    holds: HashMap<String, Hold>,
+    reservations: HashMap<String, Reservation>,
     reports: VecDeque<(Instant, Report)>,
     cache_events: VecDeque<CacheEvent>,
     cache_seq: u64,
@@ -178,7 +179,7 @@
     runs: BTreeMap<String, u32>,
     begun: u64,
     computed: u64,
-    newest: Option<Instant>,
+    last_started: Option<Instant>,
 }
 
 /// A model engine.
@@ -189,7 +190,7 @@
     models: Mutex<Vec<String>>,
     speed: Mutex<f64>,
     work: Notify,
-    boot: u64,
+    boot_id: u64,
 }
 
 impl Engine {
@@ -202,31 +203,31 @@
             speed: Mutex::new(settings.speed),
             settings,
             work: Notify::new(),
-            boot: rand::random(),
+            boot_id: rand::random(),
         })
     }
 
     /// Queues a request, or refuses it.
-    pub fn begin(&self, ask: Ask) -> Result<Arc<Stream>, Refusal> {
-        let blocks = prefix::blocks(&ask.prompt, usize::MAX);
-        let start = ask.context_state.unwrap_or(prefix::START);
-        let state = prefix::state(start, &ask.prompt);
-        let prompt_tokens = (ask.prompt.len() as u64).div_ceil(answer::TOKEN_LEN as u64);
+    pub fn submit(&self, request: Request) -> Result<Arc<Stream>, Refusal> {
+        let blocks = prefix::blocks(&request.prompt, usize::MAX);
+        let start = request.context_state.unwrap_or(prefix::START);
+        let state = prefix::state(start, &request.prompt);
+        let prompt_tokens = (request.prompt.len() as u64).div_ceil(answer::TOKEN_LEN as u64);
         let mut inner = self.state.lock().unwrap();
-        let fault = self.admit(&mut inner, &ask, prompt_tokens)?;
-        let cached = match ask.context_state {
+        let fault = self.admit(&mut inner, &request, prompt_tokens)?;
+        let cached = match request.context_state {
             None => self.memory.lock().unwrap().cached_prefix(&blocks).min(prompt_tokens - 1),
             Some(_) => 0,
         };
         inner.begun += 1;
-        *inner.runs.entry(ask.request.clone()).or_default() += 1;
-        inner.newest = Some(Instant::now());
-        let id = format!("{:x}.{}", self.boot, inner.begun);
-        let stream = Arc::new(Stream::new(id, &ask, cached, fault));
+        *inner.runs.entry(request.id.clone()).or_default() += 1;
+        inner.last_started = Some(Instant::now());
+        let id = format!("{:x}.{}", self.boot_id, inner.begun);
+        let stream = Arc::new(Stream::new(id, &request, cached, fault));
         inner.streams.insert(stream.id.clone(), stream.clone());
-        let memory = if ask.hold.is_some() { 0 } else { prompt_tokens + ask.max_tokens };
-        if let Some(hold) = ask.hold.as_ref().and_then(|h| inner.holds.get_mut(h)) {
-            hold.busy += 1;
+        let memory = if request.reservation.is_some() { 0 } else { prompt_tokens + request.max_tokens };
+        if let Some(reservation) = request.reservation.as_ref().and_then(|r| inner.reservations.get_mut(r)) {
+            reservation.running_jobs += 1;
         }
         inner.jobs.push(Job {
             stream: stream.clone(),
@@ -237,30 +238,30 @@
             state,
             memory,
             admitted: false,
-            deadline: Instant::now() + ask.deadline,
-            ask,
+            deadline: Instant::now() + request.deadline,
+            request,
         });
-        inner.jobs.sort_by_key(|j| j.ask.priority);
+        inner.jobs.sort_by_key(|j| j.request.priority);
         drop(inner);
         self.work.notify_one();
         Ok(stream)
     }
 
-    fn admit(&self, inner: &mut State, ask: &Ask, tokens: u64) -> Result<Option<Fault>, Refusal> {
+    fn admit(&self, inner: &mut State, request: &Request, tokens: u64) -> Result<Option<Fault>, Refusal> {
         if inner.leaving {
             return Err((503, LEAVING));
         }
-        if !self.models.lock().unwrap().contains(&ask.model) {
+        if !self.models.lock().unwrap().contains(&request.model) {
             return Err((409, "model not loaded"));
         }
         if tokens == 0 {
             return Err((400, "empty prompt"));
         }
-        let room = match &ask.hold {
-            Some(hold) => inner.holds.get(hold).ok_or((409, "no such hold"))?.tokens,
+        let room = match &request.reservation {
+            Some(reservation) => inner.reservations.get(reservation).ok_or((409, "no such hold"))?.tokens,
             None => self.settings.memory,
         };
-        if tokens + ask.max_tokens > room {
+        if tokens + request.max_tokens > room {
             return Err((413, "does not fit the memory"));
         }
         if inner.jobs.iter().filter(|j| !j.admitted).count() >= self.settings.max_waiting {
@@ -284,17 +285,17 @@
         let found = inner.streams.remove(id);
         if let Some(stream) = &found {
             stream.update(|o| o.aborted = true);
-            self.reap(&mut inner);
+            self.remove_finished(&mut inner);
         }
         found.is_some()
     }
 
     /// Reserves memory for `ttl`, or renews the reservation with this id.
-    pub fn hold(&self, id: &str, tokens: u64, ttl: Duration) -> Result<(), Refusal> {
+    pub fn reserve(&self, id: &str, tokens: u64, ttl: Duration) -> Result<(), Refusal> {
         let mut inner = self.state.lock().unwrap();
         let until = Instant::now() + ttl;
-        if let Some(hold) = inner.holds.get_mut(id) {
-            hold.until = until;
+        if let Some(reservation) = inner.reservations.get_mut(id) {
+            reservation.until = until;
             return Ok(());
         }
         if inner.leaving {
@@ -303,8 +304,8 @@
         if !self.memory.lock().unwrap().reserve(tokens) {
             return Err((409, "no memory"));
         }
-        let hold = Hold { tokens, until, busy: 0, state: prefix::START, filled: 0 };
-        inner.holds.insert(id.to_owned(), hold);
+        let reservation = Reservation { tokens, until, running_jobs: 0, state: prefix::START, computed_tokens: 0 };
+        inner.reservations.insert(id.to_owned(), reservation);
         self.work.notify_one();
         Ok(())
     }
@@ -312,35 +313,35 @@
     /// Releases a reservation and aborts the requests that use it.
     pub fn release(&self, id: &str) -> bool {
         let mut inner = self.state.lock().unwrap();
-        let Some(hold) = inner.holds.remove(id) else { return false };
-        self.memory.lock().unwrap().release(hold.tokens);
-        for job in inner.jobs.iter().filter(|j| j.ask.hold.as_deref() == Some(id)) {
+        let Some(reservation) = inner.reservations.remove(id) else { return false };
+        self.memory.lock().unwrap().release(reservation.tokens);
+        for job in inner.jobs.iter().filter(|j| j.request.reservation.as_deref() == Some(id)) {
             job.stream.update(|o| o.aborted = true);
         }
-        self.reap(&mut inner);
+        self.remove_finished(&mut inner);
         true
     }
 
     /// Exports the result in a reservation: the number of computed tokens and the prefix state.
     pub fn export(&self, id: &str) -> Option<(u64, u64)> {
         let inner = self.state.lock().unwrap();
-        inner.holds.get(id).map(|h| (h.filled, h.state))
+        inner.reservations.get(id).map(|r| (r.computed_tokens, r.state))
     }
 
     /// Imports another engine's export into a reservation.
     pub fn import(&self, id: &str, tokens: u64, state: u64) -> Result<(), Refusal> {
         let mut inner = self.state.lock().unwrap();
-        let hold = inner.holds.get_mut(id).ok_or((409, "no such hold"))?;
-        if tokens > hold.tokens {
+        let reservation = inner.reservations.get_mut(id).ok_or((409, "no such hold"))?;
+        if tokens > reservation.tokens {
             return Err((413, "does not fit the hold"));
         }
-        hold.filled = tokens;
-        hold.state = state;
+        reservation.computed_tokens = tokens;
+        reservation.state = state;
         Ok(())
     }
 
     /// Replaces the models that are served; an order with an older fence is refused.
-    pub fn order(&self, fence: u64, models: Vec<String>) -> Result<(), Refusal> {
+    pub fn set_models(&self, fence: u64, models: Vec<String>) -> Result<(), Refusal> {
         let mut inner = self.state.lock().unwrap();
         if self.settings.checks_fence && fence < inner.fence {
             return Err((409, "the fence is old"));
@@ -351,7 +352,7 @@
     }
 
     /// Sets whether the engine is leaving; while it is, new requests are refused.
-    pub fn leave(&self, leaving: bool) {
+    pub fn set_leaving(&self, leaving: bool) {
         self.state.lock().unwrap().leaving = leaving;
     }
 
@@ -385,7 +386,7 @@
             leaving: inner.leaving,
             running: inner.jobs.iter().filter(|j| j.admitted).count() as u32,
             waiting: inner.jobs.iter().filter(|j| !j.admitted).count() as u32,
-            prefill: inner.jobs.iter().map(Job::wants).sum(),
+            prefill: inner.jobs.iter().map(Job::remaining_prefill).sum(),
             memory: memory.total(),
             used: memory.used(),
         }
@@ -395,8 +396,8 @@
     pub fn cache_events(&self, seq: u64) -> Vec<CacheEvent> {
         let lag = Duration::from_millis(self.settings.cache_lag_ms);
         let inner = self.state.lock().unwrap();
-        let told = |e: &&CacheEvent| e.seq > seq && e.at.is_some_and(|at| at.elapsed() >= lag);
-        inner.cache_events.iter().filter(told).cloned().collect()
+        let visible = |e: &&CacheEvent| e.seq > seq && e.at.is_some_and(|at| at.elapsed() >= lag);
+        inner.cache_events.iter().filter(visible).cloned().collect()
     }
 
     /// Counters for tests.
@@ -404,32 +405,32 @@
         let inner = self.state.lock().unwrap();
         Stats {
             used: self.memory.lock().unwrap().used(),
-            held: inner.holds.values().map(|h| h.tokens).sum(),
+            reserved: inner.reservations.values().map(|r| r.tokens).sum(),
             streams: inner.streams.len(),
             runs: inner.runs.clone(),
             begun: inner.begun,
             computed: inner.computed,
-            idle_ms: inner.newest.map_or(u64::MAX, |at| at.elapsed().as_millis() as u64),
+            idle_ms: inner.last_started.map_or(u64::MAX, |at| at.elapsed().as_millis() as u64),
         }
     }
 
     /// Processes requests until the task is aborted.
     pub async fn run(self: Arc<Engine>) {
         loop {
-            let planned = self.plan();
-            if planned.is_empty() {
+            let pass = self.plan();
+            if pass.is_empty() {
                 let idle = Duration::from_millis(20);
                 let _ = tokio::time::timeout(idle, self.work.notified()).await;
-                self.reap(&mut self.state.lock().unwrap());
+                self.remove_finished(&mut self.state.lock().unwrap());
                 continue;
             }
-            let cost = self.cost(&planned);
-            if cost < LEAST_SLEEP {
+            let cost = self.cost(&pass);
+            if cost < MIN_SLEEP {
                 tokio::task::yield_now().await;
             } else {
                 tokio::time::sleep(cost).await;
             }
-            self.apply(&planned);
+            self.apply(&pass);
         }
     }
 
@@ -437,28 +438,28 @@
     /// priority.
     fn plan(&self) -> Vec<Chunk> {
         let mut inner = self.state.lock().unwrap();
-        self.reap(&mut inner);
-        self.admit_waiting(&mut inner);
+        self.remove_finished(&mut inner);
+        self.admit_queued(&mut inner);
         let mut budget = self.settings.step_tokens;
         let mut plan = Vec::new();
-        let ready = inner.jobs.iter().filter(|j| j.admitted && j.wants() == 0);
+        let ready = inner.jobs.iter().filter(|j| j.admitted && j.remaining_prefill() == 0);
         for job in ready.take(budget as usize) {
             plan.push(Chunk { stream: job.stream.id.clone(), prefill: 0, context: 0 });
             budget -= 1;
         }
-        for job in inner.jobs.iter().filter(|j| j.admitted && j.wants() > 0) {
+        for job in inner.jobs.iter().filter(|j| j.admitted && j.remaining_prefill() > 0) {
             if budget == 0 {
                 break;
             }
-            let prefill = job.wants().min(budget);
-            let context = job.ask.context_tokens + job.computed;
+            let prefill = job.remaining_prefill().min(budget);
+            let context = job.request.context_tokens + job.computed;
             plan.push(Chunk { stream: job.stream.id.clone(), prefill, context });
             budget -= prefill;
         }
         plan
     }
 
-    fn admit_waiting(&self, inner: &mut State) {
+    fn admit_queued(&self, inner: &mut State) {
         let mut memory = self.memory.lock().unwrap();
         for job in inner.jobs.iter_mut().filter(|j| !j.admitted) {
             if !memory.reserve(job.memory) {
@@ -488,32 +489,32 @@
                 continue;
             };
             job.computed += chunk.prefill;
-            if job.wants() > 0 {
+            if job.remaining_prefill() > 0 {
                 continue;
             }
             if chunk.prefill > 0 {
-                stored.extend(self.prefilled(job));
+                stored.extend(self.finish_prefill(job));
             }
             generate(job);
         }
         inner.computed += plan.iter().map(|c| c.prefill).sum::<u64>();
         if !stored.is_empty() {
-            self.tell_cache(&mut inner, stored);
+            self.record_cache_event(&mut inner, stored);
         }
-        self.reap(&mut inner);
+        self.remove_finished(&mut inner);
     }
 
-    fn prefilled(&self, job: &Job) -> Vec<u64> {
+    fn finish_prefill(&self, job: &Job) -> Vec<u64> {
         let state = job.state;
         job.stream.update(|o| o.state = Some(state));
-        if job.ask.context_state.is_some() {
+        if job.request.context_state.is_some() {
             return Vec::new();
         }
         self.memory.lock().unwrap().insert(&job.blocks);
         job.blocks.clone()
     }
 
-    fn tell_cache(&self, inner: &mut State, stored: Vec<u64>) {
+    fn record_cache_event(&self, inner: &mut State, stored: Vec<u64>) {
         inner.cache_seq += 1;
         let gap = self.settings.cache_gap;
         if gap > 0 && inner.cache_seq.is_multiple_of(gap) {
@@ -528,47 +529,47 @@
     }
 
     /// Removes finished requests, streams and reservations, and releases their memory.
-    fn reap(&self, inner: &mut State) {
+    fn remove_finished(&self, inner: &mut State) {
         let now = Instant::now();
         let mut memory = self.memory.lock().unwrap();
-        let State { jobs, holds, streams, .. } = inner;
+        let State { jobs, reservations, streams, .. } = inner;
         jobs.retain(|job| {
-            let over = job.stream.read(|o| o.aborted || o.end.is_some())
+            let finished = job.stream.read(|o| o.aborted || o.end.is_some())
                 || job.deadline < now
-                || job.stream.is_abandoned(job.ask.linger);
-            if over {
+                || job.stream.is_abandoned(job.request.linger);
+            if finished {
                 if job.admitted {
                     memory.release(job.memory);
                 }
-                if let Some(hold) = job.ask.hold.as_ref().and_then(|h| holds.get_mut(h)) {
-                    hold.busy -= 1;
-                    hold.filled = job.prompt_tokens;
-                    hold.state = job.state;
+                if let Some(reservation) = job.request.reservation.as_ref().and_then(|r| reservations.get_mut(r)) {
+                    reservation.running_jobs -= 1;
+                    reservation.computed_tokens = job.prompt_tokens;
+                    reservation.state = job.state;
                 }
                 if job.stream.read(|o| o.end.is_none()) {
                     job.stream.update(|o| o.aborted = true);
                 }
             }
-            !over
+            !finished
         });
-        holds.retain(|_, hold| {
-            let over = hold.until < now;
-            if over {
-                memory.release(hold.tokens);
+        reservations.retain(|_, reservation| {
+            let expired = reservation.until < now;
+            if expired {
+                memory.release(reservation.tokens);
             }
-            !over
+            !expired
         });
         streams.retain(|_, s| {
-            !(s.read(|o| o.aborted) || s.read(|o| o.end.is_some()) && s.is_abandoned(FINISHED_KEPT))
+            !(s.read(|o| o.aborted) || s.read(|o| o.end.is_some()) && s.is_abandoned(FINISHED_TTL))
         });
     }
 }
 
 /// How long a finished stream without a reader can still be resumed.
-const FINISHED_KEPT: Duration = Duration::from_secs(5);
+const FINISHED_TTL: Duration = Duration::from_secs(5);
 
 /// Shorter passes yield instead of sleeping, since the timer resolution is a millisecond.
-const LEAST_SLEEP: Duration = Duration::from_micros(200);
+const MIN_SLEEP: Duration = Duration::from_micros(200);
 
 struct Chunk {
     stream: String,
@@ -578,14 +579,14 @@
 
 fn generate(job: &mut Job) {
     let text = answer::token(job.state);
-    if job.ask.max_tokens > 0 {
+    if job.request.max_tokens > 0 {
         job.state = prefix::state(job.state, text.as_bytes());
     }
     job.generated += 1;
-    let done = job.generated >= job.ask.max_tokens;
-    let wanted = job.ask.max_tokens > 0;
+    let done = job.generated >= job.request.max_tokens;
+    let generates = job.request.max_tokens > 0;
     job.stream.update(|o| {
-        if wanted {
+        if generates {
             o.tokens.push(text);
         }
         if done {
@@ -596,10 +597,10 @@
 
 fn take_fault(faults: &mut VecDeque<Fault>) -> Option<Fault> {
     let fault = faults.front_mut()?;
-    let taken = *fault;
+    let next = *fault;
     fault.count -= 1;
     if fault.count == 0 {
         faults.pop_front();
     }
-    Some(taken)
+    Some(next)
 }
--- a/standin/src/engine_http.rs
+++ b/standin/src/engine_http.rs
@@ -13,7 +13,7 @@
 use hyper::{Method, Request, Response};
 use serde::Deserialize;
 
-use crate::engine::{Ask, Engine, Settings};
+use crate::engine::{self, Engine, Settings};
 use crate::fault::{Fault, Kind};
 use crate::server::{self, Body, Served, header, json, query, refused, text};
 use crate::stream::Stream;
@@ -67,7 +67,7 @@
         (&Method::PUT, ["v1", "holds", id]) => {
             let tokens = query(&request, "tokens").unwrap_or(0);
             let ttl = Duration::from_millis(query(&request, "ttl_ms").unwrap_or(0));
-            done(engine.hold(id, tokens, ttl))
+            done(engine.reserve(id, tokens, ttl))
         }
         (&Method::DELETE, ["v1", "holds", id]) => found(engine.release(id)),
         (&Method::GET, ["v1", "holds", id, "export"]) => match engine.export(id) {
@@ -82,7 +82,7 @@
         }
         (&Method::POST, ["v1", "orders"]) => {
             match serde_json::from_slice::<Order>(&server::whole(request).await) {
-                Ok(order) => done(engine.order(order.fence, order.models)),
+                Ok(order) => done(engine.set_models(order.fence, order.models)),
                 Err(_) => text(400, "not an order"),
             }
         }
@@ -96,7 +96,7 @@
             }
         }
         (&Method::POST, ["admin", "leave"]) => {
-            engine.leave(query(&request, "leaving").unwrap_or(true));
+            engine.set_leaving(query(&request, "leaving").unwrap_or(true));
             text(200, "")
         }
         (&Method::POST, ["admin", "speed"]) => {
@@ -127,11 +127,11 @@
     u64::from_str_radix(text, 16).ok()
 }
 
-async fn ask(request: Request<Incoming>) -> Ask {
+async fn parse(request: Request<Incoming>) -> engine::Request {
     let context: String = header(&request, name::CONTEXT_STATE).unwrap_or_default();
-    let hold: Option<String> = header(&request, name::HOLD);
-    Ask {
-        request: header(&request, name::REQUEST).unwrap_or_default(),
+    let reservation: Option<String> = header(&request, name::HOLD);
+    engine::Request {
+        id: header(&request, name::REQUEST).unwrap_or_default(),
         model: header(&request, name::MODEL).unwrap_or_default(),
         max_tokens: header(&request, name::MAX_TOKENS).unwrap_or(0),
         priority: header(&request, name::PRIORITY).unwrap_or(9),
@@ -140,14 +140,14 @@
         linger: Duration::from_millis(header(&request, name::LINGER).unwrap_or(0)),
         context_tokens: header(&request, name::CONTEXT_TOKENS).unwrap_or(0),
         context_state: state_of(&context),
-        hold,
+        reservation,
         prompt: server::whole(request).await,
     }
 }
 
 async fn generate(engine: Arc<Engine>, request: Request<Incoming>) -> Response<Body> {
-    let ask = ask(request).await;
-    match engine.begin(ask) {
+    let request = parse(request).await;
+    match engine.submit(request) {
         Ok(stream) => events(stream, 0),
         Err((status, why)) => refused(status, why),
     }
@@ -155,11 +155,11 @@
 
 /// Prefills a segment and responds with its exported state.
 async fn prefill(engine: Arc<Engine>, request: Request<Incoming>) -> Response<Body> {
-    let mut ask = ask(request).await;
-    ask.max_tokens = 0;
-    let before = ask.context_tokens;
-    let tokens = (ask.prompt.len() as u64).div_ceil(crate::answer::TOKEN_LEN as u64);
-    let stream = match engine.begin(ask) {
+    let mut request = parse(request).await;
+    request.max_tokens = 0;
+    let before = request.context_tokens;
+    let tokens = (request.prompt.len() as u64).div_ceil(crate::answer::TOKEN_LEN as u64);
+    let stream = match engine.submit(request) {
         Ok(stream) => stream,
         Err((status, why)) => return refused(status, why),
     };
--- a/standin/src/memory.rs
+++ b/standin/src/memory.rs
@@ -46,7 +46,7 @@
 
     /// Releases tokens.
     pub fn release(&mut self, tokens: u64) {
-        assert!(tokens <= self.used, "released {tokens} tokens of {} in use", self.used);
+        assert!(tokens <= self.used, "memory released twice: {tokens} of {} tokens", self.used);
         self.used -= tokens;
     }
 
--- a/standin/src/stream.rs
+++ b/standin/src/stream.rs
@@ -5,7 +5,7 @@
 
 use tokio::sync::Notify;
 
-use crate::engine::Ask;
+use crate::engine::Request;
 use crate::fault::Fault;
 
 /// The output of a stream so far.
@@ -47,11 +47,11 @@
 
 impl Stream {
     /// Creates an empty stream without a reader.
-    pub fn new(id: String, ask: &Ask, cached: u64, fault: Option<Fault>) -> Stream {
+    pub fn new(id: String, request: &Request, cached: u64, fault: Option<Fault>) -> Stream {
         Stream {
             id,
-            request: ask.request.clone(),
-            first_index: ask.first_index,
+            request: request.id.clone(),
+            first_index: request.first_index,
             cached,
             fault,
             output: Mutex::default(),
