--- a/standin/src/engine_http.rs
+++ b/standin/src/engine_http.rs
@@ -54,12 +54,12 @@
 async fn answer(engine: Arc<Engine>, request: Request<Incoming>) -> Response<Body> {
     let method = request.method().clone();
     let path = request.uri().path().to_owned();
-    let steps: Vec<&str> = path.split('/').skip(1).collect();
-    match (&method, steps.as_slice()) {
+    let segments: Vec<&str> = path.split('/').skip(1).collect();
+    match (&method, segments.as_slice()) {
         (&Method::POST, ["v1", "generate"]) => generate(engine, request).await,
         (&Method::POST, ["v1", "prefill"]) => prefill(engine, request).await,
         (&Method::GET, ["v1", "streams", id]) => resume(&engine, id, &request),
-        (&Method::DELETE, ["v1", "streams", id]) => found(engine.cancel(id)),
+        (&Method::DELETE, ["v1", "streams", id]) => deleted(engine.cancel(id)),
         (&Method::GET, ["v1", "report"]) => json(&engine.report()),
         (&Method::GET, ["v1", "cache-events"]) => {
             json(&engine.cache_events(query(&request, "after").unwrap_or(0)))
@@ -67,22 +67,22 @@
         (&Method::PUT, ["v1", "holds", id]) => {
             let tokens = query(&request, "tokens").unwrap_or(0);
             let ttl = Duration::from_millis(query(&request, "ttl_ms").unwrap_or(0));
-            done(engine.reserve(id, tokens, ttl))
+            accepted(engine.reserve(id, tokens, ttl))
         }
-        (&Method::DELETE, ["v1", "holds", id]) => found(engine.release(id)),
+        (&Method::DELETE, ["v1", "holds", id]) => deleted(engine.release(id)),
         (&Method::GET, ["v1", "holds", id, "export"]) => match engine.export(id) {
             Some((tokens, state)) => json(&context(tokens, state)),
             None => text(404, "no such hold"),
         },
         (&Method::POST, ["v1", "holds", id, "import"]) => {
             match serde_json::from_slice::<Context>(&server::whole(request).await) {
-                Ok(c) => done(engine.import(id, c.tokens.0, state_of(&c.state).unwrap_or(0))),
+                Ok(c) => accepted(engine.import(id, c.tokens.0, parse_state(&c.state).unwrap_or(0))),
                 Err(_) => text(400, "not an export"),
             }
         }
         (&Method::POST, ["v1", "orders"]) => {
             match serde_json::from_slice::<Order>(&server::whole(request).await) {
-                Ok(order) => done(engine.set_models(order.fence, order.models)),
+                Ok(order) => accepted(engine.set_models(order.fence, order.models)),
                 Err(_) => text(400, "not an order"),
             }
         }
@@ -108,14 +108,14 @@
     }
 }
 
-fn found(found: bool) -> Response<Body> {
-    if found { text(200, "") } else { text(404, "gone") }
+fn deleted(existed: bool) -> Response<Body> {
+    if existed { text(200, "") } else { text(404, "gone") }
 }
 
-fn done(result: Result<(), (u16, &'static str)>) -> Response<Body> {
+fn accepted(result: Result<(), (u16, &'static str)>) -> Response<Body> {
     match result {
         Ok(()) => text(200, ""),
-        Err((status, why)) => refused(status, why),
+        Err((status, reason)) => refused(status, reason),
     }
 }
 
@@ -123,7 +123,7 @@
     Context { tokens: foldlock_base::size::Tokens(tokens), state: format!("{state:x}") }
 }
 
-fn state_of(text: &str) -> Option<u64> {
+fn parse_state(text: &str) -> Option<u64> {
     u64::from_str_radix(text, 16).ok()
 }
 
@@ -139,7 +139,7 @@
         deadline: Duration::from_millis(header(&request, name::DEADLINE).unwrap_or(600_000)),
         linger: Duration::from_millis(header(&request, name::LINGER).unwrap_or(0)),
         context_tokens: header(&request, name::CONTEXT_TOKENS).unwrap_or(0),
-        context_state: state_of(&context),
+        context_state: parse_state(&context),
         reservation,
         prompt: server::whole(request).await,
     }
@@ -149,7 +149,7 @@
     let request = parse(request).await;
     match engine.submit(request) {
         Ok(stream) => events(stream, 0),
-        Err((status, why)) => refused(status, why),
+        Err((status, reason)) => refused(status, reason),
     }
 }
 
@@ -161,7 +161,7 @@
     let tokens = (request.prompt.len() as u64).div_ceil(crate::answer::TOKEN_LEN as u64);
     let stream = match engine.submit(request) {
         Ok(stream) => stream,
-        Err((status, why)) => return refused(status, why),
+        Err((status, reason)) => return refused(status, reason),
     };
     let _reader = Reader::new(stream.clone());
     loop {
@@ -201,7 +201,7 @@
     }
 }
 
-struct Writer {
+struct Encoder {
     reader: Reader,
     next: usize,
     ended: bool,
@@ -210,10 +210,10 @@
 fn events(stream: Arc<Stream>, from: usize) -> Response<Body> {
     let id = stream.id.clone();
     let cached = stream.cached;
-    let writer = Writer { reader: Reader::new(stream), next: from, ended: false };
-    let frames = stream::unfold(writer, |mut w| async move {
-        let bytes = w.next_bytes().await?;
-        Some((bytes.map(Frame::data), w))
+    let encoder = Encoder { reader: Reader::new(stream), next: from, ended: false };
+    let frames = stream::unfold(encoder, |mut encoder| async move {
+        let bytes = encoder.next_bytes().await?;
+        Some((bytes.map(Frame::data), encoder))
     });
     Response::builder()
         .header("content-type", "text/event-stream")
@@ -223,7 +223,7 @@
         .expect("plain headers")
 }
 
-impl Writer {
+impl Encoder {
     /// Waits for output and encodes all available tokens as events.
     async fn next_bytes(&mut self) -> Option<std::io::Result<Bytes>> {
         if self.ended {
@@ -234,72 +234,72 @@
             let changed = stream.changed();
             tokio::pin!(changed);
             changed.as_mut().enable();
-            let (bytes, aborted) = stream.read(|o| (self.write(&stream, &o.tokens, o.end), o.aborted));
+            let (bytes, aborted) = stream.read(|o| (self.encode(&stream, &o.tokens, o.end), o.aborted));
             if !bytes.is_empty() {
                 return Some(Ok(bytes.into()));
             }
-            if self.cut(&stream) || aborted {
+            if self.is_disconnected(&stream) || aborted {
                 self.ended = true;
                 return Some(Err(std::io::Error::other("cut")));
             }
-            if self.frozen(&stream) {
+            if self.is_frozen(&stream) {
                 std::future::pending::<()>().await;
             }
             changed.await;
         }
     }
 
-    fn write(&mut self, stream: &Stream, tokens: &[String], end: Option<&str>) -> String {
+    fn encode(&mut self, stream: &Stream, tokens: &[String], end: Option<&str>) -> String {
         let mut out = String::new();
         while self.next < tokens.len() {
-            self.token(stream, tokens, &mut out);
-            if self.frozen(stream) || self.cut(stream) {
+            self.encode_token(stream, tokens, &mut out);
+            if self.is_frozen(stream) || self.is_disconnected(stream) {
                 return out;
             }
         }
         if let Some(end) = end {
             let index = stream.first_index + tokens.len() as u64;
-            line(&mut out, &stream.request, index, None, Some(end));
+            push_event(&mut out, &stream.request, index, None, Some(end));
             self.ended = true;
         }
         out
     }
 
-    fn token(&mut self, stream: &Stream, tokens: &[String], out: &mut String) {
+    fn encode_token(&mut self, stream: &Stream, tokens: &[String], out: &mut String) {
         let at = self.next;
         self.next += 1;
         let index = stream.first_index + at as u64;
-        let plain = |out: &mut String, i: usize| {
+        let push_token = |out: &mut String, i: usize| {
             let index = stream.first_index + i as u64;
-            line(out, &stream.request, index, Some(&tokens[i]), None);
+            push_event(out, &stream.request, index, Some(&tokens[i]), None);
         };
         match stream.fault.filter(|f| f.at == at as u64).map(|f| f.kind) {
             Some(Kind::Skip) => {}
             Some(Kind::Duplicate) => {
-                plain(out, at);
-                plain(out, at);
+                push_token(out, at);
+                push_token(out, at);
             }
-            Some(Kind::WrongRequest) => line(out, "someone-else", index, Some("xxx "), None),
+            Some(Kind::WrongRequest) => push_event(out, "someone-else", index, Some("xxx "), None),
             Some(Kind::Reorder) if at + 1 < tokens.len() => {
-                plain(out, at + 1);
-                plain(out, at);
+                push_token(out, at + 1);
+                push_token(out, at);
                 self.next += 1;
             }
-            _ => plain(out, at),
+            _ => push_token(out, at),
         }
     }
 
-    fn frozen(&self, stream: &Stream) -> bool {
+    fn is_frozen(&self, stream: &Stream) -> bool {
         stream.fault.is_some_and(|f| f.kind == Kind::Freeze && self.next as u64 >= f.at)
     }
 
-    fn cut(&self, stream: &Stream) -> bool {
-        let cuts = |f: Fault| matches!(f.kind, Kind::Disconnect | Kind::LoseResponse);
-        stream.fault.is_some_and(|f| cuts(f) && self.next as u64 >= f.at)
+    fn is_disconnected(&self, stream: &Stream) -> bool {
+        let disconnects = |f: Fault| matches!(f.kind, Kind::Disconnect | Kind::LoseResponse);
+        stream.fault.is_some_and(|f| disconnects(f) && self.next as u64 >= f.at)
     }
 }
 
-fn line(out: &mut String, request: &str, index: u64, text: Option<&str>, end: Option<&str>) {
+fn push_event(out: &mut String, request: &str, index: u64, text: Option<&str>, end: Option<&str>) {
     let raw =
         Raw { r: request.into(), i: index, t: text.map(Into::into), end: end.map(Into::into) };
     out.push_str("data: ");
