--- a/cli/tests/command.rs
+++ b/cli/tests/command.rs
@@ -97,7 +97,7 @@
 async fn of_two_who_apply_the_second_is_told_and_nothing_is_overwritten() {
     let address = ([127, 0, 0, 1], 0).into();
     let kv = kv::serve(address, kv::Settings::default()).await.unwrap();
-    let at = kv.served.address.to_string();
+    let at = kv.server.address.to_string();
     let first = settings();
     let run = |args: Vec<String>| async move {
         let call = move || foldlock(&args.iter().map(String::as_str).collect::<Vec<_>>());
@@ -141,7 +141,7 @@
         let path = dir.path().join(format!("organisation/org-{i}.jsonc"));
         std::fs::write(path, format!("// {i}\n{{}}")).unwrap();
     }
-    let at = kv.served.address.to_string();
+    let at = kv.server.address.to_string();
     let path = text(&dir).to_owned();
     let call = move || foldlock(&["apply", &path, "--kv", &at]);
     let output = tokio::task::spawn_blocking(call).await.unwrap();
@@ -158,7 +158,7 @@
 }
 
 /// A VM that holds one request and has another run alone.
-async fn vm_that_holds() -> standin::server::Served {
+async fn vm_that_holds() -> standin::server::Handle {
     let dump = json!({
         "suspects": [
             {"fingerprint": "00000000000000aa", "ended": 3, "proofs": 1, "held_ms": 14_900, "alone": false},
--- a/daemon/tests/soak/world.rs
+++ b/daemon/tests/soak/world.rs
@@ -13,7 +13,7 @@
 use nix::unistd::Pid;
 use serde_json::{Value, json};
 use standin::port::free;
-use standin::server::Served;
+use standin::server::Handle;
 
 use crate::proxy::Proxy;
 
@@ -79,7 +79,7 @@
     server: Server,
     /// Whether its entry says that it leaves.
     leaving: bool,
-    _served: Served,
+    _served: Handle,
 }
 
 /// All of it.
@@ -92,7 +92,7 @@
     pub(crate) broken: Mutex<Vec<String>>,
     disturbed: Mutex<Vec<(Part, Instant, Option<Instant>)>>,
     ticked: Mutex<Instant>,
-    _store_served: Served,
+    _store_served: Handle,
 }
 
 impl Vm {
--- a/standin/examples/load/overhead.rs
+++ b/standin/examples/load/overhead.rs
@@ -87,7 +87,7 @@
 
 /// Sends the same request alternately to the engine directly and through foldlock.
 async fn unloaded(args: &Args, fleet: &Fleet, table: &mut Table) {
-    let direct = HttpEngine::new(Client::default(), &fleet.engines[0].served.address.to_string());
+    let direct = HttpEngine::new(Client::default(), &fleet.engines[0].server.address.to_string());
     let (mut to_engine, mut through) = (Times::default(), Times::default());
     for i in 0..args.requests + 200 {
         let started = Instant::now();
--- a/standin/examples/standin.rs
+++ b/standin/examples/standin.rs
@@ -127,29 +127,29 @@
         Command::Engine(e) => {
             let serving =
                 engine_http::serve(e.address.address, settings(e.settings.as_ref())?).await?;
-            println!("engine {}", serving.served.address);
+            println!("engine {}", serving.server.address);
             std::future::pending().await
         }
         Command::Plain(a) => {
             let serving = plain::serve(a.address, plain::Settings::default()).await?;
-            println!("plain {}", serving.served.address);
+            println!("plain {}", serving.server.address);
             std::future::pending().await
         }
         Command::Kv(k) => {
             let settings = kv::Settings { delay_ms: k.delay_ms, ..kv::Settings::default() };
             let serving = kv::serve(k.address.address, settings).await?;
-            println!("kv {}", serving.served.address);
+            println!("kv {}", serving.server.address);
             std::future::pending().await
         }
         Command::Vms(v) => {
             let lag = Duration::from_millis(v.lag_ms);
             let serving = vms::serve(v.address.address, lag).await?;
-            println!("vms {}", serving.served.address);
+            println!("vms {}", serving.server.address);
             std::future::pending().await
         }
         Command::Weights(a) => {
-            let served = weights::serve(a.address, Duration::from_secs(2), 4).await?;
-            println!("weights {}", served.address);
+            let server = weights::serve(a.address, Duration::from_secs(2), 4).await?;
+            println!("weights {}", server.address);
             std::future::pending().await
         }
         Command::All(all) => serve_all(all).await,
@@ -165,14 +165,14 @@
     };
     let settings_of_kv = kv::Settings { delay_ms: all.kv_delay_ms, ..kv::Settings::default() };
     let kv = kv::serve(next(), settings_of_kv).await?;
-    println!("kv {}", kv.served.address);
+    println!("kv {}", kv.server.address);
     let vms = vms::serve(next(), Duration::from_millis(all.lag_ms)).await?;
     vms.list.set(Listing { vms: all.vms, upstreams: Vec::new() });
-    println!("vms {}", vms.served.address);
+    println!("vms {}", vms.server.address);
     let mut plains = Vec::new();
     for _ in 0..all.plains {
         let plain = plain::serve(next(), plain::Settings::default()).await?;
-        println!("plain {}", plain.served.address);
+        println!("plain {}", plain.server.address);
         plains.push(plain);
     }
     let mut engine_settings = settings(all.settings.as_ref())?;
@@ -183,7 +183,7 @@
     let mut engines = Vec::new();
     for _ in 0..all.engines {
         let engine = engine_http::serve(next(), engine_settings.clone()).await?;
-        println!("engine {}", engine.served.address);
+        println!("engine {}", engine.server.address);
         engines.push(engine);
     }
     println!("serving");
--- a/standin/src/engine_http.rs
+++ b/standin/src/engine_http.rs
@@ -15,7 +15,7 @@
 
 use crate::engine::{self, Engine, Settings};
 use crate::fault::{Fault, Kind};
-use crate::server::{self, Body, Served, header, json, query, refused, text};
+use crate::server::{self, Body, Handle, header, json, query, refusal, text};
 use crate::stream::Stream;
 
 /// An engine and its HTTP server.
@@ -23,7 +23,7 @@
     /// The engine.
     pub engine: Arc<Engine>,
     /// The HTTP server.
-    pub served: Served,
+    pub server: Handle,
     work: tokio::task::JoinHandle<()>,
 }
 
@@ -39,10 +39,10 @@
     let work = tokio::spawn(engine.clone().run());
     let handler = {
         let engine = engine.clone();
-        move |request| answer(engine.clone(), request)
+        move |request| handle(engine.clone(), request)
     };
-    let served = server::serve(address, handler).await?;
-    Ok(Serving { engine, served, work })
+    let server = server::serve(address, handler).await?;
+    Ok(Serving { engine, server, work })
 }
 
 #[derive(Deserialize)]
@@ -51,7 +51,7 @@
     models: Vec<String>,
 }
 
-async fn answer(engine: Arc<Engine>, request: Request<Incoming>) -> Response<Body> {
+async fn handle(engine: Arc<Engine>, request: Request<Incoming>) -> Response<Body> {
     let method = request.method().clone();
     let path = request.uri().path().to_owned();
     let segments: Vec<&str> = path.split('/').skip(1).collect();
@@ -75,19 +75,19 @@
             None => text(404, "no such hold"),
         },
         (&Method::POST, ["v1", "holds", id, "import"]) => {
-            match serde_json::from_slice::<Context>(&server::whole(request).await) {
+            match serde_json::from_slice::<Context>(&server::read_body(request).await) {
                 Ok(c) => accepted(engine.import(id, c.tokens.0, parse_state(&c.state).unwrap_or(0))),
                 Err(_) => text(400, "not an export"),
             }
         }
         (&Method::POST, ["v1", "orders"]) => {
-            match serde_json::from_slice::<Order>(&server::whole(request).await) {
+            match serde_json::from_slice::<Order>(&server::read_body(request).await) {
                 Ok(order) => accepted(engine.set_models(order.fence, order.models)),
                 Err(_) => text(400, "not an order"),
             }
         }
         (&Method::POST, ["admin", "fault"]) => {
-            match serde_json::from_slice::<Fault>(&server::whole(request).await) {
+            match serde_json::from_slice::<Fault>(&server::read_body(request).await) {
                 Ok(fault) => {
                     engine.add_fault(fault);
                     text(200, "")
@@ -115,7 +115,7 @@
 fn accepted(result: Result<(), (u16, &'static str)>) -> Response<Body> {
     match result {
         Ok(()) => text(200, ""),
-        Err((status, reason)) => refused(status, reason),
+        Err((status, reason)) => refusal(status, reason),
     }
 }
 
@@ -141,7 +141,7 @@
         context_tokens: header(&request, name::CONTEXT_TOKENS).unwrap_or(0),
         context_state: parse_state(&context),
         reservation,
-        prompt: server::whole(request).await,
+        prompt: server::read_body(request).await,
     }
 }
 
@@ -149,7 +149,7 @@
     let request = parse(request).await;
     match engine.submit(request) {
         Ok(stream) => events(stream, 0),
-        Err((status, reason)) => refused(status, reason),
+        Err((status, reason)) => refusal(status, reason),
     }
 }
 
@@ -161,7 +161,7 @@
     let tokens = (request.prompt.len() as u64).div_ceil(crate::answer::TOKEN_LEN as u64);
     let stream = match engine.submit(request) {
         Ok(stream) => stream,
-        Err((status, reason)) => return refused(status, reason),
+        Err((status, reason)) => return refusal(status, reason),
     };
     let _reader = Reader::new(stream.clone());
     loop {
--- a/standin/src/fleet.rs
+++ b/standin/src/fleet.rs
@@ -181,8 +181,8 @@
         let mut child = Command::new(&self.plan.program)
             .args(["--vm", &name, "--hall", HALLS[index % HALLS.len()]])
             .args(["--listen", "127.0.0.1:0", "--control", "127.0.0.1:0"])
-            .args(["--kv", &self.kv.served.address.to_string()])
-            .args(["--vms", &self.list.served.address.to_string()])
+            .args(["--kv", &self.kv.server.address.to_string()])
+            .args(["--vms", &self.list.server.address.to_string()])
             .args(["--log-level", "error"])
             .args(&self.plan.arguments)
             .stdout(Stdio::piped())
@@ -233,7 +233,7 @@
             .enumerate()
             .map(|(i, e)| {
                 let entry = json!({
-                    "address": e.served.address.to_string(),
+                    "address": e.server.address.to_string(),
                     "hall": HALLS[i % HALLS.len()],
                     "models": [MODEL],
                     "memory_tokens": self.plan.engine.memory,
@@ -247,7 +247,7 @@
             .enumerate()
             .map(|(i, p)| {
                 let hall = HALLS[i % HALLS.len()];
-                let address = p.served.address.to_string();
+                let address = p.server.address.to_string();
                 (format!("registry-{i}"), json!({ "address": address, "hall": hall }))
             })
             .collect();
@@ -265,7 +265,7 @@
 
     /// A client of the key-value service, as operators use it.
     pub fn store(&self) -> HttpStore {
-        HttpStore::new(self.client.clone(), &self.kv.served.address.to_string())
+        HttpStore::new(self.client.clone(), &self.kv.server.address.to_string())
     }
 
     /// Publishes settings based on the accepted version.
--- a/standin/src/kv.rs
+++ b/standin/src/kv.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-use crate::server::{self, Body, Served, header, json, query, text};
+use crate::server::{self, Body, Handle, header, json, query, text};
 
 /// Maximum size of a value in bytes.
 const MAX_VALUE: usize = 1 << 20;
@@ -110,7 +110,7 @@
     /// The key-value service.
     pub kv: Arc<Kv>,
     /// The HTTP server.
-    pub served: Served,
+    pub server: Handle,
 }
 
 /// Serves an empty key-value service on `address`.
@@ -128,9 +128,9 @@
     let kv = Arc::new(Kv { state: Mutex::new(state), changed: Notify::new() });
     let handler = {
         let kv = kv.clone();
-        move |request| answer(kv.clone(), request)
+        move |request| handle(kv.clone(), request)
     };
-    Ok(Serving { kv, served: server::serve(address, handler).await? })
+    Ok(Serving { kv, server: server::serve(address, handler).await? })
 }
 
 impl Kv {
@@ -256,7 +256,7 @@
     answer
 }
 
-async fn answer(kv: Arc<Kv>, request: Request<Incoming>) -> Response<Body> {
+async fn handle(kv: Arc<Kv>, request: Request<Incoming>) -> Response<Body> {
     let path = request.uri().path().to_owned();
     if let Some(key) = path.strip_prefix("/kv/") {
         return call(&kv, key, request).await;
@@ -265,7 +265,7 @@
         (&Method::POST, "/lease") => lease(&kv, &request),
         (&Method::GET, "/admin/stats") => json(&kv.stats()),
         (&Method::POST, "/admin/settings") => {
-            match serde_json::from_slice(&server::whole(request).await) {
+            match serde_json::from_slice(&server::read_body(request).await) {
                 Ok(settings) => {
                     kv.adjust(|s| *s = settings);
                     text(200, "")
@@ -316,7 +316,7 @@
     let expect: u64 = header(&request, EXPECT).unwrap_or(0);
     let lease = header(&request, "x-lease");
     let delete = request.method() == Method::DELETE;
-    let bytes = server::whole(request).await;
+    let bytes = server::read_body(request).await;
     if bytes.len() > MAX_VALUE {
         return text(413, "the value is too large");
     }
--- a/standin/src/plain.rs
+++ b/standin/src/plain.rs
@@ -9,7 +9,7 @@
 use hyper::{Request, Response};
 use serde::{Deserialize, Serialize};
 
-use crate::server::{self, Body, Served, header, json, query, refused, text};
+use crate::server::{self, Body, Handle, header, json, query, refusal, text};
 
 /// The header that identifies a call, so that its runs can be counted.
 pub const CALL: &str = "idempotency-key";
@@ -47,7 +47,7 @@
     /// The plain service.
     pub plain: Arc<Plain>,
     /// The HTTP server.
-    pub served: Served,
+    pub server: Handle,
 }
 
 /// Serves a plain service on `address`.
@@ -55,9 +55,9 @@
     let plain = Arc::new(Plain { settings: Mutex::new(settings), ..Plain::default() });
     let handler = {
         let plain = plain.clone();
-        move |request| answer(plain.clone(), request)
+        move |request| handle(plain.clone(), request)
     };
-    Ok(Serving { plain, served: server::serve(address, handler).await? })
+    Ok(Serving { plain, server: server::serve(address, handler).await? })
 }
 
 impl Plain {
@@ -88,7 +88,7 @@
     }
 }
 
-async fn answer(plain: Arc<Plain>, request: Request<Incoming>) -> Response<Body> {
+async fn handle(plain: Arc<Plain>, request: Request<Incoming>) -> Response<Body> {
     match request.uri().path() {
         "/admin/stats" => return json(&plain.stats()),
         "/admin/leave" => {
@@ -100,11 +100,11 @@
     }
     let settings = plain.settings.lock().unwrap().clone();
     if settings.leaving {
-        return refused(503, server::LEAVING);
+        return refusal(503, server::LEAVING);
     }
     let key = header(&request, CALL);
     let path = request.uri().path().to_owned();
-    let _body = server::whole(request).await;
+    let _body = server::read_body(request).await;
     if settings.delay_ms > 0 {
         tokio::time::sleep(Duration::from_millis(settings.delay_ms)).await;
     }
--- a/standin/src/server.rs
+++ b/standin/src/server.rs
@@ -19,27 +19,27 @@
 pub type Body = BoxBody<Bytes, std::io::Error>;
 
 /// Handle of a running server, which stops when this is dropped.
-pub struct Served {
+pub struct Handle {
     /// The address on which the server listens.
     pub address: SocketAddr,
     task: JoinHandle<()>,
 }
 
-impl Served {
+impl Handle {
     /// Waits until the server stops.
     pub async fn wait(&mut self) {
         let _ = (&mut self.task).await;
     }
 }
 
-impl Drop for Served {
+impl Drop for Handle {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
 /// Serves `handler` on `address`.
-pub async fn serve<H, R>(address: SocketAddr, handler: H) -> std::io::Result<Served>
+pub async fn serve<H, R>(address: SocketAddr, handler: H) -> std::io::Result<Handle>
 where
     H: Fn(Request<Incoming>) -> R + Clone + Send + Sync + 'static,
     R: Future<Output = Response<Body>> + Send + 'static,
@@ -52,8 +52,8 @@
             let _ = stream.set_nodelay(true);
             let handler = handler.clone();
             let service = service_fn(move |request| {
-                let answer = handler(request);
-                async move { Ok::<_, Infallible>(answer.await) }
+                let response = handler(request);
+                async move { Ok::<_, Infallible>(response.await) }
             });
             connections.spawn(async move {
                 let _ = hyper::server::conn::http1::Builder::new()
@@ -63,7 +63,7 @@
             while connections.try_join_next().is_some() {}
         }
     });
-    Ok(Served { address, task })
+    Ok(Handle { address, task })
 }
 
 /// A response with a text body.
@@ -81,15 +81,15 @@
 pub const LEAVING: &str = "leaving";
 
 /// A response that refuses a request and states that it did not run.
-pub fn refused(status: u16, why: &str) -> Response<Body> {
-    let mut answer = text(status, why.to_owned());
-    let no = hyper::header::HeaderValue::from_static("no");
-    answer.headers_mut().insert("x-ran", no);
-    if why == LEAVING {
-        let yes = hyper::header::HeaderValue::from_static("true");
-        answer.headers_mut().insert("x-leaving", yes);
+pub fn refusal(status: u16, reason: &str) -> Response<Body> {
+    let mut response = text(status, reason.to_owned());
+    let not_run = hyper::header::HeaderValue::from_static("no");
+    response.headers_mut().insert("x-ran", not_run);
+    if reason == LEAVING {
+        let leaving = hyper::header::HeaderValue::from_static("true");
+        response.headers_mut().insert("x-leaving", leaving);
     }
-    answer
+    response
 }
 
 /// Parses a parameter of the query string.
@@ -108,6 +108,6 @@
 }
 
 /// Reads the complete body of a request; empty if the connection breaks.
-pub async fn whole(request: Request<Incoming>) -> Bytes {
+pub async fn read_body(request: Request<Incoming>) -> Bytes {
     request.into_body().collect().await.map(|b| b.to_bytes()).unwrap_or_default()
 }
--- a/standin/src/vms.rs
+++ b/standin/src/vms.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response};
 
-use crate::server::{self, Body, Served, json, text};
+use crate::server::{self, Body, Handle, json, text};
 
 /// The list and its earlier versions.
 pub struct List {
@@ -21,7 +21,7 @@
     /// The list.
     pub list: Arc<List>,
     /// The HTTP server.
-    pub served: Served,
+    pub server: Handle,
 }
 
 /// Serves an empty list on `address` whose changes become visible after `lag`.
@@ -30,9 +30,9 @@
     let list = Arc::new(List { lag: Mutex::new(lag), past });
     let handler = {
         let list = list.clone();
-        move |request| answer(list.clone(), request)
+        move |request| handle(list.clone(), request)
     };
-    Ok(Serving { list, served: server::serve(address, handler).await? })
+    Ok(Serving { list, server: server::serve(address, handler).await? })
 }
 
 impl List {
@@ -54,10 +54,10 @@
     }
 }
 
-async fn answer(list: Arc<List>, request: Request<Incoming>) -> Response<Body> {
+async fn handle(list: Arc<List>, request: Request<Incoming>) -> Response<Body> {
     match (request.method(), request.uri().path()) {
         (&Method::GET, "/vms") => json(&list.read()),
-        (&Method::PUT, "/vms") => match serde_json::from_slice(&server::whole(request).await) {
+        (&Method::PUT, "/vms") => match serde_json::from_slice(&server::read_body(request).await) {
             Ok(listing) => {
                 list.set(listing);
                 text(200, "")
--- a/standin/src/weights.rs
+++ b/standin/src/weights.rs
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 
-use crate::server::{self, Body, Served, text};
+use crate::server::{self, Body, Handle, text};
 
 /// A store that serves one fetch at a time, each in a fixed time, and refuses those that exceed
 /// its queue.
@@ -18,9 +18,9 @@
 }
 
 /// Serves a weight store on `address`: each fetch takes `fetch`, and at most `queue` are queued.
-pub async fn serve(address: SocketAddr, fetch: Duration, queue: usize) -> std::io::Result<Served> {
+pub async fn serve(address: SocketAddr, fetch: Duration, queue: usize) -> std::io::Result<Handle> {
     let store = Arc::new(Store { fetch, queue, free_at: Mutex::new(Instant::now()) });
-    server::serve(address, move |request| answer(store.clone(), request)).await
+    server::serve(address, move |request| handle(store.clone(), request)).await
 }
 
 impl Store {
@@ -37,7 +37,7 @@
     }
 }
 
-async fn answer(store: Arc<Store>, request: Request<Incoming>) -> Response<Body> {
+async fn handle(store: Arc<Store>, request: Request<Incoming>) -> Response<Body> {
     match store.book() {
         Some(done) => {
             tokio::time::sleep_until(done.into()).await;
