--- a/standin/src/plain.rs
+++ b/standin/src/plain.rs
@@ -12,7 +12,7 @@
 use crate::server::{self, Body, Handle, header, json, query, refusal, text};
 
 /// The header that identifies a call, so that its runs can be counted.
-pub const CALL: &str = "idempotency-key";
+pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
 /// Counters for tests.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -71,7 +71,7 @@
         f(&mut self.settings.lock().unwrap());
     }
 
-    fn run(&self, key: Option<String>) -> u64 {
+    fn record_run(&self, key: Option<String>) -> u64 {
         let mut stats = self.stats.lock().unwrap();
         stats.runs += 1;
         if let Some(key) = key {
@@ -80,11 +80,11 @@
         stats.runs
     }
 
-    fn loses(&self) -> bool {
+    fn drops_response(&self) -> bool {
         let mut settings = self.settings.lock().unwrap();
-        let loses = settings.lose_answers > 0;
+        let drops = settings.lose_answers > 0;
         settings.lose_answers = settings.lose_answers.saturating_sub(1);
-        loses
+        drops
     }
 }
 
@@ -102,14 +102,14 @@
     if settings.leaving {
         return refusal(503, server::LEAVING);
     }
-    let key = header(&request, CALL);
+    let key = header(&request, IDEMPOTENCY_KEY);
     let path = request.uri().path().to_owned();
     let _body = server::read_body(request).await;
     if settings.delay_ms > 0 {
         tokio::time::sleep(Duration::from_millis(settings.delay_ms)).await;
     }
-    let run = plain.run(key);
-    if plain.loses() {
+    let run = plain.record_run(key);
+    if plain.drops_response() {
         std::future::pending::<()>().await;
     }
     text(200, format!("{path} run {run}\n"))
