--- a/standin/src/kv.rs
+++ b/standin/src/kv.rs
@@ -15,7 +15,7 @@
 use crate::server::{self, Body, Handle, header, json, query, text};
 
 /// Maximum size of a value in bytes.
-const MAX_VALUE: usize = 1 << 20;
+const MAX_VALUE_LEN: usize = 1 << 20;
 
 /// Settings of the service; they can be changed while it runs.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -69,22 +69,22 @@
 
 /// A token bucket whose capacity is the tokens of one second.
 struct Bucket {
-    left: f64,
-    at: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
 impl Bucket {
     fn take(&mut self, rate: f64) -> bool {
         let now = Instant::now();
-        self.left = (self.left + rate * (now - self.at).as_secs_f64()).min(rate);
-        self.at = now;
+        self.tokens = (self.tokens + rate * (now - self.refilled_at).as_secs_f64()).min(rate);
+        self.refilled_at = now;
         if rate == 0.0 {
             return true;
         }
-        if self.left < 1.0 {
+        if self.tokens < 1.0 {
             return false;
         }
-        self.left -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
@@ -115,7 +115,7 @@
 
 /// Serves an empty key-value service on `address`.
 pub async fn serve(address: SocketAddr, settings: Settings) -> std::io::Result<Serving> {
-    let bucket = |rate| Bucket { left: rate, at: Instant::now() };
+    let bucket = |rate| Bucket { tokens: rate, refilled_at: Instant::now() };
     let state = State {
         values: BTreeMap::new(),
         leases: BTreeMap::new(),
@@ -146,7 +146,7 @@
         Stats { keys: state.values.len() as u64, ..state.stats }
     }
 
-    fn allowed(&self, write: bool) -> bool {
+    fn admit(&self, write: bool) -> bool {
         let mut state = self.state.lock().unwrap();
         let State { reads, writes, stats, settings, .. } = &mut *state;
         let allowed = if write {
@@ -162,7 +162,7 @@
 
     fn read(&self, key: &str) -> Option<(Vec<u8>, u64)> {
         let mut state = self.state.lock().unwrap();
-        expire(&mut state);
+        remove_expired(&mut state);
         state.values.get(key).map(|v| (v.bytes.clone(), v.revision))
     }
 
@@ -175,7 +175,7 @@
         lease: Option<u64>,
     ) -> Option<u64> {
         let mut state = self.state.lock().unwrap();
-        expire(&mut state);
+        remove_expired(&mut state);
         let current = state.values.get(key).map_or(0, |v| v.revision);
         if current != expect || lease.is_some_and(|l| !state.leases.contains_key(&l)) {
             return None;
@@ -196,7 +196,7 @@
     }
 
     /// Whether the response to this write is lost.
-    fn loses(&self) -> bool {
+    fn drops_response(&self) -> bool {
         let mut state = self.state.lock().unwrap();
         let writes = state.stats.writes;
         let settings = &mut state.settings;
@@ -207,7 +207,7 @@
         settings.lose_each > 0 && writes.is_multiple_of(settings.lose_each)
     }
 
-    async fn delay(&self) {
+    async fn simulate_latency(&self) {
         let (delay, down) = {
             let state = self.state.lock().unwrap();
             (Duration::from_millis(state.settings.delay_ms), state.settings.down)
@@ -226,7 +226,7 @@
                 let changed = self.changed.notified();
                 tokio::pin!(changed);
                 changed.as_mut().enable();
-                self.delay().await;
+                self.simulate_latency().await;
                 if let Some(found) = self.read(key).filter(|(_, revision)| *revision > after) {
                     return found;
                 }
@@ -237,29 +237,29 @@
     }
 }
 
-fn expire(state: &mut State) {
+fn remove_expired(state: &mut State) {
     let now = Instant::now();
     state.leases.retain(|_, until| *until > now);
     let State { values, leases, .. } = state;
     values.retain(|_, v| v.lease.is_none_or(|l| leases.contains_key(&l)));
 }
 
-fn found(value: Option<(Vec<u8>, u64)>, status: u16) -> Response<Body> {
+fn value_or(value: Option<(Vec<u8>, u64)>, status: u16) -> Response<Body> {
     match value {
         Some((bytes, revision)) => with_revision(text(200, bytes), revision),
         None => text(status, ""),
     }
 }
 
-fn with_revision(mut answer: Response<Body>, revision: u64) -> Response<Body> {
-    answer.headers_mut().insert(REVISION, revision.into());
-    answer
+fn with_revision(mut response: Response<Body>, revision: u64) -> Response<Body> {
+    response.headers_mut().insert(REVISION, revision.into());
+    response
 }
 
 async fn handle(kv: Arc<Kv>, request: Request<Incoming>) -> Response<Body> {
     let path = request.uri().path().to_owned();
     if let Some(key) = path.strip_prefix("/kv/") {
-        return call(&kv, key, request).await;
+        return handle_key(&kv, key, request).await;
     }
     match (request.method(), path.as_str()) {
         (&Method::POST, "/lease") => lease(&kv, &request),
@@ -279,12 +279,12 @@
 
 /// Creates a lease, or renews the one whose id is given.
 fn lease(kv: &Kv, request: &Request<Incoming>) -> Response<Body> {
-    if !kv.allowed(true) {
+    if !kv.admit(true) {
         return text(429, "");
     }
     let ttl = Duration::from_millis(query(request, "ttl_ms").unwrap_or(10_000));
     let mut state = kv.state.lock().unwrap();
-    expire(&mut state);
+    remove_expired(&mut state);
     let id = match query::<u64>(request, "id") {
         Some(id) if !state.leases.contains_key(&id) => return text(404, "the lease has lapsed"),
         Some(id) => id,
@@ -297,19 +297,19 @@
     text(200, id.to_string())
 }
 
-async fn call(kv: &Kv, key: &str, request: Request<Incoming>) -> Response<Body> {
+async fn handle_key(kv: &Kv, key: &str, request: Request<Incoming>) -> Response<Body> {
     let write = request.method() != Method::GET;
-    if !kv.allowed(write) {
+    if !kv.admit(write) {
         return text(429, "");
     }
     if !write {
         let after: Option<u64> = query(&request, "after");
         let wait = Duration::from_millis(query(&request, "wait_ms").unwrap_or(0));
         return match after {
-            Some(after) => found(kv.watch(key, after, wait).await, 304),
+            Some(after) => value_or(kv.watch(key, after, wait).await, 304),
             None => {
-                kv.delay().await;
-                found(kv.read(key), 404)
+                kv.simulate_latency().await;
+                value_or(kv.read(key), 404)
             }
         };
     }
@@ -317,12 +317,12 @@
     let lease = header(&request, "x-lease");
     let delete = request.method() == Method::DELETE;
     let bytes = server::read_body(request).await;
-    if bytes.len() > MAX_VALUE {
+    if bytes.len() > MAX_VALUE_LEN {
         return text(413, "the value is too large");
     }
-    kv.delay().await;
+    kv.simulate_latency().await;
     let written = kv.write(key, expect, (!delete).then(|| bytes.to_vec()), lease);
-    if kv.loses() {
+    if kv.drops_response() {
         std::future::pending::<()>().await;
     }
     match written {
