--- a/standin/src/vms.rs
+++ b/standin/src/vms.rs
@@ -13,7 +13,7 @@
 /// The list and its earlier versions.
 pub struct List {
     lag: Mutex<Duration>,
-    past: Mutex<Vec<(Instant, Listing)>>,
+    versions: Mutex<Vec<(Instant, Listing)>>,
 }
 
 /// A list and its HTTP server.
@@ -26,8 +26,8 @@
 
 /// Serves an empty list on `address` whose changes become visible after `lag`.
 pub async fn serve(address: SocketAddr, lag: Duration) -> std::io::Result<Serving> {
-    let past = Mutex::new(vec![(Instant::now(), Listing::default())]);
-    let list = Arc::new(List { lag: Mutex::new(lag), past });
+    let versions = Mutex::new(vec![(Instant::now(), Listing::default())]);
+    let list = Arc::new(List { lag: Mutex::new(lag), versions });
     let handler = {
         let list = list.clone();
         move |request| handle(list.clone(), request)
@@ -38,7 +38,7 @@
 impl List {
     /// Replaces the list; clients see the change after the lag.
     pub fn set(&self, listing: Listing) {
-        self.past.lock().unwrap().push((Instant::now(), listing));
+        self.versions.lock().unwrap().push((Instant::now(), listing));
     }
 
     /// Changes the lag.
@@ -46,17 +46,17 @@
         *self.lag.lock().unwrap() = lag;
     }
 
-    fn read(&self) -> Listing {
+    fn visible(&self) -> Listing {
         let lag = *self.lag.lock().unwrap();
-        let past = self.past.lock().unwrap();
-        let seen = past.iter().rev().find(|(at, _)| at.elapsed() >= lag).or(past.first());
-        seen.map(|(_, listing)| listing.clone()).unwrap_or_default()
+        let versions = self.versions.lock().unwrap();
+        let version = versions.iter().rev().find(|(at, _)| at.elapsed() >= lag).or(versions.first());
+        version.map(|(_, listing)| listing.clone()).unwrap_or_default()
     }
 }
 
 async fn handle(list: Arc<List>, request: Request<Incoming>) -> Response<Body> {
     match (request.method(), request.uri().path()) {
-        (&Method::GET, "/vms") => json(&list.read()),
+        (&Method::GET, "/vms") => json(&list.visible()),
         (&Method::PUT, "/vms") => match serde_json::from_slice(&server::read_body(request).await) {
             Ok(listing) => {
                 list.set(listing);
