--- a/standin/src/weights.rs
+++ b/standin/src/weights.rs
@@ -12,33 +12,33 @@
 /// A store that serves one fetch at a time, each in a fixed time, and refuses those that exceed
 /// its queue.
 pub struct Store {
-    fetch: Duration,
-    queue: usize,
+    fetch_time: Duration,
+    max_queued: usize,
     free_at: Mutex<Instant>,
 }
 
-/// Serves a weight store on `address`: each fetch takes `fetch`, and at most `queue` are queued.
-pub async fn serve(address: SocketAddr, fetch: Duration, queue: usize) -> std::io::Result<Handle> {
-    let store = Arc::new(Store { fetch, queue, free_at: Mutex::new(Instant::now()) });
+/// Serves a weight store on `address`: each fetch takes `fetch_time`, and at most `max_queued` are queued.
+pub async fn serve(address: SocketAddr, fetch_time: Duration, max_queued: usize) -> std::io::Result<Handle> {
+    let store = Arc::new(Store { fetch_time, max_queued, free_at: Mutex::new(Instant::now()) });
     server::serve(address, move |request| handle(store.clone(), request)).await
 }
 
 impl Store {
     /// Queues a fetch and returns the time of its completion; none if the queue is full.
-    fn book(&self) -> Option<Instant> {
+    fn schedule(&self) -> Option<Instant> {
         let mut free_at = self.free_at.lock().unwrap();
         let now = Instant::now();
-        let start = (*free_at).max(now);
-        if start - now > self.fetch * self.queue as u32 {
+        let begins_at = (*free_at).max(now);
+        if begins_at - now > self.fetch_time * self.max_queued as u32 {
             return None;
         }
-        *free_at = start + self.fetch;
+        *free_at = begins_at + self.fetch_time;
         Some(*free_at)
     }
 }
 
 async fn handle(store: Arc<Store>, request: Request<Incoming>) -> Response<Body> {
-    match store.book() {
+    match store.schedule() {
         Some(done) => {
             tokio::time::sleep_until(done.into()).await;
             text(200, format!("weights of {}\n", request.uri().path()))
