--- a/standin/examples/load/policies.rs
+++ b/standin/examples/load/policies.rs
@@ -141,7 +141,7 @@
     policies: &[Policy],
     by_load: &[Result],
 ) {
-    let alone = Arc::new(workload.below(LONG));
+    let alone = Arc::new(workload.with_prompts_below(LONG));
     let share = workload.share_below(LONG);
     let mut table =
         Table::new(&["policy", "alone p95 ms", "with long p95 ms", "slowdown", "excess"]);
@@ -193,7 +193,7 @@
         ..engine::Settings::default()
     };
     // The rate is derived from the capacity for the complete workload, even if kinds are left out.
-    let cost = case.workload.cost(&engine);
+    let cost = case.workload.mean_engine_seconds(&engine);
     let rate = case.load * args.engines as f64 * args.speed / cost * case.share;
     let rate = if case.share < 1.0 { rate_of_whole(args, &case, &engine) } else { rate };
     let arrivals = case.workload.arrivals(Arrivals {
@@ -233,7 +233,7 @@
         Workload::parse(&text).ok().filter(|w| w.name == case.workload.name)
     });
     let whole = path.expect("the whole workload");
-    case.load * args.engines as f64 * args.speed / whole.cost(engine) * case.share
+    case.load * args.engines as f64 * args.speed / whole.mean_engine_seconds(engine) * case.share
 }
 
 fn plan(args: &Args, program: &Path, case: &Case, engine: engine::Settings) -> Plan {
--- a/standin/src/workload.rs
+++ b/standin/src/workload.rs
@@ -103,29 +103,29 @@
     }
 
     /// The workload without the kinds whose prompts can have `tokens` tokens or more.
-    pub fn below(&self, tokens: u64) -> Workload {
+    pub fn with_prompts_below(&self, tokens: u64) -> Workload {
         let kinds = self.kinds.iter().filter(|k| k.tokens.1 < tokens).cloned().collect();
         Workload { kinds, ..self.clone() }
     }
 
     /// Share of requests of the kinds whose prompts are always shorter than `tokens` tokens.
     pub fn share_below(&self, tokens: u64) -> f64 {
-        let all: f64 = self.kinds.iter().map(|k| k.share).sum();
+        let total: f64 = self.kinds.iter().map(|k| k.share).sum();
         let below = self.kinds.iter().filter(|k| k.tokens.1 < tokens).map(|k| k.share);
-        below.sum::<f64>() / all
+        below.sum::<f64>() / total
     }
 
     /// Mean engine time of a request at speed 1 in seconds, estimated by sampling.
-    pub fn cost(&self, engine: &engine::Settings) -> f64 {
+    pub fn mean_engine_seconds(&self, engine: &engine::Settings) -> f64 {
         const SAMPLES: usize = 4_000;
         let mut rng = StdRng::seed_from_u64(1);
         let sample = |rng: &mut StdRng| {
-            let kind = self.pick(rng);
+            let kind = self.sample_kind(rng);
             let tokens = log_uniform(rng, self.kinds[kind].tokens) as f64;
             let answer = self.kinds[kind].answer;
-            let steps = tokens / engine.step_tokens as f64;
+            let passes = tokens / engine.step_tokens as f64;
             let prefill = tokens * engine.token_ms
-                + steps * engine.step_ms
+                + passes * engine.step_ms
                 + tokens * tokens / 2.0 * engine.context_ms;
             let batch = 8.0;
             let answer = (answer.0 + answer.1) as f64 / 2.0;
@@ -134,7 +134,7 @@
         (0..SAMPLES).map(|_| sample(&mut rng)).sum::<f64>() / SAMPLES as f64
     }
 
-    fn pick(&self, rng: &mut StdRng) -> usize {
+    fn sample_kind(&self, rng: &mut StdRng) -> usize {
         let indexes: Vec<usize> = (0..self.kinds.len()).collect();
         *indexes.choose_weighted(rng, |i| self.kinds[*i].share).expect("kinds have shares")
     }
@@ -145,19 +145,19 @@
         let mut at = 0.0;
         let mut arrivals = Vec::new();
         loop {
-            let rate = plan.rate * self.burst.map_or(1.0, |b| b.at(at));
+            let rate = plan.rate * self.burst.map_or(1.0, |b| b.rate_factor(at));
             at += -(1.0 - rng.random::<f64>()).ln() / rate;
             if at >= plan.length.as_secs_f64() {
                 return arrivals;
             }
-            let kind = self.pick(&mut rng);
+            let kind = self.sample_kind(&mut rng);
             arrivals.push(self.kinds[kind].arrival(&mut rng, kind, at, plan));
         }
     }
 }
 
 impl Burst {
-    fn at(&self, seconds: f64) -> f64 {
+    fn rate_factor(&self, seconds: f64) -> f64 {
         if seconds % self.every_s < self.for_s { self.factor } else { 1.0 }
     }
 }
@@ -196,15 +196,15 @@
         if let Some(prefix) = self.prefix {
             let shared = (kind.prefix_tokens as usize * TOKEN_LEN).min(bytes);
             let seed = prefix.wrapping_add((self.kind as u64) << 32);
-            words(&mut StdRng::seed_from_u64(seed), &mut text, shared);
+            push_random_text(&mut StdRng::seed_from_u64(seed), &mut text, shared);
         }
-        words(&mut StdRng::seed_from_u64(self.seed), &mut text, bytes);
+        push_random_text(&mut StdRng::seed_from_u64(self.seed), &mut text, bytes);
         text
     }
 }
 
 /// Appends random words of one token each until the text has `bytes` bytes.
-fn words(rng: &mut StdRng, text: &mut String, bytes: usize) {
+fn push_random_text(rng: &mut StdRng, text: &mut String, bytes: usize) {
     while text.len() < bytes {
         let word: u32 = rng.random();
         for shift in [0, 8, 16] {
