--- a/daemon/tests/leaving.rs
+++ b/daemon/tests/leaving.rs
@@ -131,12 +131,12 @@
         for (answer, ask) in load.await.unwrap() {
             common::assert_whole(&answer, &ask);
         }
-        let until = Instant::now() + standin::fleet::PATIENCE;
-        while fleet.vms[0].ended().is_none() {
+        let until = Instant::now() + standin::fleet::CONDITION_TIMEOUT;
+        while fleet.vms[0].exited().is_none() {
             assert!(Instant::now() < until, "the VM does not end");
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        assert_eq!(fleet.vms[0].ended(), Some(true));
+        assert_eq!(fleet.vms[0].exited(), Some(true));
         fleet.vms.remove(0);
         // The store is down: the new VM has its settings from peers.
         fleet.add_vm();
--- a/daemon/tests/path.rs
+++ b/daemon/tests/path.rs
@@ -33,7 +33,7 @@
     let answer = send(&fleet, 0, &ask).await;
     assert_whole(&answer, &ask);
     wait_for("memory to be free", async || fleet.memory_used() == 0).await;
-    let why = fleet.control(&fleet.vms[0], &format!("/why/{}", answer.request)).await;
+    let why = fleet.get_control(&fleet.vms[0], &format!("/why/{}", answer.request)).await;
     let why = String::from_utf8(why.expect("a record")).unwrap();
     assert!(why.contains("\"decision\":\"held\""), "{why}");
 }
--- a/standin/examples/load/promises.rs
+++ b/standin/examples/load/promises.rs
@@ -165,7 +165,7 @@
         let started = Instant::now();
         let version = fleet.publish("load", &texts).await.expect("accepted");
         loop {
-            let asked = fleet.vms.iter().map(|vm| fleet.control(vm, "/version"));
+            let asked = fleet.vms.iter().map(|vm| fleet.get_control(vm, "/version"));
             let heads = futures::future::join_all(asked).await;
             for (vm, head) in heads.iter().enumerate() {
                 let head: serde_json::Value =
--- a/standin/src/fleet.rs
+++ b/standin/src/fleet.rs
@@ -22,10 +22,10 @@
 use crate::{engine, engine_http, kv, plain, vms};
 
 /// Time within which an awaited condition has to hold; then the test fails.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Interval at which an awaited condition is polled.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The data halls of a fleet.
 pub const HALLS: [&str; 3] = ["charguia", "lac-deux", "ariana"];
@@ -103,7 +103,7 @@
     }
 
     /// Whether the process exited with success; none while it runs.
-    pub fn ended(&mut self) -> Option<bool> {
+    pub fn exited(&mut self) -> Option<bool> {
         self.child.try_wait().ok().flatten().map(|status| status.success())
     }
 
@@ -135,7 +135,7 @@
     pub vms: Vec<Vm>,
     /// The HTTP client.
     pub client: Client,
-    started: usize,
+    next_index: usize,
 }
 
 fn loopback() -> SocketAddr {
@@ -170,13 +170,13 @@
             plains.push(plain.expect("a free port"));
         }
         let client = Client::default();
-        Fleet { plan, kv, list, engines, plains, vms: Vec::new(), client, started: 0 }
+        Fleet { plan, kv, list, engines, plains, vms: Vec::new(), client, next_index: 0 }
     }
 
     /// Starts another VM and adds it to the list of VMs; returns its index.
     pub fn add_vm(&mut self) -> usize {
-        let index = self.started;
-        self.started += 1;
+        let index = self.next_index;
+        self.next_index += 1;
         let name = format!("vm-{index}");
         let mut child = Command::new(&self.plan.program)
             .args(["--vm", &name, "--hall", HALLS[index % HALLS.len()]])
@@ -191,20 +191,20 @@
         let mut line = String::new();
         let output = child.stdout.take().expect("a pipe");
         BufReader::new(output).read_line(&mut line).expect("foldlockd says where it listens");
-        let words: Vec<&str> = line.split_whitespace().collect();
-        let address = |i: usize| words[i].parse().expect("an address");
+        let fields: Vec<&str> = line.split_whitespace().collect();
+        let address = |i: usize| fields[i].parse().expect("an address");
         let vm = Vm { name, listen: address(1), control: address(3), child };
         self.vms.push(vm);
-        self.relist();
+        self.update_listing();
         self.vms.len() - 1
     }
 
     /// Writes the present VMs to the list of VMs.
-    pub fn relist(&self) {
+    pub fn update_listing(&self) {
         let listed = |vm: &Vm| Listed {
             name: vm.name.clone(),
             address: vm.control.to_string(),
-            hall: hall_of(&vm.name).parse().expect("a name"),
+            hall: hall_of_vm(&vm.name).parse().expect("a name"),
             leaving: false,
         };
         let vms = self.vms.iter().map(listed).collect();
@@ -305,14 +305,14 @@
 
     /// The state dump of a VM.
     pub async fn dump(&self, vm: &Vm) -> Option<Value> {
-        serde_json::from_slice(&self.control(vm, "/dump").await?).ok()
+        serde_json::from_slice(&self.get_control(vm, "/dump").await?).ok()
     }
 
     /// Gets a path from a VM's control address.
-    pub async fn control(&self, vm: &Vm, path: &str) -> Option<Vec<u8>> {
+    pub async fn get_control(&self, vm: &Vm, path: &str) -> Option<Vec<u8>> {
         let request = Request::get(format!("http://{}{path}", vm.control)).body(body("")).ok()?;
-        let answer = self.client.call(request, Duration::from_secs(2)).await.ok()?;
-        (answer.status() == 200).then(|| answer.into_body().to_vec())
+        let response = self.client.call(request, Duration::from_secs(2)).await.ok()?;
+        (response.status() == 200).then(|| response.into_body().to_vec())
     }
 
     /// Tokens of engine memory in use, over all engines.
@@ -332,16 +332,16 @@
     }
 }
 
-fn hall_of(vm: &str) -> &'static str {
+fn hall_of_vm(vm: &str) -> &'static str {
     let index: usize = vm.trim_start_matches("vm-").parse().unwrap_or(0);
     HALLS[index % HALLS.len()]
 }
 
-/// Waits until a condition holds; panics if it does not within [`PATIENCE`].
+/// Waits until a condition holds; panics if it does not within [`CONDITION_TIMEOUT`].
 pub async fn wait_for(what: &str, condition: impl AsyncFn() -> bool) {
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + CONDITION_TIMEOUT;
     while !condition().await {
-        assert!(Instant::now() < until, "waited in vain for {what}");
-        tokio::time::sleep(LOOK).await;
+        assert!(Instant::now() < deadline, "waited in vain for {what}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
