--- a/standin/examples/load/policies.rs
+++ b/standin/examples/load/policies.rs
@@ -19,10 +19,10 @@
 
 /// Share of a run, from its start, whose arrivals are not counted, since the speed models are
 /// still being learnt.
-const WARM_UP: f64 = 0.25;
+const WARM_UP_SHARE: f64 = 0.25;
 
 /// Minimum length of the prompts that are left out to measure short ones alone, in tokens.
-const LONG: u64 = 100_001;
+const MIN_LONG_PROMPT: u64 = 100_001;
 
 #[derive(clap::Args, Clone)]
 pub(crate) struct Args {
@@ -98,9 +98,9 @@
     bands: Vec<Times>,
     sent: usize,
     good: usize,
-    refused: usize,
+    rejected: usize,
     failed: usize,
-    returned: (usize, usize),
+    retries: (usize, usize),
     seconds: f64,
     prefix_hits: f64,
 }
@@ -114,8 +114,8 @@
 }
 
 async fn compare(args: &Args, program: &Path, json: bool, workload: Arc<Workload>) {
-    let named = |p: &Policy| args.routes.is_empty() || args.routes.contains(&p.name());
-    let policies: Vec<Policy> = Policy::all().into_iter().filter(named).collect();
+    let selected = |p: &Policy| args.routes.is_empty() || args.routes.contains(&p.name());
+    let policies: Vec<Policy> = Policy::all().into_iter().filter(selected).collect();
     let mut by_load = Vec::new();
     for load in &args.loads {
         for policy in &policies {
@@ -141,23 +141,23 @@
     policies: &[Policy],
     by_load: &[Result],
 ) {
-    let alone = Arc::new(workload.with_prompts_below(LONG));
-    let share = workload.share_below(LONG);
+    let short_only = Arc::new(workload.with_prompts_below(MIN_LONG_PROMPT));
+    let share = workload.share_below(MIN_LONG_PROMPT);
     let mut table =
         Table::new(&["policy", "alone p95 ms", "with long p95 ms", "slowdown", "excess"]);
     for policy in policies {
         let with = by_load.iter().find(|r| r.case.policy == *policy && r.case.load == args.at);
         let Some(with) = with else { continue };
-        let workload = alone.clone();
+        let workload = short_only.clone();
         let case = Case { policy: *policy, load: args.at, lag: 1000, workload, share };
         let alone = measure(args, program, case).await;
-        let (a, w) = (alone.bands[0].ms(95.0), with.bands[0].ms(95.0));
+        let (alone_ms, with_ms) = (alone.bands[0].ms(95.0), with.bands[0].ms(95.0));
         table.row(vec![
             policy.name(),
-            format!("{a:.1}"),
-            format!("{w:.1}"),
-            format!("{:.2}", w / a),
-            format!("{:.2}", w / a - 1.0),
+            format!("{alone_ms:.1}"),
+            format!("{with_ms:.1}"),
+            format!("{:.2}", with_ms / alone_ms),
+            format!("{:.2}", with_ms / alone_ms - 1.0),
         ]);
     }
     println!("\n## {}: slowdown of prompts up to 4 k at load {}\n", workload.name, args.at);
@@ -195,7 +195,7 @@
     // The rate is derived from the capacity for the complete workload, even if kinds are left out.
     let cost = case.workload.mean_engine_seconds(&engine);
     let rate = case.load * args.engines as f64 * args.speed / cost * case.share;
-    let rate = if case.share < 1.0 { rate_of_whole(args, &case, &engine) } else { rate };
+    let rate = if case.share < 1.0 { rate_within_complete_workload(args, &case, &engine) } else { rate };
     let arrivals = case.workload.arrivals(Arrivals {
         seed: args.seed,
         rate,
@@ -227,13 +227,13 @@
 }
 
 /// The rate of the remaining kinds, equal to their rate within the complete workload.
-fn rate_of_whole(args: &Args, case: &Case, engine: &engine::Settings) -> f64 {
-    let path = args.workloads.iter().find_map(|p| {
+fn rate_within_complete_workload(args: &Args, case: &Case, engine: &engine::Settings) -> f64 {
+    let complete = args.workloads.iter().find_map(|p| {
         let text = std::fs::read_to_string(p).ok()?;
         Workload::parse(&text).ok().filter(|w| w.name == case.workload.name)
     });
-    let whole = path.expect("the whole workload");
-    case.load * args.engines as f64 * args.speed / whole.mean_engine_seconds(engine) * case.share
+    let complete = complete.expect("the whole workload");
+    case.load * args.engines as f64 * args.speed / complete.mean_engine_seconds(engine) * case.share
 }
 
 fn plan(args: &Args, program: &Path, case: &Case, engine: engine::Settings) -> Plan {
@@ -312,22 +312,22 @@
 }
 
 fn summarize(case: Case, outcomes: Vec<Outcome>, seconds: f64, computed: u64) -> Result {
-    let asked: u64 = outcomes.iter().filter(|o| o.good).map(|o| o.arrival.tokens).sum();
-    let warm = Duration::from_secs_f64(seconds * WARM_UP);
+    let prompt_tokens: u64 = outcomes.iter().filter(|o| o.good).map(|o| o.arrival.tokens).sum();
+    let warm = Duration::from_secs_f64(seconds * WARM_UP_SHARE);
     let counted: Vec<Outcome> = outcomes.into_iter().filter(|o| o.arrival.at >= warm).collect();
-    let refused = |o: &&Outcome| o.answer.ran.as_deref() == Some("no");
-    let returned: Vec<bool> = counted.iter().filter_map(|o| o.admitted_later).collect();
+    let is_rejected = |o: &&Outcome| o.answer.ran.as_deref() == Some("no");
+    let retried: Vec<bool> = counted.iter().filter_map(|o| o.retry_admitted).collect();
     let good = counted.iter().filter(|o| o.good).count();
-    let refusals = counted.iter().filter(refused).count();
+    let rejected = counted.iter().filter(is_rejected).count();
     Result {
         bands: first_tokens(&counted),
         sent: counted.len(),
         good,
-        refused: refusals,
-        failed: counted.len() - good - refusals,
-        returned: (returned.iter().filter(|r| **r).count(), returned.len()),
-        seconds: seconds * (1.0 - WARM_UP),
-        prefix_hits: if asked > computed { 1.0 - computed as f64 / asked as f64 } else { 0.0 },
+        rejected,
+        failed: counted.len() - good - rejected,
+        retries: (retried.iter().filter(|r| **r).count(), retried.len()),
+        seconds: seconds * (1.0 - WARM_UP_SHARE),
+        prefix_hits: if prompt_tokens > computed { 1.0 - computed as f64 / prompt_tokens as f64 } else { 0.0 },
         case,
     }
 }
@@ -371,9 +371,9 @@
             r.sent.to_string(),
             format!("{:.1}%", 100.0 * r.good as f64 / r.sent.max(1) as f64),
             format!("{:.1}", r.good as f64 / r.seconds),
-            r.refused.to_string(),
+            r.rejected.to_string(),
             r.failed.to_string(),
-            format!("{} of {}", r.returned.0, r.returned.1),
+            format!("{} of {}", r.retries.0, r.retries.1),
             format!("{:.1}%", 100.0 * r.prefix_hits),
         ]);
     }
@@ -385,7 +385,7 @@
     let path = dir.join(format!("first-token-4k-{name}.svg"));
     let area = SVGBackend::new(&path, (720, 420)).into_drawing_area();
     let value = |r: &Result| r.bands[0].ms(95.0).max(1.0);
-    let most = results.iter().map(value).fold(10.0, f64::max);
+    let max_ms = results.iter().map(value).fold(10.0, f64::max);
     let loads = results.iter().map(|r| r.case.load);
     let last = loads.fold(0.0, f64::max);
     let draw = || -> std::result::Result<(), Box<dyn std::error::Error>> {
@@ -394,7 +394,7 @@
             .margin(12)
             .x_label_area_size(36)
             .y_label_area_size(64)
-            .build_cartesian_2d(0.4..last + 0.1, (1.0..most * 1.2).log_scale())?;
+            .build_cartesian_2d(0.4..last + 0.1, (1.0..max_ms * 1.2).log_scale())?;
         chart
             .configure_mesh()
             .x_desc("load, part of capacity")
--- a/standin/examples/load/run.rs
+++ b/standin/examples/load/run.rs
@@ -18,7 +18,7 @@
     /// Whether the complete and correct answer arrived within the timeout.
     pub(crate) good: bool,
     /// Whether a retry after the time in `retry-after-ms` was admitted; none without that header.
-    pub(crate) admitted_later: Option<bool>,
+    pub(crate) retry_admitted: Option<bool>,
 }
 
 /// Sends each arrival at its scheduled time. A late one is sent at once; its delay is added to its
@@ -40,7 +40,7 @@
         let prompt = arrival.prompt(&workload);
         let expected = standin::answer::generate(prompt.as_bytes(), arrival.answer);
         tokio::time::sleep_until(due.into()).await;
-        tasks.push(tokio::spawn(one(due, arrival, prompt, expected, send)));
+        tasks.push(tokio::spawn(send_one(due, arrival, prompt, expected, send)));
     }
     let mut outcomes = Vec::new();
     for task in tasks {
@@ -49,7 +49,7 @@
     outcomes
 }
 
-async fn one<F, R>(
+async fn send_one<F, R>(
     due: Instant,
     arrival: Arrival,
     prompt: String,
@@ -62,14 +62,14 @@
 {
     let arrival = Arc::new(arrival);
     let sent = Instant::now();
-    let late = sent - due;
-    let (answer, admitted_later) = send(arrival.clone(), prompt).await;
-    let first_token = answer.first_token.map(|d| (d + late).as_secs_f64());
-    let whole = answer.complete && answer.text == expected;
-    assert!(!answer.complete || whole, "an answer is complete and not its prompt's: {answer:?}");
-    let good = whole && answer.total + late <= arrival.timeout + Duration::from_millis(50);
+    let delay = sent - due;
+    let (answer, retry_admitted) = send(arrival.clone(), prompt).await;
+    let first_token = answer.first_token.map(|d| (d + delay).as_secs_f64());
+    let correct = answer.complete && answer.text == expected;
+    assert!(!answer.complete || correct, "an answer is complete and not its prompt's: {answer:?}");
+    let good = correct && answer.total + delay <= arrival.timeout + Duration::from_millis(50);
     let arrival = Arc::unwrap_or_clone(arrival);
-    Outcome { arrival, answer, first_token, good, admitted_later }
+    Outcome { arrival, answer, first_token, good, retry_admitted }
 }
 
 /// Bands of prompt lengths: name and maximum number of tokens.
