--- a/standin/examples/load/promises.rs
+++ b/standin/examples/load/promises.rs
@@ -78,12 +78,12 @@
             answer.total.saturating_sub(timeout)
         }));
     }
-    let mut late = Times::default();
+    let mut delays = Times::default();
     for task in tasks {
-        late.add(task.await.expect("a request's task").as_secs_f64());
+        delays.add(task.await.expect("a request's task").as_secs_f64());
     }
-    let value = format!("n={}, max {:.1} ms", late.count(), late.ms(100.0));
-    row(table, "answer past its deadline, engines frozen", &late, value);
+    let value = format!("n={}, max {:.1} ms", delays.count(), delays.ms(100.0));
+    row(table, "answer past its deadline, engines frozen", &delays, value);
 }
 
 /// Latency that a claim adds to a plain call, and its writes to the key-value service.
@@ -158,30 +158,30 @@
     let mut texts = fleet.texts();
     let name = Name::Organisation("org-0".parse().expect("a name"));
     let text = texts[&name].clone();
-    let mut back = 0;
-    let mut seen = vec![0; fleet.vms.len()];
+    let mut decreases = 0;
+    let mut versions = vec![0; fleet.vms.len()];
     for i in 0..args.changes {
         texts.insert(name.clone(), format!("// {i}\n{text}").into());
         let started = Instant::now();
         let version = fleet.publish("load", &texts).await.expect("accepted");
         loop {
-            let asked = fleet.vms.iter().map(|vm| fleet.get_control(vm, "/version"));
-            let heads = futures::future::join_all(asked).await;
+            let responses = fleet.vms.iter().map(|vm| fleet.get_control(vm, "/version"));
+            let heads = futures::future::join_all(responses).await;
             for (vm, head) in heads.iter().enumerate() {
                 let head: serde_json::Value =
                     serde_json::from_slice(head.as_deref().unwrap_or(b"{}")).unwrap_or_default();
                 let now = head["version"].as_u64().unwrap_or(0);
-                back += u32::from(now < seen[vm]);
-                seen[vm] = now;
+                decreases += u32::from(now < versions[vm]);
+                versions[vm] = now;
             }
-            if seen.iter().all(|v| *v >= version) {
+            if versions.iter().all(|v| *v >= version) {
                 break;
             }
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         times.add(started.elapsed().as_secs_f64());
     }
-    let value = format!("n={}, versions seen going back: {back}", times.count());
+    let value = format!("n={}, versions seen going back: {decreases}", times.count());
     row(table, "a change in force on 8 VMs (aim 1 s)", &times, value);
 }
 
@@ -190,37 +190,37 @@
     let engine = engine::Settings { speed: 1.0, ..engine::Settings::default() };
     let fleet = Fleet::start(Plan { engine, ..Plan::small(program) }).await;
     let computed = || fleet.engines.iter().map(|e| e.engine.stats().computed).sum::<u64>();
-    for cut in [10, 50, 90] {
+    for resume_at in [10, 50, 90] {
         let (mut resumed, mut rerun) = (Times::default(), Times::default());
-        let (mut again_resumed, mut again_rerun) = (0, 0);
+        let (mut recomputed_resumed, mut recomputed_rerun) = (0, 0);
         for round in 0..5 {
             let mut request = request(8_000, 100);
-            request.prompt = format!("{cut} {round} {}", request.prompt);
-            let cursor = partial(&fleet.client, fleet.vms[0].listen, &request, cut).await;
+            request.prompt = format!("{resume_at} {round} {}", request.prompt);
+            let cursor = read_until(&fleet.client, fleet.vms[0].listen, &request, resume_at).await;
             let before = computed();
-            let rest = client::resume(&fleet.client, fleet.vms[1].listen, "key-0", &cursor).await;
-            assert!(rest.complete, "{rest:?}");
-            resumed.add(rest.first_token.unwrap_or_default().as_secs_f64());
-            again_resumed += computed() - before;
+            let resumed_answer = client::resume(&fleet.client, fleet.vms[1].listen, "key-0", &cursor).await;
+            assert!(resumed_answer.complete, "{resumed_answer:?}");
+            resumed.add(resumed_answer.first_token.unwrap_or_default().as_secs_f64());
+            recomputed_resumed += computed() - before;
             // The changed prompt avoids prefix cache hits: a request that is sent again often
             // runs on an engine that has not cached its prompt.
             request.prompt.push_str("x ");
             request.prompt.insert_str(0, "again ");
             let before = computed();
-            let whole = client::send(&fleet.client, fleet.vms[1].listen, &request).await;
-            rerun.add(whole.total.as_secs_f64() * f64::from(cut as u32) / 100.0);
-            again_rerun += computed() - before + cut as u64;
+            let complete = client::send(&fleet.client, fleet.vms[1].listen, &request).await;
+            rerun.add(complete.total.as_secs_f64() * f64::from(resume_at as u32) / 100.0);
+            recomputed_rerun += computed() - before + resume_at as u64;
         }
-        let (a, b) = (again_resumed / 5, again_rerun / 5);
+        let (a, b) = (recomputed_resumed / 5, recomputed_rerun / 5);
         row(
             table,
-            &format!("next token, resumed at {cut} of 100"),
+            &format!("next token, resumed at {resume_at} of 100"),
             &resumed,
             format!("{a} tokens again"),
         );
         row(
             table,
-            &format!("next token, asked again at {cut} of 100"),
+            &format!("next token, asked again at {resume_at} of 100"),
             &rerun,
             format!("{b} tokens again"),
         );
@@ -228,7 +228,7 @@
 }
 
 /// Reads a response up to a token, then closes the connection; returns the cursor of that token.
-async fn partial(client: &Client, vm: std::net::SocketAddr, request: &client::Request, tokens: usize) -> String {
+async fn read_until(client: &Client, vm: std::net::SocketAddr, request: &client::Request, tokens: usize) -> String {
     let text = json!({ "model": request.model, "prompt": request.prompt, "max_tokens": request.max_tokens,
                        "stream": true });
     let request = Request::post(format!("http://{vm}/v1/completions"))
