--- a/standin/examples/load/capacity.rs
+++ b/standin/examples/load/capacity.rs
@@ -78,19 +78,19 @@
     let by_vms = &points[..args.vms.len()];
     let by_engines = &points[args.vms.len()..args.vms.len() + args.engines.len()];
     let by_organisations = &points[args.vms.len() + args.engines.len()..];
-    fits(json, by_vms, by_engines, by_organisations);
+    print_fits(json, by_vms, by_engines, by_organisations);
 }
 
-fn fits(json: bool, by_vms: &[Point], by_engines: &[Point], by_organisations: &[Point]) {
-    type Of = fn(&Point) -> f64;
-    let values: [(&str, Of); 4] = [
+fn print_fits(json: bool, by_vms: &[Point], by_engines: &[Point], by_organisations: &[Point]) {
+    type Value = fn(&Point) -> f64;
+    let values: [(&str, Value); 4] = [
         ("control B/s", |p| p.bytes_per_s),
         ("CPU %", |p| p.cpu_percent),
         ("MiB", |p| p.memory_mib),
         ("KV reads/s", |p| p.kv_reads_per_s),
     ];
     let mut table = Table::new(&["value", "by", "at none", "slope", "largest residual"]);
-    let groups: [(&str, &[Point], Of); 4] = [
+    let groups: [(&str, &[Point], Value); 4] = [
         ("peers a VM", by_vms, |p| p.peers),
         ("VMs", by_vms, |p| p.vms as f64),
         ("engines", by_engines, |p| p.engines as f64),
@@ -98,11 +98,11 @@
     ];
     for (by, points, x) in groups {
         for (name, y) in values {
-            let (at_none, slope, residual) = fit(points, x, y);
+            let (intercept, slope, residual) = fit(points, x, y);
             table.row(vec![
                 name.to_owned(),
                 by.to_owned(),
-                format!("{at_none:.3}"),
+                format!("{intercept:.3}"),
                 format!("{slope:.4}"),
                 format!("{residual:.3}"),
             ]);
@@ -116,12 +116,12 @@
     let n = points.len() as f64;
     let mean_x = points.iter().map(x).sum::<f64>() / n;
     let mean_y = points.iter().map(y).sum::<f64>() / n;
-    let up: f64 = points.iter().map(|p| (x(p) - mean_x) * (y(p) - mean_y)).sum();
-    let down: f64 = points.iter().map(|p| (x(p) - mean_x).powi(2)).sum();
-    let slope = if down > 0.0 { up / down } else { 0.0 };
-    let at_none = mean_y - slope * mean_x;
-    let residual = points.iter().map(|p| (y(p) - at_none - slope * x(p)).abs());
-    (at_none, slope, residual.fold(0.0, f64::max))
+    let numerator: f64 = points.iter().map(|p| (x(p) - mean_x) * (y(p) - mean_y)).sum();
+    let denominator: f64 = points.iter().map(|p| (x(p) - mean_x).powi(2)).sum();
+    let slope = if denominator > 0.0 { numerator / denominator } else { 0.0 };
+    let intercept = mean_y - slope * mean_x;
+    let residual = points.iter().map(|p| (y(p) - intercept - slope * x(p)).abs());
+    (intercept, slope, residual.fold(0.0, f64::max))
 }
 
 async fn measure(
@@ -149,18 +149,18 @@
     let after = sample(&fleet).await;
     let kv_after = fleet.kv.kv.stats();
     let seconds = started.elapsed().as_secs_f64();
-    let each = vms as f64;
+    let count = vms as f64;
     eprintln!("{vms} VMs, {engines} engines, {organisations} organisations");
     Point {
         vms,
         engines,
         organisations,
-        bytes_per_s: (after.bytes - before.bytes) / seconds / each,
-        cpu_percent: (after.cpu - before.cpu) / seconds / each * 100.0,
-        memory_mib: after.memory / each / f64::from(1 << 20),
+        bytes_per_s: (after.bytes - before.bytes) / seconds / count,
+        cpu_percent: (after.cpu - before.cpu) / seconds / count * 100.0,
+        memory_mib: after.memory / count / f64::from(1 << 20),
         kv_reads_per_s: (kv_after.reads - kv.reads) as f64 / seconds,
         kv_writes_per_s: (kv_after.writes - kv.writes) as f64 / seconds,
-        peers: after.peers / each,
+        peers: after.peers / count,
     }
 }
 
