--- a/standin/examples/load/overhead.rs
+++ b/standin/examples/load/overhead.rs
@@ -88,23 +88,23 @@
 /// Sends the same request alternately to the engine directly and through foldlock.
 async fn unloaded(args: &Args, fleet: &Fleet, table: &mut Table) {
     let direct = HttpEngine::new(Client::default(), &fleet.engines[0].server.address.to_string());
-    let (mut to_engine, mut through) = (Times::default(), Times::default());
+    let (mut direct_times, mut foldlock_times) = (Times::default(), Times::default());
     for i in 0..args.requests + 200 {
         let started = Instant::now();
         let mut stream = direct.generate(&job(1, i)).await.expect("an answer");
         while let Ok(Some(_)) = stream.next().await {}
-        let directly = started.elapsed();
+        let direct_time = started.elapsed();
         let started = Instant::now();
         let answer = fleet.client.send(request(fleet.vms[0].listen, 1)).await.expect("an answer");
         let _ = answer.into_body().collect().await;
         if i >= 200 {
-            to_engine.add(directly.as_secs_f64());
-            through.add(started.elapsed().as_secs_f64());
+            direct_times.add(direct_time.as_secs_f64());
+            foldlock_times.add(started.elapsed().as_secs_f64());
         }
     }
-    row(table, "directly", &to_engine);
-    row(table, "through foldlock", &through);
-    let added = |p| through.ms(p) - to_engine.ms(p);
+    row(table, "directly", &direct_times);
+    row(table, "through foldlock", &foldlock_times);
+    let added = |p| foldlock_times.ms(p) - direct_times.ms(p);
     let cells = [format!("{:.3}", added(50.0)), format!("{:.3}", added(99.0))];
     let [p50, p99] = cells;
     table.row(vec!["added (aim 0.2, 1)".to_owned(), p50, p99, String::new()]);
@@ -154,9 +154,9 @@
 async fn memory(args: &Args, fleet: &Fleet, table: &mut Table) {
     let pid = fleet.vms[0].pid();
     let before = resident_bytes(pid);
-    let kept: Arc<std::sync::Mutex<Vec<_>>> = Arc::default();
+    let bodies: Arc<std::sync::Mutex<Vec<_>>> = Arc::default();
     for _ in 0..args.open {
-        let (client, kept) = (fleet.client.clone(), kept.clone());
+        let (client, bodies) = (fleet.client.clone(), bodies.clone());
         let request = request(fleet.vms[0].listen, 5_000);
         // Limits the connection rate so that the listener's backlog does not overflow.
         tokio::time::sleep(Duration::from_millis(1)).await;
@@ -167,11 +167,11 @@
                 }
                 let mut body = answer.into_body();
                 let _ = body.frame().await;
-                kept.lock().unwrap().push(body);
+                bodies.lock().unwrap().push(body);
             }
         });
     }
-    wait_for("streams to open", async || kept.lock().unwrap().len() == args.open).await;
+    wait_for("streams to open", async || bodies.lock().unwrap().len() == args.open).await;
     let added = resident_bytes(pid).saturating_sub(before);
     let each = added as f64 / args.open as f64 / 1024.0;
     let what = format!("KiB a stream, {} open (aim 32)", args.open);
