--- a/standin/examples/load/ask.rs
+++ b/standin/examples/load/ask.rs
@@ -55,7 +55,7 @@
     let answer = client::send(&client, args.vm, &request).await;
     let first = answer.first_token.map_or(0.0, |d| d.as_secs_f64() * 1e3);
     let total = answer.total.as_secs_f64() * 1e3;
-    let what = match &answer.kind {
+    let result = match &answer.kind {
         Some(kind) => {
             format!("{} {kind}, ran: {}", answer.status, answer.ran.as_deref().unwrap_or("?"))
         }
@@ -64,7 +64,7 @@
             answer.status, answer.tokens, answer.text
         ),
     };
-    say(args.id, &what, &answer.request);
+    print_result(args.id, &result, &answer.request);
 }
 
 async fn plain(client: &Client, args: &Args, path: &str) {
@@ -79,17 +79,17 @@
             let id = answer.headers().get("x-request-id").and_then(|v| v.to_str().ok());
             let id = id.unwrap_or_default().to_owned();
             let text = String::from_utf8_lossy(answer.body());
-            say(args.id, &format!("{} {}", answer.status().as_u16(), text.trim()), &id);
+            print_result(args.id, &format!("{} {}", answer.status().as_u16(), text.trim()), &id);
         }
-        Err(e) => say(args.id, &e.to_string(), ""),
+        Err(e) => print_result(args.id, &e.to_string(), ""),
     }
 }
 
-fn say(id_only: bool, what: &str, id: &str) {
+fn print_result(id_only: bool, result: &str, id: &str) {
     if id_only {
-        eprintln!("{what}");
+        eprintln!("{result}");
         println!("{id}");
     } else {
-        println!("{what}\n  request {id}");
+        println!("{result}\n  request {id}");
     }
 }
