--- a/standin/examples/load/main.rs
+++ b/standin/examples/load/main.rs
@@ -16,7 +16,7 @@
 use clap::{Parser, Subcommand};
 
 #[derive(Parser)]
-#[command(about = "Sends load through foldlockd processes on loopback and measures")]
+#[command(about = "Sends load through foldlockd processes on loopback and measures the results")]
 struct App {
     /// Path of the `foldlockd` executable; by default the one built with this tool.
     #[arg(long, global = true)]
@@ -46,7 +46,7 @@
 /// Path of `foldlockd`: cargo puts examples one directory below the binaries.
 fn program(named: Option<PathBuf>) -> PathBuf {
     named.unwrap_or_else(|| {
-        let own = std::env::current_exe().expect("a program knows itself");
+        let own = std::env::current_exe().expect("the path of this executable");
         let dir = own.parent().and_then(|d| d.parent()).expect("a build directory");
         dir.join("foldlockd")
     })
--- a/standin/examples/standin.rs
+++ b/standin/examples/standin.rs
@@ -11,7 +11,7 @@
 use standin::{engine, engine_http, kv, plain, vms, weights};
 
 #[derive(Parser)]
-#[command(about = "Stand-ins of the systems around foldlock, for trials on loopback")]
+#[command(about = "Stand-ins of the systems around foldlock, for tests on loopback")]
 struct App {
     #[command(subcommand)]
     command: Command,
@@ -102,7 +102,7 @@
 /// Parses NAME=IP:PORT@HALL.
 fn listed(text: &str) -> Result<Listed, String> {
     let parts = text.split_once('=').and_then(|(n, rest)| Some((n, rest.split_once('@')?)));
-    let (name, (address, hall)) = parts.ok_or("a VM is NAME=IP:PORT@HALL")?;
+    let (name, (address, hall)) = parts.ok_or("expected NAME=IP:PORT@HALL")?;
     Ok(Listed {
         name: name.to_owned(),
         address: address.to_owned(),
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -258,18 +258,18 @@
             return Err((400, "empty prompt"));
         }
         let room = match &request.reservation {
-            Some(reservation) => inner.reservations.get(reservation).ok_or((409, "no such hold"))?.tokens,
+            Some(reservation) => inner.reservations.get(reservation).ok_or((409, "no such reservation"))?.tokens,
             None => self.settings.memory,
         };
         if tokens + request.max_tokens > room {
-            return Err((413, "does not fit the memory"));
+            return Err((413, "exceeds the engine's memory"));
         }
         if inner.jobs.iter().filter(|j| !j.admitted).count() >= self.settings.max_waiting {
-            return Err((429, "too many requests wait"));
+            return Err((429, "queue is full"));
         }
         let fault = take_fault(&mut inner.faults);
         match fault {
-            Some(Fault { kind: Kind::Refuse, .. }) => Err((503, "refused on request")),
+            Some(Fault { kind: Kind::Refuse, .. }) => Err((503, "injected fault")),
             fault => Ok(fault),
         }
     }
@@ -302,7 +302,7 @@
             return Err((503, LEAVING));
         }
         if !self.memory.lock().unwrap().reserve(tokens) {
-            return Err((409, "no memory"));
+            return Err((409, "not enough free memory"));
         }
         let reservation = Reservation { tokens, until, running_jobs: 0, state: prefix::START, computed_tokens: 0 };
         inner.reservations.insert(id.to_owned(), reservation);
@@ -331,9 +331,9 @@
     /// Imports another engine's export into a reservation.
     pub fn import(&self, id: &str, tokens: u64, state: u64) -> Result<(), Refusal> {
         let mut inner = self.state.lock().unwrap();
-        let reservation = inner.reservations.get_mut(id).ok_or((409, "no such hold"))?;
+        let reservation = inner.reservations.get_mut(id).ok_or((409, "no such reservation"))?;
         if tokens > reservation.tokens {
-            return Err((413, "does not fit the hold"));
+            return Err((413, "exceeds the reservation"));
         }
         reservation.computed_tokens = tokens;
         reservation.state = state;
@@ -344,7 +344,7 @@
     pub fn set_models(&self, fence: u64, models: Vec<String>) -> Result<(), Refusal> {
         let mut inner = self.state.lock().unwrap();
         if self.settings.checks_fence && fence < inner.fence {
-            return Err((409, "the fence is old"));
+            return Err((409, "stale fence"));
         }
         inner.fence = inner.fence.max(fence);
         *self.models.lock().unwrap() = models;
--- a/standin/src/engine_http.rs
+++ b/standin/src/engine_http.rs
@@ -72,18 +72,18 @@
         (&Method::DELETE, ["v1", "holds", id]) => deleted(engine.release(id)),
         (&Method::GET, ["v1", "holds", id, "export"]) => match engine.export(id) {
             Some((tokens, state)) => json(&context(tokens, state)),
-            None => text(404, "no such hold"),
+            None => text(404, "no such reservation"),
         },
         (&Method::POST, ["v1", "holds", id, "import"]) => {
             match serde_json::from_slice::<Context>(&server::read_body(request).await) {
                 Ok(c) => accepted(engine.import(id, c.tokens.0, parse_state(&c.state).unwrap_or(0))),
-                Err(_) => text(400, "not an export"),
+                Err(_) => text(400, "invalid export"),
             }
         }
         (&Method::POST, ["v1", "orders"]) => {
             match serde_json::from_slice::<Order>(&server::read_body(request).await) {
                 Ok(order) => accepted(engine.set_models(order.fence, order.models)),
-                Err(_) => text(400, "not an order"),
+                Err(_) => text(400, "invalid order"),
             }
         }
         (&Method::POST, ["admin", "fault"]) => {
@@ -92,7 +92,7 @@
                     engine.add_fault(fault);
                     text(200, "")
                 }
-                Err(_) => text(400, "not a fault"),
+                Err(_) => text(400, "invalid fault"),
             }
         }
         (&Method::POST, ["admin", "leave"]) => {
@@ -167,7 +167,7 @@
     loop {
         let changed = stream.changed();
         match stream.read(|o| (o.state, o.aborted)) {
-            (_, true) => return text(500, "broken off"),
+            (_, true) => return text(500, "request aborted"),
             (Some(state), _) => return json(&context(before + tokens, state)),
             _ => changed.await,
         }
--- a/standin/src/fleet.rs
+++ b/standin/src/fleet.rs
@@ -190,7 +190,7 @@
             .expect("foldlockd starts");
         let mut line = String::new();
         let output = child.stdout.take().expect("a pipe");
-        BufReader::new(output).read_line(&mut line).expect("foldlockd says where it listens");
+        BufReader::new(output).read_line(&mut line).expect("foldlockd prints its addresses");
         let fields: Vec<&str> = line.split_whitespace().collect();
         let address = |i: usize| fields[i].parse().expect("an address");
         let vm = Vm { name, listen: address(1), control: address(3), child };
@@ -341,7 +341,7 @@
 pub async fn wait_for(what: &str, condition: impl AsyncFn() -> bool) {
     let deadline = Instant::now() + CONDITION_TIMEOUT;
     while !condition().await {
-        assert!(Instant::now() < deadline, "waited in vain for {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for {what}");
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/standin/src/kv.rs
+++ b/standin/src/kv.rs
@@ -286,7 +286,7 @@
     let mut state = kv.state.lock().unwrap();
     remove_expired(&mut state);
     let id = match query::<u64>(request, "id") {
-        Some(id) if !state.leases.contains_key(&id) => return text(404, "the lease has lapsed"),
+        Some(id) if !state.leases.contains_key(&id) => return text(404, "lease expired"),
         Some(id) => id,
         None => {
             state.revision += 1;
@@ -318,7 +318,7 @@
     let delete = request.method() == Method::DELETE;
     let bytes = server::read_body(request).await;
     if bytes.len() > MAX_VALUE_LEN {
-        return text(413, "the value is too large");
+        return text(413, "value too large");
     }
     kv.simulate_latency().await;
     let written = kv.write(key, expect, (!delete).then(|| bytes.to_vec()), lease);
--- a/standin/src/weights.rs
+++ b/standin/src/weights.rs
@@ -44,6 +44,6 @@
             tokio::time::sleep_until(done.into()).await;
             text(200, format!("weights of {}\n", request.uri().path()))
         }
-        None => text(429, "too many fetches wait"),
+        None => text(429, "queue is full"),
     }
 }
