--- a/standin/examples/load/oracle.rs
+++ b/standin/examples/load/oracle.rs
@@ -91,7 +91,8 @@
             let changed = stream.changed();
             tokio::pin!(changed);
             changed.as_mut().enable();
-            let (tokens, ended, aborted) = stream.read(|o| (o.tokens.len(), o.end.is_some(), o.aborted));
+            let (tokens, ended, aborted) =
+                stream.read(|o| (o.tokens.len(), o.end.is_some(), o.aborted));
             if tokens > 0 && out.first_token.is_none() {
                 out.first_token = Some(started.elapsed());
                 self.record_first_token(&mut flight, sent.elapsed().as_secs_f64());
--- a/standin/examples/load/policies.rs
+++ b/standin/examples/load/policies.rs
@@ -195,7 +195,8 @@
     // The rate is derived from the capacity for the complete workload, even if kinds are left out.
     let cost = case.workload.mean_engine_seconds(&engine);
     let rate = case.load * args.engines as f64 * args.speed / cost * case.share;
-    let rate = if case.share < 1.0 { rate_within_complete_workload(args, &case, &engine) } else { rate };
+    let rate =
+        if case.share < 1.0 { rate_within_complete_workload(args, &case, &engine) } else { rate };
     let arrivals = case.workload.arrivals(Arrivals {
         seed: args.seed,
         rate,
@@ -327,7 +328,11 @@
         failed: counted.len() - good - rejected,
         retries: (retried.iter().filter(|r| **r).count(), retried.len()),
         seconds: seconds * (1.0 - WARM_UP_SHARE),
-        prefix_hits: if prompt_tokens > computed { 1.0 - computed as f64 / prompt_tokens as f64 } else { 0.0 },
+        prefix_hits: if prompt_tokens > computed {
+            1.0 - computed as f64 / prompt_tokens as f64
+        } else {
+            0.0
+        },
         case,
     }
 }
--- a/standin/examples/load/promises.rs
+++ b/standin/examples/load/promises.rs
@@ -198,7 +198,8 @@
             request.prompt = format!("{resume_at} {round} {}", request.prompt);
             let cursor = read_until(&fleet.client, fleet.vms[0].listen, &request, resume_at).await;
             let before = computed();
-            let resumed_answer = client::resume(&fleet.client, fleet.vms[1].listen, "key-0", &cursor).await;
+            let resumed_answer =
+                client::resume(&fleet.client, fleet.vms[1].listen, "key-0", &cursor).await;
             assert!(resumed_answer.complete, "{resumed_answer:?}");
             resumed.add(resumed_answer.first_token.unwrap_or_default().as_secs_f64());
             recomputed_resumed += computed() - before;
@@ -228,7 +229,12 @@
 }
 
 /// Reads a response up to a token, then closes the connection; returns the cursor of that token.
-async fn read_until(client: &Client, vm: std::net::SocketAddr, request: &client::Request, tokens: usize) -> String {
+async fn read_until(
+    client: &Client,
+    vm: std::net::SocketAddr,
+    request: &client::Request,
+    tokens: usize,
+) -> String {
     let text = json!({ "model": request.model, "prompt": request.prompt, "max_tokens": request.max_tokens,
                        "stream": true });
     let request = Request::post(format!("http://{vm}/v1/completions"))
--- a/standin/examples/load/run.rs
+++ b/standin/examples/load/run.rs
@@ -66,7 +66,10 @@
     let (answer, retry_admitted) = send(arrival.clone(), prompt).await;
     let first_token = answer.first_token.map(|d| (d + delay).as_secs_f64());
     let correct = answer.complete && answer.text == expected;
-    assert!(!answer.complete || correct, "complete answer does not belong to its prompt: {answer:?}");
+    assert!(
+        !answer.complete || correct,
+        "complete answer does not belong to its prompt: {answer:?}"
+    );
     let good = correct && answer.total + delay <= arrival.timeout + Duration::from_millis(50);
     let arrival = Arc::unwrap_or_clone(arrival);
     Outcome { arrival, answer, first_token, good, retry_admitted }
--- a/standin/src/client.rs
+++ b/standin/src/client.rs
@@ -5,8 +5,8 @@
 
 use foldlock_connection::http::{Client, Failure, body};
 use http_body_util::BodyExt;
-use hyper::body::Incoming;
 use hyper::Response;
+use hyper::body::Incoming;
 use serde_json::{Value, json};
 
 /// A completion request.
@@ -90,7 +90,10 @@
     read(client, request.body(body("")).expect("plain headers")).await
 }
 
-async fn read(client: &Client, request: hyper::Request<http_body_util::Full<bytes::Bytes>>) -> Answer {
+async fn read(
+    client: &Client,
+    request: hyper::Request<http_body_util::Full<bytes::Bytes>>,
+) -> Answer {
     let mut reader = Reader::default();
     let started = Instant::now();
     match client.send(request).await {
@@ -111,7 +114,12 @@
 impl Reader {
     async fn read_response(&mut self, response: Response<Incoming>, started: Instant) {
         let header = |name: &str| {
-            response.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned()
+            response
+                .headers()
+                .get(name)
+                .and_then(|v| v.to_str().ok())
+                .unwrap_or_default()
+                .to_owned()
         };
         self.answer.status = response.status().as_u16();
         self.answer.request = header("x-request-id");
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -225,8 +225,11 @@
         let id = format!("{:x}.{}", self.boot_id, inner.begun);
         let stream = Arc::new(Stream::new(id, &request, cached, fault));
         inner.streams.insert(stream.id.clone(), stream.clone());
-        let memory = if request.reservation.is_some() { 0 } else { prompt_tokens + request.max_tokens };
-        if let Some(reservation) = request.reservation.as_ref().and_then(|r| inner.reservations.get_mut(r)) {
+        let memory =
+            if request.reservation.is_some() { 0 } else { prompt_tokens + request.max_tokens };
+        if let Some(reservation) =
+            request.reservation.as_ref().and_then(|r| inner.reservations.get_mut(r))
+        {
             reservation.running_jobs += 1;
         }
         inner.jobs.push(Job {
@@ -247,7 +250,12 @@
         Ok(stream)
     }
 
-    fn admit(&self, inner: &mut State, request: &Request, tokens: u64) -> Result<Option<Fault>, Refusal> {
+    fn admit(
+        &self,
+        inner: &mut State,
+        request: &Request,
+        tokens: u64,
+    ) -> Result<Option<Fault>, Refusal> {
         if inner.leaving {
             return Err((503, LEAVING));
         }
@@ -258,7 +266,9 @@
             return Err((400, "empty prompt"));
         }
         let room = match &request.reservation {
-            Some(reservation) => inner.reservations.get(reservation).ok_or((409, "no such reservation"))?.tokens,
+            Some(reservation) => {
+                inner.reservations.get(reservation).ok_or((409, "no such reservation"))?.tokens
+            }
             None => self.settings.memory,
         };
         if tokens + request.max_tokens > room {
@@ -304,7 +314,13 @@
         if !self.memory.lock().unwrap().reserve(tokens) {
             return Err((409, "not enough free memory"));
         }
-        let reservation = Reservation { tokens, until, running_jobs: 0, state: prefix::START, computed_tokens: 0 };
+        let reservation = Reservation {
+            tokens,
+            until,
+            running_jobs: 0,
+            state: prefix::START,
+            computed_tokens: 0,
+        };
         inner.reservations.insert(id.to_owned(), reservation);
         self.work.notify_one();
         Ok(())
@@ -541,7 +557,9 @@
                 if job.admitted {
                     memory.release(job.memory);
                 }
-                if let Some(reservation) = job.request.reservation.as_ref().and_then(|r| reservations.get_mut(r)) {
+                if let Some(reservation) =
+                    job.request.reservation.as_ref().and_then(|r| reservations.get_mut(r))
+                {
                     reservation.running_jobs -= 1;
                     reservation.computed_tokens = job.prompt_tokens;
                     reservation.state = job.state;
--- a/standin/src/engine_http.rs
+++ b/standin/src/engine_http.rs
@@ -76,7 +76,9 @@
         },
         (&Method::POST, ["v1", "holds", id, "import"]) => {
             match serde_json::from_slice::<Context>(&server::read_body(request).await) {
-                Ok(c) => accepted(engine.import(id, c.tokens.0, parse_state(&c.state).unwrap_or(0))),
+                Ok(c) => {
+                    accepted(engine.import(id, c.tokens.0, parse_state(&c.state).unwrap_or(0)))
+                }
                 Err(_) => text(400, "invalid export"),
             }
         }
@@ -234,7 +236,8 @@
             let changed = stream.changed();
             tokio::pin!(changed);
             changed.as_mut().enable();
-            let (bytes, aborted) = stream.read(|o| (self.encode(&stream, &o.tokens, o.end), o.aborted));
+            let (bytes, aborted) =
+                stream.read(|o| (self.encode(&stream, &o.tokens, o.end), o.aborted));
             if !bytes.is_empty() {
                 return Some(Ok(bytes.into()));
             }
--- a/standin/src/vms.rs
+++ b/standin/src/vms.rs
@@ -49,7 +49,8 @@
     fn visible(&self) -> Listing {
         let lag = *self.lag.lock().unwrap();
         let versions = self.versions.lock().unwrap();
-        let version = versions.iter().rev().find(|(at, _)| at.elapsed() >= lag).or(versions.first());
+        let version =
+            versions.iter().rev().find(|(at, _)| at.elapsed() >= lag).or(versions.first());
         version.map(|(_, listing)| listing.clone()).unwrap_or_default()
     }
 }
--- a/standin/src/weights.rs
+++ b/standin/src/weights.rs
@@ -19,7 +19,11 @@
 
 /// Serves a weight store on `address`: each fetch takes `fetch_time`, and at most `max_queued`
 /// are queued.
-pub async fn serve(address: SocketAddr, fetch_time: Duration, max_queued: usize) -> std::io::Result<Handle> {
+pub async fn serve(
+    address: SocketAddr,
+    fetch_time: Duration,
+    max_queued: usize,
+) -> std::io::Result<Handle> {
     let store = Arc::new(Store { fetch_time, max_queued, free_at: Mutex::new(Instant::now()) });
     server::serve(address, move |request| handle(store.clone(), request)).await
 }
