--- a/daemon/tests/leaving.rs
+++ b/daemon/tests/leaving.rs
@@ -7,7 +7,7 @@
 use common::{ask, plan, prompt, send};
 use foldlock_connection::vms::{Listed, Listing};
 use nix::sys::signal::Signal;
-use standin::client::{self, Answer, Ask};
+use standin::client::{self, Answer, Request};
 use standin::fleet::{Fleet, Plan, wait_for};
 
 /// Sends requests through all VMs. Returns how many of them the engine at `index` began.
@@ -38,7 +38,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_reports_leaving_gets_no_new_requests() {
     let fleet = Fleet::start(plan()).await;
-    fleet.engines[1].engine.leave(true);
+    fleet.engines[1].engine.set_leaving(true);
     assert_no_new_requests(&fleet, 1).await;
 }
 
@@ -48,7 +48,7 @@
     plan.engine.report_lag_ms = 60_000;
     let fleet = Fleet::start(plan).await;
     fleet.kv.kv.adjust(|s| s.down = true);
-    fleet.engines[2].engine.leave(true);
+    fleet.engines[2].engine.set_leaving(true);
     // One VM receives a refusal and retries; the caller does not notice.
     wait_for("a refusal", async || {
         let ask = ask(prompt(70), 2);
@@ -87,9 +87,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_that_is_no_longer_leaving_gets_requests_again() {
     let fleet = Fleet::start(plan()).await;
-    fleet.engines[1].engine.leave(true);
+    fleet.engines[1].engine.set_leaving(true);
     assert_no_new_requests(&fleet, 1).await;
-    fleet.engines[1].engine.leave(false);
+    fleet.engines[1].engine.set_leaving(false);
     wait_for("the engine to get requests", async || begun_requests(&fleet, 1).await > 0).await;
 }
 
@@ -98,7 +98,7 @@
 async fn send_until_not_ready(
     client: foldlock_connection::http::Client,
     vm: (std::net::SocketAddr, std::net::SocketAddr),
-) -> Vec<(Answer, Ask)> {
+) -> Vec<(Answer, Request)> {
     let mut answers = Vec::new();
     loop {
         let ready = hyper::Request::get(format!("http://{}/ready", vm.1))
@@ -109,7 +109,7 @@
             return answers;
         }
         let ask = ask(prompt(40 + answers.len()), 20);
-        answers.push((client::ask(&client, vm.0, &ask).await, ask));
+        answers.push((client::send(&client, vm.0, &ask).await, ask));
     }
 }
 
@@ -123,7 +123,7 @@
         let first = (fleet.vms[0].listen, fleet.vms[0].control);
         let long = ask(prompt(100), 60);
         let (client, sent) = (fleet.client.clone(), long.clone());
-        let begun = tokio::spawn(async move { client::ask(&client, first.0, &sent).await });
+        let begun = tokio::spawn(async move { client::send(&client, first.0, &sent).await });
         let load = tokio::spawn(send_until_not_ready(fleet.client.clone(), first));
         wait_for("the request to run", async || fleet.memory_used() > 0).await;
         fleet.vms[0].signal(Signal::SIGTERM);
@@ -131,12 +131,12 @@
         for (answer, ask) in load.await.unwrap() {
             common::assert_complete(&answer, &ask);
         }
-        let until = Instant::now() + standin::fleet::PATIENCE;
-        while fleet.vms[0].ended().is_none() {
+        let until = Instant::now() + standin::fleet::CONDITION_TIMEOUT;
+        while fleet.vms[0].exited().is_none() {
             assert!(Instant::now() < until, "the VM does not exit");
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        assert_eq!(fleet.vms[0].ended(), Some(true));
+        assert_eq!(fleet.vms[0].exited(), Some(true));
         fleet.vms.remove(0);
         // The store is down, so the new VM fetches its settings from peers.
         fleet.add_vm();
@@ -169,7 +169,7 @@
     let mut begun = Vec::new();
     for vm in [0, 1] {
         let (client, sent, listen) = (fleet.client.clone(), ask.clone(), fleet.vms[vm].listen);
-        begun.push(tokio::spawn(async move { client::ask(&client, listen, &sent).await }));
+        begun.push(tokio::spawn(async move { client::send(&client, listen, &sent).await }));
     }
     wait_until_all_run(&fleet, &begun).await;
     fleet.vms[0].signal(Signal::SIGTERM);
@@ -190,7 +190,7 @@
     let mut begun = Vec::new();
     for vm in &fleet.vms {
         let (client, sent, listen) = (fleet.client.clone(), ask.clone(), vm.listen);
-        begun.push(tokio::spawn(async move { client::ask(&client, listen, &sent).await }));
+        begun.push(tokio::spawn(async move { client::send(&client, listen, &sent).await }));
     }
     wait_until_all_run(&fleet, &begun).await;
     for vm in &fleet.vms {
--- a/daemon/tests/soak/world.rs
+++ b/daemon/tests/soak/world.rs
@@ -13,7 +13,7 @@
 use nix::unistd::Pid;
 use serde_json::{Value, json};
 use standin::port::free;
-use standin::server::Served;
+use standin::server::Handle;
 
 use crate::proxy::Proxy;
 
@@ -79,7 +79,7 @@
     server: Server,
     /// Whether its entry announces that it is leaving.
     leaving: bool,
-    _served: Served,
+    _served: Handle,
 }
 
 /// All VMs, servers and the store of a run.
@@ -92,7 +92,7 @@
     pub(crate) violations: Mutex<Vec<String>>,
     disturbances: Mutex<Vec<(Part, Instant, Option<Instant>)>>,
     last_tick: Mutex<Instant>,
-    _store_served: Served,
+    _store_served: Handle,
 }
 
 impl Vm {
--- a/daemon/tests/streams.rs
+++ b/daemon/tests/streams.rs
@@ -5,7 +5,7 @@
 use common::{ask, assert_complete, paid_plan, plan, prompt, send};
 use foldlock_request::cursor::{Cursor, Key};
 use serde_json::json;
-use standin::client::{self, Ask};
+use standin::client::{self, Request};
 use standin::fault::{Fault, Kind};
 use standin::fleet::{Fleet, Plan, wait_for};
 
@@ -26,17 +26,17 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_truncated_answer_is_resumed_on_another_engine() {
-    assert_complete_despite(Kind::Cut, 9).await;
+    assert_complete_despite(Kind::Disconnect, 9).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_event_of_another_request_never_reaches_the_caller() {
-    assert_complete_despite(Kind::Cross, 5).await;
+    assert_complete_despite(Kind::WrongRequest, 5).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_duplicate_event_is_dropped() {
-    assert_complete_despite(Kind::Double, 5).await;
+    assert_complete_despite(Kind::Duplicate, 5).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -67,7 +67,7 @@
     let ask = ask(prompt(100), 200);
     let listen = fleet.vms[0].listen;
     let (client, sent) = (fleet.client.clone(), ask.clone());
-    let answer = tokio::spawn(async move { client::ask(&client, listen, &sent).await });
+    let answer = tokio::spawn(async move { client::send(&client, listen, &sent).await });
     wait_for("the answer to begin", async || {
         fleet.engines.iter().any(|e| e.engine.stats().streams > 0)
     })
@@ -81,9 +81,9 @@
 async fn a_request_that_must_not_be_retried_is_not_resumed_on_another_engine() {
     let fleet = Fleet::start(paid_plan()).await;
     for engine in &fleet.engines {
-        engine.engine.add_fault(Fault { kind: Kind::Cut, at: 3, count: 9 });
+        engine.engine.add_fault(Fault { kind: Kind::Disconnect, at: 3, count: 9 });
     }
-    let ask = Ask { kind: Some("paid".to_owned()), ..ask(prompt(100), 30) };
+    let ask = Request { kind: Some("paid".to_owned()), ..ask(prompt(100), 30) };
     let answer = send(&fleet, 0, &ask).await;
     assert!(!answer.complete);
     assert_eq!(answer.kind.as_deref(), Some("upstream_failed"));
@@ -99,7 +99,7 @@
     let ask = ask(prompt(100), 150);
     let listen = fleet.vms[0].listen;
     let (client, sent) = (fleet.client.clone(), ask.clone());
-    let cut = tokio::spawn(async move { client::ask(&client, listen, &sent).await });
+    let cut = tokio::spawn(async move { client::send(&client, listen, &sent).await });
     wait_for("a token", async || {
         fleet.engines.iter().any(|e| e.engine.stats().streams > 0 && e.engine.stats().idle_ms > 100)
     })
@@ -110,7 +110,7 @@
     let cursor = cut.cursor.expect("some tokens were received");
     let rest = client::resume(&fleet.client, fleet.vms[1].listen, "key-0", &cursor).await;
     assert!(rest.complete, "{rest:?}");
-    let whole = standin::answer::whole(ask.prompt.as_bytes(), ask.max_tokens);
+    let whole = standin::answer::generate(ask.prompt.as_bytes(), ask.max_tokens);
     assert_eq!(cut.text + &rest.text, whole);
     assert_eq!(fleet.runs().values().sum::<u32>(), 1, "no part was generated again");
     let other = client::resume(&fleet.client, fleet.vms[1].listen, "key-1", &cursor).await;
--- a/standin/examples/load/ask.rs
+++ b/standin/examples/load/ask.rs
@@ -1,4 +1,4 @@
-//! One request, for trying out.
+//! Sends a single request, for manual trials.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,30 +8,30 @@
 
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// Where callers connect, IP:port.
+    /// The VM's address for callers, IP:port.
     vm: SocketAddr,
     /// The bearer key.
     #[arg(long)]
     key: String,
-    /// The kind of request.
+    /// The request kind.
     #[arg(long)]
     kind: Option<String>,
     /// The model.
     #[arg(long, default_value = "base")]
     model: String,
-    /// The prompt's tokens.
+    /// Prompt tokens.
     #[arg(long, default_value_t = 200)]
     tokens: usize,
-    /// The answer's tokens.
+    /// Answer tokens.
     #[arg(long, default_value_t = 8)]
     answer: u64,
     /// The idempotency key.
     #[arg(long)]
     once: Option<String>,
-    /// POST to this path of a plain service instead.
+    /// Send a POST to this path of a plain service instead.
     #[arg(long)]
     plain: Option<String>,
-    /// Print only the request's id on standard output, the rest on standard error.
+    /// Print only the request's id to standard output, and the rest to standard error.
     #[arg(long)]
     id: bool,
 }
@@ -42,7 +42,7 @@
         return plain(&client, &args, path).await;
     }
     let prompt: String = (0..args.tokens).map(|i| format!("{:03} ", i % 1000)).collect();
-    let ask = client::Ask {
+    let request = client::Request {
         key: args.key,
         kind: args.kind,
         model: args.model,
@@ -52,10 +52,10 @@
         timeout: None,
         idempotency_key: args.once,
     };
-    let answer = client::ask(&client, args.vm, &ask).await;
+    let answer = client::send(&client, args.vm, &request).await;
     let first = answer.first_token.map_or(0.0, |d| d.as_secs_f64() * 1e3);
     let total = answer.total.as_secs_f64() * 1e3;
-    let what = match &answer.kind {
+    let result = match &answer.kind {
         Some(kind) => {
             format!("{} {kind}, ran: {}", answer.status, answer.ran.as_deref().unwrap_or("?"))
         }
@@ -64,7 +64,7 @@
             answer.status, answer.tokens, answer.text
         ),
     };
-    say(args.id, &what, &answer.request);
+    print_result(args.id, &result, &answer.request);
 }
 
 async fn plain(client: &Client, args: &Args, path: &str) {
@@ -79,17 +79,17 @@
             let id = answer.headers().get("x-request-id").and_then(|v| v.to_str().ok());
             let id = id.unwrap_or_default().to_owned();
             let text = String::from_utf8_lossy(answer.body());
-            say(args.id, &format!("{} {}", answer.status().as_u16(), text.trim()), &id);
+            print_result(args.id, &format!("{} {}", answer.status().as_u16(), text.trim()), &id);
         }
-        Err(e) => say(args.id, &e.to_string(), ""),
+        Err(e) => print_result(args.id, &e.to_string(), ""),
     }
 }
 
-fn say(id_only: bool, what: &str, id: &str) {
+fn print_result(id_only: bool, result: &str, id: &str) {
     if id_only {
-        eprintln!("{what}");
+        eprintln!("{result}");
         println!("{id}");
     } else {
-        println!("{what}\n  request {id}");
+        println!("{result}\n  request {id}");
     }
 }
--- a/standin/examples/load/policies.rs
+++ b/standin/examples/load/policies.rs
@@ -1,4 +1,5 @@
-//! Comparing routing policies: the same arrivals, in turn, through real VMs and stand-in engines.
+//! Compares routing policies: sends the same arrivals with each policy through real VMs to stand-in
+//! engines.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -7,7 +8,7 @@
 
 use foldlock_version::policy::Route;
 use serde_json::json;
-use standin::client::{self, Answer, Ask};
+use standin::client::{self, Answer, Request};
 use standin::engine;
 use standin::fleet::{Fleet, MODEL, Plan};
 use standin::workload::{Arrival, Plan as Arrivals, Workload};
@@ -16,50 +17,51 @@
 use crate::run::{BANDS, Outcome, first_tokens, open_loop};
 use crate::table::{Table, Times};
 
-/// Requests that arrive before this part of a run do not count: models are learnt first.
-const WARM_UP: f64 = 0.25;
+/// Share of a run, from its start, whose arrivals are not counted, since the speed models are
+/// still being learnt.
+const WARM_UP_SHARE: f64 = 0.25;
 
-/// A prompt of this many tokens is a long one, when short ones are measured without them.
-const LONG: u64 = 100_001;
+/// Minimum length of the prompts that are left out to measure short ones alone, in tokens.
+const MIN_LONG_PROMPT: u64 = 100_001;
 
 #[derive(clap::Args, Clone)]
 pub(crate) struct Args {
     /// The workload files.
     #[arg(long = "workload", default_values = ["examples/workloads/tunis.jsonc", "examples/workloads/hcm.jsonc"])]
     workloads: Vec<PathBuf>,
-    /// Loads, as parts of the engines' capacity.
+    /// Loads, as fractions of the engines' capacity.
     #[arg(long, value_delimiter = ',', default_values_t = [0.5, 0.8, 1.0, 1.5, 2.0])]
     loads: Vec<f64>,
-    /// The load at which report lags and the slowdown are compared.
+    /// The load at which report lags and the slowdown by long prompts are compared.
     #[arg(long, default_value_t = 0.8)]
     at: f64,
-    /// Report lags that are compared, milliseconds.
+    /// Report lags to compare, in milliseconds.
     #[arg(long, value_delimiter = ',', default_values_t = [0, 1000, 5000])]
     lags: Vec<u64>,
-    /// Only these routes, by their names in the settings, and `oracle`.
+    /// Compare only these routing policies: names as in the settings, or `oracle`.
     #[arg(long, value_delimiter = ',')]
     routes: Vec<String>,
-    /// Seconds of each run.
+    /// Duration of each run in seconds.
     #[arg(long, default_value_t = 20.0)]
     seconds: f64,
-    /// How many times as fast as their settings engines run.
+    /// Factor by which the engines run faster than their settings.
     #[arg(long, default_value_t = 4.0)]
     speed: f64,
-    /// VMs.
+    /// Number of VMs.
     #[arg(long, default_value_t = 8)]
     vms: usize,
-    /// Engines.
+    /// Number of engines.
     #[arg(long, default_value_t = 20)]
     engines: usize,
-    /// The seed.
+    /// Seed of the arrivals.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Write SVG plots into this directory.
+    /// Write SVG plots to this directory.
     #[arg(long)]
     plots: Option<PathBuf>,
 }
 
-/// Whose choice is measured.
+/// The policy that is measured.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Policy {
     Route(Route),
@@ -79,26 +81,26 @@
     }
 }
 
-/// One run.
+/// The parameters of one run.
 #[derive(Clone)]
 struct Case {
     policy: Policy,
     load: f64,
     lag: u64,
     workload: Arc<Workload>,
-    /// The share of the workload's rate that is sent: less than 1 where kinds are left out.
+    /// Fraction of the complete workload's rate that is sent; below 1 if kinds are left out.
     share: f64,
 }
 
-/// What a run gave.
+/// The result of one run.
 struct Result {
     case: Case,
     bands: Vec<Times>,
     sent: usize,
     good: usize,
-    refused: usize,
+    rejected: usize,
     failed: usize,
-    returned: (usize, usize),
+    retries: (usize, usize),
     seconds: f64,
     prefix_hits: f64,
 }
@@ -112,8 +114,8 @@
 }
 
 async fn compare(args: &Args, program: &Path, json: bool, workload: Arc<Workload>) {
-    let named = |p: &Policy| args.routes.is_empty() || args.routes.contains(&p.name());
-    let policies: Vec<Policy> = Policy::all().into_iter().filter(named).collect();
+    let selected = |p: &Policy| args.routes.is_empty() || args.routes.contains(&p.name());
+    let policies: Vec<Policy> = Policy::all().into_iter().filter(selected).collect();
     let mut by_load = Vec::new();
     for load in &args.loads {
         for policy in &policies {
@@ -139,23 +141,23 @@
     policies: &[Policy],
     by_load: &[Result],
 ) {
-    let alone = Arc::new(workload.below(LONG));
-    let share = workload.share_below(LONG);
+    let short_only = Arc::new(workload.with_prompts_below(MIN_LONG_PROMPT));
+    let share = workload.share_below(MIN_LONG_PROMPT);
     let mut table =
         Table::new(&["policy", "alone p95 ms", "with long p95 ms", "slowdown", "excess"]);
     for policy in policies {
         let with = by_load.iter().find(|r| r.case.policy == *policy && r.case.load == args.at);
         let Some(with) = with else { continue };
-        let workload = alone.clone();
+        let workload = short_only.clone();
         let case = Case { policy: *policy, load: args.at, lag: 1000, workload, share };
         let alone = measure(args, program, case).await;
-        let (a, w) = (alone.bands[0].ms(95.0), with.bands[0].ms(95.0));
+        let (alone_ms, with_ms) = (alone.bands[0].ms(95.0), with.bands[0].ms(95.0));
         table.row(vec![
             policy.name(),
-            format!("{a:.1}"),
-            format!("{w:.1}"),
-            format!("{:.2}", w / a),
-            format!("{:.2}", w / a - 1.0),
+            format!("{alone_ms:.1}"),
+            format!("{with_ms:.1}"),
+            format!("{:.2}", with_ms / alone_ms),
+            format!("{:.2}", with_ms / alone_ms - 1.0),
         ]);
     }
     println!("\n## {}: slowdown of prompts up to 4 k at load {}\n", workload.name, args.at);
@@ -183,17 +185,18 @@
     }
 }
 
-/// Runs one case in a fresh fleet.
+/// Runs one case in a new fleet.
 async fn measure(args: &Args, program: &Path, case: Case) -> Result {
     let engine = engine::Settings {
         speed: args.speed,
         report_lag_ms: case.lag,
         ..engine::Settings::default()
     };
-    // Capacity is that of the whole workload, also where kinds are left out.
-    let cost = case.workload.cost(&engine);
+    // The rate is derived from the capacity for the complete workload, even if kinds are left out.
+    let cost = case.workload.mean_engine_seconds(&engine);
     let rate = case.load * args.engines as f64 * args.speed / cost * case.share;
-    let rate = if case.share < 1.0 { rate_of_whole(args, &case, &engine) } else { rate };
+    let rate =
+        if case.share < 1.0 { rate_within_complete_workload(args, &case, &engine) } else { rate };
     let arrivals = case.workload.arrivals(Arrivals {
         seed: args.seed,
         rate,
@@ -224,14 +227,14 @@
     result
 }
 
-/// The rate of the kinds that are left, as it is within the whole workload.
-fn rate_of_whole(args: &Args, case: &Case, engine: &engine::Settings) -> f64 {
-    let path = args.workloads.iter().find_map(|p| {
+/// The rate of the remaining kinds, equal to their rate within the complete workload.
+fn rate_within_complete_workload(args: &Args, case: &Case, engine: &engine::Settings) -> f64 {
+    let complete = args.workloads.iter().find_map(|p| {
         let text = std::fs::read_to_string(p).ok()?;
         Workload::parse(&text).ok().filter(|w| w.name == case.workload.name)
     });
-    let whole = path.expect("the whole workload");
-    case.load * args.engines as f64 * args.speed / whole.cost(engine) * case.share
+    let complete = complete.expect("the whole workload");
+    case.load * args.engines as f64 * args.speed / complete.mean_engine_seconds(engine) * case.share
 }
 
 fn plan(args: &Args, program: &Path, case: &Case, engine: engine::Settings) -> Plan {
@@ -269,7 +272,7 @@
         let (fleet, next, names) = (fleet.clone(), next.clone(), names.clone());
         async move {
             let vm = next.fetch_add(1, Ordering::Relaxed) % fleet.vms.len();
-            let ask = Ask {
+            let request = Request {
                 key: format!("key-{}", arrival.organisation),
                 kind: Some(names[arrival.kind].clone()),
                 model: MODEL.to_owned(),
@@ -279,20 +282,20 @@
                 timeout: Some(arrival.timeout),
                 idempotency_key: None,
             };
-            let answer = client::ask(&fleet.client, fleet.vms[vm].listen, &ask).await;
-            let later = come_back(&fleet, vm, &ask, &answer).await;
-            (answer, later)
+            let answer = client::send(&fleet.client, fleet.vms[vm].listen, &request).await;
+            let retry_admitted = retry_once(&fleet, vm, &request, &answer).await;
+            (answer, retry_admitted)
         }
     })
     .await
 }
 
-/// A caller who was told to come back does so, once.
-async fn come_back(fleet: &Fleet, vm: usize, ask: &Ask, answer: &Answer) -> Option<bool> {
+/// Retries once after the time in `retry-after-ms`; returns whether the retry was admitted.
+async fn retry_once(fleet: &Fleet, vm: usize, request: &Request, answer: &Answer) -> Option<bool> {
     let after = answer.retry_after?;
     tokio::time::sleep(after).await;
-    let again = client::ask(&fleet.client, fleet.vms[vm].listen, ask).await;
-    Some(again.status == 200)
+    let answer = client::send(&fleet.client, fleet.vms[vm].listen, request).await;
+    Some(answer.status == 200)
 }
 
 async fn through_oracle(
@@ -310,22 +313,26 @@
 }
 
 fn summarize(case: Case, outcomes: Vec<Outcome>, seconds: f64, computed: u64) -> Result {
-    let asked: u64 = outcomes.iter().filter(|o| o.good).map(|o| o.arrival.tokens).sum();
-    let warm = Duration::from_secs_f64(seconds * WARM_UP);
+    let prompt_tokens: u64 = outcomes.iter().filter(|o| o.good).map(|o| o.arrival.tokens).sum();
+    let warm = Duration::from_secs_f64(seconds * WARM_UP_SHARE);
     let counted: Vec<Outcome> = outcomes.into_iter().filter(|o| o.arrival.at >= warm).collect();
-    let refused = |o: &&Outcome| o.answer.ran.as_deref() == Some("no");
-    let returned: Vec<bool> = counted.iter().filter_map(|o| o.admitted_later).collect();
+    let is_rejected = |o: &&Outcome| o.answer.ran.as_deref() == Some("no");
+    let retried: Vec<bool> = counted.iter().filter_map(|o| o.retry_admitted).collect();
     let good = counted.iter().filter(|o| o.good).count();
-    let refusals = counted.iter().filter(refused).count();
+    let rejected = counted.iter().filter(is_rejected).count();
     Result {
         bands: first_tokens(&counted),
         sent: counted.len(),
         good,
-        refused: refusals,
-        failed: counted.len() - good - refusals,
-        returned: (returned.iter().filter(|r| **r).count(), returned.len()),
-        seconds: seconds * (1.0 - WARM_UP),
-        prefix_hits: if asked > computed { 1.0 - computed as f64 / asked as f64 } else { 0.0 },
+        rejected,
+        failed: counted.len() - good - rejected,
+        retries: (retried.iter().filter(|r| **r).count(), retried.len()),
+        seconds: seconds * (1.0 - WARM_UP_SHARE),
+        prefix_hits: if prompt_tokens > computed {
+            1.0 - computed as f64 / prompt_tokens as f64
+        } else {
+            0.0
+        },
         case,
     }
 }
@@ -369,9 +376,9 @@
             r.sent.to_string(),
             format!("{:.1}%", 100.0 * r.good as f64 / r.sent.max(1) as f64),
             format!("{:.1}", r.good as f64 / r.seconds),
-            r.refused.to_string(),
+            r.rejected.to_string(),
             r.failed.to_string(),
-            format!("{} of {}", r.returned.0, r.returned.1),
+            format!("{} of {}", r.retries.0, r.retries.1),
             format!("{:.1}%", 100.0 * r.prefix_hits),
         ]);
     }
@@ -383,7 +390,7 @@
     let path = dir.join(format!("first-token-4k-{name}.svg"));
     let area = SVGBackend::new(&path, (720, 420)).into_drawing_area();
     let value = |r: &Result| r.bands[0].ms(95.0).max(1.0);
-    let most = results.iter().map(value).fold(10.0, f64::max);
+    let max_ms = results.iter().map(value).fold(10.0, f64::max);
     let loads = results.iter().map(|r| r.case.load);
     let last = loads.fold(0.0, f64::max);
     let draw = || -> std::result::Result<(), Box<dyn std::error::Error>> {
@@ -392,7 +399,7 @@
             .margin(12)
             .x_label_area_size(36)
             .y_label_area_size(64)
-            .build_cartesian_2d(0.4..last + 0.1, (1.0..most * 1.2).log_scale())?;
+            .build_cartesian_2d(0.4..last + 0.1, (1.0..max_ms * 1.2).log_scale())?;
         chart
             .configure_mesh()
             .x_desc("load, part of capacity")
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -1,5 +1,5 @@
-//! A model engine: batches continuously under a token budget a step, prefills in chunks by
-//! priority, caches prefixes in limited memory, keeps streams for resuming and holds for a time.
+//! A model engine: continuous batching under a token budget per pass, chunked prefill by priority,
+//! a prefix cache in limited memory, streams that can be resumed, and reservations that expire.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -15,34 +15,34 @@
 use crate::server::LEAVING;
 use crate::stream::Stream;
 
-/// How an engine is made.
+/// Settings of an engine.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
     /// The models it serves.
     pub models: Vec<String>,
-    /// Tokens that its memory holds.
+    /// Memory capacity in tokens.
     pub memory: u64,
-    /// Tokens that one step computes at most.
+    /// Maximum number of tokens computed in one pass.
     pub step_tokens: u64,
-    /// Milliseconds of a step by itself.
+    /// Fixed cost of a pass in milliseconds.
     pub step_ms: f64,
-    /// Milliseconds a token in a step.
+    /// Additional cost of each token in a pass, in milliseconds.
     pub token_ms: f64,
-    /// Milliseconds a prompt token and token of context before it: the part that grows with the
-    /// square of the length.
+    /// Milliseconds for each pair of a prompt token and a token of context before it: the share of
+    /// the cost that grows with the square of the prompt length.
     pub context_ms: f64,
-    /// How many times as fast as these figures it runs.
+    /// Factor by which the engine runs faster than these costs.
     pub speed: f64,
-    /// Requests that wait at most; beyond that it refuses.
+    /// Maximum number of queued requests; further ones are refused.
     pub max_waiting: usize,
-    /// How old its reports are, milliseconds.
+    /// Age of the reports it serves, in milliseconds.
     pub report_lag_ms: u64,
-    /// How late its cache events are, milliseconds.
+    /// Delay of its cache events, in milliseconds.
     pub cache_lag_ms: u64,
-    /// Each how manieth cache event is lost; 0 for none.
+    /// Every n-th cache event is lost; 0 for none.
     pub cache_gap: u64,
-    /// Whether it checks the fence of orders.
+    /// Whether orders with an older fence are refused.
     pub checks_fence: bool,
 }
 
@@ -65,39 +65,39 @@
     }
 }
 
-/// What a request asks for.
+/// A request to generate or to prefill.
 #[derive(Debug, Clone, Default)]
-pub struct Ask {
+pub struct Request {
     /// The request's id.
-    pub request: String,
+    pub id: String,
     /// The model.
     pub model: String,
-    /// The prompt, or its last segment.
+    /// The prompt, or its segment for this engine.
     pub prompt: bytes::Bytes,
-    /// The most tokens to generate; 0 to prefill only.
+    /// Maximum number of tokens to generate; 0 to prefill only.
     pub max_tokens: u64,
-    /// Lower goes first.
+    /// Priority; lower values are served first.
     pub priority: u8,
-    /// The index of the first token.
+    /// The index of the first generated token.
     pub first_index: u64,
-    /// Until when it may run.
+    /// Time after which the request is aborted.
     pub deadline: Duration,
-    /// How long the stream is kept without a reader.
+    /// How long the request keeps running without a reader.
     pub linger: Duration,
-    /// The hold whose memory it uses.
-    pub hold: Option<String>,
-    /// Tokens before this segment, on other engines.
+    /// The reservation whose memory it uses.
+    pub reservation: Option<String>,
+    /// Tokens of the segments before this one, which are on other engines.
     pub context_tokens: u64,
-    /// The state after the segments before this one.
+    /// The prefix state after the segments before this one.
     pub context_state: Option<u64>,
 }
 
-/// Why an ask is refused: the status and the reason. Nothing ran.
+/// Why a request is refused before it runs: the HTTP status and the reason.
 pub type Refusal = (u16, &'static str);
 
 struct Job {
     stream: Arc<Stream>,
-    ask: Ask,
+    request: Request,
     blocks: Vec<u64>,
     prompt_tokens: u64,
     computed: u64,
@@ -109,21 +109,21 @@
 }
 
 impl Job {
-    fn wants(&self) -> u64 {
+    fn remaining_prefill(&self) -> u64 {
         self.prompt_tokens.saturating_sub(self.computed)
     }
 }
 
 #[derive(Debug)]
-struct Hold {
+struct Reservation {
     tokens: u64,
     until: Instant,
-    busy: u32,
+    running_jobs: u32,
     state: u64,
-    filled: u64,
+    computed_tokens: u64,
 }
 
-/// What the report says; the field names are the protocol's.
+/// The engine's load report; the field names are those of the protocol.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Report {
     seq: u64,
@@ -136,7 +136,7 @@
     used: u64,
 }
 
-/// An event of the prefix cache.
+/// An event of the prefix cache: blocks that were stored.
 #[derive(Debug, Clone, Serialize)]
 pub struct CacheEvent {
     seq: u64,
@@ -145,22 +145,23 @@
     at: Option<Instant>,
 }
 
-/// What tests look at.
+/// Counters for tests.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Stats {
     /// Tokens of memory in use.
     pub used: u64,
-    /// Tokens of memory that holds have taken.
-    pub held: u64,
-    /// Streams that are kept.
+    /// Tokens of memory that are reserved.
+    #[serde(rename = "held")]
+    pub reserved: u64,
+    /// Number of streams that can be read.
     pub streams: usize,
-    /// How many times each request was begun, over all its streams.
+    /// How many times each request was started, over all its streams, by request id.
     pub runs: BTreeMap<String, u32>,
-    /// Requests begun.
+    /// Number of requests started.
     pub begun: u64,
-    /// Prompt tokens computed.
+    /// Number of prompt tokens computed.
     pub computed: u64,
-    /// Milliseconds since the newest request was begun.
+    /// Milliseconds since the last request was started.
     pub idle_ms: u64,
 }
 
@@ -168,7 +169,7 @@
 struct State {
     jobs: Vec<Job>,
     streams: HashMap<String, Arc<Stream>>,
-    holds: HashMap<String, Hold>,
+    reservations: HashMap<String, Reservation>,
     reports: VecDeque<(Instant, Report)>,
     cache_events: VecDeque<CacheEvent>,
     cache_seq: u64,
@@ -178,7 +179,7 @@
     runs: BTreeMap<String, u32>,
     begun: u64,
     computed: u64,
-    newest: Option<Instant>,
+    last_started: Option<Instant>,
 }
 
 /// A model engine.
@@ -189,11 +190,11 @@
     models: Mutex<Vec<String>>,
     speed: Mutex<f64>,
     work: Notify,
-    boot: u64,
+    boot_id: u64,
 }
 
 impl Engine {
-    /// An idle engine. [`Engine::run`] makes it work.
+    /// Creates an idle engine; [`Engine::run`] processes its requests.
     pub fn new(settings: Settings) -> Arc<Engine> {
         Arc::new(Engine {
             state: Mutex::default(),
@@ -202,31 +203,34 @@
             speed: Mutex::new(settings.speed),
             settings,
             work: Notify::new(),
-            boot: rand::random(),
+            boot_id: rand::random(),
         })
     }
 
-    /// Takes a request, or says no.
-    pub fn begin(&self, ask: Ask) -> Result<Arc<Stream>, Refusal> {
-        let blocks = prefix::blocks(&ask.prompt, usize::MAX);
-        let start = ask.context_state.unwrap_or(prefix::START);
-        let state = prefix::state(start, &ask.prompt);
-        let prompt_tokens = (ask.prompt.len() as u64).div_ceil(answer::TOKEN_LEN as u64);
+    /// Queues a request, or refuses it.
+    pub fn submit(&self, request: Request) -> Result<Arc<Stream>, Refusal> {
+        let blocks = prefix::blocks(&request.prompt, usize::MAX);
+        let start = request.context_state.unwrap_or(prefix::START);
+        let state = prefix::state(start, &request.prompt);
+        let prompt_tokens = (request.prompt.len() as u64).div_ceil(answer::TOKEN_LEN as u64);
         let mut inner = self.state.lock().unwrap();
-        let fault = self.admit(&mut inner, &ask, prompt_tokens)?;
-        let cached = match ask.context_state {
-            None => self.memory.lock().unwrap().cached(&blocks).min(prompt_tokens - 1),
+        let fault = self.admit(&mut inner, &request, prompt_tokens)?;
+        let cached = match request.context_state {
+            None => self.memory.lock().unwrap().cached_prefix(&blocks).min(prompt_tokens - 1),
             Some(_) => 0,
         };
         inner.begun += 1;
-        *inner.runs.entry(ask.request.clone()).or_default() += 1;
-        inner.newest = Some(Instant::now());
-        let id = format!("{:x}.{}", self.boot, inner.begun);
-        let stream = Arc::new(Stream::new(id, &ask, cached, fault));
+        *inner.runs.entry(request.id.clone()).or_default() += 1;
+        inner.last_started = Some(Instant::now());
+        let id = format!("{:x}.{}", self.boot_id, inner.begun);
+        let stream = Arc::new(Stream::new(id, &request, cached, fault));
         inner.streams.insert(stream.id.clone(), stream.clone());
-        let memory = if ask.hold.is_some() { 0 } else { prompt_tokens + ask.max_tokens };
-        if let Some(hold) = ask.hold.as_ref().and_then(|h| inner.holds.get_mut(h)) {
-            hold.busy += 1;
+        let memory =
+            if request.reservation.is_some() { 0 } else { prompt_tokens + request.max_tokens };
+        if let Some(reservation) =
+            request.reservation.as_ref().and_then(|r| inner.reservations.get_mut(r))
+        {
+            reservation.running_jobs += 1;
         }
         inner.jobs.push(Job {
             stream: stream.clone(),
@@ -237,135 +241,148 @@
             state,
             memory,
             admitted: false,
-            deadline: Instant::now() + ask.deadline,
-            ask,
+            deadline: Instant::now() + request.deadline,
+            request,
         });
-        inner.jobs.sort_by_key(|j| j.ask.priority);
+        inner.jobs.sort_by_key(|j| j.request.priority);
         drop(inner);
         self.work.notify_one();
         Ok(stream)
     }
 
-    fn admit(&self, inner: &mut State, ask: &Ask, tokens: u64) -> Result<Option<Fault>, Refusal> {
+    fn admit(
+        &self,
+        inner: &mut State,
+        request: &Request,
+        tokens: u64,
+    ) -> Result<Option<Fault>, Refusal> {
         if inner.leaving {
             return Err((503, LEAVING));
         }
-        if !self.models.lock().unwrap().contains(&ask.model) {
+        if !self.models.lock().unwrap().contains(&request.model) {
             return Err((409, "model not loaded"));
         }
         if tokens == 0 {
             return Err((400, "empty prompt"));
         }
-        let room = match &ask.hold {
-            Some(hold) => inner.holds.get(hold).ok_or((409, "no such hold"))?.tokens,
+        let room = match &request.reservation {
+            Some(reservation) => {
+                inner.reservations.get(reservation).ok_or((409, "no such reservation"))?.tokens
+            }
             None => self.settings.memory,
         };
-        if tokens + ask.max_tokens > room {
-            return Err((413, "does not fit the memory"));
+        if tokens + request.max_tokens > room {
+            return Err((413, "exceeds the engine's memory"));
         }
         if inner.jobs.iter().filter(|j| !j.admitted).count() >= self.settings.max_waiting {
-            return Err((429, "too many requests wait"));
+            return Err((429, "queue is full"));
         }
         let fault = take_fault(&mut inner.faults);
         match fault {
-            Some(Fault { kind: Kind::Refuse, .. }) => Err((503, "refused on request")),
+            Some(Fault { kind: Kind::Refuse, .. }) => Err((503, "injected fault")),
             fault => Ok(fault),
         }
     }
 
-    /// A stream that is kept.
+    /// The stream with this id, unless it has been removed.
     pub fn stream(&self, id: &str) -> Option<Arc<Stream>> {
         self.state.lock().unwrap().streams.get(id).cloned()
     }
 
-    /// Ends a stream.
+    /// Aborts a stream; false if there is none with this id.
     pub fn cancel(&self, id: &str) -> bool {
         let mut inner = self.state.lock().unwrap();
         let found = inner.streams.remove(id);
         if let Some(stream) = &found {
-            stream.write(|o| o.dead = true);
-            self.reap(&mut inner);
+            stream.update(|o| o.aborted = true);
+            self.remove_finished(&mut inner);
         }
         found.is_some()
     }
 
-    /// Holds memory for a time, or renews a hold.
-    pub fn hold(&self, id: &str, tokens: u64, ttl: Duration) -> Result<(), Refusal> {
+    /// Reserves memory for `ttl`, or renews the reservation with this id.
+    pub fn reserve(&self, id: &str, tokens: u64, ttl: Duration) -> Result<(), Refusal> {
         let mut inner = self.state.lock().unwrap();
         let until = Instant::now() + ttl;
-        if let Some(hold) = inner.holds.get_mut(id) {
-            hold.until = until;
+        if let Some(reservation) = inner.reservations.get_mut(id) {
+            reservation.until = until;
             return Ok(());
         }
         if inner.leaving {
             return Err((503, LEAVING));
         }
-        if !self.memory.lock().unwrap().take(tokens) {
-            return Err((409, "no memory"));
+        if !self.memory.lock().unwrap().reserve(tokens) {
+            return Err((409, "not enough free memory"));
         }
-        let hold = Hold { tokens, until, busy: 0, state: prefix::START, filled: 0 };
-        inner.holds.insert(id.to_owned(), hold);
+        let reservation = Reservation {
+            tokens,
+            until,
+            running_jobs: 0,
+            state: prefix::START,
+            computed_tokens: 0,
+        };
+        inner.reservations.insert(id.to_owned(), reservation);
         self.work.notify_one();
         Ok(())
     }
 
-    /// Gives a hold back.
+    /// Releases a reservation and aborts the requests that use it.
     pub fn release(&self, id: &str) -> bool {
         let mut inner = self.state.lock().unwrap();
-        let Some(hold) = inner.holds.remove(id) else { return false };
-        self.memory.lock().unwrap().give(hold.tokens);
-        for job in inner.jobs.iter().filter(|j| j.ask.hold.as_deref() == Some(id)) {
-            job.stream.write(|o| o.dead = true);
+        let Some(reservation) = inner.reservations.remove(id) else { return false };
+        self.memory.lock().unwrap().release(reservation.tokens);
+        for job in inner.jobs.iter().filter(|j| j.request.reservation.as_deref() == Some(id)) {
+            job.stream.update(|o| o.aborted = true);
         }
-        self.reap(&mut inner);
+        self.remove_finished(&mut inner);
         true
     }
 
-    /// Exports what a hold has computed: its tokens and state.
+    /// Exports the result in a reservation: the number of computed tokens and the prefix state.
     pub fn export(&self, id: &str) -> Option<(u64, u64)> {
         let inner = self.state.lock().unwrap();
-        inner.holds.get(id).map(|h| (h.filled, h.state))
+        inner.reservations.get(id).map(|r| (r.computed_tokens, r.state))
     }
 
-    /// Imports another engine's export into a hold.
+    /// Imports another engine's export into a reservation.
     pub fn import(&self, id: &str, tokens: u64, state: u64) -> Result<(), Refusal> {
         let mut inner = self.state.lock().unwrap();
-        let hold = inner.holds.get_mut(id).ok_or((409, "no such hold"))?;
-        if tokens > hold.tokens {
-            return Err((413, "does not fit the hold"));
+        let reservation = inner.reservations.get_mut(id).ok_or((409, "no such reservation"))?;
+        if tokens > reservation.tokens {
+            return Err((413, "exceeds the reservation"));
         }
-        hold.filled = tokens;
-        hold.state = state;
+        reservation.computed_tokens = tokens;
+        reservation.state = state;
         Ok(())
     }
 
-    /// Takes an order to serve these models, under a fence.
-    pub fn order(&self, fence: u64, models: Vec<String>) -> Result<(), Refusal> {
+    /// Replaces the models that are served; an order with an older fence is refused.
+    pub fn set_models(&self, fence: u64, models: Vec<String>) -> Result<(), Refusal> {
         let mut inner = self.state.lock().unwrap();
         if self.settings.checks_fence && fence < inner.fence {
-            return Err((409, "the fence is old"));
+            return Err((409, "stale fence"));
         }
         inner.fence = inner.fence.max(fence);
         *self.models.lock().unwrap() = models;
         Ok(())
     }
 
-    /// Takes no more new work, or takes it again.
-    pub fn leave(&self, leaving: bool) {
+    /// Sets whether the engine is leaving; while it is, new requests are refused.
+    pub fn set_leaving(&self, leaving: bool) {
         self.state.lock().unwrap().leaving = leaving;
     }
 
-    /// Runs at another speed from now on.
+    /// Changes the speed factor.
     pub fn set_speed(&self, speed: f64) {
         *self.speed.lock().unwrap() = speed;
     }
 
-    /// Adds a fault for the next streams.
+    /// Injects a fault into the next streams.
     pub fn add_fault(&self, fault: Fault) {
         self.state.lock().unwrap().faults.push_back(fault);
     }
 
-    /// The report as it was some time ago.
+    /// The newest report that is at least `report_lag_ms` old, or else the oldest one.
     pub fn report(&self) -> Report {
         let mut inner = self.state.lock().unwrap();
         let now = self.report_now(&inner);
@@ -385,82 +402,83 @@
             leaving: inner.leaving,
             running: inner.jobs.iter().filter(|j| j.admitted).count() as u32,
             waiting: inner.jobs.iter().filter(|j| !j.admitted).count() as u32,
-            prefill: inner.jobs.iter().map(Job::wants).sum(),
+            prefill: inner.jobs.iter().map(Job::remaining_prefill).sum(),
             memory: memory.total(),
             used: memory.used(),
         }
     }
 
-    /// The cache events after `seq` that are old enough to be told.
+    /// The cache events after `seq` that are at least `cache_lag_ms` old.
     pub fn cache_events(&self, seq: u64) -> Vec<CacheEvent> {
         let lag = Duration::from_millis(self.settings.cache_lag_ms);
         let inner = self.state.lock().unwrap();
-        let told = |e: &&CacheEvent| e.seq > seq && e.at.is_some_and(|at| at.elapsed() >= lag);
-        inner.cache_events.iter().filter(told).cloned().collect()
+        let visible = |e: &&CacheEvent| e.seq > seq && e.at.is_some_and(|at| at.elapsed() >= lag);
+        inner.cache_events.iter().filter(visible).cloned().collect()
     }
 
-    /// What tests look at.
+    /// Counters for tests.
     pub fn stats(&self) -> Stats {
         let inner = self.state.lock().unwrap();
         Stats {
             used: self.memory.lock().unwrap().used(),
-            held: inner.holds.values().map(|h| h.tokens).sum(),
+            reserved: inner.reservations.values().map(|r| r.tokens).sum(),
             streams: inner.streams.len(),
             runs: inner.runs.clone(),
             begun: inner.begun,
             computed: inner.computed,
-            idle_ms: inner.newest.map_or(u64::MAX, |at| at.elapsed().as_millis() as u64),
+            idle_ms: inner.last_started.map_or(u64::MAX, |at| at.elapsed().as_millis() as u64),
         }
     }
 
-    /// Works until the task is ended.
+    /// Processes requests until the task is aborted.
     pub async fn run(self: Arc<Engine>) {
         loop {
-            let planned = self.plan();
-            if planned.is_empty() {
+            let pass = self.plan();
+            if pass.is_empty() {
                 let idle = Duration::from_millis(20);
                 let _ = tokio::time::timeout(idle, self.work.notified()).await;
-                self.reap(&mut self.state.lock().unwrap());
+                self.remove_finished(&mut self.state.lock().unwrap());
                 continue;
             }
-            let cost = self.cost(&planned);
-            if cost < LEAST_SLEEP {
+            let cost = self.cost(&pass);
+            if cost < MIN_SLEEP {
                 tokio::task::yield_now().await;
             } else {
                 tokio::time::sleep(cost).await;
             }
-            self.apply(&planned);
+            self.apply(&pass);
         }
     }
 
-    /// Chooses the tokens of the next step: one for each answer, then prefill by priority.
+    /// Selects the tokens of the next pass: one for each decoding request, then prefill by
+    /// priority.
     fn plan(&self) -> Vec<Chunk> {
         let mut inner = self.state.lock().unwrap();
-        self.reap(&mut inner);
-        self.admit_waiting(&mut inner);
+        self.remove_finished(&mut inner);
+        self.admit_queued(&mut inner);
         let mut budget = self.settings.step_tokens;
         let mut plan = Vec::new();
-        let ready = inner.jobs.iter().filter(|j| j.admitted && j.wants() == 0);
+        let ready = inner.jobs.iter().filter(|j| j.admitted && j.remaining_prefill() == 0);
         for job in ready.take(budget as usize) {
             plan.push(Chunk { stream: job.stream.id.clone(), prefill: 0, context: 0 });
             budget -= 1;
         }
-        for job in inner.jobs.iter().filter(|j| j.admitted && j.wants() > 0) {
+        for job in inner.jobs.iter().filter(|j| j.admitted && j.remaining_prefill() > 0) {
             if budget == 0 {
                 break;
             }
-            let prefill = job.wants().min(budget);
-            let context = job.ask.context_tokens + job.computed;
+            let prefill = job.remaining_prefill().min(budget);
+            let context = job.request.context_tokens + job.computed;
             plan.push(Chunk { stream: job.stream.id.clone(), prefill, context });
             budget -= prefill;
         }
         plan
     }
 
-    fn admit_waiting(&self, inner: &mut State) {
+    fn admit_queued(&self, inner: &mut State) {
         let mut memory = self.memory.lock().unwrap();
         for job in inner.jobs.iter_mut().filter(|j| !j.admitted) {
-            if !memory.take(job.memory) {
+            if !memory.reserve(job.memory) {
                 break;
             }
             job.admitted = true;
@@ -487,32 +505,32 @@
                 continue;
             };
             job.computed += chunk.prefill;
-            if job.wants() > 0 {
+            if job.remaining_prefill() > 0 {
                 continue;
             }
             if chunk.prefill > 0 {
-                stored.extend(self.prefilled(job));
+                stored.extend(self.finish_prefill(job));
             }
             generate(job);
         }
         inner.computed += plan.iter().map(|c| c.prefill).sum::<u64>();
         if !stored.is_empty() {
-            self.tell_cache(&mut inner, stored);
+            self.record_cache_event(&mut inner, stored);
         }
-        self.reap(&mut inner);
+        self.remove_finished(&mut inner);
     }
 
-    fn prefilled(&self, job: &Job) -> Vec<u64> {
+    fn finish_prefill(&self, job: &Job) -> Vec<u64> {
         let state = job.state;
-        job.stream.write(|o| o.state = Some(state));
-        if job.ask.context_state.is_some() {
+        job.stream.update(|o| o.state = Some(state));
+        if job.request.context_state.is_some() {
             return Vec::new();
         }
-        self.memory.lock().unwrap().cache(&job.blocks);
+        self.memory.lock().unwrap().insert(&job.blocks);
         job.blocks.clone()
     }
 
-    fn tell_cache(&self, inner: &mut State, stored: Vec<u64>) {
+    fn record_cache_event(&self, inner: &mut State, stored: Vec<u64>) {
         inner.cache_seq += 1;
         let gap = self.settings.cache_gap;
         if gap > 0 && inner.cache_seq.is_multiple_of(gap) {
@@ -526,48 +544,50 @@
         }
     }
 
-    /// Takes away what has ended, and gives its memory back.
-    fn reap(&self, inner: &mut State) {
+    /// Removes finished requests, streams and reservations, and releases their memory.
+    fn remove_finished(&self, inner: &mut State) {
         let now = Instant::now();
         let mut memory = self.memory.lock().unwrap();
-        let State { jobs, holds, streams, .. } = inner;
+        let State { jobs, reservations, streams, .. } = inner;
         jobs.retain(|job| {
-            let over = job.stream.look(|o| o.dead || o.end.is_some())
+            let finished = job.stream.read(|o| o.aborted || o.end.is_some())
                 || job.deadline < now
-                || job.stream.abandoned(job.ask.linger);
-            if over {
+                || job.stream.is_abandoned(job.request.linger);
+            if finished {
                 if job.admitted {
-                    memory.give(job.memory);
+                    memory.release(job.memory);
                 }
-                if let Some(hold) = job.ask.hold.as_ref().and_then(|h| holds.get_mut(h)) {
-                    hold.busy -= 1;
-                    hold.filled = job.prompt_tokens;
-                    hold.state = job.state;
+                if let Some(reservation) =
+                    job.request.reservation.as_ref().and_then(|r| reservations.get_mut(r))
+                {
+                    reservation.running_jobs -= 1;
+                    reservation.computed_tokens = job.prompt_tokens;
+                    reservation.state = job.state;
                 }
-                if job.stream.look(|o| o.end.is_none()) {
-                    job.stream.write(|o| o.dead = true);
+                if job.stream.read(|o| o.end.is_none()) {
+                    job.stream.update(|o| o.aborted = true);
                 }
             }
-            !over
+            !finished
         });
-        holds.retain(|_, hold| {
-            let over = hold.until < now;
-            if over {
-                memory.give(hold.tokens);
+        reservations.retain(|_, reservation| {
+            let expired = reservation.until < now;
+            if expired {
+                memory.release(reservation.tokens);
             }
-            !over
+            !expired
         });
         streams.retain(|_, s| {
-            !(s.look(|o| o.dead) || s.look(|o| o.end.is_some()) && s.abandoned(FINISHED_KEPT))
+            !(s.read(|o| o.aborted) || s.read(|o| o.end.is_some()) && s.is_abandoned(FINISHED_TTL))
         });
     }
 }
 
-/// How long a finished stream without a reader can still be read again.
-const FINISHED_KEPT: Duration = Duration::from_secs(5);
+/// How long a finished stream without a reader can still be resumed.
+const FINISHED_TTL: Duration = Duration::from_secs(5);
 
-/// A step shorter than this is not slept for: timers are no finer than a millisecond.
-const LEAST_SLEEP: Duration = Duration::from_micros(200);
+/// Shorter passes yield instead of sleeping, since the timer resolution is a millisecond.
+const MIN_SLEEP: Duration = Duration::from_micros(200);
 
 struct Chunk {
     stream: String,
@@ -577,14 +597,14 @@
 
 fn generate(job: &mut Job) {
     let text = answer::token(job.state);
-    if job.ask.max_tokens > 0 {
+    if job.request.max_tokens > 0 {
         job.state = prefix::state(job.state, text.as_bytes());
     }
     job.generated += 1;
-    let done = job.generated >= job.ask.max_tokens;
-    let wanted = job.ask.max_tokens > 0;
-    job.stream.write(|o| {
-        if wanted {
+    let done = job.generated >= job.request.max_tokens;
+    let generates = job.request.max_tokens > 0;
+    job.stream.update(|o| {
+        if generates {
             o.tokens.push(text);
         }
         if done {
@@ -595,10 +615,10 @@
 
 fn take_fault(faults: &mut VecDeque<Fault>) -> Option<Fault> {
     let fault = faults.front_mut()?;
-    let taken = *fault;
+    let next = *fault;
     fault.count -= 1;
     if fault.count == 0 {
         faults.pop_front();
     }
-    Some(taken)
+    Some(next)
 }
--- a/standin/src/engine_http.rs
+++ b/standin/src/engine_http.rs
@@ -1,4 +1,4 @@
-//! The engine's protocol over HTTP.
+//! HTTP server for the protocol of a model engine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,17 +13,17 @@
 use hyper::{Method, Request, Response};
 use serde::Deserialize;
 
-use crate::engine::{Ask, Engine, Settings};
+use crate::engine::{self, Engine, Settings};
 use crate::fault::{Fault, Kind};
-use crate::server::{self, Body, Served, header, json, query, refused, text};
+use crate::server::{self, Body, Handle, header, json, query, refusal, text};
 use crate::stream::Stream;
 
-/// An engine that is served.
+/// An engine and its HTTP server.
 pub struct Serving {
     /// The engine.
     pub engine: Arc<Engine>,
-    /// Its listener.
-    pub served: Served,
+    /// The HTTP server.
+    pub server: Handle,
     work: tokio::task::JoinHandle<()>,
 }
 
@@ -33,16 +33,16 @@
     }
 }
 
-/// Makes an engine and serves it on `address`.
+/// Creates an engine and serves it on `address`.
 pub async fn serve(address: SocketAddr, settings: Settings) -> std::io::Result<Serving> {
     let engine = Engine::new(settings);
     let work = tokio::spawn(engine.clone().run());
     let handler = {
         let engine = engine.clone();
-        move |request| answer(engine.clone(), request)
+        move |request| handle(engine.clone(), request)
     };
-    let served = server::serve(address, handler).await?;
-    Ok(Serving { engine, served, work })
+    let server = server::serve(address, handler).await?;
+    Ok(Serving { engine, server, work })
 }
 
 #[derive(Deserialize)]
@@ -51,15 +51,15 @@
     models: Vec<String>,
 }
 
-async fn answer(engine: Arc<Engine>, request: Request<Incoming>) -> Response<Body> {
+async fn handle(engine: Arc<Engine>, request: Request<Incoming>) -> Response<Body> {
     let method = request.method().clone();
     let path = request.uri().path().to_owned();
-    let steps: Vec<&str> = path.split('/').skip(1).collect();
-    match (&method, steps.as_slice()) {
+    let segments: Vec<&str> = path.split('/').skip(1).collect();
+    match (&method, segments.as_slice()) {
         (&Method::POST, ["v1", "generate"]) => generate(engine, request).await,
         (&Method::POST, ["v1", "prefill"]) => prefill(engine, request).await,
         (&Method::GET, ["v1", "streams", id]) => resume(&engine, id, &request),
-        (&Method::DELETE, ["v1", "streams", id]) => found(engine.cancel(id)),
+        (&Method::DELETE, ["v1", "streams", id]) => deleted(engine.cancel(id)),
         (&Method::GET, ["v1", "report"]) => json(&engine.report()),
         (&Method::GET, ["v1", "cache-events"]) => {
             json(&engine.cache_events(query(&request, "after").unwrap_or(0)))
@@ -67,36 +67,38 @@
         (&Method::PUT, ["v1", "holds", id]) => {
             let tokens = query(&request, "tokens").unwrap_or(0);
             let ttl = Duration::from_millis(query(&request, "ttl_ms").unwrap_or(0));
-            done(engine.hold(id, tokens, ttl))
+            accepted(engine.reserve(id, tokens, ttl))
         }
-        (&Method::DELETE, ["v1", "holds", id]) => found(engine.release(id)),
+        (&Method::DELETE, ["v1", "holds", id]) => deleted(engine.release(id)),
         (&Method::GET, ["v1", "holds", id, "export"]) => match engine.export(id) {
             Some((tokens, state)) => json(&context(tokens, state)),
-            None => text(404, "no such hold"),
+            None => text(404, "no such reservation"),
         },
         (&Method::POST, ["v1", "holds", id, "import"]) => {
-            match serde_json::from_slice::<Context>(&server::whole(request).await) {
-                Ok(c) => done(engine.import(id, c.tokens.0, state_of(&c.state).unwrap_or(0))),
-                Err(_) => text(400, "not an export"),
+            match serde_json::from_slice::<Context>(&server::read_body(request).await) {
+                Ok(c) => {
+                    accepted(engine.import(id, c.tokens.0, parse_state(&c.state).unwrap_or(0)))
+                }
+                Err(_) => text(400, "invalid export"),
             }
         }
         (&Method::POST, ["v1", "orders"]) => {
-            match serde_json::from_slice::<Order>(&server::whole(request).await) {
-                Ok(order) => done(engine.order(order.fence, order.models)),
-                Err(_) => text(400, "not an order"),
+            match serde_json::from_slice::<Order>(&server::read_body(request).await) {
+                Ok(order) => accepted(engine.set_models(order.fence, order.models)),
+                Err(_) => text(400, "invalid order"),
             }
         }
         (&Method::POST, ["admin", "fault"]) => {
-            match serde_json::from_slice::<Fault>(&server::whole(request).await) {
+            match serde_json::from_slice::<Fault>(&server::read_body(request).await) {
                 Ok(fault) => {
                     engine.add_fault(fault);
                     text(200, "")
                 }
-                Err(_) => text(400, "not a fault"),
+                Err(_) => text(400, "invalid fault"),
             }
         }
         (&Method::POST, ["admin", "leave"]) => {
-            engine.leave(query(&request, "leaving").unwrap_or(true));
+            engine.set_leaving(query(&request, "leaving").unwrap_or(true));
             text(200, "")
         }
         (&Method::POST, ["admin", "speed"]) => {
@@ -108,14 +110,14 @@
     }
 }
 
-fn found(found: bool) -> Response<Body> {
-    if found { text(200, "") } else { text(404, "gone") }
+fn deleted(existed: bool) -> Response<Body> {
+    if existed { text(200, "") } else { text(404, "gone") }
 }
 
-fn done(result: Result<(), (u16, &'static str)>) -> Response<Body> {
+fn accepted(result: Result<(), (u16, &'static str)>) -> Response<Body> {
     match result {
         Ok(()) => text(200, ""),
-        Err((status, why)) => refused(status, why),
+        Err((status, reason)) => refusal(status, reason),
     }
 }
 
@@ -123,15 +125,15 @@
     Context { tokens: foldlock_base::size::Tokens(tokens), state: format!("{state:x}") }
 }
 
-fn state_of(text: &str) -> Option<u64> {
+fn parse_state(text: &str) -> Option<u64> {
     u64::from_str_radix(text, 16).ok()
 }
 
-async fn ask(request: Request<Incoming>) -> Ask {
+async fn parse(request: Request<Incoming>) -> engine::Request {
     let context: String = header(&request, name::CONTEXT_STATE).unwrap_or_default();
-    let hold: Option<String> = header(&request, name::RESERVATION);
-    Ask {
-        request: header(&request, name::REQUEST).unwrap_or_default(),
+    let reservation: Option<String> = header(&request, name::RESERVATION);
+    engine::Request {
+        id: header(&request, name::REQUEST).unwrap_or_default(),
         model: header(&request, name::MODEL).unwrap_or_default(),
         max_tokens: header(&request, name::MAX_TOKENS).unwrap_or(0),
         priority: header(&request, name::PRIORITY).unwrap_or(9),
@@ -139,35 +141,35 @@
         deadline: Duration::from_millis(header(&request, name::DEADLINE).unwrap_or(600_000)),
         linger: Duration::from_millis(header(&request, name::LINGER).unwrap_or(0)),
         context_tokens: header(&request, name::CONTEXT_TOKENS).unwrap_or(0),
-        context_state: state_of(&context),
-        hold,
-        prompt: server::whole(request).await,
+        context_state: parse_state(&context),
+        reservation,
+        prompt: server::read_body(request).await,
     }
 }
 
 async fn generate(engine: Arc<Engine>, request: Request<Incoming>) -> Response<Body> {
-    let ask = ask(request).await;
-    match engine.begin(ask) {
+    let request = parse(request).await;
+    match engine.submit(request) {
         Ok(stream) => events(stream, 0),
-        Err((status, why)) => refused(status, why),
+        Err((status, reason)) => refusal(status, reason),
     }
 }
 
-/// Computes a segment and answers with its exported state.
+/// Prefills a segment and responds with its exported state.
 async fn prefill(engine: Arc<Engine>, request: Request<Incoming>) -> Response<Body> {
-    let mut ask = ask(request).await;
-    ask.max_tokens = 0;
-    let before = ask.context_tokens;
-    let tokens = (ask.prompt.len() as u64).div_ceil(crate::answer::TOKEN_LEN as u64);
-    let stream = match engine.begin(ask) {
+    let mut request = parse(request).await;
+    request.max_tokens = 0;
+    let before = request.context_tokens;
+    let tokens = (request.prompt.len() as u64).div_ceil(crate::answer::TOKEN_LEN as u64);
+    let stream = match engine.submit(request) {
         Ok(stream) => stream,
-        Err((status, why)) => return refused(status, why),
+        Err((status, reason)) => return refusal(status, reason),
     };
     let _reader = Reader::new(stream.clone());
     loop {
         let changed = stream.changed();
-        match stream.look(|o| (o.state, o.dead)) {
-            (_, true) => return text(500, "broken off"),
+        match stream.read(|o| (o.state, o.aborted)) {
+            (_, true) => return text(500, "request aborted"),
             (Some(state), _) => return json(&context(before + tokens, state)),
             _ => changed.await,
         }
@@ -185,23 +187,23 @@
     }
 }
 
-/// Counts a reader of a stream for as long as it lives.
+/// Guard that registers a reader of a stream until dropped.
 struct Reader(Arc<Stream>);
 
 impl Reader {
     fn new(stream: Arc<Stream>) -> Reader {
-        stream.attach();
+        stream.add_reader();
         Reader(stream)
     }
 }
 
 impl Drop for Reader {
     fn drop(&mut self) {
-        self.0.detach();
+        self.0.remove_reader();
     }
 }
 
-struct Writer {
+struct Encoder {
     reader: Reader,
     next: usize,
     ended: bool,
@@ -210,10 +212,10 @@
 fn events(stream: Arc<Stream>, from: usize) -> Response<Body> {
     let id = stream.id.clone();
     let cached = stream.cached;
-    let writer = Writer { reader: Reader::new(stream), next: from, ended: false };
-    let frames = stream::unfold(writer, |mut w| async move {
-        let bytes = w.next_bytes().await?;
-        Some((bytes.map(Frame::data), w))
+    let encoder = Encoder { reader: Reader::new(stream), next: from, ended: false };
+    let frames = stream::unfold(encoder, |mut encoder| async move {
+        let bytes = encoder.next_bytes().await?;
+        Some((bytes.map(Frame::data), encoder))
     });
     Response::builder()
         .header("content-type", "text/event-stream")
@@ -223,8 +225,8 @@
         .expect("plain headers")
 }
 
-impl Writer {
-    /// Waits for output and writes all that is there as events.
+impl Encoder {
+    /// Waits for output and encodes all available tokens as events.
     async fn next_bytes(&mut self) -> Option<std::io::Result<Bytes>> {
         if self.ended {
             return None;
@@ -234,72 +236,73 @@
             let changed = stream.changed();
             tokio::pin!(changed);
             changed.as_mut().enable();
-            let (bytes, dead) = stream.look(|o| (self.write(&stream, &o.tokens, o.end), o.dead));
+            let (bytes, aborted) =
+                stream.read(|o| (self.encode(&stream, &o.tokens, o.end), o.aborted));
             if !bytes.is_empty() {
                 return Some(Ok(bytes.into()));
             }
-            if self.cut(&stream) || dead {
+            if self.is_disconnected(&stream) || aborted {
                 self.ended = true;
                 return Some(Err(std::io::Error::other("cut")));
             }
-            if self.frozen(&stream) {
+            if self.is_frozen(&stream) {
                 std::future::pending::<()>().await;
             }
             changed.await;
         }
     }
 
-    fn write(&mut self, stream: &Stream, tokens: &[String], end: Option<&str>) -> String {
+    fn encode(&mut self, stream: &Stream, tokens: &[String], end: Option<&str>) -> String {
         let mut out = String::new();
         while self.next < tokens.len() {
-            self.token(stream, tokens, &mut out);
-            if self.frozen(stream) || self.cut(stream) {
+            self.encode_token(stream, tokens, &mut out);
+            if self.is_frozen(stream) || self.is_disconnected(stream) {
                 return out;
             }
         }
         if let Some(end) = end {
             let index = stream.first_index + tokens.len() as u64;
-            line(&mut out, &stream.request, index, None, Some(end));
+            push_event(&mut out, &stream.request, index, None, Some(end));
             self.ended = true;
         }
         out
     }
 
-    fn token(&mut self, stream: &Stream, tokens: &[String], out: &mut String) {
+    fn encode_token(&mut self, stream: &Stream, tokens: &[String], out: &mut String) {
         let at = self.next;
         self.next += 1;
         let index = stream.first_index + at as u64;
-        let plain = |out: &mut String, i: usize| {
+        let push_token = |out: &mut String, i: usize| {
             let index = stream.first_index + i as u64;
-            line(out, &stream.request, index, Some(&tokens[i]), None);
+            push_event(out, &stream.request, index, Some(&tokens[i]), None);
         };
         match stream.fault.filter(|f| f.at == at as u64).map(|f| f.kind) {
             Some(Kind::Skip) => {}
-            Some(Kind::Double) => {
-                plain(out, at);
-                plain(out, at);
+            Some(Kind::Duplicate) => {
+                push_token(out, at);
+                push_token(out, at);
             }
-            Some(Kind::Cross) => line(out, "someone-else", index, Some("xxx "), None),
+            Some(Kind::WrongRequest) => push_event(out, "someone-else", index, Some("xxx "), None),
             Some(Kind::Reorder) if at + 1 < tokens.len() => {
-                plain(out, at + 1);
-                plain(out, at);
+                push_token(out, at + 1);
+                push_token(out, at);
                 self.next += 1;
             }
-            _ => plain(out, at),
+            _ => push_token(out, at),
         }
     }
 
-    fn frozen(&self, stream: &Stream) -> bool {
+    fn is_frozen(&self, stream: &Stream) -> bool {
         stream.fault.is_some_and(|f| f.kind == Kind::Freeze && self.next as u64 >= f.at)
     }
 
-    fn cut(&self, stream: &Stream) -> bool {
-        let cuts = |f: Fault| matches!(f.kind, Kind::Cut | Kind::LoseAnswer);
-        stream.fault.is_some_and(|f| cuts(f) && self.next as u64 >= f.at)
+    fn is_disconnected(&self, stream: &Stream) -> bool {
+        let disconnects = |f: Fault| matches!(f.kind, Kind::Disconnect | Kind::LoseResponse);
+        stream.fault.is_some_and(|f| disconnects(f) && self.next as u64 >= f.at)
     }
 }
 
-fn line(out: &mut String, request: &str, index: u64, text: Option<&str>, end: Option<&str>) {
+fn push_event(out: &mut String, request: &str, index: u64, text: Option<&str>, end: Option<&str>) {
     let raw =
         Raw { r: request.into(), i: index, t: text.map(Into::into), end: end.map(Into::into) };
     out.push_str("data: ");
