--- a/connection/src/wire.rs
+++ b/connection/src/wire.rs
@@ -191,7 +191,7 @@
     /// Number of tokens in the segment.
     pub tokens: Tokens,
     /// Id of the memory reservation; absent if the prompt fits on one engine.
-    pub hold: Option<id::Hold>,
+    pub hold: Option<id::Reservation>,
 }
 
 /// Reply of a home to a [`GrantRequest`].
--- a/daemon/src/plain.rs
+++ b/daemon/src/plain.rs
@@ -234,7 +234,7 @@
             claim.not_run();
         }
         let caller = &self.caller;
-        let passed = caller.deadline.passed(&caller.process.clock);
+        let passed = caller.deadline.has_passed(&caller.process.clock);
         let may_retry = (not_run || self.retryable)
             && !passed
             && tried < caller.policy.retries as usize
@@ -271,7 +271,7 @@
             Err(e) => return End::Broken(e.to_string()),
         };
         let process = &self.caller.process;
-        let left = self.caller.deadline.left(&process.clock);
+        let left = self.caller.deadline.remaining(&process.clock);
         match process.client.call(request, left).await {
             Ok(answer) => classify(answer),
             Err(Failure::Connect(why)) => End::NotRun { proof: Refusal::not_connected(), why },
@@ -298,7 +298,7 @@
 /// Tells a server's refusal from a response of the service.
 fn classify(answer: Response<Bytes>) -> End {
     let header = |name: &str| answer.headers().get(name).and_then(|v| v.to_str().ok());
-    match Refusal::read(answer.status().as_u16(), header(Refusal::HEADER)) {
+    match Refusal::from_response(answer.status().as_u16(), header(Refusal::HEADER)) {
         Some(proof) => {
             let leaving = header(foldlock_connection::engine::header::LEAVING) == Some("true");
             let why = if leaving { LEAVING.to_owned() } else { format!("{}", answer.status()) };
--- a/daemon/src/process.rs
+++ b/daemon/src/process.rs
@@ -272,7 +272,7 @@
         match client.report().await {
             Ok(report) => {
                 if failed_polls >= MIN_SILENT_POLLS {
-                    log::event(&process.log, Event::UpstreamBack, &engine);
+                    log::event(&process.log, Event::UpstreamUp, &engine);
                 }
                 failed_polls = 0;
                 if process.home.on_report(&engine, report) {
@@ -283,7 +283,7 @@
             Err(e) => {
                 failed_polls += 1;
                 if failed_polls == MIN_SILENT_POLLS {
-                    log::event(&process.log, Event::UpstreamSilent, format!("{engine}: {e}"));
+                    log::event(&process.log, Event::UpstreamDown, format!("{engine}: {e}"));
                 }
             }
         }
--- a/daemon/tests/once.rs
+++ b/daemon/tests/once.rs
@@ -8,7 +8,7 @@
 use foldlock_connection::http::body;
 use hyper::Request;
 use nix::sys::signal::Signal;
-use standin::client::Ask;
+use standin::client;
 use standin::fault::{Fault, Kind};
 use standin::fleet::{Fleet, wait_for};
 
@@ -34,8 +34,8 @@
     fleet.plains.iter().filter_map(|p| p.plain.stats().by_key.get(key).copied()).sum()
 }
 
-fn paid_request(key: &str) -> Ask {
-    Ask {
+fn paid_request(key: &str) -> client::Request {
+    client::Request {
         kind: Some("paid".to_owned()),
         idempotency_key: Some(key.to_owned()),
         ..ask(prompt(50), 5)
@@ -153,7 +153,7 @@
 async fn a_lost_engine_response_is_never_reported_as_not_run() {
     let fleet = Fleet::start(paid_plan()).await;
     for engine in &fleet.engines {
-        engine.engine.add_fault(Fault { kind: Kind::LoseAnswer, at: 0, count: 1 });
+        engine.engine.add_fault(Fault { kind: Kind::LoseResponse, at: 0, count: 1 });
     }
     let answer = send(&fleet, 0, &paid_request("k")).await;
     assert_eq!(answer.ran.as_deref(), Some("unknown"), "{answer:?}");
--- a/standin/examples/load/promises.rs
+++ b/standin/examples/load/promises.rs
@@ -1,4 +1,4 @@
-//! The figures of docs/PROMISES.md.
+//! Measures the figures of docs/PROMISES.md.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use http_body_util::BodyExt;
 use hyper::{Method, Request};
 use serde_json::json;
-use standin::client::{self, Ask};
+use standin::client;
 use standin::engine;
 use standin::fault::{Fault, Kind};
 use standin::fleet::{Fleet, MODEL, Plan};
@@ -19,16 +19,16 @@
 
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// Requests whose engine freezes.
+    /// Number of requests whose engine freezes.
     #[arg(long, default_value_t = 3000)]
     requests: usize,
-    /// Claims a second.
+    /// Claims per second.
     #[arg(long, default_value_t = 1000.0)]
     claims: f64,
-    /// Seconds of claims.
+    /// Duration of the claims in seconds.
     #[arg(long, default_value_t = 5.0)]
     seconds: f64,
-    /// Changes of settings.
+    /// Number of settings changes.
     #[arg(long, default_value_t = 40)]
     changes: usize,
 }
@@ -47,18 +47,18 @@
     table.row(vec![figure.to_owned(), cell(50.0), cell(99.0), cell(99.9), value]);
 }
 
-fn ask(prompt_tokens: usize, max_tokens: u64) -> Ask {
-    Ask {
+fn request(prompt_tokens: usize, max_tokens: u64) -> client::Request {
+    client::Request {
         key: "key-0".to_owned(),
         model: MODEL.to_owned(),
         prompt: "abc ".repeat(prompt_tokens),
         max_tokens,
         stream: true,
-        ..Ask::default()
+        ..client::Request::default()
     }
 }
 
-/// How late answers are when engines freeze, before the first token or in the middle.
+/// Delay of responses past their deadline when engines freeze before the first token or later.
 async fn deadlines(args: &Args, program: &Path, table: &mut Table) {
     let policy = json!({ "retries": 0, "timeout_ms": 10_000 });
     let fleet = Arc::new(Fleet::start(Plan { policy, ..Plan::small(program) }).await);
@@ -73,25 +73,25 @@
         tokio::time::sleep(Duration::from_millis(2)).await;
         tasks.push(tokio::spawn(async move {
             let timeout = Duration::from_millis(300 + (i as u64 * 7) % 700);
-            let ask = Ask { timeout: Some(timeout), ..ask(50, 100) };
-            let answer = client::ask(&fleet.client, fleet.vms[i % 3].listen, &ask).await;
+            let request = client::Request { timeout: Some(timeout), ..request(50, 100) };
+            let answer = client::send(&fleet.client, fleet.vms[i % 3].listen, &request).await;
             answer.total.saturating_sub(timeout)
         }));
     }
-    let mut late = Times::default();
+    let mut delays = Times::default();
     for task in tasks {
-        late.add(task.await.expect("a request's task").as_secs_f64());
+        delays.add(task.await.expect("a request's task").as_secs_f64());
     }
-    let value = format!("n={}, max {:.1} ms", late.count(), late.ms(100.0));
-    row(table, "answer past its deadline, engines frozen", &late, value);
+    let value = format!("n={}, max {:.1} ms", delays.count(), delays.ms(100.0));
+    row(table, "answer past its deadline, engines frozen", &delays, value);
 }
 
-/// What a claim adds to a plain call, and what it costs the key-value service.
+/// Latency that a claim adds to a plain call, and its writes to the key-value service.
 async fn claims(args: &Args, program: &Path, table: &mut Table) {
     let kv = kv::Settings { delay_ms: 5, ..kv::Settings::default() };
     let fleet = Arc::new(Fleet::start(Plan { kv, ..Plan::small(program) }).await);
     let count = (args.claims * args.seconds) as usize;
-    // The first claim makes the writer read the log.
+    // Warm-up: at the first claim the writer reads the claims log.
     let _ = call(&fleet, 0, Method::POST, Some("warm".to_owned())).await;
     let mut with = Times::default();
     let mut without = Times::default();
@@ -150,7 +150,7 @@
     started.elapsed()
 }
 
-/// How long it takes until a change is in force on all of eight VMs, from before its first write.
+/// Time from before the first write of a settings change until it is in force on all eight VMs.
 async fn changes(args: &Args, program: &Path, table: &mut Table) {
     let kv = kv::Settings { delay_ms: 5, ..kv::Settings::default() };
     let fleet = Fleet::start(Plan { vms: 8, kv, ..Plan::small(program) }).await;
@@ -158,80 +158,87 @@
     let mut texts = fleet.texts();
     let name = Name::Organisation("org-0".parse().expect("a name"));
     let text = texts[&name].clone();
-    let mut back = 0;
-    let mut seen = vec![0; fleet.vms.len()];
+    let mut decreases = 0;
+    let mut versions = vec![0; fleet.vms.len()];
     for i in 0..args.changes {
         texts.insert(name.clone(), format!("// {i}\n{text}").into());
         let started = Instant::now();
         let version = fleet.publish("load", &texts).await.expect("accepted");
         loop {
-            let asked = fleet.vms.iter().map(|vm| fleet.control(vm, "/version"));
-            let heads = futures::future::join_all(asked).await;
+            let responses = fleet.vms.iter().map(|vm| fleet.get_control(vm, "/version"));
+            let heads = futures::future::join_all(responses).await;
             for (vm, head) in heads.iter().enumerate() {
                 let head: serde_json::Value =
                     serde_json::from_slice(head.as_deref().unwrap_or(b"{}")).unwrap_or_default();
                 let now = head["version"].as_u64().unwrap_or(0);
-                back += u32::from(now < seen[vm]);
-                seen[vm] = now;
+                decreases += u32::from(now < versions[vm]);
+                versions[vm] = now;
             }
-            if seen.iter().all(|v| *v >= version) {
+            if versions.iter().all(|v| *v >= version) {
                 break;
             }
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
         times.add(started.elapsed().as_secs_f64());
     }
-    let value = format!("n={}, versions seen going back: {back}", times.count());
+    let value = format!("n={}, versions seen going back: {decreases}", times.count());
     row(table, "a change in force on 8 VMs (aim 1 s)", &times, value);
 }
 
-/// Going on from a cursor against asking again, at several points of an answer.
+/// Compares resuming from a cursor with sending the request again, at several points of an answer.
 async fn resumes(program: &Path, table: &mut Table) {
     let engine = engine::Settings { speed: 1.0, ..engine::Settings::default() };
     let fleet = Fleet::start(Plan { engine, ..Plan::small(program) }).await;
     let computed = || fleet.engines.iter().map(|e| e.engine.stats().computed).sum::<u64>();
-    for cut in [10, 50, 90] {
+    for resume_at in [10, 50, 90] {
         let (mut resumed, mut rerun) = (Times::default(), Times::default());
-        let (mut again_resumed, mut again_rerun) = (0, 0);
+        let (mut recomputed_resumed, mut recomputed_rerun) = (0, 0);
         for round in 0..5 {
-            let mut ask = ask(8_000, 100);
-            ask.prompt = format!("{cut} {round} {}", ask.prompt);
-            let cursor = partial(&fleet.client, fleet.vms[0].listen, &ask, cut).await;
+            let mut request = request(8_000, 100);
+            request.prompt = format!("{resume_at} {round} {}", request.prompt);
+            let cursor = read_until(&fleet.client, fleet.vms[0].listen, &request, resume_at).await;
             let before = computed();
-            let rest = client::resume(&fleet.client, fleet.vms[1].listen, "key-0", &cursor).await;
-            assert!(rest.complete, "{rest:?}");
-            resumed.add(rest.first_token.unwrap_or_default().as_secs_f64());
-            again_resumed += computed() - before;
-            // Asking again means another engine's cache as often as not.
-            ask.prompt.push_str("x ");
-            ask.prompt.insert_str(0, "again ");
+            let resumed_answer =
+                client::resume(&fleet.client, fleet.vms[1].listen, "key-0", &cursor).await;
+            assert!(resumed_answer.complete, "{resumed_answer:?}");
+            resumed.add(resumed_answer.first_token.unwrap_or_default().as_secs_f64());
+            recomputed_resumed += computed() - before;
+            // The changed prompt avoids prefix cache hits: a request that is sent again often
+            // runs on an engine that has not cached its prompt.
+            request.prompt.push_str("x ");
+            request.prompt.insert_str(0, "again ");
             let before = computed();
-            let whole = client::ask(&fleet.client, fleet.vms[1].listen, &ask).await;
-            rerun.add(whole.total.as_secs_f64() * f64::from(cut as u32) / 100.0);
-            again_rerun += computed() - before + cut as u64;
+            let complete = client::send(&fleet.client, fleet.vms[1].listen, &request).await;
+            rerun.add(complete.total.as_secs_f64() * f64::from(resume_at as u32) / 100.0);
+            recomputed_rerun += computed() - before + resume_at as u64;
         }
-        let (a, b) = (again_resumed / 5, again_rerun / 5);
+        let (a, b) = (recomputed_resumed / 5, recomputed_rerun / 5);
         row(
             table,
-            &format!("next token, resumed at {cut} of 100"),
+            &format!("next token, resumed at {resume_at} of 100"),
             &resumed,
             format!("{a} tokens again"),
         );
         row(
             table,
-            &format!("next token, asked again at {cut} of 100"),
+            &format!("next token, asked again at {resume_at} of 100"),
             &rerun,
             format!("{b} tokens again"),
         );
     }
 }
 
-/// Reads an answer up to a token, then leaves; gives the cursor.
-async fn partial(client: &Client, vm: std::net::SocketAddr, ask: &Ask, tokens: usize) -> String {
-    let text = json!({ "model": ask.model, "prompt": ask.prompt, "max_tokens": ask.max_tokens,
+/// Reads a response up to a token, then closes the connection; returns the cursor of that token.
+async fn read_until(
+    client: &Client,
+    vm: std::net::SocketAddr,
+    request: &client::Request,
+    tokens: usize,
+) -> String {
+    let text = json!({ "model": request.model, "prompt": request.prompt, "max_tokens": request.max_tokens,
                        "stream": true });
     let request = Request::post(format!("http://{vm}/v1/completions"))
-        .header("authorization", format!("Bearer {}", ask.key))
+        .header("authorization", format!("Bearer {}", request.key))
         .body(body(text.to_string()))
         .expect("plain headers");
     let mut answer = client.send(request).await.expect("an answer").into_body();
--- a/standin/examples/load/run.rs
+++ b/standin/examples/load/run.rs
@@ -1,4 +1,4 @@
-//! One run of a workload: open-loop arrivals against a target, with what came of each.
+//! Runs a workload: sends open-loop arrivals to a target and records the outcome of each.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -9,19 +9,20 @@
 
 use crate::table::Times;
 
-/// A request with what came of it.
+/// A request and its outcome.
 pub(crate) struct Outcome {
     pub(crate) arrival: Arrival,
     pub(crate) answer: Answer,
-    /// Seconds to the first token, from when it should have been sent.
+    /// Seconds from the scheduled send time to the first token.
     pub(crate) first_token: Option<f64>,
-    /// Whether the whole answer came within its time and is its prompt's.
+    /// Whether the complete and correct answer arrived within the timeout.
     pub(crate) good: bool,
-    /// Whether a caller who came back when told to was then let in; none where it was not told.
-    pub(crate) admitted_later: Option<bool>,
+    /// Whether a retry after the time in `retry-after-ms` was admitted; none without that header.
+    pub(crate) retry_admitted: Option<bool>,
 }
 
-/// Sends each arrival at its time; one that is late is sent at once, and its lateness counts.
+/// Sends each arrival at its scheduled time. A late one is sent at once; its delay is added to its
+/// times.
 pub(crate) async fn open_loop<F, R>(
     workload: &Arc<Workload>,
     arrivals: Vec<Arrival>,
@@ -37,9 +38,9 @@
         let due = start + arrival.at;
         let (workload, send) = (workload.clone(), send.clone());
         let prompt = arrival.prompt(&workload);
-        let expected = standin::answer::whole(prompt.as_bytes(), arrival.answer);
+        let expected = standin::answer::generate(prompt.as_bytes(), arrival.answer);
         tokio::time::sleep_until(due.into()).await;
-        tasks.push(tokio::spawn(one(due, arrival, prompt, expected, send)));
+        tasks.push(tokio::spawn(send_one(due, arrival, prompt, expected, send)));
     }
     let mut outcomes = Vec::new();
     for task in tasks {
@@ -48,7 +49,7 @@
     outcomes
 }
 
-async fn one<F, R>(
+async fn send_one<F, R>(
     due: Instant,
     arrival: Arrival,
     prompt: String,
@@ -61,17 +62,20 @@
 {
     let arrival = Arc::new(arrival);
     let sent = Instant::now();
-    let late = sent - due;
-    let (answer, admitted_later) = send(arrival.clone(), prompt).await;
-    let first_token = answer.first_token.map(|d| (d + late).as_secs_f64());
-    let whole = answer.complete && answer.text == expected;
-    assert!(!answer.complete || whole, "an answer is complete and not its prompt's: {answer:?}");
-    let good = whole && answer.total + late <= arrival.timeout + Duration::from_millis(50);
+    let delay = sent - due;
+    let (answer, retry_admitted) = send(arrival.clone(), prompt).await;
+    let first_token = answer.first_token.map(|d| (d + delay).as_secs_f64());
+    let correct = answer.complete && answer.text == expected;
+    assert!(
+        !answer.complete || correct,
+        "complete answer does not belong to its prompt: {answer:?}"
+    );
+    let good = correct && answer.total + delay <= arrival.timeout + Duration::from_millis(50);
     let arrival = Arc::unwrap_or_clone(arrival);
-    Outcome { arrival, answer, first_token, good, admitted_later }
+    Outcome { arrival, answer, first_token, good, retry_admitted }
 }
 
-/// The bands of prompt lengths, by their upper ends.
+/// Bands of prompt lengths: name and maximum number of tokens.
 pub(crate) const BANDS: [(&str, u64); 5] = [
     ("4k", 4_000),
     ("32k", 32_000),
@@ -80,7 +84,7 @@
     ("beyond", u64::MAX),
 ];
 
-/// Times to the first token by band.
+/// Times to first token by band.
 pub(crate) fn first_tokens(outcomes: &[Outcome]) -> Vec<Times> {
     let mut bands: Vec<Times> = BANDS.iter().map(|_| Times::default()).collect();
     for outcome in outcomes {
--- a/standin/examples/standin.rs
+++ b/standin/examples/standin.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of the outside systems, one subcommand each.
+//! Runs the stand-ins of the outside systems, one subcommand each.
 //!
 //! `cargo run --release --example standin -- all --help`
 
@@ -11,7 +11,7 @@
 use standin::{engine, engine_http, kv, plain, vms, weights};
 
 #[derive(Parser)]
-#[command(about = "Stand-ins of the systems around foldlock, for trials on loopback")]
+#[command(about = "Stand-ins of the systems around foldlock, for tests on loopback")]
 struct App {
     #[command(subcommand)]
     command: Command,
@@ -19,24 +19,24 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// A model engine.
+    /// Run a model engine.
     Engine(Engine),
-    /// A plain service.
+    /// Run a plain service.
     Plain(Address),
-    /// The key-value service.
+    /// Run the key-value service.
     Kv(Kv),
-    /// The list of VMs.
+    /// Run the list of VMs.
     Vms(Vms),
-    /// The weight store.
+    /// Run the weight store.
     Weights(Address),
-    /// Several of them in one process, on consecutive ports: the key-value service, the list, the
-    /// plain services, the engines.
+    /// Run several stand-ins in one process, on consecutive ports: the key-value service, the list
+    /// of VMs, the plain services, the engines.
     All(All),
 }
 
 #[derive(Args)]
 struct Address {
-    /// IP:port.
+    /// The address to listen on, IP:port.
     #[arg(long, default_value = "127.0.0.1:0")]
     address: SocketAddr,
 }
@@ -45,7 +45,7 @@
 struct Engine {
     #[command(flatten)]
     address: Address,
-    /// A file of JSON with an engine's settings.
+    /// JSON file with the engine's settings.
     #[arg(long)]
     settings: Option<PathBuf>,
 }
@@ -54,7 +54,7 @@
 struct Kv {
     #[command(flatten)]
     address: Address,
-    /// How long each call takes, milliseconds.
+    /// Latency of each call in milliseconds.
     #[arg(long, default_value_t = 0)]
     delay_ms: u64,
 }
@@ -63,46 +63,46 @@
 struct Vms {
     #[command(flatten)]
     address: Address,
-    /// How late changes show, milliseconds.
+    /// Delay after which changes of the list are visible, in milliseconds.
     #[arg(long, default_value_t = 1000)]
     lag_ms: u64,
 }
 
 #[derive(Args)]
 struct All {
-    /// The address of the first; the others follow on the ports behind it.
+    /// The address of the first stand-in; the others listen on the ports after it.
     #[arg(long, default_value = "127.0.0.1:7100")]
     first: SocketAddr,
-    /// Engines.
+    /// Number of engines.
     #[arg(long, default_value_t = 4)]
     engines: u16,
-    /// Plain services.
+    /// Number of plain services.
     #[arg(long, default_value_t = 1)]
     plains: u16,
-    /// How many times as fast as their settings engines run.
+    /// Factor by which the engines run faster than their settings.
     #[arg(long, default_value_t = 1.0)]
     speed: f64,
-    /// A file of JSON with the engines' settings.
+    /// JSON file with the engines' settings.
     #[arg(long)]
     settings: Option<PathBuf>,
-    /// How long each call to the key-value service takes, milliseconds.
+    /// Latency of each call to the key-value service, in milliseconds.
     #[arg(long, default_value_t = 2)]
     kv_delay_ms: u64,
-    /// How late changes of the list show, milliseconds.
+    /// Delay after which changes of the list are visible, in milliseconds.
     #[arg(long, default_value_t = 500)]
     lag_ms: u64,
-    /// A VM of the list, NAME=IP:PORT@HALL; may be given several times.
+    /// A VM in the list, NAME=IP:PORT@HALL; may be given several times.
     #[arg(long = "vm", value_parser = listed)]
     vms: Vec<Listed>,
-    /// How old engines' reports are, milliseconds.
+    /// Age of the reports that engines serve, in milliseconds.
     #[arg(long)]
     report_lag_ms: Option<u64>,
 }
 
-/// Reads NAME=IP:PORT@HALL.
+/// Parses NAME=IP:PORT@HALL.
 fn listed(text: &str) -> Result<Listed, String> {
     let parts = text.split_once('=').and_then(|(n, rest)| Some((n, rest.split_once('@')?)));
-    let (name, (address, hall)) = parts.ok_or("a VM is NAME=IP:PORT@HALL")?;
+    let (name, (address, hall)) = parts.ok_or("expected NAME=IP:PORT@HALL")?;
     Ok(Listed {
         name: name.to_owned(),
         address: address.to_owned(),
@@ -127,29 +127,29 @@
         Command::Engine(e) => {
             let serving =
                 engine_http::serve(e.address.address, settings(e.settings.as_ref())?).await?;
-            println!("engine {}", serving.served.address);
+            println!("engine {}", serving.server.address);
             std::future::pending().await
         }
         Command::Plain(a) => {
             let serving = plain::serve(a.address, plain::Settings::default()).await?;
-            println!("plain {}", serving.served.address);
+            println!("plain {}", serving.server.address);
             std::future::pending().await
         }
         Command::Kv(k) => {
             let settings = kv::Settings { delay_ms: k.delay_ms, ..kv::Settings::default() };
             let serving = kv::serve(k.address.address, settings).await?;
-            println!("kv {}", serving.served.address);
+            println!("kv {}", serving.server.address);
             std::future::pending().await
         }
         Command::Vms(v) => {
             let lag = Duration::from_millis(v.lag_ms);
             let serving = vms::serve(v.address.address, lag).await?;
-            println!("vms {}", serving.served.address);
+            println!("vms {}", serving.server.address);
             std::future::pending().await
         }
         Command::Weights(a) => {
-            let served = weights::serve(a.address, Duration::from_secs(2), 4).await?;
-            println!("weights {}", served.address);
+            let server = weights::serve(a.address, Duration::from_secs(2), 4).await?;
+            println!("weights {}", server.address);
             std::future::pending().await
         }
         Command::All(all) => serve_all(all).await,
@@ -165,14 +165,14 @@
     };
     let settings_of_kv = kv::Settings { delay_ms: all.kv_delay_ms, ..kv::Settings::default() };
     let kv = kv::serve(next(), settings_of_kv).await?;
-    println!("kv {}", kv.served.address);
+    println!("kv {}", kv.server.address);
     let vms = vms::serve(next(), Duration::from_millis(all.lag_ms)).await?;
     vms.list.set(Listing { vms: all.vms, upstreams: Vec::new() });
-    println!("vms {}", vms.served.address);
+    println!("vms {}", vms.server.address);
     let mut plains = Vec::new();
     for _ in 0..all.plains {
         let plain = plain::serve(next(), plain::Settings::default()).await?;
-        println!("plain {}", plain.served.address);
+        println!("plain {}", plain.server.address);
         plains.push(plain);
     }
     let mut engine_settings = settings(all.settings.as_ref())?;
@@ -183,7 +183,7 @@
     let mut engines = Vec::new();
     for _ in 0..all.engines {
         let engine = engine_http::serve(next(), engine_settings.clone()).await?;
-        println!("engine {}", engine.served.address);
+        println!("engine {}", engine.server.address);
         engines.push(engine);
     }
     println!("serving");
--- a/standin/src/kv.rs
+++ b/standin/src/kv.rs
@@ -1,5 +1,5 @@
-//! The key-value service: compare-and-swap, leases and watches under rate limits that count each
-//! call, with outages, slowness and answers lost after the write.
+//! The key-value service: compare-and-swap, leases and watches under rate limits that count every
+//! call, with injected outages, latency and responses lost after the write.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,26 +12,26 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
-use crate::server::{self, Body, Served, header, json, query, text};
+use crate::server::{self, Body, Handle, header, json, query, text};
 
-/// The largest value, bytes.
-const MAX_VALUE: usize = 1 << 20;
+/// Maximum size of a value in bytes.
+const MAX_VALUE_LEN: usize = 1 << 20;
 
-/// How the service behaves; can be changed while it runs.
+/// Settings of the service; they can be changed while it runs.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// Writes a second; 0 for no limit.
+    /// Rate limit of writes per second; 0 for no limit.
     pub writes_per_s: f64,
-    /// Reads a second, watches among them; 0 for no limit.
+    /// Rate limit of reads and watches per second; 0 for no limit.
     pub reads_per_s: f64,
-    /// How long each call takes, milliseconds.
+    /// Latency of each call in milliseconds.
     pub delay_ms: u64,
-    /// Whether it is down: calls hang until their caller gives up.
+    /// Whether the service is down: calls hang until the client times out.
     pub down: bool,
-    /// How many of the next writes take effect without an answer.
+    /// Number of next writes that take effect without a response.
     pub lose_answers: u32,
-    /// Each how manieth write takes effect without an answer; 0 for none.
+    /// Every n-th write takes effect without a response; 0 for none.
     pub lose_each: u64,
 }
 
@@ -48,16 +48,16 @@
     }
 }
 
-/// Calls so far.
+/// Counters of the calls so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
-    /// Reads and watches.
+    /// Number of reads and watches.
     pub reads: u64,
-    /// Writes.
+    /// Number of writes.
     pub writes: u64,
-    /// Calls refused for their rate.
+    /// Number of calls refused by a rate limit.
     pub limited: u64,
-    /// Keys.
+    /// Number of keys.
     pub keys: u64,
 }
 
@@ -67,24 +67,24 @@
     lease: Option<u64>,
 }
 
-/// A rate limit with a second's worth of burst.
+/// A token bucket whose capacity is the tokens of one second.
 struct Bucket {
-    left: f64,
-    at: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
 impl Bucket {
     fn take(&mut self, rate: f64) -> bool {
         let now = Instant::now();
-        self.left = (self.left + rate * (now - self.at).as_secs_f64()).min(rate);
-        self.at = now;
+        self.tokens = (self.tokens + rate * (now - self.refilled_at).as_secs_f64()).min(rate);
+        self.refilled_at = now;
         if rate == 0.0 {
             return true;
         }
-        if self.left < 1.0 {
+        if self.tokens < 1.0 {
             return false;
         }
-        self.left -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
@@ -99,23 +99,23 @@
     settings: Settings,
 }
 
-/// The service.
+/// The key-value service.
 pub struct Kv {
     state: Mutex<State>,
     changed: Notify,
 }
 
-/// A service that is served.
+/// A key-value service and its HTTP server.
 pub struct Serving {
-    /// The service.
+    /// The key-value service.
     pub kv: Arc<Kv>,
-    /// Its listener.
-    pub served: Served,
+    /// The HTTP server.
+    pub server: Handle,
 }
 
 /// Serves an empty key-value service on `address`.
 pub async fn serve(address: SocketAddr, settings: Settings) -> std::io::Result<Serving> {
-    let bucket = |rate| Bucket { left: rate, at: Instant::now() };
+    let bucket = |rate| Bucket { tokens: rate, refilled_at: Instant::now() };
     let state = State {
         values: BTreeMap::new(),
         leases: BTreeMap::new(),
@@ -128,25 +128,25 @@
     let kv = Arc::new(Kv { state: Mutex::new(state), changed: Notify::new() });
     let handler = {
         let kv = kv.clone();
-        move |request| answer(kv.clone(), request)
+        move |request| handle(kv.clone(), request)
     };
-    Ok(Serving { kv, served: server::serve(address, handler).await? })
+    Ok(Serving { kv, server: server::serve(address, handler).await? })
 }
 
 impl Kv {
-    /// Changes how the service behaves.
+    /// Changes the settings.
     pub fn adjust(&self, f: impl FnOnce(&mut Settings)) {
         f(&mut self.state.lock().unwrap().settings);
         self.changed.notify_waiters();
     }
 
-    /// The calls so far.
+    /// The counters.
     pub fn stats(&self) -> Stats {
         let state = self.state.lock().unwrap();
         Stats { keys: state.values.len() as u64, ..state.stats }
     }
 
-    fn allowed(&self, write: bool) -> bool {
+    fn admit(&self, write: bool) -> bool {
         let mut state = self.state.lock().unwrap();
         let State { reads, writes, stats, settings, .. } = &mut *state;
         let allowed = if write {
@@ -162,11 +162,11 @@
 
     fn read(&self, key: &str) -> Option<(Vec<u8>, u64)> {
         let mut state = self.state.lock().unwrap();
-        expire(&mut state);
+        remove_expired(&mut state);
         state.values.get(key).map(|v| (v.bytes.clone(), v.revision))
     }
 
-    /// Writes or deletes; gives the revision, none on a conflict.
+    /// Writes or deletes a key; returns the new revision, or none on a conflict.
     fn write(
         &self,
         key: &str,
@@ -175,7 +175,7 @@
         lease: Option<u64>,
     ) -> Option<u64> {
         let mut state = self.state.lock().unwrap();
-        expire(&mut state);
+        remove_expired(&mut state);
         let current = state.values.get(key).map_or(0, |v| v.revision);
         if current != expect || lease.is_some_and(|l| !state.leases.contains_key(&l)) {
             return None;
@@ -195,8 +195,8 @@
         Some(revision)
     }
 
-    /// Whether the answer to this write is lost.
-    fn loses(&self) -> bool {
+    /// Whether the response to this write is lost.
+    fn drops_response(&self) -> bool {
         let mut state = self.state.lock().unwrap();
         let writes = state.stats.writes;
         let settings = &mut state.settings;
@@ -207,7 +207,7 @@
         settings.lose_each > 0 && writes.is_multiple_of(settings.lose_each)
     }
 
-    async fn delay(&self) {
+    async fn simulate_latency(&self) {
         let (delay, down) = {
             let state = self.state.lock().unwrap();
             (Duration::from_millis(state.settings.delay_ms), state.settings.down)
@@ -226,7 +226,7 @@
                 let changed = self.changed.notified();
                 tokio::pin!(changed);
                 changed.as_mut().enable();
-                self.delay().await;
+                self.simulate_latency().await;
                 if let Some(found) = self.read(key).filter(|(_, revision)| *revision > after) {
                     return found;
                 }
@@ -237,35 +237,35 @@
     }
 }
 
-fn expire(state: &mut State) {
+fn remove_expired(state: &mut State) {
     let now = Instant::now();
     state.leases.retain(|_, until| *until > now);
     let State { values, leases, .. } = state;
     values.retain(|_, v| v.lease.is_none_or(|l| leases.contains_key(&l)));
 }
 
-fn found(value: Option<(Vec<u8>, u64)>, status: u16) -> Response<Body> {
+fn value_or(value: Option<(Vec<u8>, u64)>, status: u16) -> Response<Body> {
     match value {
         Some((bytes, revision)) => with_revision(text(200, bytes), revision),
         None => text(status, ""),
     }
 }
 
-fn with_revision(mut answer: Response<Body>, revision: u64) -> Response<Body> {
-    answer.headers_mut().insert(REVISION, revision.into());
-    answer
+fn with_revision(mut response: Response<Body>, revision: u64) -> Response<Body> {
+    response.headers_mut().insert(REVISION, revision.into());
+    response
 }
 
-async fn answer(kv: Arc<Kv>, request: Request<Incoming>) -> Response<Body> {
+async fn handle(kv: Arc<Kv>, request: Request<Incoming>) -> Response<Body> {
     let path = request.uri().path().to_owned();
     if let Some(key) = path.strip_prefix("/kv/") {
-        return call(&kv, key, request).await;
+        return handle_key(&kv, key, request).await;
     }
     match (request.method(), path.as_str()) {
         (&Method::POST, "/lease") => lease(&kv, &request),
         (&Method::GET, "/admin/stats") => json(&kv.stats()),
         (&Method::POST, "/admin/settings") => {
-            match serde_json::from_slice(&server::whole(request).await) {
+            match serde_json::from_slice(&server::read_body(request).await) {
                 Ok(settings) => {
                     kv.adjust(|s| *s = settings);
                     text(200, "")
@@ -277,16 +277,16 @@
     }
 }
 
-/// Makes a lease, or renews the one that is named.
+/// Creates a lease, or renews the one whose id is given.
 fn lease(kv: &Kv, request: &Request<Incoming>) -> Response<Body> {
-    if !kv.allowed(true) {
+    if !kv.admit(true) {
         return text(429, "");
     }
     let ttl = Duration::from_millis(query(request, "ttl_ms").unwrap_or(10_000));
     let mut state = kv.state.lock().unwrap();
-    expire(&mut state);
+    remove_expired(&mut state);
     let id = match query::<u64>(request, "id") {
-        Some(id) if !state.leases.contains_key(&id) => return text(404, "the lease has lapsed"),
+        Some(id) if !state.leases.contains_key(&id) => return text(404, "lease expired"),
         Some(id) => id,
         None => {
             state.revision += 1;
@@ -297,32 +297,32 @@
     text(200, id.to_string())
 }
 
-async fn call(kv: &Kv, key: &str, request: Request<Incoming>) -> Response<Body> {
+async fn handle_key(kv: &Kv, key: &str, request: Request<Incoming>) -> Response<Body> {
     let write = request.method() != Method::GET;
-    if !kv.allowed(write) {
+    if !kv.admit(write) {
         return text(429, "");
     }
     if !write {
         let after: Option<u64> = query(&request, "after");
         let wait = Duration::from_millis(query(&request, "wait_ms").unwrap_or(0));
         return match after {
-            Some(after) => found(kv.watch(key, after, wait).await, 304),
+            Some(after) => value_or(kv.watch(key, after, wait).await, 304),
             None => {
-                kv.delay().await;
-                found(kv.read(key), 404)
+                kv.simulate_latency().await;
+                value_or(kv.read(key), 404)
             }
         };
     }
     let expect: u64 = header(&request, EXPECT).unwrap_or(0);
     let lease = header(&request, "x-lease");
     let delete = request.method() == Method::DELETE;
-    let bytes = server::whole(request).await;
-    if bytes.len() > MAX_VALUE {
-        return text(413, "the value is too large");
+    let bytes = server::read_body(request).await;
+    if bytes.len() > MAX_VALUE_LEN {
+        return text(413, "value too large");
     }
-    kv.delay().await;
+    kv.simulate_latency().await;
     let written = kv.write(key, expect, (!delete).then(|| bytes.to_vec()), lease);
-    if kv.loses() {
+    if kv.drops_response() {
         std::future::pending::<()>().await;
     }
     match written {
--- a/standin/src/plain.rs
+++ b/standin/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service with calls that may not be repeated; it counts the runs of each.
+//! A plain service with calls that must not be repeated; it counts how often each one ran.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,45 +9,45 @@
 use hyper::{Request, Response};
 use serde::{Deserialize, Serialize};
 
-use crate::server::{self, Body, Served, header, json, query, refused, text};
+use crate::server::{self, Body, Handle, header, json, query, refusal, text};
 
-/// The header by which a caller names a call, so that its runs can be counted.
-pub const CALL: &str = "idempotency-key";
+/// The header that identifies a call, so that its runs can be counted.
+pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// What tests look at.
+/// Counters for tests.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Stats {
-    /// Calls that ran.
+    /// Number of calls that ran.
     pub runs: u64,
-    /// Calls that ran, by their idempotency key.
+    /// Number of calls that ran, by idempotency key.
     pub by_key: BTreeMap<String, u32>,
 }
 
-/// How the service behaves.
+/// Settings of the service.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// How long a call takes, milliseconds.
+    /// Latency of a call in milliseconds.
     pub delay_ms: u64,
-    /// Whether it refuses new work.
+    /// Whether the service is leaving and refuses new calls.
     pub leaving: bool,
-    /// How many of the next calls run without an answer.
+    /// Number of next calls that run without a response.
     pub lose_answers: u32,
 }
 
-/// The service.
+/// The plain service.
 #[derive(Default)]
 pub struct Plain {
     stats: Mutex<Stats>,
     settings: Mutex<Settings>,
 }
 
-/// A service that is served.
+/// A plain service and its HTTP server.
 pub struct Serving {
-    /// The service.
+    /// The plain service.
     pub plain: Arc<Plain>,
-    /// Its listener.
-    pub served: Served,
+    /// The HTTP server.
+    pub server: Handle,
 }
 
 /// Serves a plain service on `address`.
@@ -55,23 +55,23 @@
     let plain = Arc::new(Plain { settings: Mutex::new(settings), ..Plain::default() });
     let handler = {
         let plain = plain.clone();
-        move |request| answer(plain.clone(), request)
+        move |request| handle(plain.clone(), request)
     };
-    Ok(Serving { plain, served: server::serve(address, handler).await? })
+    Ok(Serving { plain, server: server::serve(address, handler).await? })
 }
 
 impl Plain {
-    /// What tests look at.
+    /// Counters for tests.
     pub fn stats(&self) -> Stats {
         self.stats.lock().unwrap().clone()
     }
 
-    /// Changes how the service behaves.
+    /// Changes the settings.
     pub fn adjust(&self, f: impl FnOnce(&mut Settings)) {
         f(&mut self.settings.lock().unwrap());
     }
 
-    fn run(&self, key: Option<String>) -> u64 {
+    fn record_run(&self, key: Option<String>) -> u64 {
         let mut stats = self.stats.lock().unwrap();
         stats.runs += 1;
         if let Some(key) = key {
@@ -80,15 +80,15 @@
         stats.runs
     }
 
-    fn loses(&self) -> bool {
+    fn drops_response(&self) -> bool {
         let mut settings = self.settings.lock().unwrap();
-        let loses = settings.lose_answers > 0;
+        let drops = settings.lose_answers > 0;
         settings.lose_answers = settings.lose_answers.saturating_sub(1);
-        loses
+        drops
     }
 }
 
-async fn answer(plain: Arc<Plain>, request: Request<Incoming>) -> Response<Body> {
+async fn handle(plain: Arc<Plain>, request: Request<Incoming>) -> Response<Body> {
     match request.uri().path() {
         "/admin/stats" => return json(&plain.stats()),
         "/admin/leave" => {
@@ -100,16 +100,16 @@
     }
     let settings = plain.settings.lock().unwrap().clone();
     if settings.leaving {
-        return refused(503, server::LEAVING);
+        return refusal(503, server::LEAVING);
     }
-    let key = header(&request, CALL);
+    let key = header(&request, IDEMPOTENCY_KEY);
     let path = request.uri().path().to_owned();
-    let _body = server::whole(request).await;
+    let _body = server::read_body(request).await;
     if settings.delay_ms > 0 {
         tokio::time::sleep(Duration::from_millis(settings.delay_ms)).await;
     }
-    let run = plain.run(key);
-    if plain.loses() {
+    let run = plain.record_run(key);
+    if plain.drops_response() {
         std::future::pending::<()>().await;
     }
     text(200, format!("{path} run {run}\n"))
--- a/standin/src/stream.rs
+++ b/standin/src/stream.rs
@@ -1,38 +1,38 @@
-//! The answer to one request, as an engine writes it and readers read it.
+//! The output of one request, written by the engine and read by HTTP responses.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
 use tokio::sync::Notify;
 
-use crate::engine::Ask;
+use crate::engine::Request;
 use crate::fault::Fault;
 
-/// What a stream's readers see.
+/// The output of a stream so far.
 #[derive(Debug, Default)]
 pub struct Output {
-    /// The tokens so far.
+    /// The generated tokens.
     pub tokens: Vec<String>,
-    /// Why it ended, once it has.
+    /// The finish reason, once generation is complete.
     pub end: Option<&'static str>,
-    /// The prefix state after the prompt, once it is computed.
+    /// The prefix state after the prompt, once the prompt is computed.
     pub state: Option<u64>,
-    /// Whether it was broken off.
-    pub dead: bool,
+    /// Whether the request was aborted.
+    pub aborted: bool,
 }
 
-/// A stream: the answer to one request.
+/// The stream of one request.
 #[derive(Debug)]
 pub struct Stream {
-    /// Its id.
+    /// The stream's id.
     pub id: String,
-    /// The request.
+    /// The request's id.
     pub request: String,
-    /// The index of its first token.
+    /// The index of the first token.
     pub first_index: u64,
-    /// Prompt tokens that were cached.
+    /// Number of prompt tokens found in the prefix cache.
     pub cached: u64,
-    /// What goes wrong with it.
+    /// The fault to inject.
     pub fault: Option<Fault>,
     output: Mutex<Output>,
     readers: Mutex<Readers>,
@@ -42,54 +42,54 @@
 #[derive(Debug)]
 struct Readers {
     count: u32,
-    left_at: Instant,
+    last_left_at: Instant,
 }
 
 impl Stream {
-    /// An empty stream without a reader.
-    pub fn new(id: String, ask: &Ask, cached: u64, fault: Option<Fault>) -> Stream {
+    /// Creates an empty stream without a reader.
+    pub fn new(id: String, request: &Request, cached: u64, fault: Option<Fault>) -> Stream {
         Stream {
             id,
-            request: ask.request.clone(),
-            first_index: ask.first_index,
+            request: request.id.clone(),
+            first_index: request.first_index,
             cached,
             fault,
             output: Mutex::default(),
-            readers: Mutex::new(Readers { count: 0, left_at: Instant::now() }),
+            readers: Mutex::new(Readers { count: 0, last_left_at: Instant::now() }),
             changed: Notify::new(),
         }
     }
 
-    /// Looks at the output.
-    pub fn look<R>(&self, f: impl FnOnce(&Output) -> R) -> R {
+    /// Reads the output.
+    pub fn read<R>(&self, f: impl FnOnce(&Output) -> R) -> R {
         f(&self.output.lock().unwrap())
     }
 
-    /// Waits for more output. Take the waiter before looking.
+    /// Resolves at the next change of the output. Call it before reading, or a change is missed.
     pub fn changed(&self) -> tokio::sync::futures::Notified<'_> {
         self.changed.notified()
     }
 
-    /// Counts a reader in.
-    pub fn attach(&self) {
+    /// Registers a reader.
+    pub fn add_reader(&self) {
         self.readers.lock().unwrap().count += 1;
     }
 
-    /// Counts a reader out.
-    pub fn detach(&self) {
+    /// Unregisters a reader.
+    pub fn remove_reader(&self) {
         let mut readers = self.readers.lock().unwrap();
         readers.count -= 1;
-        readers.left_at = Instant::now();
+        readers.last_left_at = Instant::now();
     }
 
-    /// Whether it has had no reader for this long.
-    pub fn abandoned(&self, linger: Duration) -> bool {
+    /// Whether the stream has had no reader for longer than `linger`.
+    pub fn is_abandoned(&self, linger: Duration) -> bool {
         let readers = self.readers.lock().unwrap();
-        readers.count == 0 && readers.left_at.elapsed() > linger
+        readers.count == 0 && readers.last_left_at.elapsed() > linger
     }
 
-    /// Changes the output and wakes the readers.
-    pub fn write(&self, f: impl FnOnce(&mut Output)) {
+    /// Changes the output and notifies the readers.
+    pub fn update(&self, f: impl FnOnce(&mut Output)) {
         f(&mut self.output.lock().unwrap());
         self.changed.notify_waiters();
     }
--- a/standin/src/vms.rs
+++ b/standin/src/vms.rs
@@ -1,4 +1,4 @@
-//! The list of live and leaving VMs, which lags.
+//! The list of live and leaving VMs, whose changes become visible after a delay.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -8,37 +8,37 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response};
 
-use crate::server::{self, Body, Served, json, text};
+use crate::server::{self, Body, Handle, json, text};
 
-/// The list with its past.
+/// The list and its earlier versions.
 pub struct List {
     lag: Mutex<Duration>,
-    past: Mutex<Vec<(Instant, Listing)>>,
+    versions: Mutex<Vec<(Instant, Listing)>>,
 }
 
-/// A list that is served.
+/// A list and its HTTP server.
 pub struct Serving {
     /// The list.
     pub list: Arc<List>,
-    /// Its listener.
-    pub served: Served,
+    /// The HTTP server.
+    pub server: Handle,
 }
 
-/// Serves an empty list on `address` that shows changes `lag` late.
+/// Serves an empty list on `address` whose changes become visible after `lag`.
 pub async fn serve(address: SocketAddr, lag: Duration) -> std::io::Result<Serving> {
-    let past = Mutex::new(vec![(Instant::now(), Listing::default())]);
-    let list = Arc::new(List { lag: Mutex::new(lag), past });
+    let versions = Mutex::new(vec![(Instant::now(), Listing::default())]);
+    let list = Arc::new(List { lag: Mutex::new(lag), versions });
     let handler = {
         let list = list.clone();
-        move |request| answer(list.clone(), request)
+        move |request| handle(list.clone(), request)
     };
-    Ok(Serving { list, served: server::serve(address, handler).await? })
+    Ok(Serving { list, server: server::serve(address, handler).await? })
 }
 
 impl List {
-    /// Changes the list; readers see it after the lag.
+    /// Replaces the list; clients see the change after the lag.
     pub fn set(&self, listing: Listing) {
-        self.past.lock().unwrap().push((Instant::now(), listing));
+        self.versions.lock().unwrap().push((Instant::now(), listing));
     }
 
     /// Changes the lag.
@@ -46,18 +46,19 @@
         *self.lag.lock().unwrap() = lag;
     }
 
-    fn read(&self) -> Listing {
+    fn visible(&self) -> Listing {
         let lag = *self.lag.lock().unwrap();
-        let past = self.past.lock().unwrap();
-        let seen = past.iter().rev().find(|(at, _)| at.elapsed() >= lag).or(past.first());
-        seen.map(|(_, listing)| listing.clone()).unwrap_or_default()
+        let versions = self.versions.lock().unwrap();
+        let version =
+            versions.iter().rev().find(|(at, _)| at.elapsed() >= lag).or(versions.first());
+        version.map(|(_, listing)| listing.clone()).unwrap_or_default()
     }
 }
 
-async fn answer(list: Arc<List>, request: Request<Incoming>) -> Response<Body> {
+async fn handle(list: Arc<List>, request: Request<Incoming>) -> Response<Body> {
     match (request.method(), request.uri().path()) {
-        (&Method::GET, "/vms") => json(&list.read()),
-        (&Method::PUT, "/vms") => match serde_json::from_slice(&server::whole(request).await) {
+        (&Method::GET, "/vms") => json(&list.visible()),
+        (&Method::PUT, "/vms") => match serde_json::from_slice(&server::read_body(request).await) {
             Ok(listing) => {
                 list.set(listing);
                 text(200, "")
