--- a/request/src/cluster.rs
+++ b/request/src/cluster.rs
@@ -38,7 +38,7 @@
 pub use outcomes::Completion;
 pub use upstream::Upstream;
 
-/// Most removed upstreams that are remembered. No message is delayed for as long as it takes for this many
+/// Maximum number of removed upstreams that are remembered. No message is delayed for as long as it takes for this many
 /// upstreams to be removed.
 const MAX_REMOVED: usize = 1_024;
 
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Whether a listing received from a peer may be applied. Only a higher revision restores a removed upstream
-    /// or ends the leaving of one.
+    /// Whether a listing received from a peer may be applied. Only a higher revision restores a removed upstream,
+    /// or lists a leaving one as not leaving.
     pub fn accepts(&self, listed: &Listed) -> bool {
         let removed = self.removed.iter().find(|(id, _)| *id == listed.id);
         if removed.is_some_and(|(_, revision)| listed.revision <= *revision) {
--- a/request/src/cluster/flights.rs
+++ b/request/src/cluster/flights.rs
@@ -16,7 +16,7 @@
 /// be lost.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The VM whose attempt a flight is.
+/// The VM that sent a flight, or that was granted its placement.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Holder {
     /// This VM.
@@ -29,7 +29,7 @@
 struct Entry {
     serial: Serial,
     tracked: Tracked,
-    /// The number of the message with the grant, until the VM has announced the flight.
+    /// The number of the grant, until the VM has announced the flight.
     grant: Option<u64>,
 }
 
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Records the first event of a flight. Returns whether it is the first record of it.
+    /// Records the first event of a flight. Returns whether it was not recorded before.
     fn record_first_event(&mut self, holder: &Holder, number: u64, now: Instant) -> bool {
         let entry = self.by_holder.get_mut(holder).and_then(|flights| flights.get_mut(&number));
         let Some(entry) = entry.filter(|entry| !entry.tracked.flight.decoding) else {
@@ -213,8 +213,8 @@
         self.flights.end(&Holder::Own, number, now);
     }
 
-    /// Adds a placement that this VM grants in its message `grant`. It counts as a flight from now on, until the
-    /// VM announces the attempt itself, or confirms that message without announcing the attempt.
+    /// Adds a placement that this VM grants to `to` with the grant number `grant`. It counts as a flight from now
+    /// on, until `to` announces the attempt itself, or confirms the grant without announcing the attempt.
     pub fn grant(&mut self, to: &Holder, number: u64, flight: Flight, grant: u64, now: Instant) {
         let tracked = self.tracked(flight, now);
         self.flights.begin(to.clone(), number, tracked, Some(grant));
--- a/request/src/cluster/halls.rs
+++ b/request/src/cluster/halls.rs
@@ -9,7 +9,7 @@
 use super::{Cluster, Upstream};
 use crate::revision::Revision;
 
-/// Most halls that are remembered. Names are not checked, so those of no existing hall count too.
+/// Maximum number of halls that are remembered. Names are not checked, so those of no existing hall count too.
 const MAX_HALLS: usize = 256;
 
 /// The newest state of a hall in the directory.
--- a/request/src/cluster/limits.rs
+++ b/request/src/cluster/limits.rs
@@ -14,10 +14,10 @@
 /// How long a dispatch is included in heartbeats: several of them, since some are lost.
 const ANNOUNCE_WINDOW: Duration = Duration::from_secs(1);
 
-/// Most dispatches in a heartbeat.
+/// Maximum number of dispatches in a heartbeat.
 const MAX_DISPATCHES: usize = 64;
 
-/// Most limits in a heartbeat.
+/// Maximum number of limits in a heartbeat.
 const MAX_LIMITS: usize = 256;
 
 /// A message sent to a rate-limited upstream, as announced to schedulers.
@@ -55,7 +55,7 @@
 }
 
 impl Cluster {
-    /// Applies the limit named in a response to a request that this VM sent at `sent`. Returns the upstream if its
+    /// Applies the limit stated in a response to a request that this VM sent at `sent`. Returns the upstream if its
     /// limit has changed.
     pub fn observe_limit(
         &mut self,
@@ -112,12 +112,12 @@
         self.upstreams.values().filter_map(announced).take(MAX_LIMITS).collect()
     }
 
-    /// The limit of an upstream, if it ever named one.
+    /// The limit of an upstream, if it ever stated one.
     pub fn limit_of(&self, id: &id::Upstream) -> Option<&State> {
         self.upstreams.get(id)?.rate_limit.as_ref()
     }
 
-    /// Whether a grant may be used that the scheduler made under this limit. It must not if this VM has a later one.
+    /// Whether a placement that the scheduler granted under this limit may be used: not if this VM has a later limit.
     pub fn may_send(&self, id: &id::Upstream, granted: Option<Limit>) -> bool {
         let Some(state) = self.limit_of(id) else { return true };
         match granted {
@@ -195,7 +195,7 @@
     }
 }
 
-/// Bounds of a named rate. The burst starts out spent, since earlier requests may not have been counted here.
+/// Bounds of a stated rate. The burst starts out spent, since earlier requests may not have been counted here.
 fn named_bounds(upstream: &Upstream, now: Instant) -> impl Iterator<Item = Bound> {
     let state = upstream.rate_limit.as_ref();
     let named =
--- a/request/src/cluster/load.rs
+++ b/request/src/cluster/load.rs
@@ -225,7 +225,7 @@
     /// before it began, and runs the steps of the decoding requests.
     ///
     /// An estimate from the prefill ahead and half a pass is less accurate: in a burst of 900 short prompts, one
-    /// first event in ten took 1.9 times as long as that predicted. With the simulation it is 1.3 times.
+    /// first event in ten took 1.9 times as long as that estimate. With the simulation it is 1.3 times.
     fn pass(&self, engine: &Engine, sum: &Sum, slowdown: f64, now: Instant) -> Pass {
         let Some(mut at) = self.pass_start else { return Pass::default() };
         let mut queued: Vec<&Entry> =
--- a/request/src/cluster/outcomes.rs
+++ b/request/src/cluster/outcomes.rs
@@ -12,7 +12,7 @@
 /// How long an outcome is announced: several heartbeats, so that one of them arrives.
 const OUTCOME_ANNOUNCE_WINDOW: Duration = Duration::from_millis(700);
 
-/// Most outcomes that are announced. More within the announcement window add no information.
+/// Maximum number of outcomes that are announced. More within the announcement window add no information.
 const MAX_OUTCOMES: usize = 64;
 
 /// The outcome of an attempt, as announced to peers.
--- a/request/src/cluster/restarts.rs
+++ b/request/src/cluster/restarts.rs
@@ -11,11 +11,11 @@
 /// next response of the upstream reports it again.
 const RESTART_ANNOUNCE_WINDOW: Duration = Duration::from_secs(10);
 
-/// Most leaving upstreams that are announced, 9 bytes each. Further ones follow once the directory lists others
+/// Maximum number of leaving upstreams that are announced, 9 bytes each. Further ones follow once the directory lists others
 /// as leaving.
 const MAX_LEAVING: usize = 256;
 
-/// Most restarts that are announced.
+/// Maximum number of restarts that are announced.
 const MAX_RESTARTS: usize = 64;
 
 impl Cluster {
--- a/request/src/cluster/upstream.rs
+++ b/request/src/cluster/upstream.rs
@@ -31,7 +31,7 @@
     pub is_own_report: bool,
     /// Until when it is cold, if it is.
     pub cold_until: Option<Instant>,
-    /// Its rate limit, if it ever named one.
+    /// Its rate limit, if it ever stated one.
     pub rate_limit: Option<rate_limit::State>,
     /// When its listing lapsed while the directory was unavailable; it may still run.
     pub unlisted: Option<Instant>,
