--- a/request/src/placement.rs
+++ b/request/src/placement.rs
@@ -138,7 +138,7 @@
     pub candidates: usize,
     /// The number of upstreams that were at their rate limits.
     pub limited: usize,
-    /// The upstream's rate limit as known to the VM that granted the placement.
+    /// The upstream's rate limit as recorded by the VM that granted the placement.
     pub limit: Option<Limit>,
 }
 
--- a/request/src/placement/share.rs
+++ b/request/src/placement/share.rs
@@ -37,7 +37,7 @@
 /// than the decode steps that one part costs.
 const MAX_IMMEDIATE_LOSS_MS: f64 = 20.0;
 
-/// A typical part, milliseconds, which ranks slow engines later in the order.
+/// A typical part, milliseconds, with which engines are ordered so that slow ones come later.
 const TYPICAL_PART_MS: f64 = 100.0;
 
 /// How much earlier than others an engine without requests must be free to be chosen to generate
@@ -47,7 +47,8 @@
 /// a few engines instead of all.
 const IDLE_PENALTY_MS: f64 = 200.0;
 
-/// The same for each additional request that the engine is serving, milliseconds.
+/// How much later than others an engine may be free and still be chosen to generate the response,
+/// for each request that it is serving, milliseconds.
 const PER_REQUEST_BONUS_MS: f64 = 10.0;
 
 /// An engine, with the planned prefills of prompts that are earlier in the queue.
