--- a/request/src/scheduler/backlog.rs
+++ b/request/src/scheduler/backlog.rs
@@ -14,7 +14,7 @@
 /// Longest time over which retries of rejected callers are spread.
 const MAX_RETRY_SPREAD: Duration = Duration::from_secs(10);
 
-/// Expected waiting time with so many requests ahead.
+/// Expected waiting time behind `ahead` requests.
 fn expected_wait(rate: Rate, ahead: usize) -> Duration {
     let seconds = (ahead + 1) as f64 / rate.as_f64().max(f64::MIN_POSITIVE);
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
@@ -37,7 +37,7 @@
 
 impl Backlog {
     /// Rejects a request that would wait too long behind `ahead` others. A request that is already
-    /// queued is allowed one more service interval of the queue.
+    /// queued may wait longer by the time between two requests at this rate.
     pub(super) fn check(
         &mut self,
         service: Tag,
@@ -56,8 +56,8 @@
         Err(Rejection::RateLimited { after_ms })
     }
 
-    /// Hands out one retry time per service interval behind the queue, and wraps around at the
-    /// longest spread.
+    /// Returns the next retry time. The first one is after the expected wait, and the others follow
+    /// at this rate; beyond the longest spread they begin again after the expected wait.
     fn next_retry_after(
         &mut self,
         service: Tag,
