--- a/request/src/budget.rs
+++ b/request/src/budget.rs
@@ -116,7 +116,7 @@
     /// Records a message from a VM of a fleet of `vms`. `is_client` says whether it is a client of this scheduler.
     pub fn record_contact(&mut self, vm: &Holder, is_client: bool, vms: usize, now: Instant) {
         self.vms = vms;
-        // Before this VM is counted: the tokens above the capacity without the expired VMs are dropped.
+        // Before this VM is recorded, so that the tokens of expired VMs are dropped even if it is one of them.
         if self.clients.expire(self.parameters.window, now) {
             self.cap_tokens();
         }
--- a/request/src/decision.rs
+++ b/request/src/decision.rs
@@ -174,7 +174,7 @@
     Claimed {
         /// Whether this request holds the claim.
         won: bool,
-        /// Duration of the claim, in milliseconds.
+        /// Time until the claim was decided, in milliseconds.
         waited_ms: f64,
     },
     /// Memory was reserved at a group of engines for a prompt that is divided among them.
@@ -182,7 +182,7 @@
     Reserved {
         /// The engines, in the order of the prompt's segments.
         engines: Vec<id::Upstream>,
-        /// Duration of the reservations, in milliseconds.
+        /// Time until the memory was reserved, in milliseconds.
         waited_ms: f64,
     },
     /// The response was delivered completely.
--- a/request/src/message.rs
+++ b/request/src/message.rs
@@ -30,7 +30,7 @@
     /// Requests a placement from the scheduler.
     #[serde(rename = "Asked")]
     GrantRequest(GrantRequest),
-    /// Withdraws a grant request.
+    /// Cancels a grant request.
     Cancelled(Number),
     /// The scheduler's reply to a grant request.
     #[serde(rename = "Answered")]
--- a/request/src/rank.rs
+++ b/request/src/rank.rs
@@ -37,7 +37,7 @@
 pub enum Liveness {
     /// A message was received from it recently.
     Up,
-    /// It has not been contacted for long enough to tell.
+    /// The other VM has not tried to reach it for long enough to tell.
     Unknown,
     /// It does not respond.
     Down,
--- a/request/src/rate_limit.rs
+++ b/request/src/rate_limit.rs
@@ -34,16 +34,16 @@
     }
 }
 
-/// The limit of an upstream instance, as announced between VMs.
+/// The limit of an upstream incarnation, as announced between VMs.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The instance of the upstream.
+    /// The incarnation of the upstream.
     pub upstream: Tag,
     /// The limit.
     pub limit: Limit,
 }
 
-/// A VM's replica of the limit of one upstream instance.
+/// A VM's replica of the limit of one upstream incarnation.
 #[derive(Debug, Clone, PartialEq)]
 pub struct State {
     /// The limit.
