--- a/request/tests/backoff.rs
+++ b/request/tests/backoff.rs
@@ -30,7 +30,7 @@
 fn a_shorter_backoff_does_not_replace_a_longer_one() {
     let (mut backoffs, clock) = (Backoffs::default(), Manual::default());
     backoffs.begin(tag(1), 3 * SECOND, clock.moment());
-    assert!(!backoffs.begin(tag(1), SECOND, clock.moment()), "it backoffs already");
+    assert!(!backoffs.begin(tag(1), SECOND, clock.moment()), "it backs off already");
     assert_eq!(backoffs.remaining(tag(1), clock.moment()), Some(3 * SECOND));
 }
 
@@ -47,7 +47,7 @@
     assert_eq!(all(&[]), None, "no upstreams");
 }
 
-/// A step of the property test: an upstream requests a backoff of some milliseconds, or time passes.
+/// A step of the property test: an upstream requests a backoff of some milliseconds, time passes, or the machine is suspended.
 #[derive(Debug, Clone)]
 enum Step {
     BacksOff(u8, u64),
--- a/request/tests/budget_restarts.rs
+++ b/request/tests/budget_restarts.rs
@@ -19,7 +19,7 @@
 /// Heartbeat interval of a VM.
 const HEARTBEAT: Duration = Duration::from_secs(1);
 
-/// Time after which it is restarted.
+/// Time for which a VM that has stopped is down, until it is restarted.
 const DOWN: Duration = Duration::from_secs(1);
 
 fn parameters(vms: usize) -> Parameters {
--- a/request/tests/claim.rs
+++ b/request/tests/claim.rs
@@ -109,7 +109,7 @@
         }
         self.write(writer, &Claim { key: key.into(), nonce, action }, false);
         if done {
-            // The attempt ran to its end, so the key cannot be released any more.
+            // The attempt ran to its end, so the key cannot be released any more; the 0 marks this.
             self.holders.insert(key.into(), vec![nonce, 0]);
         }
     }
--- a/request/tests/cold.rs
+++ b/request/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Cold upstreams are slow for some seconds and crash under more than some requests a second. When a whole data
+//! Cold upstreams are slow for some seconds and crash when they get more than a few requests a second. When a whole data
 //! hall restarts, the load of the fleet must not reach its upstreams at once.
 
 use std::collections::HashMap;
@@ -17,7 +17,7 @@
 /// Requests a second that a cold upstream can take.
 const PER_S: f64 = 14.0;
 
-/// Requests a second under which a cold upstream crashes, less a margin.
+/// Requests a second with which a cold upstream crashes, less a margin.
 const MAX_PER_S: usize = 26;
 
 const COLD: Duration = Duration::from_secs(3);
--- a/request/tests/rate_limits/fleet.rs
+++ b/request/tests/rate_limits/fleet.rs
@@ -109,6 +109,7 @@
     pub(crate) partitioned: bool,
     /// The scheduler that it uses in place of the fleet's.
     pub(crate) own_scheduler: Option<usize>,
+    /// When its last incident occurred, or ends.
     pub(crate) disturbed: Option<Instant>,
     /// When this VM first received a limit from each upstream.
     pub(crate) limited_since: [Option<Instant>; UPSTREAMS],
@@ -121,8 +122,9 @@
     number: u64,
     upstream: usize,
     sent: Instant,
-    /// When its response begins. `limit` is the limit at the time of sending.
+    /// When its response begins.
     ends: Instant,
+    /// The limit at the time of sending.
     limit: Option<Rate>,
 }
 
