--- a/request/src/budget/clients.rs
+++ b/request/src/budget/clients.rs
@@ -8,11 +8,11 @@
 use crate::cluster::Holder;
 
 /// Time after its last message for which a scheduler counts a VM, as a share of the budget's window.
-const CLIENT_TIMEOUT: f64 = 0.4;
+const CLIENT_TIMEOUT_SHARE: f64 = 0.4;
 
 /// Time after its last message for which a VM stays a client of a scheduler, as a share of the budget's window.
-/// Longer than `CLIENT_TIMEOUT`, so that no VM counts at two schedulers.
-const AFFILIATION_TIMEOUT: f64 = 0.45;
+/// Longer than `CLIENT_TIMEOUT_SHARE`, so that no VM counts at two schedulers.
+const AFFILIATION_TIMEOUT_SHARE: f64 = 0.45;
 
 /// One process of a VM.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -39,7 +39,7 @@
         now: Instant,
         has_ended: impl FnOnce(&Process) -> bool,
     ) -> bool {
-        let timeout = window.mul_f64(AFFILIATION_TIMEOUT);
+        let timeout = window.mul_f64(AFFILIATION_TIMEOUT_SHARE);
         let is_bound = self.scheduler.as_ref().is_some_and(|(former, at)| {
             former != scheduler
                 && now.saturating_duration_since(*at) < timeout
@@ -55,12 +55,12 @@
 #[derive(Debug)]
 struct Seen {
     at: Instant,
-    client: Option<Since>,
+    client: Option<Period>,
 }
 
 /// An uninterrupted period in which a VM is a client.
 #[derive(Debug)]
-struct Since {
+struct Period {
     first: Instant,
     last: Instant,
 }
@@ -74,8 +74,8 @@
 }
 
 impl Clients {
-    /// Time between two sweeps for expired VMs, as a share of `CLIENT_TIMEOUT`.
-    const SWEEP_INTERVAL: f64 = 0.05;
+    /// Time between two sweeps for expired VMs, as a share of the time after which a VM no longer counts.
+    const SWEEP_INTERVAL_SHARE: f64 = 0.05;
 
     /// Records a message from a VM.
     pub(super) fn record(&mut self, vm: &Holder, is_client: bool, now: Instant) {
@@ -85,15 +85,15 @@
         let seen = self.seen.get_mut(vm).expect("just inserted");
         seen.at = now;
         if is_client {
-            seen.client.get_or_insert(Since { first: now, last: now }).last = now;
+            seen.client.get_or_insert(Period { first: now, last: now }).last = now;
         }
     }
 
-    /// Removes VMs that have timed out, unless the last sweep was within `SWEEP_INTERVAL`. Returns whether it swept.
+    /// Removes VMs that have timed out, unless the last sweep was within the sweep interval. Returns whether it swept.
     pub(super) fn expire(&mut self, window: Duration, now: Instant) -> bool {
-        let timeout = window.mul_f64(CLIENT_TIMEOUT);
+        let timeout = window.mul_f64(CLIENT_TIMEOUT_SHARE);
         let age = |at: Instant| now.saturating_duration_since(at);
-        if self.swept.is_some_and(|at| age(at) < timeout.mul_f64(Self::SWEEP_INTERVAL)) {
+        if self.swept.is_some_and(|at| age(at) < timeout.mul_f64(Self::SWEEP_INTERVAL_SHARE)) {
             return false;
         }
         self.swept = Some(now);
--- a/request/src/cluster/limits.rs
+++ b/request/src/cluster/limits.rs
@@ -171,7 +171,7 @@
         let allows =
             |bound: Bound| dispatches.is_none_or(|dispatches| dispatches.allows(bound, now));
         let cold = cold.filter(|_| upstream.is_cold(now));
-        cold.is_none_or(allows) && named_bounds(upstream, now).all(allows)
+        cold.is_none_or(allows) && stated_bounds(upstream, now).all(allows)
     }
 
     /// Requests sent to an upstream within a window, as far as recorded here.
@@ -196,11 +196,11 @@
 }
 
 /// Bounds of a stated rate. The burst starts out spent, since earlier requests may not have been counted here.
-fn named_bounds(upstream: &Upstream, now: Instant) -> impl Iterator<Item = Bound> {
+fn stated_bounds(upstream: &Upstream, now: Instant) -> impl Iterator<Item = Bound> {
     let state = upstream.rate_limit.as_ref();
-    let named =
+    let stated =
         state.and_then(|state| Some((state.limited_since, Bound::rate_limit(state.limit.rate?))));
-    let bounds = named.map(|(since, [burst, sustained])| {
+    let bounds = stated.map(|(since, [burst, sustained])| {
         let is_new = now.saturating_duration_since(since) < burst.window;
         let count = if is_new { 0 } else { burst.count };
         [Bound { count, ..burst }, sustained]
--- a/request/src/placement.rs
+++ b/request/src/placement.rs
@@ -374,17 +374,17 @@
     candidate_count: usize,
 ) -> Placement {
     let listed = &best.upstream.listed;
-    let held: u64 = helpers.iter().map(|(_, held)| held).sum();
-    let helping = |(c, held): &(&Candidate<'_>, u64)| Helper {
+    let reserved: u64 = helpers.iter().map(|(_, reserved)| reserved).sum();
+    let helper = |(c, reserved): &(&Candidate<'_>, u64)| Helper {
         upstream: c.upstream.listed.id.clone(),
-        reserved: *held,
+        reserved: *reserved,
     };
     Placement {
         flight: Flight {
             upstream: listed.id.clone(),
-            helpers: helpers.iter().map(helping).collect(),
+            helpers: helpers.iter().map(helper).collect(),
             part_ms: part_ms as f32,
-            memory: requirements.memory.0.saturating_sub(held),
+            memory: requirements.memory.0.saturating_sub(reserved),
             pause_ms: requirements.pause_ms(),
             decoding: false,
             isolated: None,
@@ -394,6 +394,6 @@
         busiest_helpers: busiest_helpers(helpers),
         candidates: candidate_count,
         limited: 0,
-        limit: best.upstream.rate_limit.as_ref().map(|known| known.limit),
+        limit: best.upstream.rate_limit.as_ref().map(|state| state.limit),
     }
 }
--- a/request/src/rate_limit.rs
+++ b/request/src/rate_limit.rs
@@ -15,7 +15,7 @@
 const UNBOUNDED: f64 = 10_000.0;
 
 /// How long a limit is announced after an upstream stated it, or after a peer announced an older one.
-const ANNOUNCE_FOR: Duration = Duration::from_secs(3);
+const ANNOUNCE_WINDOW: Duration = Duration::from_secs(3);
 
 /// A rate limit, or the absence of one.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
@@ -65,7 +65,7 @@
 
     /// Returns whether the limit is included in heartbeats.
     pub fn is_announced(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.refreshed) < ANNOUNCE_FOR
+        now.saturating_duration_since(self.refreshed) < ANNOUNCE_WINDOW
     }
 
     fn replace(&mut self, limit: Limit, source: id::Vm, now: Instant) {
