--- a/request/tests/backoff.rs
+++ b/request/tests/backoff.rs
@@ -50,16 +50,16 @@
 /// A step of the property test: an upstream requests a backoff of some milliseconds, time passes, or the machine is suspended.
 #[derive(Debug, Clone)]
 enum Step {
-    BacksOff(u8, u64),
-    Elapses(u64),
-    Suspended(u64),
+    Begin(u8, u64),
+    Advance(u64),
+    Suspend(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        (0..5_u8, 0..4_000_u64).prop_map(|(upstream, ms)| Step::BacksOff(upstream, ms)),
-        (0..1_500_u64).prop_map(Step::Elapses),
-        (0..1_500_u64).prop_map(Step::Suspended),
+        (0..5_u8, 0..4_000_u64).prop_map(|(upstream, ms)| Step::Begin(upstream, ms)),
+        (0..1_500_u64).prop_map(Step::Advance),
+        (0..1_500_u64).prop_map(Step::Suspend),
     ]
 }
 
@@ -72,16 +72,16 @@
         let mut now_ms = 0;
         for step in steps {
             match step {
-                Step::BacksOff(upstream, ms) => {
+                Step::Begin(upstream, ms) => {
                     backoffs.begin(tag(upstream), Duration::from_millis(ms), clock.moment());
                     let end = ends.entry(upstream).or_default();
                     *end = (*end).max(now_ms + ms);
                 }
-                Step::Elapses(ms) => {
+                Step::Advance(ms) => {
                     clock.advance(Duration::from_millis(ms));
                     now_ms += ms;
                 }
-                Step::Suspended(ms) => {
+                Step::Suspend(ms) => {
                     clock.suspend(Duration::from_millis(ms));
                     now_ms += ms;
                 }
--- a/request/tests/board.rs
+++ b/request/tests/board.rs
@@ -159,10 +159,10 @@
         Helper { upstream: upstream(3), reserved: 0 },
     ];
     let number = enter(&mut cluster, Flight { helpers, ..flight(1, 80.0, 200_000) }, now);
-    let (holder, reader) = (load(&cluster, 2, now), load(&cluster, 3, now));
-    assert_eq!((holder.helper_parts, holder.requests, holder.memory), (1, 0, 40_000));
-    assert_eq!((reader.helper_parts, reader.memory), (1, 0));
-    assert_eq!(reader.backlog_ms.round(), 80.0);
+    let (reserving, reading) = (load(&cluster, 2, now), load(&cluster, 3, now));
+    assert_eq!((reserving.helper_parts, reserving.requests, reserving.memory), (1, 0, 40_000));
+    assert_eq!((reading.helper_parts, reading.memory), (1, 0));
+    assert_eq!(reading.backlog_ms.round(), 80.0);
     cluster.record_first_event(number, now);
     assert_eq!(load(&cluster, 2, now).memory, 40_000, "the memory is still reserved");
     assert_eq!(load(&cluster, 3, now), Load::default());
--- a/request/tests/line.rs
+++ b/request/tests/line.rs
@@ -293,7 +293,7 @@
     /// For any queue, at least one prompt is placed on an idle fleet, and no part is placed on an
     /// engine with a larger backlog than a short prompt.
     #[test]
-    fn a_prompt_is_always_placed_and_no_engine_reads_for_two(
+    fn a_prompt_is_always_placed_and_no_engine_reads_parts_of_two(
         tokens in prop::collection::vec(30_000_u64..300_000, 1..12),
     ) {
         let (mut cluster, now) = (cluster(12), Instant::now());
--- a/request/tests/placement.rs
+++ b/request/tests/placement.rs
@@ -187,12 +187,12 @@
 }
 
 #[test]
-fn a_prompt_beyond_the_memory_of_one_engine_is_held_by_several() {
+fn a_prompt_beyond_the_memory_of_one_engine_reserves_memory_on_several() {
     let (mut cluster, now) = (cluster(12), Instant::now());
     let placed = enter(&mut cluster, &requirements(LONG, 300_000), now).unwrap();
-    let held: u64 = placed.flight.helpers.iter().map(|h| h.reserved).sum();
-    assert!(held > 0);
-    assert_eq!(placed.flight.memory + held, 301_000);
+    let reserved: u64 = placed.flight.helpers.iter().map(|h| h.reserved).sum();
+    assert!(reserved > 0);
+    assert_eq!(placed.flight.memory + reserved, 301_000);
     assert!(placed.flight.memory <= ENGINE.memory.0);
     assert!(placed.flight.part_ms <= 700.0);
 }
@@ -259,7 +259,7 @@
 }
 
 #[test]
-fn a_prompt_held_by_several_engines_is_read_before_its_reservations_expire() {
+fn a_prompt_is_read_before_its_reservations_expire() {
     let (mut cluster, now) = (cluster(12), Instant::now());
     for i in (0..6).chain(0..6) {
         let placed = place(&cluster, &requirements(SHORT, 5_000), now).unwrap();
@@ -359,8 +359,8 @@
             group.dedup();
             prop_assert_eq!(group.len(), size);
             prop_assert!(size <= 17);
-            let held: u64 = placed.flight.helpers.iter().map(|h| h.reserved).sum();
-            prop_assert!(placed.flight.memory + held >= requirements.memory.0);
+            let reserved: u64 = placed.flight.helpers.iter().map(|h| h.reserved).sum();
+            prop_assert!(placed.flight.memory + reserved >= requirements.memory.0);
             for (upstream, load) in cluster.loads(None, now) {
                 prop_assert!(load.requests <= ENGINE.slots, "{} has {:?}", upstream, load);
                 prop_assert!(load.memory <= ENGINE.memory.0, "{} has {:?}", upstream, load);
--- a/request/tests/rate_limits/fleet.rs
+++ b/request/tests/rate_limits/fleet.rs
@@ -210,8 +210,8 @@
         order.into_iter().find(|scheduler| self.reaches(vm, *scheduler))
     }
 
-    /// Simulates `each_s` requests per second over the whole fleet.
-    pub(crate) fn load(&mut self, time: Duration, each_s: usize) {
+    /// Simulates `per_s` requests per second over the whole fleet.
+    pub(crate) fn load(&mut self, time: Duration, per_s: usize) {
         let end = self.now + time;
         let mut due = 0.0;
         while self.now < end {
@@ -222,7 +222,7 @@
                 self.heartbeats();
             }
             self.place_queued();
-            due += each_s as f64 * STEP.as_secs_f64();
+            due += per_s as f64 * STEP.as_secs_f64();
             while due >= 1.0 {
                 due -= 1.0;
                 self.request();
--- a/request/tests/rate_limits/incident.rs
+++ b/request/tests/rate_limits/incident.rs
@@ -8,10 +8,10 @@
 
 #[derive(Debug, Clone)]
 pub(crate) enum Incident {
-    /// The fleet receives `each_s` requests per second for `ms` milliseconds.
+    /// The fleet receives `per_s` requests per second for `ms` milliseconds.
     Load {
         ms: u64,
-        each_s: usize,
+        per_s: usize,
     },
     /// An upstream states a limit, in quarters of a request per second, or none.
     SetLimit {
@@ -43,7 +43,7 @@
     pub(crate) fn apply(&mut self, incident: &Incident) {
         let count = self.vms.len();
         match *incident {
-            Incident::Load { ms, each_s } => self.load(Duration::from_millis(ms), each_s),
+            Incident::Load { ms, per_s } => self.load(Duration::from_millis(ms), per_s),
             Incident::SetLimit { upstream, quarters } => {
                 self.set_limit(upstream, quarters.map(|quarters| rate(f64::from(quarters) / 4.0)));
             }
@@ -85,7 +85,7 @@
 pub(crate) fn incident() -> impl Strategy<Value = Incident> {
     let load = (50..1_500_u64, 5..120_usize);
     prop_oneof![
-        6 => load.prop_map(|(ms, each_s)| Incident::Load { ms, each_s }),
+        6 => load.prop_map(|(ms, per_s)| Incident::Load { ms, per_s }),
         3 => (0..UPSTREAMS, proptest::option::weighted(0.8, 0..40_u32))
             .prop_map(|(upstream, quarters)| Incident::SetLimit { upstream, quarters }),
         2 => (0..SCHEDULERS + 3).prop_map(|vm| Incident::Kill { vm }),
--- a/request/tests/scheduler.rs
+++ b/request/tests/scheduler.rs
@@ -331,8 +331,8 @@
 /// Two upstreams crashed during a request: it may be the cause, or have run beside the cause.
 fn suspect(fleet: &mut Fleet, requirements: &Requirements) {
     for upstream in ["i-900", "i-901"] {
-        let ending = Crash { upstream: Tag::of(upstream), isolated: false };
-        fleet.cluster.quarantine.record_crash(requirements.fingerprint, ending, fleet.now);
+        let crash = Crash { upstream: Tag::of(upstream), isolated: false };
+        fleet.cluster.quarantine.record_crash(requirements.fingerprint, crash, fleet.now);
     }
 }
 
@@ -375,8 +375,8 @@
         assert_eq!(fleet.cluster.in_flight(), 1);
         assert!(matches!(fleet.request(key(1, 1), requirements.clone()), Reply::Queued));
         // The first copy crashes its upstream: the queued copy is rejected, and so is the next one.
-        let ending = Crash { upstream: Tag::of("i-000"), isolated: true };
-        fleet.cluster.quarantine.record_crash(requirements.fingerprint, ending, fleet.now);
+        let crash = Crash { upstream: Tag::of("i-000"), isolated: true };
+        fleet.cluster.quarantine.record_crash(requirements.fingerprint, crash, fleet.now);
         let replies = fleet.scheduler.place_queued(&mut fleet.cluster, &fleet.table, fleet.now);
         let is_quarantined =
             |reply: &Reply| matches!(reply, Reply::Rejected(Rejection::Quarantined { .. }));
--- a/request/tests/speed.rs
+++ b/request/tests/speed.rs
@@ -11,7 +11,7 @@
 proptest! {
     /// For any samples, predictions stay finite, not negative and bounded by the samples.
     #[test]
-    fn stays_bounded(samples in prop::collection::vec((work(), 0.0..100.0), 1..600)) {
+    fn predictions_stay_bounded(samples in prop::collection::vec((work(), 0.0..100.0), 1..600)) {
         let mut model = Model::default();
         for (work, seconds) in samples {
             model.learn(work, seconds);
@@ -22,7 +22,7 @@
 
     /// Many samples of the same small work converge to the observed time.
     #[test]
-    fn settles_on_the_same_work(tokens in 1.0..100.0, seconds in 0.01..2.0) {
+    fn predictions_converge_to_the_observed_time(tokens in 1.0..100.0, seconds in 0.01..2.0) {
         let mut model = Model::default();
         let work = Work::new(0.0, tokens, 0.0, 0);
         for _ in 0..3_000 {
@@ -33,7 +33,7 @@
 
     /// An engine whose time is linear in its work is learnt with an error of at most a tenth.
     #[test]
-    fn learns_a_linear_engine(
+    fn a_linear_engine_is_learnt(
         base in 0.001..0.05,
         per_token in 0.000_005..0.000_2,
         per_pair in 0.0..5e-10,
@@ -52,7 +52,7 @@
 
     /// An engine that slows to a tenth is detected within twenty requests.
     #[test]
-    fn notices_a_slow_engine(tokens in 500.0..4_000.0) {
+    fn an_engine_that_slows_down_is_detected(tokens in 500.0..4_000.0) {
         let mut model = Model::default();
         let work = Work::new(0.0, tokens, 0.0, 0);
         let seconds = 0.01 + tokens * 0.000_05;
