--- a/request/src/cluster/quarantined.rs
+++ b/request/src/cluster/quarantined.rs
@@ -6,8 +6,8 @@
 use crate::fingerprint::Fingerprint;
 use crate::quarantine_entry;
 
-/// Maximum number of released requests that are remembered, in case a restored copy of the directory still lists them: as
-/// many as an operator releases within some seconds.
+/// Maximum number of released requests that are remembered, in case a restored copy of the directory still lists
+/// them: as many as an operator releases within some seconds.
 const MAX_RELEASED: usize = 256;
 
 impl Cluster {
--- a/request/src/cluster/restarts.rs
+++ b/request/src/cluster/restarts.rs
@@ -11,8 +11,8 @@
 /// next response of the upstream reports it again.
 const RESTART_ANNOUNCE_WINDOW: Duration = Duration::from_secs(10);
 
-/// Maximum number of leaving upstreams that are announced, 9 bytes each. Further ones follow once the directory lists others
-/// as leaving.
+/// Maximum number of leaving upstreams that are announced, 9 bytes each. Further ones follow once the directory lists
+/// others as leaving.
 const MAX_LEAVING: usize = 256;
 
 /// Maximum number of restarts that are announced.
--- a/request/tests/backoff.rs
+++ b/request/tests/backoff.rs
@@ -47,7 +47,8 @@
     assert_eq!(all(&[]), None, "no upstreams");
 }
 
-/// A step of the property test: an upstream requests a backoff of some milliseconds, time passes, or the machine is suspended.
+/// A step of the property test: an upstream requests a backoff of some milliseconds, time passes, or the machine is
+/// suspended.
 #[derive(Debug, Clone)]
 enum Step {
     Begin(u8, u64),
--- a/request/tests/cold.rs
+++ b/request/tests/cold.rs
@@ -1,5 +1,5 @@
-//! Cold upstreams are slow for some seconds and crash when they get more than a few requests a second. When a whole data
-//! hall restarts, the load of the fleet must not reach its upstreams at once.
+//! Cold upstreams are slow for some seconds and crash when they get more than a few requests a second. When a whole
+//! data hall restarts, the load of the fleet must not reach its upstreams at once.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
