--- a/request/tests/backoff.rs
+++ b/request/tests/backoff.rs
@@ -30,7 +30,7 @@
 fn a_shorter_backoff_does_not_replace_a_longer_one() {
     let (mut backoffs, clock) = (Backoffs::default(), Manual::default());
     backoffs.begin(tag(1), 3 * SECOND, clock.moment());
-    assert!(!backoffs.begin(tag(1), SECOND, clock.moment()), "it backoffs already");
+    assert!(!backoffs.begin(tag(1), SECOND, clock.moment()), "it backs off already");
     assert_eq!(backoffs.remaining(tag(1), clock.moment()), Some(3 * SECOND));
 }
 
@@ -47,19 +47,20 @@
     assert_eq!(all(&[]), None, "no upstreams");
 }
 
-/// A step of the property test: an upstream requests a backoff of some milliseconds, or time passes.
+/// A step of the property test: an upstream requests a backoff of some milliseconds, time passes, or the machine is
+/// suspended.
 #[derive(Debug, Clone)]
 enum Step {
-    BacksOff(u8, u64),
-    Elapses(u64),
-    Suspended(u64),
+    Begin(u8, u64),
+    Advance(u64),
+    Suspend(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        (0..5_u8, 0..4_000_u64).prop_map(|(upstream, ms)| Step::BacksOff(upstream, ms)),
-        (0..1_500_u64).prop_map(Step::Elapses),
-        (0..1_500_u64).prop_map(Step::Suspended),
+        (0..5_u8, 0..4_000_u64).prop_map(|(upstream, ms)| Step::Begin(upstream, ms)),
+        (0..1_500_u64).prop_map(Step::Advance),
+        (0..1_500_u64).prop_map(Step::Suspend),
     ]
 }
 
@@ -72,16 +73,16 @@
         let mut now_ms = 0;
         for step in steps {
             match step {
-                Step::BacksOff(upstream, ms) => {
+                Step::Begin(upstream, ms) => {
                     backoffs.begin(tag(upstream), Duration::from_millis(ms), clock.moment());
                     let end = ends.entry(upstream).or_default();
                     *end = (*end).max(now_ms + ms);
                 }
-                Step::Elapses(ms) => {
+                Step::Advance(ms) => {
                     clock.advance(Duration::from_millis(ms));
                     now_ms += ms;
                 }
-                Step::Suspended(ms) => {
+                Step::Suspend(ms) => {
                     clock.suspend(Duration::from_millis(ms));
                     now_ms += ms;
                 }
--- a/request/tests/rate_limits/fleet.rs
+++ b/request/tests/rate_limits/fleet.rs
@@ -109,6 +109,7 @@
     pub(crate) partitioned: bool,
     /// The scheduler that it uses in place of the fleet's.
     pub(crate) own_scheduler: Option<usize>,
+    /// When its last incident occurred, or ends.
     pub(crate) disturbed: Option<Instant>,
     /// When this VM first received a limit from each upstream.
     pub(crate) limited_since: [Option<Instant>; UPSTREAMS],
@@ -121,8 +122,9 @@
     number: u64,
     upstream: usize,
     sent: Instant,
-    /// When its response begins. `limit` is the limit at the time of sending.
+    /// When its response begins.
     ends: Instant,
+    /// The limit at the time of sending.
     limit: Option<Rate>,
 }
 
@@ -208,8 +210,8 @@
         order.into_iter().find(|scheduler| self.reaches(vm, *scheduler))
     }
 
-    /// Simulates `each_s` requests per second over the whole fleet.
-    pub(crate) fn load(&mut self, time: Duration, each_s: usize) {
+    /// Simulates `per_s` requests per second over the whole fleet.
+    pub(crate) fn load(&mut self, time: Duration, per_s: usize) {
         let end = self.now + time;
         let mut due = 0.0;
         while self.now < end {
@@ -220,7 +222,7 @@
                 self.heartbeats();
             }
             self.place_queued();
-            due += each_s as f64 * STEP.as_secs_f64();
+            due += per_s as f64 * STEP.as_secs_f64();
             while due >= 1.0 {
                 due -= 1.0;
                 self.request();
