--- a/daemon/src/fleet.rs
+++ b/daemon/src/fleet.rs
@@ -3,7 +3,7 @@
 //!
 //! Two traits adapt it to the platform: [`Dialect`] for HTTP headers and [`Directory`] for stored
 //! entries. A request passes through [`callers`], [`serve`], [`admit`], [`queue`] (placement),
-//! [`attempt`] and then [`events`], unless its response is not a stream.
+//! [`attempt`] and, if its response is a stream, [`events`].
 
 pub mod admit;
 pub mod affiliation;
--- a/daemon/src/fleet/affiliation.rs
+++ b/daemon/src/fleet/affiliation.rs
@@ -1,4 +1,5 @@
-//! The scheduler that holds this VM's share of the fleet's retry budget.
+//! The scheduler that accounts for this VM's share of the fleet's retry budget. This VM is its
+//! client.
 
 use foldlock_base::prelude::*;
 use foldlock_request::budget;
@@ -7,7 +8,7 @@
 
 use crate::fleet::process::Process;
 
-/// Records a message to a peer that schedules. Returns whether this VM is its client.
+/// Records a message to a peer that may schedule for this VM. Returns whether this VM is its client.
 pub fn contact_peer<D: Dialect>(process: &Process<D>, scheduler: &id::Vm) -> bool {
     process.peers.member(scheduler).is_some_and(|member| contact(process, &member))
 }
--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -53,7 +53,7 @@
 const FIRST_EVENT_TIMEOUT_RATIO: f64 = 2.5;
 
 /// Minimum timeout of a first event, in objectives of its route. Beyond one objective the response is
-/// late anyway, and the prefill of a long prompt would be repeated by several engines.
+/// late anyway, and with a shorter timeout several engines would repeat the prefill of a long prompt.
 const MIN_FIRST_EVENT_OBJECTIVES: f64 = 2.0;
 
 /// How an attempt ended; for a stream, how it began.
--- a/daemon/src/fleet/changes.rs
+++ b/daemon/src/fleet/changes.rs
@@ -31,8 +31,8 @@
         self.lines.push((event, what));
     }
 
-    /// Logs the changes received with this revision. If there are more lines than the rate limit of
-    /// the log admits, logs one line with their counts; the dump has the names.
+    /// Logs the changes received with this revision. If there are more lines than the throttle
+    /// admits, logs one line with their counts; the dump has the names.
     pub fn log<D: Dialect>(self, process: &Process<D>, revision: Revision, from: &str) {
         let now = process.now();
         let admitted = |_: &(Event, String)| process.listing_lines.admit(now).is_some();
--- a/daemon/src/fleet/contact.rs
+++ b/daemon/src/fleet/contact.rs
@@ -22,7 +22,7 @@
     last_outage: Option<Instant>,
     /// When the directory was restored from an older copy, until its listings are complete again.
     restored: Option<Instant>,
-    /// Whether its settings are older than those in force on this VM.
+    /// Whether the directory's settings are older than those in force on this VM.
     has_older_settings: bool,
 }
 
@@ -87,7 +87,8 @@
         }
     }
 
-    /// How far a response is trusted, to a watch that resumed at `from` or to a full read.
+    /// How reliable a response is: of a watch that resumed at `from`, or of a full read if that is
+    /// none.
     pub fn provenance(&self, from: Option<Revision>, now: Instant) -> Provenance {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < OUTAGE_WINDOW;
         match self.restored {
--- a/daemon/src/fleet/grant_requests.rs
+++ b/daemon/src/fleet/grant_requests.rs
@@ -35,7 +35,7 @@
 /// Interval at which a queued request is sent again, to detect a scheduler that has failed.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Delay before a VM that places its own requests tries again.
+/// Delay before a request that could not be placed locally is tried again.
 const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
 /// A granted placement, with the addresses of its upstreams.
@@ -137,7 +137,7 @@
     Ok((address(&flight.upstream)?, helpers.collect::<Result<_, _>>()?))
 }
 
-/// Until when a placement is requested.
+/// When a VM stops requesting a placement for a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Expiry {
     /// Latest time.
--- a/daemon/src/fleet/headers.rs
+++ b/daemon/src/fleet/headers.rs
@@ -1,4 +1,4 @@
-//! Headers of requests and responses that apply to a single connection.
+//! Headers of requests and responses that apply to a single connection only (hop-by-hop).
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 /// it closes the connection.
 const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 
-/// Hop-by-hop headers.
+/// Headers that are never forwarded, whether `Connection` names them or not.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
--- a/daemon/src/fleet/heartbeat.rs
+++ b/daemon/src/fleet/heartbeat.rs
@@ -56,7 +56,7 @@
                     receive(&process, &buffer[..length], from, &directory);
                     receive_pending(&process, &mut buffer, &directory);
                 }
-                // An error means that a peer's port is closed; its time-out is handled below.
+                // An error means that a peer's port is closed; its timeout is handled below.
             }
             () = process.announce.notified(), if !due => due = true,
             () = tokio::time::sleep_until(next.into()) => {
--- a/daemon/src/fleet/join.rs
+++ b/daemon/src/fleet/join.rs
@@ -159,7 +159,7 @@
 
 /// Polls until the condition holds, at most for about this time, and returns whether it holds.
 /// Polls are counted instead of using the clock: a VM that was stalled processes the messages
-/// received meanwhile only after it resumes, when a time-out by the clock would already have
+/// received meanwhile only after it resumes, when a timeout by the clock would already have
 /// passed.
 pub async fn poll_until(timeout: Duration, condition: impl Fn() -> bool) -> bool {
     let polls = timeout.as_millis() / POLL_INTERVAL.as_millis();
--- a/daemon/src/fleet/operators.rs
+++ b/daemon/src/fleet/operators.rs
@@ -35,8 +35,8 @@
 /// Path of the listings, for peers.
 pub const LISTING_PATH: &str = "/listing";
 
-/// Query parameter of both paths: the response has a body only if this VM has a newer version or revision
-/// than the given one, and is 404 otherwise.
+/// Query parameter of both paths: the response is 404 unless this VM has a newer version or revision than
+/// the given one.
 pub const NEWER_THAN_QUERY: &str = "above=";
 
 /// Path prefix for the release of a quarantined request; its fingerprint follows.
--- a/daemon/src/fleet/peers.rs
+++ b/daemon/src/fleet/peers.rs
@@ -255,7 +255,7 @@
         }
     }
 
-    /// The heartbeat interval and time-outs for the current fleet size.
+    /// The heartbeat interval and timeouts for the current fleet size.
     pub fn timing(&self) -> Timing {
         self.membership.lock().unwrap().timing()
     }
--- a/daemon/src/fleet/peers/membership.rs
+++ b/daemon/src/fleet/peers/membership.rs
@@ -34,7 +34,7 @@
         self.order.retain(|member| member.vm != *vm);
     }
 
-    /// The heartbeat interval and time-outs for this fleet size.
+    /// The heartbeat interval and timeouts for this fleet size.
     pub(super) fn timing(&self) -> Timing {
         Timing::of(self.order.len())
     }
--- a/daemon/src/fleet/peers/peer.rs
+++ b/daemon/src/fleet/peers/peer.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Whether it sent a heartbeat within the time-out after which it counts as down.
+    /// Whether it sent a heartbeat within the timeout after which it counts as down.
     pub(super) fn is_up(&self, timing: Timing, now: Instant) -> bool {
         self.last_seen.is_some_and(|at| now.saturating_duration_since(at) < timing.down_timeout())
     }
@@ -102,11 +102,11 @@
             .is_some_and(|at| now.saturating_duration_since(at) < timing.subscription_timeout())
     }
 
-    /// Its liveness as a scheduler, for which the time-out is shorter than for `is_up`.
+    /// Its liveness as a scheduler, for which the timeout is shorter than for `is_up`.
     pub(super) fn liveness(&self, timing: Timing, now: Instant) -> Liveness {
         let since = |at: Instant| now.saturating_duration_since(at);
         // When all schedulers crash at once, the next VMs in the order have to receive heartbeats
-        // at once, and not only after the time-out. Until then each VM would place requests by its
+        // at once, and not only after the timeout. Until then each VM would place requests by its
         // own attempts alone, on engines that look idle to it.
         if self.grant_timeout_at.is_some_and(|at| since(at) < timing.scheduler_timeout()) {
             return Liveness::Unknown;
--- a/daemon/src/fleet/peers/sources.rs
+++ b/daemon/src/fleet/peers/sources.rs
@@ -68,7 +68,7 @@
         from.choose(&mut rand::rng()).map(|peer| peer.member.address)
     }
 
-    /// A random listed VM of the own hall that is not known to be down.
+    /// A random listed VM of the own hall that is up or of unknown liveness.
     pub fn neighbour(&self, now: Instant) -> Option<SocketAddr> {
         let membership = self.membership.lock().unwrap();
         let is_near = |peer: &&Peer| {
--- a/daemon/src/fleet/peers/timing.rs
+++ b/daemon/src/fleet/peers/timing.rs
@@ -1,4 +1,4 @@
-//! The heartbeat interval, and the time-outs that are derived from it.
+//! The heartbeat interval, and the timeouts that are derived from it.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
 /// discover it within two, and some heartbeats are lost.
 const SYNC_HEARTBEATS: u32 = 5;
 
-/// The heartbeat interval and time-outs for a fleet size.
+/// The heartbeat interval and timeouts for a fleet size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timing {
     heartbeat_interval: Duration,
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -66,11 +66,11 @@
     pub after_suspension: Notify,
     /// The log.
     pub log: Logger,
-    /// Rate limit for log lines of successful decisions.
+    /// Throttle of log lines of successful decisions.
     pub routine_lines: Throttle,
-    /// Rate limit for log lines of rejections, failures and retries.
+    /// Throttle of log lines of rejections, failures and retries.
     pub trouble_lines: Throttle,
-    /// Rate limit for log lines of single changes in the directory.
+    /// Throttle of log lines of single changes in the directory.
     pub listing_lines: Throttle,
     /// The metrics.
     pub metrics: Metrics,
--- a/daemon/src/fleet/queue.rs
+++ b/daemon/src/fleet/queue.rs
@@ -26,8 +26,8 @@
 /// Grants slower than this count as queueing; faster ones are network latency to the scheduler.
 const MIN_QUEUE_TIME: Duration = Duration::from_millis(30);
 
-/// Share of the deadline a request may queue for before it is rejected, so that its caller can still
-/// retry.
+/// Share of its deadline for which a request may be queued before it is rejected, so that its caller
+/// can still retry.
 const MAX_QUEUE_SHARE: f64 = 0.4;
 
 /// Longest wait for a usable upstream of a service that has none.
@@ -44,7 +44,7 @@
 /// Number of decoding requests on the engine that generates the response to a long prompt.
 const EXPECTED_DECODING: u32 = 4;
 
-/// Share of the deadline a long prompt may queue for before it is rejected.
+/// Share of its deadline for which a long prompt may be queued before it is rejected.
 const MAX_QUEUE_SHARE_LONG: f64 = 0.7;
 
 /// Slowdown of decoding caused by prefill chunks in the same batch.
--- a/daemon/src/fleet/resync.rs
+++ b/daemon/src/fleet/resync.rs
@@ -2,7 +2,7 @@
 //!
 //! The VMs read one after the other, so that no VM's link carries the same text many times at once.
 //! Each first tries a VM of its own hall, which may have the text by then, and only then a peer
-//! that is known to have it.
+//! that announced it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,10 +21,10 @@
 use crate::fleet::{compression, operators, peer_sync};
 use crate::log;
 
-/// The time-out of a read from a peer.
+/// The timeout of a read from a peer.
 const READ_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The time-out of a read from a VM of the own hall, which may be down: the latency within a hall
+/// The timeout of a read from a VM of the own hall, which may be down: the latency within a hall
 /// is less than a millisecond, and a text takes some ten milliseconds on the smallest link.
 const NEIGHBOUR_READ_TIMEOUT: Duration = Duration::from_millis(100);
 
--- a/daemon/src/fleet/serve.rs
+++ b/daemon/src/fleet/serve.rs
@@ -28,7 +28,7 @@
 const RESERVATION_RETRY_DELAY: Duration = Duration::from_millis(30);
 
 /// Delay before the next attempt once too many were refused to retry at once; it doubles with each
-/// further refusal. An engine's report is about 200 ms old, so the condition behind two refusals has
+/// further refusal. An engine's report is about 200 ms old, so the condition that caused two refusals has
 /// reached all VMs by the end of the second delay.
 const REFUSAL_RETRY_DELAY: Duration = Duration::from_millis(100);
 
--- a/daemon/src/fleet/unread.rs
+++ b/daemon/src/fleet/unread.rs
@@ -17,7 +17,7 @@
 /// Share of the VM's memory for these buffers. Connections, settings and the cluster state need the rest.
 const MEMORY_SHARE: f64 = 0.25;
 
-/// Number of full buffers that fit into the bound, unless [`MIN_FULL_BYTES`] is larger than its share.
+/// Number of full buffers that fit into the bound, unless this share of it is less than [`MIN_FULL_BYTES`].
 const MIN_FULL_BUFFERS: usize = 64;
 
 /// Minimum size from which a buffer counts as full, bytes: the size of one read.
--- a/daemon/src/fleet/watch.rs
+++ b/daemon/src/fleet/watch.rs
@@ -29,7 +29,7 @@
 /// entries change, and adds to the delay with which a change is received.
 const WATCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The same of a standby watcher. The first watcher announces the changes; this one announces those
+/// The same for a standby watcher. The first watcher announces the changes; this one announces those
 /// that the first misses, well within the time after which a leaving upstream gets no more
 /// requests.
 const STANDBY_WATCH_INTERVAL: Duration = Duration::from_millis(500);
@@ -167,7 +167,7 @@
 fn follows_peers<D: Dialect>(process: &Process<D>) -> bool {
     let now = process.now();
     // Any peer that has settings and listings can send them, and with them who watches; the
-    // watchers respond to this VM a heartbeat or two after it has learnt who they are.
+    // watchers respond to this VM a heartbeat or two after it has received their names.
     let sync_timeout = if process.revision().is_none() {
         FIRST_SYNC_TIMEOUT
     } else {
--- a/daemon/src/fleet/withdraw.rs
+++ b/daemon/src/fleet/withdraw.rs
@@ -15,15 +15,15 @@
 use crate::fleet::process::Process;
 use crate::log;
 
-/// Time for which withdrawals are collected into a batch. With a call and a heartbeat it stays well
-/// under the time for which a stopping VM keeps running.
+/// Time for which withdrawals are collected into a batch. Together with a call and a heartbeat it stays
+/// well under the time for which a stopping VM keeps running.
 const BATCH_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Time for which a stopping VM waits until another one has withdrawn it: a few batch intervals,
 /// and less than the time for which it still accepts connections.
 const DELEGATION_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Time-out of a call. If it fails, peers detect the VM as down by its missing heartbeats.
+/// Timeout of a call. If it fails, peers detect the VM as down by its missing heartbeats.
 const WITHDRAW_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Withdraws other VMs until the process ends.
--- a/daemon/src/fleet/write_queue.rs
+++ b/daemon/src/fleet/write_queue.rs
@@ -7,8 +7,8 @@
 use foldlock_request::quarantine_entry;
 use tokio::sync::mpsc;
 
-/// Maximum number of writes queued while the directory is unavailable. Each of them is for a
-/// request during which three or more upstreams crashed.
+/// Maximum number of writes queued while the directory is unavailable. Apart from
+/// registrations, they are for requests during which three or more upstreams crashed.
 const CAPACITY: usize = 256;
 
 /// A write to the directory.
--- a/daemon/src/fleet/writer.rs
+++ b/daemon/src/fleet/writer.rs
@@ -1,4 +1,4 @@
-//! Writes to the directory in the background: registers this VM again where its entry was removed,
+//! Writes to the directory in the background: registers this VM again if its entry was removed,
 //! and lists quarantined requests, so that all VMs, also those started later, have them and an
 //! operator can see and release them.
 
