--- a/daemon/src/fleet/admit.rs
+++ b/daemon/src/fleet/admit.rs
@@ -50,7 +50,7 @@
         checked => checked,
     };
     let admission = checked.inspect_err(|error| {
-        if process.trouble_lines.admit(process.now()).is_some() {
+        if process.problem_lines.admit(process.now()).is_some() {
             log::rejected(&process.log, id, error);
         }
     })?;
--- a/daemon/src/fleet/attempt.rs
+++ b/daemon/src/fleet/attempt.rs
@@ -89,9 +89,9 @@
     history: &History,
 ) -> End<D> {
     let upstream = grant.placement.flight.upstream.clone();
-    let entered = job.process.begin_attempt(grant.number, grant.placement.flight.clone());
+    let attempt_guard = job.process.begin_attempt(grant.number, grant.placement.flight.clone());
     let timeout = response_timeout(job, &grant.placement, history);
-    let sending = send(job, grant, last_event, entered);
+    let sending = send(job, grant, last_event, attempt_guard);
     let until = job.deadline.min(job.process.now() + timeout);
     let ended = tokio::select! {
         ended = tokio::time::timeout_at(until.into(), sending) => ended,
@@ -139,7 +139,7 @@
     job: &Arc<Job<D>>,
     grant: Grant,
     last_event: Option<u64>,
-    entered: Guard<D>,
+    attempt_guard: Guard<D>,
 ) -> End<D> {
     let placement = &grant.placement;
     let upstream = placement.flight.upstream.clone();
@@ -199,7 +199,7 @@
         incarnation,
         sent,
         predicted_ms: placement.predicted_ms,
-        entered,
+        attempt_guard,
         reservations,
         channel,
         idle_timeout,
@@ -307,7 +307,7 @@
     let Stream {
         flight,
         incarnation,
-        entered: _entered,
+        attempt_guard: _attempt_guard,
         reservations: _reservations,
         channel,
         idle_timeout,
@@ -350,7 +350,7 @@
 ) -> End<D> {
     match stream.next().await {
         Item::Events(first) => {
-            stream.entered.record_first_event();
+            stream.attempt_guard.record_first_event();
             End::Streaming(Box::new(Started { head, first, stream }))
         }
         Item::End => {
--- a/daemon/src/fleet/notices.rs
+++ b/daemon/src/fleet/notices.rs
@@ -41,7 +41,7 @@
     }
     match notice.rate_limit {
         RateLimit::Limited(rate) => rate_limits::observe(process, incarnation, Some(rate), sent),
-        RateLimit::Unreadable if process.trouble_lines.admit(process.now()).is_some() => {
+        RateLimit::Unreadable if process.problem_lines.admit(process.now()).is_some() => {
             log::event(&process.log, Event::UpstreamRateLimited, format!("{upstream} {notice}"));
         }
         _ => {}
@@ -71,7 +71,7 @@
     duration: Duration,
 ) {
     let is_new = process.backoffs.lock().unwrap().begin(incarnation, duration, process.moment());
-    if is_new && process.trouble_lines.admit(process.now()).is_some() {
+    if is_new && process.problem_lines.admit(process.now()).is_some() {
         let what = format!("{upstream} for {} ms", duration.as_millis());
         log::event(&process.log, Event::UpstreamBackoff, what);
     }
@@ -81,8 +81,8 @@
 pub fn exclusion<D: Dialect>(process: &Process<D>, upstream: &id::Upstream) -> Option<Exclusion> {
     let cluster = process.cluster.lock().unwrap();
     match cluster.get(upstream) {
-        Some(known) if known.is_leaving() => return Some(Exclusion::Leaving),
-        Some(known) if known.drained => return Some(Exclusion::Drained),
+        Some(entry) if entry.is_leaving() => return Some(Exclusion::Leaving),
+        Some(entry) if entry.drained => return Some(Exclusion::Drained),
         Some(_) => {}
         None => return Some(Exclusion::Leaving),
     }
--- a/daemon/src/fleet/outcome.rs
+++ b/daemon/src/fleet/outcome.rs
@@ -72,7 +72,7 @@
 pub fn record_aborted<D: Dialect>(process: &Process<D>, aborted: Vec<Aborted>) {
     for Aborted { request, bytes } in aborted {
         process.metrics.aborted_responses.inc();
-        if process.trouble_lines.admit(process.now()).is_some() {
+        if process.problem_lines.admit(process.now()).is_some() {
             let others = process.unread.bytes();
             let what = format!(
                 "{request}: {bytes} bytes unread, {others} bytes unread of other responses"
--- a/daemon/src/fleet/process.rs
+++ b/daemon/src/fleet/process.rs
@@ -69,7 +69,7 @@
     /// Throttle of log lines of successful decisions.
     pub routine_lines: Throttle,
     /// Throttle of log lines of rejections, failures and retries.
-    pub trouble_lines: Throttle,
+    pub problem_lines: Throttle,
     /// Throttle of log lines of single changes in the directory.
     pub listing_lines: Throttle,
     /// The metrics.
@@ -138,7 +138,7 @@
     pub tasks: TaskTracker,
     settings: RwLock<Option<Arc<Settings>>>,
     /// Notified when settings come into force, and when settings are first confirmed.
-    applied: Notify,
+    settings_changed: Notify,
     next_request: AtomicU64,
 }
 
@@ -169,7 +169,7 @@
             clock,
             log,
             routine_lines: Throttle::new(log_throttle::ROUTINE_PER_S, clock.now()),
-            trouble_lines: Throttle::new(log_throttle::PROBLEM_PER_S, clock.now()),
+            problem_lines: Throttle::new(log_throttle::PROBLEM_PER_S, clock.now()),
             listing_lines: Throttle::new(log_throttle::LISTING_PER_S, clock.now()),
             metrics: Metrics::default(),
             ring: Ring::new(MAX_RECORDS),
@@ -202,7 +202,7 @@
             stop_requested: OnceLock::new(),
             tasks: TaskTracker::new(),
             settings: RwLock::new(None),
-            applied: Notify::new(),
+            settings_changed: Notify::new(),
             next_request: AtomicU64::new(0),
             config,
         }
@@ -242,7 +242,7 @@
         let remaining = STARTUP_WINDOW.saturating_sub(self.peers.age(self.now()));
         let met = async {
             loop {
-                let changed = self.applied.notified();
+                let changed = self.settings_changed.notified();
                 if is_met() {
                     return;
                 }
@@ -258,7 +258,7 @@
         let is_first = self.freshness.age(at).is_none();
         self.freshness.confirm(at);
         if is_first {
-            self.applied.notify_waiters();
+            self.settings_changed.notify_waiters();
         }
     }
 
@@ -276,7 +276,7 @@
         }
         *current = Some(Arc::new(settings));
         drop(current);
-        self.applied.notify_waiters();
+        self.settings_changed.notify_waiters();
         self.metrics.settings_version.set(number as i64);
         log::event(&self.log, Event::VersionInForce, format!("version {number} from {from}"));
         self.announce_to_all();
--- a/daemon/src/fleet/rate_limits.rs
+++ b/daemon/src/fleet/rate_limits.rs
@@ -108,7 +108,7 @@
     rate: Option<Rate>,
     by: &id::Vm,
 ) {
-    if process.trouble_lines.admit(process.now()).is_none() {
+    if process.problem_lines.admit(process.now()).is_none() {
         return;
     }
     let what = match rate {
--- a/daemon/src/fleet/record.rs
+++ b/daemon/src/fleet/record.rs
@@ -14,7 +14,7 @@
         let entry = decision::Entry { at_ms: millis(self.elapsed()), decision };
         let level = entry.decision.event().level();
         let throttle = if level.is_at_least(Level::Info) {
-            &self.process.trouble_lines
+            &self.process.problem_lines
         } else {
             &self.process.routine_lines
         };
--- a/daemon/src/fleet/reports.rs
+++ b/daemon/src/fleet/reports.rs
@@ -94,7 +94,7 @@
         process.reports.report(&listed.id, &listed.address).await;
     notices::apply(&process, &listed.id, incarnation, at, notice);
     if let Err(report::Failure::Unreadable(why)) = &result {
-        if process.trouble_lines.admit(process.now()).is_some() {
+        if process.problem_lines.admit(process.now()).is_some() {
             log::event(&process.log, Event::ReportUnreadable, format!("{}: {why}", listed.id));
         }
         return;
@@ -103,7 +103,7 @@
     if let Some(born) = born {
         on_restart(&process, &listed.id, born, &process.member.vm);
         let cluster = process.cluster.lock().unwrap();
-        if cluster.get(&listed.id).is_some_and(|known| known.listed.born > Some(born)) {
+        if cluster.get(&listed.id).is_some_and(|upstream| upstream.listed.born > Some(born)) {
             // A late report of an earlier incarnation.
             return;
         }
--- a/daemon/src/fleet/stream.rs
+++ b/daemon/src/fleet/stream.rs
@@ -38,7 +38,7 @@
     pub sent: Instant,
     /// The predicted time to the first event, milliseconds.
     pub predicted_ms: f64,
-    pub(super) entered: Guard<D>,
+    pub(super) attempt_guard: Guard<D>,
     pub(super) reservations: Reservations<D>,
     pub(super) channel: Channel,
     /// How long the connection may be idle afterwards; zero if it cannot be reused.
