--- a/cli/src/show.rs
+++ b/cli/src/show.rs
@@ -60,7 +60,7 @@
     effective.ok_or_else(|| not_found("kind", kind, found.kinds.keys().map(AsRef::as_ref)))
 }
 
-fn not_found<'a>(what: &str, name: &str, known: impl Iterator<Item = &'a str>) -> Error {
-    let hint = nearest(name, known).map(|n| format!("; did you mean `{n}`?")).unwrap_or_default();
+fn not_found<'a>(what: &str, name: &str, names: impl Iterator<Item = &'a str>) -> Error {
+    let hint = nearest(name, names).map(|n| format!("; did you mean `{n}`?")).unwrap_or_default();
     Error::NotFound(format!("there is no {what} `{name}`{hint}"))
 }
--- a/version/src/check.rs
+++ b/version/src/check.rs
@@ -49,9 +49,9 @@
     }
 }
 
-/// The name in `known` that is closest to `name`, if its edit distance is small enough.
-pub fn nearest<'a>(name: &str, known: impl IntoIterator<Item = &'a str>) -> Option<String> {
-    known
+/// The name in `names` that is closest to `name`, if its edit distance is small enough.
+pub fn nearest<'a>(name: &str, names: impl IntoIterator<Item = &'a str>) -> Option<String> {
+    names
         .into_iter()
         .map(|k| (strsim::damerau_levenshtein(name, k), k))
         .filter(|(distance, _)| *distance <= MAX_SUGGESTION_DISTANCE)
@@ -156,7 +156,7 @@
     path: &[String],
     name: &str,
 ) -> Fault {
-    let known = schema.property_names(path);
+    let allowed = schema.property_names(path);
     let mut inner = path.to_vec();
     inner.push(name.to_owned());
     Fault {
@@ -164,8 +164,8 @@
         position: source.position(&inner),
         path: inner,
         value: name.to_owned(),
-        reason: format!("unknown name `{name}`; allowed names: {}", known.join(", ")),
-        nearest: nearest(name, known),
+        reason: format!("unknown name `{name}`; allowed names: {}", allowed.join(", ")),
+        nearest: nearest(name, allowed),
     }
 }
 
--- a/version/src/head.rs
+++ b/version/src/head.rs
@@ -62,8 +62,8 @@
         let changed = changed_branches(&self.branches, &branches);
         let change =
             Change { version, id: id.to_owned(), author: author.to_owned(), branches: changed };
-        let keep = self.tail.len().saturating_sub(MAX_TAIL_LEN - 1);
-        let tail = self.tail[keep..].iter().cloned().chain([change]).collect();
+        let dropped = self.tail.len().saturating_sub(MAX_TAIL_LEN - 1);
+        let tail = self.tail[dropped..].iter().cloned().chain([change]).collect();
         Head { version, branches, tail }
     }
 
--- a/version/src/policy.rs
+++ b/version/src/policy.rs
@@ -135,9 +135,9 @@
 
 impl Policy {
     /// Timeout of a request: the one that the caller requested, limited by `timeout_ms`.
-    pub fn timeout(&self, asked: Option<Duration>) -> Duration {
+    pub fn timeout(&self, requested: Option<Duration>) -> Duration {
         let cap = Duration::from_millis(self.timeout_ms);
-        asked.map_or(cap, |asked| asked.min(cap))
+        requested.map_or(cap, |requested| requested.min(cap))
     }
 
     /// Class of a prompt of this length.
--- a/version/src/publish.rs
+++ b/version/src/publish.rs
@@ -98,15 +98,15 @@
     Ok((head, entry.revision))
 }
 
-/// Reads the texts of a head, except those that are in `known`.
+/// Reads the texts of a head, except those that are in `local`.
 pub async fn read_texts<S: Store>(
     store: &S,
     head: &Head,
-    known: &BTreeMap<Hash, Arc<str>>,
+    local: &BTreeMap<Hash, Arc<str>>,
 ) -> Result<Texts, Failure> {
     let mut texts = Texts::new();
     for (name, hash) in &head.branches {
-        let text = match known.get(hash) {
+        let text = match local.get(hash) {
             Some(text) => text.clone(),
             None => read_text(store, hash).await?,
         };
@@ -140,9 +140,9 @@
     /// Publishes the differences between `base` and `texts`. Concurrent changes by others to other
     /// branches are kept. All branches are validated together before the change is accepted.
     pub async fn run(&self, base: &Base, texts: &Texts) -> Result<Outcome, Rejection> {
-        let wanted: BTreeMap<Name, Hash> =
+        let edited: BTreeMap<Name, Hash> =
             texts.iter().map(|(n, t)| (n.clone(), Hash::of(t))).collect();
-        let touched = head::changed_branches(&base.branches, &wanted);
+        let touched = head::changed_branches(&base.branches, &edited);
         let mut unconfirmed = None;
         for _ in 0..MAX_ATTEMPTS {
             let (head, revision) = match read_head(self.store).await {
@@ -153,7 +153,7 @@
             if head.change(&self.id).is_some() {
                 return Ok(Outcome::Accepted(head));
             }
-            let merged = merge(base, &head, &wanted, &touched)?;
+            let merged = merge(base, &head, &edited, &touched)?;
             if merged == head.branches {
                 return Ok(Outcome::Unchanged(head));
             }
@@ -223,20 +223,20 @@
 fn merge(
     base: &Base,
     head: &Head,
-    wanted: &BTreeMap<Name, Hash>,
+    edited: &BTreeMap<Name, Hash>,
     touched: &[Name],
 ) -> Result<BTreeMap<Name, Hash>, Rejection> {
     let mut merged = head.branches.clone();
     let mut conflicts: Vec<Change> = Vec::new();
     for name in touched {
         let current = head.branches.get(name);
-        if current != base.branches.get(name) && current != wanted.get(name) {
+        if current != base.branches.get(name) && current != edited.get(name) {
             conflicts.extend(head.since(base.version, name).cloned());
             if conflicts.is_empty() {
                 conflicts.push(unlisted_change(head, name));
             }
         }
-        match wanted.get(name) {
+        match edited.get(name) {
             Some(hash) => merged.insert(name.clone(), hash.clone()),
             None => merged.remove(name),
         };
--- a/version/src/tree.rs
+++ b/version/src/tree.rs
@@ -78,8 +78,8 @@
         let hash = Sha256::digest(key.as_bytes());
         let bucket = self.keys.get(&prefix(&hash))?;
         let mut found = None;
-        for (known, organisation) in bucket {
-            if bool::from(known.as_slice().ct_eq(hash.as_slice())) {
+        for (key_hash, organisation) in bucket {
+            if bool::from(key_hash.as_slice().ct_eq(hash.as_slice())) {
                 found = Some(organisation);
             }
         }
@@ -209,14 +209,14 @@
         at: &[&str],
         field: &str,
         name: &str,
-        known: &BTreeMap<K, V>,
+        defined: &BTreeMap<K, V>,
     ) {
-        if known.keys().any(|k| k.as_ref() == name) {
+        if defined.keys().any(|k| k.as_ref() == name) {
             return;
         }
         let mut path = at.to_vec();
         path.push(field);
-        let names: Vec<&str> = known.keys().map(AsRef::as_ref).collect();
+        let names: Vec<&str> = defined.keys().map(AsRef::as_ref).collect();
         let reason = format!("`{name}` is not one of: {}", names.join(", "));
         let nearest = check::nearest(name, names);
         self.add_fault(&Name::Fleet, source, &path, reason, nearest);
@@ -265,7 +265,7 @@
         for (i, key) in keys.iter().enumerate() {
             let hash = decode_hex(key);
             let bucket = self.tree.keys.entry(prefix(&hash)).or_default();
-            let holder = bucket.iter().find(|(known, _)| *known == hash).map(|(_, o)| o.clone());
+            let holder = bucket.iter().find(|(key_hash, _)| *key_hash == hash).map(|(_, o)| o.clone());
             match holder {
                 Some(other) => {
                     let reason = format!("the key already belongs to organisation {other}");
