--- a/cli/src/apply.rs
+++ b/cli/src/apply.rs
@@ -59,7 +59,7 @@
     let publish =
         Publish { store: &store, id: change_id(&args.author), author: args.author.clone() };
     let started = Instant::now();
-    let outcome = publish.run(&base, &texts).await.map_err(Error::Refused)?;
+    let outcome = publish.run(&base, &texts).await.map_err(Error::Rejected)?;
     let (head, changed) = match outcome {
         Outcome::Accepted(head) => (head, true),
         Outcome::Unchanged(head) => (head, false),
--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -17,7 +17,7 @@
     /// The settings are invalid.
     Faults(Vec<Fault>),
     /// The change was not accepted.
-    Refused(Rejection),
+    Rejected(Rejection),
     /// The key-value service failed.
     Store(Failure),
     /// A VM does not respond, or its response is unexpected.
@@ -32,9 +32,9 @@
         ExitCode::from(match self {
             Error::File(..) | Error::Store(_) | Error::Vm(_) => 1,
             Error::Usage(_) => 2,
-            Error::Faults(_) | Error::Refused(Rejection::Invalid(_)) => 3,
-            Error::Refused(Rejection::Conflict(_)) => 4,
-            Error::Refused(_) => 1,
+            Error::Faults(_) | Error::Rejected(Rejection::Invalid(_)) => 3,
+            Error::Rejected(Rejection::Conflict(_)) => 4,
+            Error::Rejected(_) => 1,
             Error::NotFound(_) => 5,
         })
     }
@@ -51,7 +51,7 @@
                 }
                 write!(f, "{} fault(s)", faults.len())
             }
-            Error::Refused(refusal) => write!(f, "{refusal}"),
+            Error::Rejected(rejection) => write!(f, "{rejection}"),
             Error::Store(failure) => write!(f, "{failure}"),
         }
     }
