--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -248,7 +248,7 @@
     let requirements = job.requirements(progress);
     let shards = job.process.shards();
     let shard = shards.iter().find(|s| s.engines.contains(chosen))?;
-    let ask = wire::GrantRequest {
+    let request = wire::GrantRequest {
         vm: job.process.config.vm.clone(),
         request: job.request.clone(),
         model: job.prompt.model.clone(),
@@ -256,7 +256,7 @@
         memory: requirements.memory,
         avoid: progress.avoid.clone(),
     };
-    match request_grant(job, shard, ask, GRANT_TIMEOUT).await {
+    match request_grant(job, shard, request, GRANT_TIMEOUT).await {
         Some(Grant::Granted(segments)) => segments.first().map(|s| s.engine.clone()),
         _ => None,
     }
@@ -266,19 +266,19 @@
 pub async fn request_grant(
     job: &Job,
     shard: &home::Shard,
-    ask: wire::GrantRequest,
+    request: wire::GrantRequest,
     timeout: Duration,
 ) -> Option<Grant> {
     let process: &Arc<_> = &job.process;
     let live = process.members.live();
     let home = home::home_of(shard, &live)?;
     if home.vm == process.config.vm {
-        let granted = group::grant(process, &shard.name, &ask);
+        let granted = group::grant(process, &shard.name, &request);
         return tokio::time::timeout(timeout, granted).await.ok();
     }
     let connection = process.peers.get(&home.vm)?;
     let mut context = Context::current();
     context.deadline = std::time::Instant::now() + timeout;
     process.metrics.peer_calls.inc();
-    connection.grant(context, shard.name.clone(), ask).await.ok()
+    connection.grant(context, shard.name.clone(), request).await.ok()
 }
--- a/daemon/src/group.rs
+++ b/daemon/src/group.rs
@@ -115,7 +115,7 @@
 }
 
 async fn try_shard(job: &Job, requirements: &Requirements, shard: &Shard) -> Option<Group> {
-    let ask = wire::GrantRequest {
+    let request = wire::GrantRequest {
         vm: job.process.config.vm.clone(),
         request: job.request.clone(),
         model: job.prompt.model.clone(),
@@ -123,7 +123,7 @@
         memory: requirements.memory,
         avoid: Vec::new(),
     };
-    let grant = request_grant(job, shard, ask, SEARCH_TIMEOUT * 2).await?;
+    let grant = request_grant(job, shard, request, SEARCH_TIMEOUT * 2).await?;
     let Grant::Granted(segments) = grant else { return None };
     let flights: Vec<Flight<System>> = segments.iter().filter_map(|s| flight(job, s)).collect();
     if flights.len() != segments.len() || flights.is_empty() {
@@ -194,14 +194,14 @@
 
 /// Handles a grant request as the home of a shard: finds one engine for a long prompt, or reserves
 /// a group.
-pub async fn grant(process: &Arc<Process>, shard: &str, ask: &wire::GrantRequest) -> Grant {
+pub async fn grant(process: &Arc<Process>, shard: &str, request: &wire::GrantRequest) -> Grant {
     let shards = process.shards();
     let Some(shard) = shards.iter().find(|s| s.name == shard) else { return Grant::Unknown };
     let lock = LOCKS.lock().unwrap().entry(shard.name.clone()).or_default().clone();
     let search = async {
         let _guard = lock.lock().await;
         loop {
-            if let Some(segments) = find(process, shard, ask).await {
+            if let Some(segments) = find(process, shard, request).await {
                 return segments;
             }
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -216,26 +216,26 @@
 async fn find(
     process: &Arc<Process>,
     shard: &Shard,
-    ask: &wire::GrantRequest,
+    request: &wire::GrantRequest,
 ) -> Option<Vec<Segment>> {
     let policy = Policy { route: Route::LengthAware, ..Policy::default() };
     let requirements =
-        Requirements { prompt: ask.prompt, memory: Tokens(0), class: policy.class(ask.prompt) };
+        Requirements { prompt: request.prompt, memory: Tokens(0), class: policy.class(request.prompt) };
     let query = EngineQuery {
-        model: &ask.model,
+        model: &request.model,
         requirements,
         blocks: &[],
         policy: &policy,
-        avoid: &ask.avoid,
+        avoid: &request.avoid,
     };
     process.engines.merge_states(&process.home.states(&shard.engines, &process.config.vm));
     let mut candidates = process.engines.candidates(&query);
     candidates.retain(|c| shard.engines.contains(&c.engine));
     let largest = candidates.iter().map(|c| c.memory).max()?;
-    if ask.memory > largest {
-        return reserve_group(process, ask, candidates).await;
+    if request.memory > largest {
+        return reserve_group(process, request, candidates).await;
     }
-    let requirements = Requirements { memory: ask.memory, ..requirements };
+    let requirements = Requirements { memory: request.memory, ..requirements };
     let choice = Routes::default().choose(
         Route::LengthAware,
         &requirements,
@@ -243,31 +243,31 @@
         &mut rand::rng(),
     )?;
     let chosen = &candidates[choice.index];
-    let load = Load::of(requirements.class, ask.prompt, ask.memory);
-    process.home.record_grant(&chosen.engine, &ask.vm, load);
-    Some(vec![Segment { engine: chosen.engine.clone(), tokens: ask.prompt, hold: None }])
+    let load = Load::of(requirements.class, request.prompt, request.memory);
+    process.home.record_grant(&chosen.engine, &request.vm, load);
+    Some(vec![Segment { engine: chosen.engine.clone(), tokens: request.prompt, hold: None }])
 }
 
 /// Reserves memory on as many engines as needed, those with most free memory first; all or nothing.
 async fn reserve_group(
     process: &Arc<Process>,
-    ask: &wire::GrantRequest,
+    request: &wire::GrantRequest,
     mut candidates: Vec<Candidate>,
 ) -> Option<Vec<Segment>> {
     let free = |c: &Candidate| c.memory - used(process, c);
     candidates.sort_by_key(|c| std::cmp::Reverse(free(c)));
     let mut segments = Vec::new();
-    let mut left = ask.memory;
+    let mut left = request.memory;
     for candidate in &candidates {
         let tokens = free(candidate).min(left);
         if tokens < MIN_SEGMENT.min(left) || left == Tokens(0) {
             break;
         }
-        let hold = format!("{}.{}", ask.request, segments.len()).parse().ok()?;
+        let hold = format!("{}.{}", request.request, segments.len()).parse().ok()?;
         segments.push(Segment { engine: candidate.engine.clone(), tokens, hold: Some(hold) });
         left = left - tokens;
     }
-    let answer = ask.memory - ask.prompt + MIN_SEGMENT;
+    let answer = request.memory - request.prompt + MIN_SEGMENT;
     if left > Tokens(0) || !room_for_answer(&mut segments, answer, &candidates, free) {
         return None;
     }
