--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -35,7 +35,8 @@
 /// Timeout of claims forwarded to the writing VM.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Interval at which settlements are sent and retried.
+/// Interval at which settlements, the claims that release a key or mark it as done, are sent and
+/// retried.
 const SETTLE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Maximum time for which a stopping process waits until its settlements are written.
@@ -49,8 +50,8 @@
 /// This VM's claims and settlements, and the queue of claims to be written here.
 pub struct Claims {
     store: HttpStore,
-    inbox: mpsc::UnboundedSender<QueuedClaim>,
-    outlet: Mutex<Option<mpsc::UnboundedReceiver<QueuedClaim>>>,
+    queue: mpsc::UnboundedSender<QueuedClaim>,
+    queue_receiver: Mutex<Option<mpsc::UnboundedReceiver<QueuedClaim>>>,
     settlements: Mutex<Vec<Claim>>,
     settled: Notify,
 }
@@ -97,9 +98,15 @@
 impl Claims {
     /// Creates the claims that are stored in `store`.
     pub fn new(store: HttpStore) -> Claims {
-        let (inbox, outlet) = mpsc::unbounded_channel();
-        let outlet = Mutex::new(Some(outlet));
-        Claims { store, inbox, outlet, settlements: Mutex::default(), settled: Notify::new() }
+        let (queue, receiver) = mpsc::unbounded_channel();
+        let queue_receiver = Mutex::new(Some(receiver));
+        Claims {
+            store,
+            queue,
+            queue_receiver,
+            settlements: Mutex::default(),
+            settled: Notify::new(),
+        }
     }
 
     /// The VM that writes claims.
@@ -116,6 +123,7 @@
             Some(Verdict::Won) => Ok(key_claim),
             Some(Verdict::Unavailable) | None => Err(Verdict::Unavailable),
             Some(verdict) => {
+                // Another attempt holds the key, so this one must not release it when dropped.
                 key_claim.sent();
                 Err(*verdict)
             }
@@ -130,7 +138,7 @@
         let mut waiting = Vec::with_capacity(claims.len());
         for claim in claims {
             let (verdict, answer) = oneshot::channel();
-            let _ = self.inbox.send(QueuedClaim { claim, verdict });
+            let _ = self.queue.send(QueuedClaim { claim, verdict });
             waiting.push(answer);
         }
         let mut verdicts = Vec::with_capacity(waiting.len());
@@ -174,8 +182,8 @@
 
 /// Runs the writer of this VM and sends its settlements.
 pub async fn run(process: Arc<Process>) {
-    let outlet = process.claims.outlet.lock().unwrap().take();
-    let Some(outlet) = outlet else { return };
+    let receiver = process.claims.queue_receiver.lock().unwrap().take();
+    let Some(receiver) = receiver else { return };
     let writer = Writer {
         store: process.claims.store.clone(),
         log: Log::new(SHARD),
@@ -183,7 +191,7 @@
         up_to_date: false,
         clock: process.clock,
     };
-    tokio::join!(writer.run(outlet), settle(process.clone()));
+    tokio::join!(writer.run(receiver), settle(process.clone()));
 }
 
 /// Sends settlements until each is written.
@@ -216,13 +224,13 @@
 }
 
 impl Writer {
-    async fn run(mut self, mut inbox: mpsc::UnboundedReceiver<QueuedClaim>) {
+    async fn run(mut self, mut queue: mpsc::UnboundedReceiver<QueuedClaim>) {
         let mut last_write = Instant::now() - BATCH_INTERVAL;
-        while let Some(first) = inbox.recv().await {
+        while let Some(first) = queue.recv().await {
             tokio::time::sleep_until((last_write + BATCH_INTERVAL).into()).await;
             let mut items = vec![first];
             while items.len() < MAX_BATCH
-                && let Ok(item) = inbox.try_recv()
+                && let Ok(item) = queue.try_recv()
             {
                 items.push(item);
             }
