--- a/daemon/src/engines.rs
+++ b/daemon/src/engines.rs
@@ -29,14 +29,14 @@
 /// How long a state announced by a home is valid.
 const HOME_STATE_TTL: Duration = Duration::from_secs(2);
 
-/// How long an engine counts as leaving after a sign of it, unless the sign is repeated.
+/// How long an engine counts as leaving after the last indication that it is.
 pub const LEAVING_TTL: Duration = Duration::from_secs(10);
 
 /// After this time without a new sample, the weight of an engine's speed samples is halved.
 const DECAY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How long a VM announces a sign of its own that an engine is leaving. Signs received from peers
-/// are not announced again, so that they expire once their cause is gone.
+/// How long a VM announces that an engine is leaving after its own last indication of it. Indications
+/// received from peers are not announced again, so that they expire once their cause is gone.
 const LEAVING_ANNOUNCE_WINDOW: Duration = Duration::from_secs(2);
 
 /// Parameters of the choice of an engine for a request.
@@ -68,7 +68,7 @@
     None,
 }
 
-/// An engine, with this VM's state of it.
+/// An engine, with what this VM has recorded of it.
 struct Local {
     entry: schema::Engine,
     client: HttpEngine,
@@ -79,7 +79,7 @@
     health: Health,
     affinity: Table,
     home: Option<(State, Instant)>,
-    /// When this VM itself last had a sign that the engine is leaving.
+    /// When this VM itself last had an indication that the engine is leaving.
     leaving_at: Option<Instant>,
 }
 
@@ -199,7 +199,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Records a sign that an engine is leaving. Returns whether it did not count as leaving
+    /// Records an indication that an engine is leaving. Returns whether it did not count as leaving
     /// before.
     pub fn mark_leaving(&self, engine: &id::Upstream) -> bool {
         let now = self.clock.now();
@@ -210,7 +210,7 @@
         is_new
     }
 
-    /// The engines that this VM announces as leaving, from recent signs of its own.
+    /// The engines that this VM announces as leaving, from recent indications of its own.
     pub fn announced_leaving(&self) -> Vec<id::Upstream> {
         let now = self.clock.now();
         let inner = self.inner.lock().unwrap();
@@ -233,7 +233,7 @@
         let requirements = &query.requirements;
         let Some(choice) = inner.routes.choose(route, requirements, &candidates, &mut rand::rng())
         else {
-            return no_eligible(&candidates, requirements);
+            return no_eligible_engine(&candidates, requirements);
         };
         let candidate = &candidates[choice.index];
         let flight = self.start_flight(inner, query, candidate, choice.compared, now);
@@ -337,8 +337,8 @@
     }
 }
 
-/// The result if no candidate may take the request: the reason at the best of them.
-fn no_eligible<C: Clock>(candidates: &[Candidate], requirements: &Requirements) -> Chosen<C> {
+/// The result if no candidate may take the request: why the best of them may not.
+fn no_eligible_engine<C: Clock>(candidates: &[Candidate], requirements: &Requirements) -> Chosen<C> {
     let predicted = |c: &&Candidate| c.predict(requirements);
     let best = candidates.iter().min_by(|a, b| predicted(a).total_cmp(&predicted(b)));
     Chosen::Wait {
@@ -428,7 +428,7 @@
     }
 
     fn is_leaving(&self, now: Instant) -> bool {
-        let home_sign = self.home.as_ref().filter(|(state, _)| state.leaving).map(|(_, at)| *at);
-        self.leaving_at.max(home_sign).is_some_and(|at| now < at + LEAVING_TTL)
+        let home_leaving_at = self.home.as_ref().filter(|(state, _)| state.leaving).map(|(_, at)| *at);
+        self.leaving_at.max(home_leaving_at).is_some_and(|at| now < at + LEAVING_TTL)
     }
 }
--- a/daemon/src/home.rs
+++ b/daemon/src/home.rs
@@ -87,14 +87,14 @@
     models.dedup();
     let mut chosen = Vec::new();
     for model in models {
-        let mut of: Vec<&Shard> = shards.iter().filter(|s| s.model == *model).collect();
+        let mut serving: Vec<&Shard> = shards.iter().filter(|s| s.model == *model).collect();
         let rank = |s: &&Shard| hash::weight(own.vm.as_str(), &s.name);
-        of.sort_by_key(|s| (s.hall != own.hall, std::cmp::Reverse(rank(s))));
-        let near = of.iter().filter(|s| s.hall == own.hall).count();
+        serving.sort_by_key(|s| (s.hall != own.hall, std::cmp::Reverse(rank(s))));
+        let near = serving.iter().filter(|s| s.hall == own.hall).count();
         // At least one shard is of another hall, for requests when the own hall is full.
         let keep_near = near.min(MAX_USED_SHARDS - 1);
-        let far = of.split_off(near);
-        chosen.extend(of.into_iter().take(keep_near));
+        let far = serving.split_off(near);
+        chosen.extend(serving.into_iter().take(keep_near));
         chosen.extend(far.into_iter().take(MAX_USED_SHARDS - keep_near));
     }
     chosen
@@ -148,8 +148,8 @@
     }
 
     /// Handles an engine's report. Returns whether the engine newly reports that it is leaving. A
-    /// report without this clears only the mark of an earlier report, since it may be older than
-    /// other signs.
+    /// report that it is not leaving removes the mark only if the report before it said that it was,
+    /// since a report may be older than other indications.
     pub fn on_report(&self, engine: &id::Upstream, report: Report) -> bool {
         let now = self.clock.now();
         let mut inner = self.inner.lock().unwrap();
@@ -164,7 +164,7 @@
         leaving && !was_leaving
     }
 
-    /// Marks an engine as leaving after a sign of it, from this VM or a peer.
+    /// Marks an engine as leaving after an indication of it, from this VM or a peer.
     pub fn mark_leaving(&self, engine: &id::Upstream) {
         self.inner.lock().unwrap().leaving.insert(engine.clone(), self.clock.now());
     }
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -203,8 +203,8 @@
         let live = self.members.live();
         let shards = self.shards();
         let homed_at = |vm: &id::Vm| -> Vec<&Shard> {
-            let of = |s: &&Shard| home::home_of(s, &live).is_some_and(|m| m.vm == *vm);
-            shards.iter().filter(of).collect()
+            let is_home = |s: &&Shard| home::home_of(s, &live).is_some_and(|m| m.vm == *vm);
+            shards.iter().filter(is_home).collect()
         };
         let theirs: Vec<&id::Upstream> =
             homed_at(to).into_iter().flat_map(|s| &s.engines).collect();
@@ -273,7 +273,7 @@
         log::event(&self.log, event, vm);
     }
 
-    /// Handles a sign, seen by this VM itself, that an upstream is leaving.
+    /// Handles an indication, received by this VM itself, that an upstream is leaving.
     pub fn upstream_leaving(&self, engine: &id::Upstream) {
         self.home.mark_leaving(engine);
         if self.engines.mark_leaving(engine) {
