--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -17,7 +17,8 @@
 use crate::home;
 use crate::serve::{Job, Progress};
 
-/// Share of its time after which a long prompt has the priority of short ones.
+/// Share of the time from arrival to deadline after which a long prompt has the priority of short
+/// ones.
 const AGING_SHARE: f64 = 0.75;
 
 /// The lowest engine priority. Lower numbers go first.
@@ -69,13 +70,13 @@
     pub kind: Kind,
     /// The error message.
     pub why: String,
-    /// When the caller may retry.
+    /// Time after which the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
-/// The engine priority of a prompt of this length class that has used this share of its time.
-/// Longer classes start with lower priority; all reach that of short prompts once three quarters of
-/// their time are used, so that none starves.
+/// The engine priority of a prompt of this length class, of whose time from arrival to deadline this
+/// share is used. Longer classes start with lower priority; all reach that of short prompts once
+/// `AGING_SHARE` is used, so that none starves.
 pub fn aged_priority(base: u8, class: Class, used: f64) -> u8 {
     let below = class.index() as u8;
     let risen = (used.clamp(0.0, 1.0) / AGING_SHARE * f64::from(below)).floor() as u8;
@@ -153,8 +154,8 @@
     let candidates = job.process.engines.candidates(&query);
     let Some(first) = candidates.first() else { return Ok(()) };
     let vms = job.process.members.live().len().max(1) as f64;
-    let rate = first.speed.seconds_per_token() / candidates.len() as f64 * vms;
-    check_deadline(job, queued as f64 * rate)
+    let seconds_per_token = first.speed.seconds_per_token() / candidates.len() as f64 * vms;
+    check_deadline(job, queued as f64 * seconds_per_token)
 }
 
 /// Rejects a request whose first token is predicted after its deadline.
