--- a/daemon/src/log.rs
+++ b/daemon/src/log.rs
@@ -37,8 +37,8 @@
     }
 }
 
-/// Logs a decision on a request with its inputs, and how many lines were dropped before it because
-/// there were too many.
+/// Logs a decision on a request with its inputs. `left_out` is the number of lines that the log
+/// throttle suppressed before it.
 pub fn decision(
     log: &Logger,
     request: &id::Request,
--- a/daemon/src/plain.rs
+++ b/daemon/src/plain.rs
@@ -293,9 +293,10 @@
     }
 }
 
+/// The reason of a refusal because the server is leaving, by which such refusals are recognised.
 const LEAVING: &str = "the server is leaving";
 
-/// Tells a server's refusal from a response of the service.
+/// Distinguishes a server's refusal from a response of the service.
 fn classify(answer: Response<Bytes>) -> End {
     let header = |name: &str| answer.headers().get(name).and_then(|v| v.to_str().ok());
     match Refusal::from_response(answer.status().as_u16(), header(Refusal::HEADER)) {
--- a/daemon/src/process.rs
+++ b/daemon/src/process.rs
@@ -39,8 +39,8 @@
 /// Interval at which a home polls its engines' reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Number of consecutive failed polls after which an engine is logged as silent.
-const MIN_SILENT_POLLS: u32 = 3;
+/// Number of consecutive failed polls after which an engine is logged as down.
+const MIN_FAILED_POLLS: u32 = 3;
 
 /// The request queues, by model and class of prompt length, so that a queued long prompt does not
 /// block shorter ones.
@@ -271,7 +271,7 @@
     while let Some(client) = process.engines.client(&engine) {
         match client.report().await {
             Ok(report) => {
-                if failed_polls >= MIN_SILENT_POLLS {
+                if failed_polls >= MIN_FAILED_POLLS {
                     log::event(&process.log, Event::UpstreamUp, &engine);
                 }
                 failed_polls = 0;
@@ -282,7 +282,7 @@
             }
             Err(e) => {
                 failed_polls += 1;
-                if failed_polls == MIN_SILENT_POLLS {
+                if failed_polls == MIN_FAILED_POLLS {
                     log::event(&process.log, Event::UpstreamDown, format!("{engine}: {e}"));
                 }
             }
