--- a/daemon/src/group.rs
+++ b/daemon/src/group.rs
@@ -66,8 +66,8 @@
         self.renewal.abort();
         let reserved = reservations(&self.segments, &self.flights);
         tokio::spawn(async move {
-            for (engine, hold) in reserved {
-                let _ = engine.release(&hold).await;
+            for (engine, reservation) in reserved {
+                let _ = engine.release(&reservation).await;
             }
         });
     }
@@ -87,17 +87,17 @@
     loop {
         let shards = job.process.shards();
         let fitting = |s: &&Shard| shard_memory(job, s) >= requirements.memory;
-        let mut of: Vec<&Shard> =
+        let mut candidates: Vec<&Shard> =
             shards.iter().filter(|s| s.model == job.prompt.model).filter(fitting).collect();
-        of.sort_by_key(|s| foldlock_base::hash::weight(job.request.as_str(), &s.name));
-        if of.is_empty() {
+        candidates.sort_by_key(|s| foldlock_base::hash::weight(job.request.as_str(), &s.name));
+        if candidates.is_empty() {
             return Err(Rejection {
                 kind: Kind::PromptTooLong,
                 why: format!("no group of engines has memory for {} tokens", requirements.memory),
                 retry_after: None,
             });
         }
-        for shard in of {
+        for shard in candidates {
             if let Some(group) = try_shard(job, requirements, shard).await {
                 let waited_ms = millis(job.process.clock.now() - started);
                 let engines = group.segments.iter().map(|s| s.engine.clone()).collect();
@@ -149,8 +149,8 @@
 async fn renew(reservations: Vec<(HttpEngine, id::Reservation)>) {
     loop {
         tokio::time::sleep(RENEW_INTERVAL).await;
-        for (engine, hold) in &reservations {
-            let _ = engine.reserve(hold, Tokens(0), RESERVATION_TTL).await;
+        for (engine, reservation) in &reservations {
+            let _ = engine.reserve(reservation, Tokens(0), RESERVATION_TTL).await;
         }
     }
 }
@@ -167,8 +167,8 @@
     let mut at = 0;
     let last = group.segments.len() - 1;
     for (i, segment) in group.segments.iter().enumerate() {
-        let hold = segment.hold.clone().ok_or(Failure::Gone)?;
-        let held = engine::Segment { reservation: hold, context: context.clone() };
+        let reservation = segment.hold.clone().ok_or(Failure::Gone)?;
+        let reserved = engine::Segment { reservation, context: context.clone() };
         let bytes = (segment.tokens.0 * u64::from(job.bytes_per_token)) as usize;
         let end = if i == last { order.prompt.len() } else { at + bytes };
         let part = Order {
@@ -178,9 +178,9 @@
         };
         let client = &group.flights[i].client;
         if i == last {
-            return client.generate(&Order { segment: Some(held), ..part }).await;
+            return client.generate(&Order { segment: Some(reserved), ..part }).await;
         }
-        context = client.prefill(&part, &held).await?;
+        context = client.prefill(&part, &reserved).await?;
         group.flights[i].on_prefill_done();
         at = end;
     }
@@ -248,7 +248,8 @@
     Some(vec![Segment { engine: chosen.engine.clone(), tokens: request.prompt, hold: None }])
 }
 
-/// Reserves memory on as many engines as needed, those with most free memory first; all or nothing.
+/// Reserves memory on as many engines as needed, those with the most free memory first; all or
+/// nothing.
 async fn reserve_group(
     process: &Arc<Process>,
     request: &wire::GrantRequest,
@@ -263,28 +264,28 @@
         if tokens < MIN_SEGMENT.min(left) || left == Tokens(0) {
             break;
         }
-        let hold = format!("{}.{}", request.request, segments.len()).parse().ok()?;
-        segments.push(Segment { engine: candidate.engine.clone(), tokens, hold: Some(hold) });
+        let reservation = format!("{}.{}", request.request, segments.len()).parse().ok()?;
+        segments.push(Segment { engine: candidate.engine.clone(), tokens, hold: Some(reservation) });
         left = left - tokens;
     }
-    let answer = request.memory - request.prompt + MIN_SEGMENT;
-    if left > Tokens(0) || !room_for_answer(&mut segments, answer, &candidates, free) {
+    let min_last = request.memory - request.prompt + MIN_SEGMENT;
+    if left > Tokens(0) || !enlarge_last(&mut segments, min_last, &candidates, free) {
         return None;
     }
     reserve_all(process, &segments).await.then_some(segments)
 }
 
-/// Makes the last segment large enough for the answer and some of the prompt, by moving tokens from
-/// the one before. Returns whether it fits.
-fn room_for_answer(
+/// Enlarges the last segment to at least `min_last` tokens, which is the answer and some of the prompt,
+/// by moving tokens from the one before. Returns whether it fits on its engine.
+fn enlarge_last(
     segments: &mut [Segment],
-    answer: Tokens,
+    min_last: Tokens,
     candidates: &[Candidate],
     free: impl Fn(&Candidate) -> Tokens,
 ) -> bool {
     let count = segments.len();
     let [.., before, last] = segments else { return false };
-    let missing = answer - last.tokens;
+    let missing = min_last - last.tokens;
     before.tokens = before.tokens - missing;
     last.tokens = last.tokens + missing;
     last.tokens <= free(&candidates[count - 1])
@@ -299,20 +300,20 @@
 async fn reserve_all(process: &Process, segments: &[Segment]) -> bool {
     let mut reserved = Vec::new();
     for segment in segments {
-        let (Some(engine), Some(hold)) = (process.engines.client(&segment.engine), &segment.hold)
+        let (Some(engine), Some(reservation)) = (process.engines.client(&segment.engine), &segment.hold)
         else {
             break;
         };
-        if engine.reserve(hold, segment.tokens, RESERVATION_TTL).await.is_err() {
+        if engine.reserve(reservation, segment.tokens, RESERVATION_TTL).await.is_err() {
             break;
         }
-        reserved.push((engine, hold.clone()));
+        reserved.push((engine, reservation.clone()));
     }
     if reserved.len() == segments.len() {
         return true;
     }
-    for (engine, hold) in reserved {
-        let _ = engine.release(&hold).await;
+    for (engine, reservation) in reserved {
+        let _ = engine.release(&reservation).await;
     }
     false
 }
