--- a/daemon/tests/settings.rs
+++ b/daemon/tests/settings.rs
@@ -48,7 +48,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_loser_of_two_concurrent_publishes_is_told_the_winner() {
+async fn a_rejected_concurrent_publish_names_the_accepted_change() {
     let fleet = Fleet::start(plan()).await;
     let (head, _) = read_head(&fleet.store()).await.unwrap();
     let base = Base::from(&head);
@@ -59,8 +59,8 @@
         fleet.publish_from("ben", &base, &ben)
     );
     let (won, lost) = match (first, second) {
-        (Ok(version), Err(refusal)) => (("ann", version), refusal),
-        (Err(refusal), Ok(version)) => (("ben", version), refusal),
+        (Ok(version), Err(rejection)) => (("ann", version), rejection),
+        (Err(rejection), Ok(version)) => (("ben", version), rejection),
         other => panic!("exactly one must win: {other:?}"),
     };
     let Rejection::Conflict(changes) = lost else { panic!("not reported as a race: {lost:?}") };
@@ -176,8 +176,8 @@
     let mut texts = fleet.texts();
     let name = Name::Organisation("org-0".parse().unwrap());
     texts.insert(name, Arc::from(r#"{ "policy": { "timout_ms": 5 } }"#));
-    let refused = fleet.publish("ann", &texts).await.unwrap_err();
-    let text = refused.to_string();
+    let rejection = fleet.publish("ann", &texts).await.unwrap_err();
+    let text = rejection.to_string();
     assert!(text.contains("organisation/org-0.jsonc:1:15"), "{text}");
     assert!(text.contains("did you mean `timeout_ms`?"), "{text}");
     assert_eq!(versions(&fleet).await, [1, 1, 1]);
--- a/daemon/tests/soak/main.rs
+++ b/daemon/tests/soak/main.rs
@@ -162,7 +162,7 @@
     }
     check_released(&world).await;
     check_stop(&world).await;
-    check_promises(&world, &outcomes, revoked_at);
+    check_guarantees(&world, &outcomes, revoked_at);
     let violations = world.violations.lock().unwrap().clone();
     if violations.is_empty() {
         let _ = std::fs::remove_dir_all(folder);
@@ -296,7 +296,7 @@
 }
 
 /// Checks the guarantees for each request against the servers' journal.
-fn check_promises(world: &World, outcomes: &[Outcome], revoked_at: Instant) {
+fn check_guarantees(world: &World, outcomes: &[Outcome], revoked_at: Instant) {
     for outcome in outcomes {
         let runs = world.journal.runs(&outcome.id);
         if !caller::is_retryable(outcome) && runs.len() > 1 {
