--- a/daemon/src/engines.rs
+++ b/daemon/src/engines.rs
@@ -338,7 +338,10 @@
 }
 
 /// The result if no candidate may take the request: why the best of them may not.
-fn no_eligible_engine<C: Clock>(candidates: &[Candidate], requirements: &Requirements) -> Chosen<C> {
+fn no_eligible_engine<C: Clock>(
+    candidates: &[Candidate],
+    requirements: &Requirements,
+) -> Chosen<C> {
     let predicted = |c: &&Candidate| c.predict(requirements);
     let best = candidates.iter().min_by(|a, b| predicted(a).total_cmp(&predicted(b)));
     Chosen::Wait {
@@ -428,7 +431,8 @@
     }
 
     fn is_leaving(&self, now: Instant) -> bool {
-        let home_leaving_at = self.home.as_ref().filter(|(state, _)| state.leaving).map(|(_, at)| *at);
+        let home_leaving_at =
+            self.home.as_ref().filter(|(state, _)| state.leaving).map(|(_, at)| *at);
         self.leaving_at.max(home_leaving_at).is_some_and(|at| now < at + LEAVING_TTL)
     }
 }
--- a/daemon/src/group.rs
+++ b/daemon/src/group.rs
@@ -219,8 +219,11 @@
     request: &wire::GrantRequest,
 ) -> Option<Vec<Segment>> {
     let policy = Policy { route: Route::LengthAware, ..Policy::default() };
-    let requirements =
-        Requirements { prompt: request.prompt, memory: Tokens(0), class: policy.class(request.prompt) };
+    let requirements = Requirements {
+        prompt: request.prompt,
+        memory: Tokens(0),
+        class: policy.class(request.prompt),
+    };
     let query = EngineQuery {
         model: &request.model,
         requirements,
@@ -265,7 +268,11 @@
             break;
         }
         let reservation = format!("{}.{}", request.request, segments.len()).parse().ok()?;
-        segments.push(Segment { engine: candidate.engine.clone(), tokens, hold: Some(reservation) });
+        segments.push(Segment {
+            engine: candidate.engine.clone(),
+            tokens,
+            hold: Some(reservation),
+        });
         left = left - tokens;
     }
     let min_last = request.memory - request.prompt + MIN_SEGMENT;
@@ -300,7 +307,8 @@
 async fn reserve_all(process: &Process, segments: &[Segment]) -> bool {
     let mut reserved = Vec::new();
     for segment in segments {
-        let (Some(engine), Some(reservation)) = (process.engines.client(&segment.engine), &segment.hold)
+        let (Some(engine), Some(reservation)) =
+            (process.engines.client(&segment.engine), &segment.hold)
         else {
             break;
         };
--- a/daemon/tests/path.rs
+++ b/daemon/tests/path.rs
@@ -44,7 +44,8 @@
     plan.engine.memory = 8_000;
     plan.engine.speed = 100.0;
     let fleet = Fleet::start(Plan { engines: 12, ..plan }).await;
-    let requests: Vec<client::Request> = (0..9).map(|i| streamed_request(prompt(15_000 + i), 5)).collect();
+    let requests: Vec<client::Request> =
+        (0..9).map(|i| streamed_request(prompt(15_000 + i), 5)).collect();
     let sent = requests.iter().enumerate().map(|(i, request)| send(&fleet, i % 3, request));
     for (answer, request) in futures::future::join_all(sent).await.iter().zip(&requests) {
         assert_complete(answer, request);
--- a/version/src/tree.rs
+++ b/version/src/tree.rs
@@ -265,7 +265,8 @@
         for (i, key) in keys.iter().enumerate() {
             let hash = decode_hex(key);
             let bucket = self.tree.keys.entry(prefix(&hash)).or_default();
-            let holder = bucket.iter().find(|(key_hash, _)| *key_hash == hash).map(|(_, o)| o.clone());
+            let holder =
+                bucket.iter().find(|(key_hash, _)| *key_hash == hash).map(|(_, o)| o.clone());
             match holder {
                 Some(other) => {
                     let reason = format!("the key already belongs to organisation {other}");
