--- a/connection/src/wire.rs
+++ b/connection/src/wire.rs
@@ -200,7 +200,7 @@
     /// The segments of the prompt in order: one, or several on engines that have reserved memory.
     #[serde(rename = "Given")]
     Granted(Vec<Segment>),
-    /// There is no room now; the request may be repeated after this many milliseconds.
+    /// There is no room now; the grant request may be sent again after this many milliseconds.
     Wait(u64),
     /// The receiver is not the home of the shard, or has no engine for the request.
     Unknown,
--- a/standin/src/fleet.rs
+++ b/standin/src/fleet.rs
@@ -21,7 +21,7 @@
 
 use crate::{engine, engine_http, kv, plain, vms};
 
-/// Time within which an awaited condition has to hold; then the test fails.
+/// Time after which a test fails if an awaited condition still does not hold.
 pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Interval at which an awaited condition is polled.
