--- a/daemon/tests/peers.rs
+++ b/daemon/tests/peers.rs
@@ -94,13 +94,13 @@
 
 /// In a fleet of 1,000 VMs that all subscribe to heartbeats, a VM considers only a few to find the scheduler.
 #[test]
-fn the_scheduler_is_found_without_looking_at_subscribers() {
+fn the_scheduler_is_found_without_checking_subscribers() {
     let now = System.now();
     let peers = Peers::new(member("vm-own", 500), now, System.moment());
     for number in 0..1_000 {
-        let listener = member(&format!("vm-{number}"), 120);
-        peers.list(listener.clone());
-        peers.on_heartbeat(&heartbeat(&listener, true), now);
+        let subscriber = member(&format!("vm-{number}"), 120);
+        peers.list(subscriber.clone());
+        peers.on_heartbeat(&heartbeat(&subscriber, true), now);
     }
     assert_eq!(peers.subscribers(now).len() + peers.schedulers(now).len(), 1_000);
     assert!(peers.schedulers(now).len() <= 6);
--- a/daemon/tests/soak/limits.rs
+++ b/daemon/tests/soak/limits.rs
@@ -10,7 +10,7 @@
 /// The window over which a server's arrivals are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// Time after the arrival whose response first carried the limit until the limit binds the VM.
+/// Time after the arrival whose response first carried the limit until the VM has to comply with it.
 const NOTICE_DELAY: Duration = Duration::from_millis(500);
 
 /// Maximum arrivals at a server in a window.
@@ -30,9 +30,9 @@
         for same_limit in arrivals.chunk_by(|a, b| a.notice.rate_limit == b.notice.rate_limit) {
             let Some(rate) = same_limit[0].notice.rate_limit else { continue };
             limit_count += 1;
-            let bound = bound_arrivals(world, same_limit);
+            let counted = arrivals_under_limit(world, same_limit);
             if let Some((at, count)) =
-                busiest_window(&bound).filter(|(_, count)| *count > max_arrivals(rate))
+                busiest_window(&counted).filter(|(_, count)| *count > max_arrivals(rate))
             {
                 let after = at - same_limit[0].at;
                 world.record_violation(format!(
@@ -48,9 +48,9 @@
 
 /// The arrivals from undisturbed VMs that had received the limit before. Reports and orders do not name their
 /// sender, so they count only if no VM was disturbed.
-fn bound_arrivals(world: &World, arrivals: &[Arrival]) -> Vec<Instant> {
+fn arrivals_under_limit(world: &World, arrivals: &[Arrival]) -> Vec<Instant> {
     let mut notified: BTreeMap<usize, Instant> = BTreeMap::new();
-    let mut bound = Vec::new();
+    let mut counted = Vec::new();
     for arrival in arrivals {
         let at = arrival.at;
         let notified_at = match arrival.vm {
@@ -58,17 +58,17 @@
             None => notified.values().min().copied(),
         };
         let vms = arrival.vm.map_or(0..world.vms.len(), |vm| vm..vm + 1);
-        let is_bound = |since: &Instant| *since + NOTICE_DELAY <= at;
-        if notified_at.filter(is_bound).is_some()
+        let must_comply = |since: &Instant| *since + NOTICE_DELAY <= at;
+        if notified_at.filter(must_comply).is_some()
             && vms.into_iter().all(|vm| world.vm_is_settled(vm, at, at))
         {
-            bound.push(at);
+            counted.push(at);
         }
         if let Some(vm) = arrival.vm {
             notified.entry(vm).or_insert(at);
         }
     }
-    bound
+    counted
 }
 
 /// The end of the window with the most arrivals, and their number.
