--- a/daemon/src/claims.rs
+++ b/daemon/src/claims.rs
@@ -123,7 +123,7 @@
             Some(Verdict::Won) => Ok(key_claim),
             Some(Verdict::Unavailable) | None => Err(Verdict::Unavailable),
             Some(verdict) => {
-                // Another attempt owns the key: a release when this claim is dropped would have no effect.
+                // Another attempt owns the key, so releasing it when this is dropped has no effect.
                 key_claim.sent();
                 Err(*verdict)
             }
--- a/daemon/src/engines.rs
+++ b/daemon/src/engines.rs
@@ -35,8 +35,9 @@
 /// After this time without a new sample, the weight of an engine's speed samples is halved.
 const DECAY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How long a VM announces that an engine is leaving after its own last indication of it. Indications
-/// received from peers are not announced again, so that they expire once their cause is gone.
+/// How long a VM announces that an engine is leaving after its own last indication of it.
+/// Indications received from peers are not announced again, so that they expire once their cause is
+/// gone.
 const LEAVING_ANNOUNCE_WINDOW: Duration = Duration::from_secs(2);
 
 /// Parameters of the choice of an engine for a request.
--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -74,9 +74,9 @@
     pub retry_after: Option<Duration>,
 }
 
-/// The engine priority of a prompt of this length class, of whose time from arrival to deadline this
-/// share is used. Longer classes start with lower priority; all reach that of short prompts once
-/// `AGING_SHARE` is used, so that none starves.
+/// The engine priority of a prompt of this length class that has used this share of the time from
+/// its arrival to its deadline. Longer classes start with lower priority; all reach that of short
+/// prompts once `AGING_SHARE` is used, so that none starves.
 pub fn aged_priority(base: u8, class: Class, used: f64) -> u8 {
     let below = class.index() as u8;
     let risen = (used.clamp(0.0, 1.0) / AGING_SHARE * f64::from(below)).floor() as u8;
--- a/daemon/src/group.rs
+++ b/daemon/src/group.rs
@@ -282,8 +282,8 @@
     reserve_all(process, &segments).await.then_some(segments)
 }
 
-/// Enlarges the last segment to at least `min_last` tokens, which is the answer and some of the prompt,
-/// by moving tokens from the one before. Returns whether it fits on its engine.
+/// Enlarges the last segment to at least `min_last` tokens, the answer and some of the prompt, by
+/// moving tokens from the one before. Returns whether it fits on its engine.
 fn enlarge_last(
     segments: &mut [Segment],
     min_last: Tokens,
--- a/daemon/src/home.rs
+++ b/daemon/src/home.rs
@@ -148,7 +148,7 @@
     }
 
     /// Handles an engine's report. Returns whether the engine newly reports that it is leaving. A
-    /// report that it is not leaving removes the mark only if the report before it said that it was,
+    /// report that it is not leaving removes the mark only if the previous report said that it was,
     /// since a report may be older than other indications.
     pub fn on_report(&self, engine: &id::Upstream, report: Report) -> bool {
         let now = self.clock.now();
