--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -17,7 +17,8 @@
 use crate::home;
 use crate::serve::{Job, Progress};
 
-/// Share of its time after which a long prompt has the priority of short ones.
+/// Share of the time from arrival to deadline after which a long prompt has the priority of short
+/// ones.
 const AGING_SHARE: f64 = 0.75;
 
 /// The lowest engine priority. Lower numbers go first.
@@ -69,13 +70,13 @@
     pub kind: Kind,
     /// The error message.
     pub why: String,
-    /// When the caller may retry.
+    /// Time after which the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
-/// The engine priority of a prompt of this length class that has used this share of its time.
-/// Longer classes start with lower priority; all reach that of short prompts once three quarters of
-/// their time are used, so that none starves.
+/// The engine priority of a prompt of this length class that has used this share of the time from
+/// its arrival to its deadline. Longer classes start with lower priority; all reach that of short
+/// prompts once `AGING_SHARE` is used, so that none starves.
 pub fn aged_priority(base: u8, class: Class, used: f64) -> u8 {
     let below = class.index() as u8;
     let risen = (used.clamp(0.0, 1.0) / AGING_SHARE * f64::from(below)).floor() as u8;
@@ -153,8 +154,8 @@
     let candidates = job.process.engines.candidates(&query);
     let Some(first) = candidates.first() else { return Ok(()) };
     let vms = job.process.members.live().len().max(1) as f64;
-    let rate = first.speed.seconds_per_token() / candidates.len() as f64 * vms;
-    check_deadline(job, queued as f64 * rate)
+    let seconds_per_token = first.speed.seconds_per_token() / candidates.len() as f64 * vms;
+    check_deadline(job, queued as f64 * seconds_per_token)
 }
 
 /// Rejects a request whose first token is predicted after its deadline.
@@ -248,7 +249,7 @@
     let requirements = job.requirements(progress);
     let shards = job.process.shards();
     let shard = shards.iter().find(|s| s.engines.contains(chosen))?;
-    let ask = wire::GrantRequest {
+    let request = wire::GrantRequest {
         vm: job.process.config.vm.clone(),
         request: job.request.clone(),
         model: job.prompt.model.clone(),
@@ -256,7 +257,7 @@
         memory: requirements.memory,
         avoid: progress.avoid.clone(),
     };
-    match request_grant(job, shard, ask, GRANT_TIMEOUT).await {
+    match request_grant(job, shard, request, GRANT_TIMEOUT).await {
         Some(Grant::Granted(segments)) => segments.first().map(|s| s.engine.clone()),
         _ => None,
     }
@@ -266,19 +267,19 @@
 pub async fn request_grant(
     job: &Job,
     shard: &home::Shard,
-    ask: wire::GrantRequest,
+    request: wire::GrantRequest,
     timeout: Duration,
 ) -> Option<Grant> {
     let process: &Arc<_> = &job.process;
     let live = process.members.live();
     let home = home::home_of(shard, &live)?;
     if home.vm == process.config.vm {
-        let granted = group::grant(process, &shard.name, &ask);
+        let granted = group::grant(process, &shard.name, &request);
         return tokio::time::timeout(timeout, granted).await.ok();
     }
     let connection = process.peers.get(&home.vm)?;
     let mut context = Context::current();
     context.deadline = std::time::Instant::now() + timeout;
     process.metrics.peer_calls.inc();
-    connection.grant(context, shard.name.clone(), ask).await.ok()
+    connection.grant(context, shard.name.clone(), request).await.ok()
 }
--- a/daemon/src/group.rs
+++ b/daemon/src/group.rs
@@ -66,8 +66,8 @@
         self.renewal.abort();
         let reserved = reservations(&self.segments, &self.flights);
         tokio::spawn(async move {
-            for (engine, hold) in reserved {
-                let _ = engine.release(&hold).await;
+            for (engine, reservation) in reserved {
+                let _ = engine.release(&reservation).await;
             }
         });
     }
@@ -87,17 +87,17 @@
     loop {
         let shards = job.process.shards();
         let fitting = |s: &&Shard| shard_memory(job, s) >= requirements.memory;
-        let mut of: Vec<&Shard> =
+        let mut candidates: Vec<&Shard> =
             shards.iter().filter(|s| s.model == job.prompt.model).filter(fitting).collect();
-        of.sort_by_key(|s| foldlock_base::hash::weight(job.request.as_str(), &s.name));
-        if of.is_empty() {
+        candidates.sort_by_key(|s| foldlock_base::hash::weight(job.request.as_str(), &s.name));
+        if candidates.is_empty() {
             return Err(Rejection {
                 kind: Kind::PromptTooLong,
                 why: format!("no group of engines has memory for {} tokens", requirements.memory),
                 retry_after: None,
             });
         }
-        for shard in of {
+        for shard in candidates {
             if let Some(group) = try_shard(job, requirements, shard).await {
                 let waited_ms = millis(job.process.clock.now() - started);
                 let engines = group.segments.iter().map(|s| s.engine.clone()).collect();
@@ -115,7 +115,7 @@
 }
 
 async fn try_shard(job: &Job, requirements: &Requirements, shard: &Shard) -> Option<Group> {
-    let ask = wire::GrantRequest {
+    let request = wire::GrantRequest {
         vm: job.process.config.vm.clone(),
         request: job.request.clone(),
         model: job.prompt.model.clone(),
@@ -123,7 +123,7 @@
         memory: requirements.memory,
         avoid: Vec::new(),
     };
-    let grant = request_grant(job, shard, ask, SEARCH_TIMEOUT * 2).await?;
+    let grant = request_grant(job, shard, request, SEARCH_TIMEOUT * 2).await?;
     let Grant::Granted(segments) = grant else { return None };
     let flights: Vec<Flight<System>> = segments.iter().filter_map(|s| flight(job, s)).collect();
     if flights.len() != segments.len() || flights.is_empty() {
@@ -149,8 +149,8 @@
 async fn renew(reservations: Vec<(HttpEngine, id::Reservation)>) {
     loop {
         tokio::time::sleep(RENEW_INTERVAL).await;
-        for (engine, hold) in &reservations {
-            let _ = engine.reserve(hold, Tokens(0), RESERVATION_TTL).await;
+        for (engine, reservation) in &reservations {
+            let _ = engine.reserve(reservation, Tokens(0), RESERVATION_TTL).await;
         }
     }
 }
@@ -167,8 +167,8 @@
     let mut at = 0;
     let last = group.segments.len() - 1;
     for (i, segment) in group.segments.iter().enumerate() {
-        let hold = segment.hold.clone().ok_or(Failure::Gone)?;
-        let held = engine::Segment { reservation: hold, context: context.clone() };
+        let reservation = segment.hold.clone().ok_or(Failure::Gone)?;
+        let reserved = engine::Segment { reservation, context: context.clone() };
         let bytes = (segment.tokens.0 * u64::from(job.bytes_per_token)) as usize;
         let end = if i == last { order.prompt.len() } else { at + bytes };
         let part = Order {
@@ -178,9 +178,9 @@
         };
         let client = &group.flights[i].client;
         if i == last {
-            return client.generate(&Order { segment: Some(held), ..part }).await;
+            return client.generate(&Order { segment: Some(reserved), ..part }).await;
         }
-        context = client.prefill(&part, &held).await?;
+        context = client.prefill(&part, &reserved).await?;
         group.flights[i].on_prefill_done();
         at = end;
     }
@@ -194,14 +194,14 @@
 
 /// Handles a grant request as the home of a shard: finds one engine for a long prompt, or reserves
 /// a group.
-pub async fn grant(process: &Arc<Process>, shard: &str, ask: &wire::GrantRequest) -> Grant {
+pub async fn grant(process: &Arc<Process>, shard: &str, request: &wire::GrantRequest) -> Grant {
     let shards = process.shards();
     let Some(shard) = shards.iter().find(|s| s.name == shard) else { return Grant::Unknown };
     let lock = LOCKS.lock().unwrap().entry(shard.name.clone()).or_default().clone();
     let search = async {
         let _guard = lock.lock().await;
         loop {
-            if let Some(segments) = find(process, shard, ask).await {
+            if let Some(segments) = find(process, shard, request).await {
                 return segments;
             }
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -216,26 +216,29 @@
 async fn find(
     process: &Arc<Process>,
     shard: &Shard,
-    ask: &wire::GrantRequest,
+    request: &wire::GrantRequest,
 ) -> Option<Vec<Segment>> {
     let policy = Policy { route: Route::LengthAware, ..Policy::default() };
-    let requirements =
-        Requirements { prompt: ask.prompt, memory: Tokens(0), class: policy.class(ask.prompt) };
+    let requirements = Requirements {
+        prompt: request.prompt,
+        memory: Tokens(0),
+        class: policy.class(request.prompt),
+    };
     let query = EngineQuery {
-        model: &ask.model,
+        model: &request.model,
         requirements,
         blocks: &[],
         policy: &policy,
-        avoid: &ask.avoid,
+        avoid: &request.avoid,
     };
     process.engines.merge_states(&process.home.states(&shard.engines, &process.config.vm));
     let mut candidates = process.engines.candidates(&query);
     candidates.retain(|c| shard.engines.contains(&c.engine));
     let largest = candidates.iter().map(|c| c.memory).max()?;
-    if ask.memory > largest {
-        return reserve_group(process, ask, candidates).await;
+    if request.memory > largest {
+        return reserve_group(process, request, candidates).await;
     }
-    let requirements = Requirements { memory: ask.memory, ..requirements };
+    let requirements = Requirements { memory: request.memory, ..requirements };
     let choice = Routes::default().choose(
         Route::LengthAware,
         &requirements,
@@ -243,48 +246,53 @@
         &mut rand::rng(),
     )?;
     let chosen = &candidates[choice.index];
-    let load = Load::of(requirements.class, ask.prompt, ask.memory);
-    process.home.record_grant(&chosen.engine, &ask.vm, load);
-    Some(vec![Segment { engine: chosen.engine.clone(), tokens: ask.prompt, hold: None }])
+    let load = Load::of(requirements.class, request.prompt, request.memory);
+    process.home.record_grant(&chosen.engine, &request.vm, load);
+    Some(vec![Segment { engine: chosen.engine.clone(), tokens: request.prompt, hold: None }])
 }
 
-/// Reserves memory on as many engines as needed, those with most free memory first; all or nothing.
+/// Reserves memory on as many engines as needed, those with the most free memory first; all or
+/// nothing.
 async fn reserve_group(
     process: &Arc<Process>,
-    ask: &wire::GrantRequest,
+    request: &wire::GrantRequest,
     mut candidates: Vec<Candidate>,
 ) -> Option<Vec<Segment>> {
     let free = |c: &Candidate| c.memory - used(process, c);
     candidates.sort_by_key(|c| std::cmp::Reverse(free(c)));
     let mut segments = Vec::new();
-    let mut left = ask.memory;
+    let mut left = request.memory;
     for candidate in &candidates {
         let tokens = free(candidate).min(left);
         if tokens < MIN_SEGMENT.min(left) || left == Tokens(0) {
             break;
         }
-        let hold = format!("{}.{}", ask.request, segments.len()).parse().ok()?;
-        segments.push(Segment { engine: candidate.engine.clone(), tokens, hold: Some(hold) });
+        let reservation = format!("{}.{}", request.request, segments.len()).parse().ok()?;
+        segments.push(Segment {
+            engine: candidate.engine.clone(),
+            tokens,
+            hold: Some(reservation),
+        });
         left = left - tokens;
     }
-    let answer = ask.memory - ask.prompt + MIN_SEGMENT;
-    if left > Tokens(0) || !room_for_answer(&mut segments, answer, &candidates, free) {
+    let min_last = request.memory - request.prompt + MIN_SEGMENT;
+    if left > Tokens(0) || !enlarge_last(&mut segments, min_last, &candidates, free) {
         return None;
     }
     reserve_all(process, &segments).await.then_some(segments)
 }
 
-/// Makes the last segment large enough for the answer and some of the prompt, by moving tokens from
-/// the one before. Returns whether it fits.
-fn room_for_answer(
+/// Enlarges the last segment to at least `min_last` tokens, the answer and some of the prompt, by
+/// moving tokens from the one before. Returns whether it fits on its engine.
+fn enlarge_last(
     segments: &mut [Segment],
-    answer: Tokens,
+    min_last: Tokens,
     candidates: &[Candidate],
     free: impl Fn(&Candidate) -> Tokens,
 ) -> bool {
     let count = segments.len();
     let [.., before, last] = segments else { return false };
-    let missing = answer - last.tokens;
+    let missing = min_last - last.tokens;
     before.tokens = before.tokens - missing;
     last.tokens = last.tokens + missing;
     last.tokens <= free(&candidates[count - 1])
@@ -299,20 +307,21 @@
 async fn reserve_all(process: &Process, segments: &[Segment]) -> bool {
     let mut reserved = Vec::new();
     for segment in segments {
-        let (Some(engine), Some(hold)) = (process.engines.client(&segment.engine), &segment.hold)
+        let (Some(engine), Some(reservation)) =
+            (process.engines.client(&segment.engine), &segment.hold)
         else {
             break;
         };
-        if engine.reserve(hold, segment.tokens, RESERVATION_TTL).await.is_err() {
+        if engine.reserve(reservation, segment.tokens, RESERVATION_TTL).await.is_err() {
             break;
         }
-        reserved.push((engine, hold.clone()));
+        reserved.push((engine, reservation.clone()));
     }
     if reserved.len() == segments.len() {
         return true;
     }
-    for (engine, hold) in reserved {
-        let _ = engine.release(&hold).await;
+    for (engine, reservation) in reserved {
+        let _ = engine.release(&reservation).await;
     }
     false
 }
