--- a/connection/src/wire.rs
+++ b/connection/src/wire.rs
@@ -255,9 +255,9 @@
 #[tarpc::service]
 pub trait Peer {
     /// Exchanges heartbeats.
-    async fn exchange(heartbeat: Heartbeat) -> Heartbeat;
+    async fn exchange(beat: Heartbeat) -> Heartbeat;
     /// Asks the home of a shard to place a request.
-    async fn grant(shard: String, request: GrantRequest) -> Grant;
+    async fn grant(shard: String, ask: GrantRequest) -> Grant;
     /// Asks the VM that writes a shard of the claims to write a batch.
     async fn claim(shard: u32, claims: Vec<Claim>) -> Vec<Verdict>;
     /// Returns the settings in force, without the texts whose hashes are in `known`.
--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -249,7 +249,7 @@
     let requirements = job.requirements(progress);
     let shards = job.process.shards();
     let shard = shards.iter().find(|s| s.engines.contains(chosen))?;
-    let request = wire::GrantRequest {
+    let ask = wire::GrantRequest {
         vm: job.process.config.vm.clone(),
         request: job.request.clone(),
         model: job.prompt.model.clone(),
@@ -257,7 +257,7 @@
         memory: requirements.memory,
         avoid: progress.avoid.clone(),
     };
-    match request_grant(job, shard, request, GRANT_TIMEOUT).await {
+    match request_grant(job, shard, ask, GRANT_TIMEOUT).await {
         Some(Grant::Granted(segments)) => segments.first().map(|s| s.engine.clone()),
         _ => None,
     }
@@ -267,19 +267,19 @@
 pub async fn request_grant(
     job: &Job,
     shard: &home::Shard,
-    request: wire::GrantRequest,
+    ask: wire::GrantRequest,
     timeout: Duration,
 ) -> Option<Grant> {
     let process: &Arc<_> = &job.process;
     let live = process.members.live();
     let home = home::home_of(shard, &live)?;
     if home.vm == process.config.vm {
-        let granted = group::grant(process, &shard.name, &request);
+        let granted = group::grant(process, &shard.name, &ask);
         return tokio::time::timeout(timeout, granted).await.ok();
     }
     let connection = process.peers.get(&home.vm)?;
     let mut context = Context::current();
     context.deadline = std::time::Instant::now() + timeout;
     process.metrics.peer_calls.inc();
-    connection.grant(context, shard.name.clone(), request).await.ok()
+    connection.grant(context, shard.name.clone(), ask).await.ok()
 }
--- a/daemon/src/group.rs
+++ b/daemon/src/group.rs
@@ -115,7 +115,7 @@
 }
 
 async fn try_shard(job: &Job, requirements: &Requirements, shard: &Shard) -> Option<Group> {
-    let request = wire::GrantRequest {
+    let ask = wire::GrantRequest {
         vm: job.process.config.vm.clone(),
         request: job.request.clone(),
         model: job.prompt.model.clone(),
@@ -123,7 +123,7 @@
         memory: requirements.memory,
         avoid: Vec::new(),
     };
-    let grant = request_grant(job, shard, request, SEARCH_TIMEOUT * 2).await?;
+    let grant = request_grant(job, shard, ask, SEARCH_TIMEOUT * 2).await?;
     let Grant::Granted(segments) = grant else { return None };
     let flights: Vec<Flight<System>> = segments.iter().filter_map(|s| flight(job, s)).collect();
     if flights.len() != segments.len() || flights.is_empty() {
@@ -194,14 +194,14 @@
 
 /// Handles a grant request as the home of a shard: finds one engine for a long prompt, or reserves
 /// a group.
-pub async fn grant(process: &Arc<Process>, shard: &str, request: &wire::GrantRequest) -> Grant {
+pub async fn grant(process: &Arc<Process>, shard: &str, ask: &wire::GrantRequest) -> Grant {
     let shards = process.shards();
     let Some(shard) = shards.iter().find(|s| s.name == shard) else { return Grant::Unknown };
     let lock = LOCKS.lock().unwrap().entry(shard.name.clone()).or_default().clone();
     let search = async {
         let _guard = lock.lock().await;
         loop {
-            if let Some(segments) = find(process, shard, request).await {
+            if let Some(segments) = find(process, shard, ask).await {
                 return segments;
             }
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -216,29 +216,26 @@
 async fn find(
     process: &Arc<Process>,
     shard: &Shard,
-    request: &wire::GrantRequest,
+    ask: &wire::GrantRequest,
 ) -> Option<Vec<Segment>> {
     let policy = Policy { route: Route::LengthAware, ..Policy::default() };
-    let requirements = Requirements {
-        prompt: request.prompt,
-        memory: Tokens(0),
-        class: policy.class(request.prompt),
-    };
+    let requirements =
+        Requirements { prompt: ask.prompt, memory: Tokens(0), class: policy.class(ask.prompt) };
     let query = EngineQuery {
-        model: &request.model,
+        model: &ask.model,
         requirements,
         blocks: &[],
         policy: &policy,
-        avoid: &request.avoid,
+        avoid: &ask.avoid,
     };
     process.engines.merge_states(&process.home.states(&shard.engines, &process.config.vm));
     let mut candidates = process.engines.candidates(&query);
     candidates.retain(|c| shard.engines.contains(&c.engine));
     let largest = candidates.iter().map(|c| c.memory).max()?;
-    if request.memory > largest {
-        return reserve_group(process, request, candidates).await;
+    if ask.memory > largest {
+        return reserve_group(process, ask, candidates).await;
     }
-    let requirements = Requirements { memory: request.memory, ..requirements };
+    let requirements = Requirements { memory: ask.memory, ..requirements };
     let choice = Routes::default().choose(
         Route::LengthAware,
         &requirements,
@@ -246,28 +243,28 @@
         &mut rand::rng(),
     )?;
     let chosen = &candidates[choice.index];
-    let load = Load::of(requirements.class, request.prompt, request.memory);
-    process.home.record_grant(&chosen.engine, &request.vm, load);
-    Some(vec![Segment { engine: chosen.engine.clone(), tokens: request.prompt, hold: None }])
+    let load = Load::of(requirements.class, ask.prompt, ask.memory);
+    process.home.record_grant(&chosen.engine, &ask.vm, load);
+    Some(vec![Segment { engine: chosen.engine.clone(), tokens: ask.prompt, hold: None }])
 }
 
 /// Reserves memory on as many engines as needed, those with the most free memory first; all or
 /// nothing.
 async fn reserve_group(
     process: &Arc<Process>,
-    request: &wire::GrantRequest,
+    ask: &wire::GrantRequest,
     mut candidates: Vec<Candidate>,
 ) -> Option<Vec<Segment>> {
     let free = |c: &Candidate| c.memory - used(process, c);
     candidates.sort_by_key(|c| std::cmp::Reverse(free(c)));
     let mut segments = Vec::new();
-    let mut left = request.memory;
+    let mut left = ask.memory;
     for candidate in &candidates {
         let tokens = free(candidate).min(left);
         if tokens < MIN_SEGMENT.min(left) || left == Tokens(0) {
             break;
         }
-        let reservation = format!("{}.{}", request.request, segments.len()).parse().ok()?;
+        let reservation = format!("{}.{}", ask.request, segments.len()).parse().ok()?;
         segments.push(Segment {
             engine: candidate.engine.clone(),
             tokens,
@@ -275,7 +272,7 @@
         });
         left = left - tokens;
     }
-    let min_last = request.memory - request.prompt + MIN_SEGMENT;
+    let min_last = ask.memory - ask.prompt + MIN_SEGMENT;
     if left > Tokens(0) || !enlarge_last(&mut segments, min_last, &candidates, free) {
         return None;
     }
--- a/daemon/src/peers.rs
+++ b/daemon/src/peers.rs
@@ -178,8 +178,8 @@
         self.process.heartbeat(&heartbeat.from.vm)
     }
 
-    async fn grant(self, _: Context, shard: String, request: GrantRequest) -> Grant {
-        crate::group::grant(&self.process, &shard, &request).await
+    async fn grant(self, _: Context, shard: String, ask: GrantRequest) -> Grant {
+        crate::group::grant(&self.process, &shard, &ask).await
     }
 
     async fn claim(self, _: Context, shard: u32, claims: Vec<Claim>) -> Vec<Verdict> {
